--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -6,6 +6,11 @@
 use crate::ids::{JobId, Partition};
 use serde_json::json;
 
+/// Part of the burst of the budget of changes that a flush of done bits leaves, for acceptances and ends of jobs.
+const FLUSH_RESERVE: f64 = 0.3;
+/// The same for clearing away the bitmaps of jobs that have ended, which can wait longest.
+const SWEEP_RESERVE: f64 = 0.7;
+
 /// A stored part of a bitmap: a chunk, or from some bit of it on.
 ///
 /// Chunks are as large as three quarters of the largest value, which the version before gangs derives from
@@ -159,7 +164,16 @@
 
     pub(super) fn flush_bits(&mut self, acting: &[Partition]) {
         let (chunk_bits, piece_bits) = (self.chunk_bits(), self.piece_bits());
-        let room = self.limits.ops;
+        // A flush takes no more changes than the budget holds above its reserve. One transaction of many
+        // changes would otherwise leave the budget in debt for seconds, and acceptances, which may go below
+        // the reserve but not that far, would be put off meanwhile.
+        let room = self
+            .limits
+            .ops
+            .min(self.state_writes.spare(self.now.ms, FLUSH_RESERVE));
+        if room == 0 {
+            return;
+        }
         let mut changes = Vec::new();
         let mut chunks = Vec::new();
         let mut bytes = 0;
@@ -194,10 +208,6 @@
         if changes.is_empty() {
             return;
         }
-        if !self.state_writes.take(self.now.ms, 0.0, 0.3) {
-            self.unflush(chunks);
-            return;
-        }
         // The writers of an older epoch cannot land after a take-over has read the bitmaps; and a
         // bitmap is not written for a job whose record has changed meanwhile.
         let conditions = vec![self.epoch_condition()];
@@ -234,10 +244,11 @@
     }
 
     pub(super) fn sweep_keys(&mut self) {
-        if self.cloud.stale_keys.is_empty() || !self.state_writes.take(self.now.ms, 0.0, 0.7) {
+        let spare = self.state_writes.spare(self.now.ms, SWEEP_RESERVE);
+        let n = self.cloud.stale_keys.len().min(self.limits.ops).min(spare);
+        if n == 0 {
             return;
         }
-        let n = self.cloud.stale_keys.len().min(self.limits.ops);
         let keys: Vec<String> = self.cloud.stale_keys.drain(..n).collect();
         let changes = keys.iter().map(|k| json!({ "delete": k })).collect();
         let conditions = vec![self.epoch_condition()];
--- a/crates/tidelatch-core/src/rate_limit.rs
+++ b/crates/tidelatch-core/src/rate_limit.rs
@@ -32,6 +32,11 @@
         self.level -= n;
         true
     }
+    /// Whole units that may be taken now while at least `reserve` (a part of the burst) is left; 0 when none.
+    pub(crate) fn spare(&mut self, now: u64, reserve: f64) -> usize {
+        self.fill(now);
+        (self.level - self.burst * reserve).max(0.0).floor() as usize
+    }
     /// Takes `n` whatever is left: for what must go out.
     pub(crate) fn force(&mut self, now: u64, n: f64) {
         self.fill(now);
