--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -167,10 +167,7 @@
         // A flush takes no more changes than the budget holds above its reserve. One transaction of many
         // changes would otherwise leave the budget in debt for seconds, and acceptances, which may go below
         // the reserve but not that far, would be put off meanwhile.
-        let room = self
-            .limits
-            .ops
-            .min(self.state_writes.spare(self.now.ms, FLUSH_RESERVE));
+        let room = self.limits.ops.min(self.state_writes.spare(self.now.ms, FLUSH_RESERVE));
         if room == 0 {
             return;
         }
