--- a/crates/tidelatch-standin/tests/acceptance.rs
+++ b/crates/tidelatch-standin/tests/acceptance.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::{Cloud, Size, World, job};
 
 /// How long a user retries.
 const USER_PATIENCE_MS: u64 = 60_000;
@@ -222,3 +222,88 @@
     assert_eq!(gave_up, Vec::<String>::new(), "{pauses:?}");
     sound(&world);
 }
+
+/// Changes a second that the state service takes, shared by all the controllers: few.
+const TIGHT_WRITE_RPS: f64 = 30.0;
+/// Accelerators that each team may have: the team of the arrays fills this many machines.
+const TEAM_LIMIT: f64 = 160.0;
+/// Machines that may be rented, two accelerators each: room for the arrays and for the others' jobs.
+const MACHINES: usize = 85;
+/// Time over which the machines come up, one after the other: as long as a worker's period of reports, so that
+/// the workers report at times of their own and the ends of the arrays do not come all at once.
+const BOOT_SPREAD_MS: u64 = 2500;
+/// Job arrays of one team, and the tasks of each: so few that many of them run at once.
+const ARRAYS: u32 = 300;
+const TASKS_PER_ARRAY: u32 = 5;
+/// Milliseconds that a task of an array runs, at least; up to twice as long, by its number.
+const SHORT_TASK_MS: u64 = 2000;
+/// Submissions of the other teams while the arrays run, one after the other.
+const TRICKLE: u32 = 40;
+/// Milliseconds between two of them.
+const TRICKLE_GAP_MS: u64 = 1000;
+/// The numbers of the others' jobs begin here, after those of the arrays.
+const FIRST_OTHER_JOB: u32 = 1000;
+/// What counts as accepted at once.
+const AT_ONCE_MS: u64 = 1000;
+/// Of the others' submissions, how many may miss that.
+const LATE_AT_MOST: usize = 1;
+
+#[test]
+fn done_bits_of_many_arrays_delay_no_acceptance() {
+    // Guard: a flush of done bits sent as many changes as a transaction holds once the budget of changes had
+    // 30 % of its burst left, and left it in debt for seconds; the acceptances meanwhile were answered 503, and
+    // a user who comes back a second later missed the second.
+    let size = Size {
+        write_rps: TIGHT_WRITE_RPS,
+        guarantee: TEAM_LIMIT / 4.0,
+        limit: TEAM_LIMIT,
+        ..Size::default()
+    };
+    let mut world = World::sized(&Operator::default(), size);
+    world.store.rate = Some(TIGHT_WRITE_RPS);
+    world.cloud.most = MACHINES;
+    let one_after_the_other = (0..MACHINES as u64).map(|i| Some(Cloud::BOOT_MS + i * BOOT_SPREAD_MS / MACHINES as u64));
+    world.cloud.next_boots = one_after_the_other.collect();
+    world.run_ms = SHORT_TASK_MS;
+    world.uneven = true;
+    world.run(5000);
+    let mut arrays = Users::default();
+    for n in 0..ARRAYS {
+        arrays.come(&world, n as usize % 3, job(1 + n, 0, "sweep", TASKS_PER_ARRAY));
+    }
+    while !arrays.waiting.is_empty() {
+        assert!(
+            world.now < USER_PATIENCE_MS,
+            "the arrays are accepted\n{}",
+            world.trace()
+        );
+        arrays.run(&mut world, 1000);
+    }
+    let first_other = job(FIRST_OTHER_JOB, 0, "sweep", 1)["uid"]
+        .as_str()
+        .unwrap_or_default()
+        .to_owned();
+    let array_tasks = |world: &World| world.running_units().keys().filter(|t| **t < first_other).count();
+    // The controller that writes the arrays' done bits is the one that the others' users ask.
+    let busy = world.owner_of_team(0);
+    let changes_before = world.sent.changes;
+    let mut others = Users::default();
+    for n in 0..TRICKLE {
+        others.come(&world, busy, job(FIRST_OTHER_JOB + n, 1 + n % 2, "sweep", 1));
+        others.run(&mut world, TRICKLE_GAP_MS);
+    }
+    assert!(array_tasks(&world) > 0, "the arrays ran all the while");
+    let changes = world.sent.changes - changes_before;
+    others.run(&mut world, USER_PATIENCE_MS);
+    assert_eq!(others.accepted.len(), TRICKLE as usize);
+    let late: Vec<_> = others
+        .accepted
+        .iter()
+        .filter(|(_, (ms, attempts))| *ms > AT_ONCE_MS || *attempts > 1)
+        .collect();
+    assert!(
+        late.len() <= LATE_AT_MOST,
+        "{changes} changes meanwhile; late: {late:?}"
+    );
+    sound(&world);
+}
