--- /dev/null
+++ b/crates/tidelatch-standin/tests/production_data.rs
@@ -0,0 +1,254 @@
+//! What the version in production has stored is read by this one. The files in `kept/` hold values as the commit that
+//! `deploy/service.toml` names wrote them in a simulated deployment of three controllers; whoever names another commit
+//! there writes them anew with that commit's own code.
+//!
+//! `before_gangs.json` is of a large deployment that `tests/upgrade.rs` goes on with; `production.json` adds what that
+//! lacks: spot machines, a machine that was handed over, a bitmap in two chunks, and jobs of all priorities.
+
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::PathBuf;
+use tidelatch_core::Method;
+use tidelatch_core::jobs::{JobRecord, bits_from_hex};
+use tidelatch_core::membership::{EpochRecord, LeaderRecord, MemberRecord};
+use tidelatch_core::protocol::MachineTypes;
+use tidelatch_core::roster::{BootEntry, GroupRecord};
+use tidelatch_core::settings::Operator;
+use tidelatch_standin::support::is_done;
+use tidelatch_standin::{Size, World, job};
+
+/// Values as the production commit stored them.
+#[derive(Deserialize)]
+struct Fixture {
+    /// The commit whose code wrote them.
+    made_by: String,
+    /// The largest value of that deployment's state service, in KiB.
+    value_kb: f64,
+    /// All keys.
+    values: BTreeMap<String, Value>,
+}
+
+impl Fixture {
+    fn load(name: &str) -> Self {
+        let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/kept").join(name);
+        let text = std::fs::read_to_string(path).expect("the fixture is kept");
+        serde_json::from_str(&text).expect("the fixture is in form")
+    }
+
+    /// The values under a prefix, by the rest of their keys.
+    fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Value)> {
+        let values = self.values.iter();
+        values.filter_map(move |(key, value)| Some((key.strip_prefix(prefix)?, value)))
+    }
+
+    /// Tasks of a job that its stored bitmap calls done; a chunk has so many bits.
+    fn done_tasks(&self, partition: u32, id: &str, chunk_bits: u32) -> BTreeSet<u32> {
+        let prefix = format!("d/{partition}/{id}/");
+        let mut done = BTreeSet::new();
+        for (chunk, bitmap) in self.under(&prefix) {
+            let first = chunk.parse::<u32>().expect("a chunk's number") * chunk_bits;
+            let bits = bits_from_hex(bitmap.as_str().expect("hexadecimal digits"));
+            done.extend(bits.into_iter().map(|bit| first + bit));
+        }
+        done
+    }
+
+    /// A deployment of this version that begins with these values. Keys that go with their controllers' leases have
+    /// gone by then.
+    fn restart(&self) -> World {
+        let size = Size {
+            guarantee: 60.0,
+            limit: 200.0,
+            value_kb: self.value_kb,
+            ..Size::default()
+        };
+        let mut world = World::sized(&Operator::default(), size);
+        world.cloud.most = 200;
+        let leased = |key: &str| key == "t/c/leader" || key.starts_with("t/c/member/");
+        for (key, value) in self.values.iter().filter(|(key, _)| !leased(key)) {
+            world.store.put(key, value.clone());
+        }
+        world
+    }
+}
+
+fn fixtures() -> [(&'static str, Fixture); 2] {
+    ["before_gangs.json", "production.json"].map(|name| (name, Fixture::load(name)))
+}
+
+/// Reads a value as a record of this version and checks that nothing of it was passed over.
+fn assert_is_read_whole<T: DeserializeOwned + Serialize>(key: &str, value: &Value) {
+    let record: T = serde_json::from_value(value.clone()).unwrap_or_else(|fault| panic!("{key}: {fault}: {value}"));
+    let again = serde_json::to_value(&record).expect("a record is JSON");
+    assert_eq!(again, *value, "{key}");
+}
+
+/// What a controller says of a job.
+fn status(world: &mut World, id: &str) -> Value {
+    let path = format!("/submissions/{id}");
+    let polled = world.user(0, Method::Get, &path, "", (id.to_owned(), "health"));
+    world.run(500);
+    let answer = world.answers.get(&polled);
+    let body = answer.and_then(|(_, answer)| serde_json::from_str(&answer.body).ok());
+    body.unwrap_or_else(|| panic!("{id}: no answer\n{}", world.trace()))
+}
+
+#[test]
+fn the_fixtures_are_of_the_commit_in_production() {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy/service.toml");
+    let deploy = std::fs::read_to_string(path).expect("the deploy file");
+    let production = deploy
+        .lines()
+        .find_map(|line| line.strip_prefix("production = \"")?.strip_suffix('"'))
+        .expect("the deploy file names the commit in production");
+    for (name, fixture) in fixtures() {
+        assert_eq!(fixture.made_by, production, "{name}");
+    }
+}
+
+#[test]
+fn the_fixtures_hold_every_kind_of_value_that_production_stores() {
+    let all: Vec<Fixture> = fixtures().into_iter().map(|(_, fixture)| fixture).collect();
+    let values = |prefix: &'static str| all.iter().flat_map(move |fixture| fixture.under(prefix));
+    for prefix in [
+        "t/c/epoch",
+        "t/c/leader",
+        "t/c/member/",
+        "t/y",
+        "t/j/",
+        "t/m/",
+        "t/u/",
+        "d/",
+    ] {
+        assert!(values(prefix).next().is_some(), "no key under {prefix}");
+    }
+    for state in ["queued", "done", "withdrawn"] {
+        assert!(values("t/j/").any(|(_, job)| job["st"] == state), "no job is {state}");
+    }
+    for (field, words) in [
+        ("shape", ["sweep", "standing"].as_slice()),
+        ("precedence", &["prod", "urgent", "normal", "low"]),
+    ] {
+        for word in words {
+            assert!(
+                values("t/j/").any(|(_, job)| job["spec"][field] == *word),
+                "{field}: {word}"
+            );
+        }
+    }
+    for field in ["yard", "models", "dueS"] {
+        assert!(values("t/j/").any(|(_, job)| !job["spec"][field].is_null()), "{field}");
+    }
+    assert!(values("t/m/").any(|(_, group)| group["spot"] == true), "spot machines");
+    assert!(values("t/m/").any(|(name, _)| name.contains('.')), "a hand-over");
+    assert!(values("d/").any(|(key, _)| key.ends_with("/1")), "a second chunk");
+    let mut epochs = values("t/c/epoch");
+    let waits = |epoch: &Value| {
+        epoch["parts"]
+            .as_array()
+            .is_some_and(|p| p.iter().any(|p| p["wait"] != Value::Array(Vec::new())))
+    };
+    assert!(epochs.any(|(_, epoch)| waits(epoch)), "an owner that waits for another");
+}
+
+#[test]
+fn every_field_that_production_stored_is_read() {
+    for (_, fixture) in fixtures() {
+        for (key, value) in &fixture.values {
+            match key.split('/').take(3).collect::<Vec<_>>().as_slice() {
+                ["t", "c", "epoch"] => assert_is_read_whole::<EpochRecord>(key, value),
+                ["t", "c", "leader"] => assert_is_read_whole::<LeaderRecord>(key, value),
+                ["t", "c", "member"] => assert_is_read_whole::<MemberRecord>(key, value),
+                ["t", "y"] => assert_is_read_whole::<MachineTypes>(key, value),
+                ["t", "j", _] => assert_is_read_whole::<JobRecord>(key, value),
+                ["t", "m", _] => assert_is_read_whole::<GroupRecord>(key, value),
+                ["t", "u", _] => assert_is_read_whole::<BTreeMap<String, BootEntry>>(key, value),
+                ["d", _, _] => assert!(!bits_from_hex(value.as_str().expect(key)).is_empty(), "{key}"),
+                _ => panic!("{key}: a key of no known kind"),
+            }
+        }
+    }
+}
+
+#[test]
+fn each_partition_is_taken_over_with_its_jobs_and_machines() {
+    for (name, fixture) in fixtures() {
+        let mut world = fixture.restart();
+        world.run(9000);
+        let before = fixture.values["t/c/epoch"]["n"].as_u64();
+        assert!(Some(world.epoch()) > before, "{name}");
+        for partition in 0..3 {
+            let machines: usize = fixture
+                .under("t/m/")
+                .filter(|(_, group)| group["part"] == partition)
+                .map(|(_, group)| group["m"].as_object().map_or(0, |machines| machines.len()))
+                .sum();
+            let team = format!("team-{partition}");
+            let unfinished = |(_, job): &(&str, &Value)| job["team"] == team && job["st"] == "queued";
+            let jobs = fixture.under("t/j/").filter(unfinished).count();
+            let expected =
+                format!("acting for partition {partition}: {jobs} unfinished jobs, {machines} machines in the roster");
+            assert!(
+                world.trace().contains(&expected),
+                "{name}: {expected}\n{}",
+                world.trace()
+            );
+        }
+    }
+}
+
+#[test]
+fn users_are_told_what_production_stored_of_their_jobs() {
+    for (name, fixture) in fixtures() {
+        let mut world = fixture.restart();
+        world.run(9000);
+        for (id, record) in fixture.under("t/j/") {
+            let said = status(&mut world, id);
+            let stored = record["st"].as_str().expect("a state");
+            // A job that was queued may run by now.
+            let fits = said["status"] == stored || (stored == "queued" && said["status"] == "running");
+            assert!(fits, "{name}: {id}: {said}, stored {record}");
+            if stored == "done" {
+                assert_eq!(said["done"], record["n"], "{name}: {id}");
+            }
+        }
+    }
+}
+
+#[test]
+fn tasks_that_production_counted_as_done_do_not_run_again() {
+    let fixture = Fixture::load("production.json");
+    let chunk_bits = (fixture.value_kb * 1024.0 * 0.75) as u32 * 4;
+    let done = fixture.done_tasks(1, "job-000002", chunk_bits);
+    assert!(done.range(chunk_bits..).next().is_some(), "some of the second chunk");
+    let mut world = fixture.restart();
+    world.run(9000);
+    let said = status(&mut world, "job-000002");
+    assert_eq!(said["done"].as_u64(), Some(done.len() as u64), "{}", world.trace());
+    assert!(
+        world.run_until(200_000, |w| is_done(w, "job-000007") && is_done(w, "job-000008")),
+        "{}",
+        world.trace()
+    );
+    let started: Vec<u32> = world
+        .trace()
+        .split("starts job-000002/")
+        .skip(1)
+        .filter_map(|rest| rest.split_whitespace().next()?.parse().ok())
+        .collect();
+    assert!(!started.is_empty(), "{}", world.trace());
+    assert!(started.iter().all(|task| !done.contains(task)), "{started:?}");
+}
+
+#[test]
+fn machine_types_that_production_stored_serve_while_the_cloud_is_out() {
+    let fixture = Fixture::load("production.json");
+    let mut world = fixture.restart();
+    world.cloud.down = true;
+    world.run(9000);
+    let request = world.submit(0, &job(50, 0, "sweep", 1));
+    world.run(500);
+    assert_eq!(world.status(request), 201, "{}", world.trace());
+}
