--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -1,6 +1,6 @@
 //! What all controllers follow: reading the shared keys, and the watch that tells of their changes.
 
-use super::{
+use super::records::{
     BOOT_BATCH_PREFIX, EPOCH_KEY, EpochRecord, JOB_PREFIX, LEADER_KEY, MEMBER_PREFIX, MemberRecord, ROSTER_PREFIX,
     SHARED, STEP_PREFIX, TYPES_KEY,
 };
