--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -1,6 +1,6 @@
 //! Orders for machines: with answers to their beats, and by direct commands.
 
-use super::{HeldState, Machine, Stop};
+use super::{Held, HeldState, Machine, Stop};
 use crate::calls::Purpose;
 use crate::controller::Controller;
 use crate::ids::{Attempt, Epoch, MachineId, TaskId};
@@ -8,86 +8,67 @@
 use crate::messages::{Method, NOT_SENT, NOT_TRIED, Target};
 use crate::protocol::{Command, Orders, Report, TaskState};
 
+/// The order to start a task that is held.
+fn order_to_start(held: &Held) -> Command {
+    Command::Start {
+        task: held.task.to_string(),
+        attempt: held.attempt,
+    }
+}
+
+/// The order to stop a task that its machine reports in some state; none: it goes on, or is saving in time.
+fn order_to_stop(held: &mut Held, state: TaskState, live: bool, now: u64, report_ms: u64) -> Option<Command> {
+    if !live && held.stop.is_none() {
+        held.stop = Some(Stop::new(0.0, now));
+    }
+    let stop = held.stop?;
+    // A task that saves for longer than it may is ended.
+    let late = now.saturating_sub(stop.at) > (stop.grace_s * 2000.0) as u64 + 2 * report_ms;
+    let saves_in_time = state == TaskState::Saving && !late && live && stop.grace_s != 0.0;
+    (!saves_in_time).then(|| Command::Stop {
+        task: held.task.to_string(),
+        attempt: held.attempt,
+        grace_s: if late || !live { 0.0 } else { stop.grace_s },
+    })
+}
+
 impl Controller {
     /// Orders for a machine: with the answer to one of its beats, or in a direct command.
     pub(crate) fn orders_for(&mut self, id: &MachineId, beat: Option<(u64, u64)>) -> Vec<Command> {
         let now = self.now.ms;
-        let report = self.settings.report_ms();
-        let mut commands = Vec::new();
+        let report_ms = self.settings.report_ms();
         let epoch = self.epoch();
         let sharing = self.members_share_machines();
-        // A direct command may come once more, after its answer, and so may those of whoever had the
-        // machine before: while the worker lists the attempt it has no effect, once forgotten it would
-        // start the task again. A newer token, or time, makes an end of that.
-        let late = 3 * self.settings.worker_lease_ms();
+        let mut commands = self.forget_ended(id);
         let Some(m) = self.machines.get_mut(id) else {
             return commands;
         };
-        m.directs.retain(|_, (_, at)| now.saturating_sub(*at) < late);
-        for (task, attempt, done) in &m.ended {
-            // A result may be dropped only once it is stored.
-            let job = self.jobs.get(&task.job);
-            let keep = *done && job.is_some_and(|j| !j.is_stored(task.index));
-            let foreign = job.is_some_and(|j| j.partition != m.partition) && now.saturating_sub(m.known_since) < late;
-            let repeatable = foreign || m.directs.contains_key(&(task.clone(), *attempt));
-            if !keep && !repeatable && !m.pins.contains_key(&(task.clone(), *attempt)) {
-                commands.push(Command::Forget {
-                    task: task.to_string(),
-                    attempt: *attempt,
-                });
-            }
-        }
         let mut dropped = Vec::new();
         for h in &mut m.held {
             let known_here =
                 |job: &&Job| job.partition == m.partition || (sharing && m.also_holds.contains(&job.partition));
             let job = self.jobs.get(&h.task.job).filter(known_here);
+            let open = job.is_some_and(|j| j.ending.is_none());
             // A cancellation stops tasks from when it is asked for.
             let live = job.is_some_and(|j| !j.is_done(h.task.index)) && !self.cancellations.calls_off(&h.task.job);
             match h.state {
-                HeldState::Booked => {
-                    if live && job.is_some_and(|j| j.ending.is_none()) && h.stop.is_none() {
-                        h.state = match beat {
-                            Some((session, seq)) => HeldState::Sent(session, seq),
-                            None => HeldState::Direct,
-                        };
-                        if beat.is_none()
-                            && let Some(epoch) = epoch
-                        {
-                            m.directs.insert((h.task.clone(), h.attempt), (epoch, now));
-                        }
-                        commands.push(Command::Start {
-                            task: h.task.to_string(),
-                            attempt: h.attempt,
-                        });
-                    } else {
-                        dropped.push((h.task.clone(), h.attempt));
-                    }
-                }
-                HeldState::Seen(state) => {
-                    if !live && h.stop.is_none() {
-                        h.stop = Some(Stop::new(0.0, now));
-                    }
-                    if let Some(stop) = h.stop {
-                        // A task that saves for longer than it may is ended.
-                        let late = now.saturating_sub(stop.at) > (stop.grace_s * 2000.0) as u64 + 2 * report;
-                        if state != TaskState::Saving || late || !live || stop.grace_s == 0.0 {
-                            commands.push(Command::Stop {
-                                task: h.task.to_string(),
-                                attempt: h.attempt,
-                                grace_s: if late || !live { 0.0 } else { stop.grace_s },
-                            });
-                        }
+                HeldState::Booked if live && open && h.stop.is_none() => {
+                    h.state = match beat {
+                        Some((session, seq)) => HeldState::Sent(session, seq),
+                        None => HeldState::Direct,
+                    };
+                    if beat.is_none()
+                        && let Some(epoch) = epoch
+                    {
+                        m.directs.insert((h.task.clone(), h.attempt), (epoch, now));
                     }
+                    commands.push(order_to_start(h));
                 }
+                HeldState::Booked => dropped.push((h.task.clone(), h.attempt)),
+                HeldState::Seen(state) => commands.extend(order_to_stop(h, state, live, now, report_ms)),
                 HeldState::Sent(..) if beat.is_some() && live && m.pins.contains_key(&(h.task.clone(), h.attempt)) => {
                     // The same attempt once more: whichever copy comes second has no effect.
-                    if job.is_some_and(|j| j.ending.is_none()) {
-                        commands.push(Command::Start {
-                            task: h.task.to_string(),
-                            attempt: h.attempt,
-                        });
-                    }
+                    commands.extend(open.then(|| order_to_start(h)));
                 }
                 HeldState::Sent(..) | HeldState::Direct => {}
             }
@@ -98,6 +79,34 @@
         commands
     }
 
+    /// Orders to forget the ended attempts that a machine still lists and whose results are stored.
+    fn forget_ended(&mut self, id: &MachineId) -> Vec<Command> {
+        let now = self.now.ms;
+        // A direct command may come once more, after its answer, and so may those of whoever had the
+        // machine before: while the worker lists the attempt it has no effect, once forgotten it would
+        // start the task again. A newer token, or time, makes an end of that.
+        let late = 3 * self.settings.worker_lease_ms();
+        let mut commands = Vec::new();
+        let Some(m) = self.machines.get_mut(id) else {
+            return commands;
+        };
+        m.directs.retain(|_, (_, at)| now.saturating_sub(*at) < late);
+        for (task, attempt, done) in &m.ended {
+            // A result may be dropped only once it is stored.
+            let job = self.jobs.get(&task.job);
+            let keep = *done && job.is_some_and(|j| !j.is_stored(task.index));
+            let foreign = job.is_some_and(|j| j.partition != m.partition) && now.saturating_sub(m.known_since) < late;
+            let repeatable = foreign || m.directs.contains_key(&(task.clone(), *attempt));
+            if !keep && !repeatable && !m.pins.contains_key(&(task.clone(), *attempt)) {
+                commands.push(Command::Forget {
+                    task: task.to_string(),
+                    attempt: *attempt,
+                });
+            }
+        }
+        commands
+    }
+
     /// Orders a held task to stop, saving if it can.
     pub(crate) fn stop_held(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
         let now = self.now.ms;
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -10,6 +10,14 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
+/// What a report that counts has shown of its machine.
+struct MachineNews {
+    /// It is the machine's first one in this tenure.
+    first: bool,
+    /// The worker's lease has expired since the last one: it has begun a new session.
+    newer_session: bool,
+}
+
 impl Controller {
     pub(crate) fn on_beat(&mut self, asker: Asker, body: &[u8], direct: bool) {
         let report = match serde_json::from_slice::<Report>(body) {
@@ -215,32 +223,61 @@
     /// Takes a report into the view of the machines. False: it is late, or its worker has not seen the token of the
     /// present tenure; then it changes nothing.
     pub(crate) fn take_report(&mut self, report: &Report, is_beat: bool) -> bool {
-        let id = report.machine.clone();
-        let now = self.now.ms;
-        let Some(m) = self.machines.get_mut(&id) else {
+        if !self.is_current(report, is_beat) {
+            return false;
+        }
+        let Some(MachineNews { first, newer_session }) = self.take_machine_state(report) else {
             return false;
         };
-        let key = (report.session, report.seq);
-        if key <= m.last || m.gone {
+        let id = &report.machine;
+        if newer_session {
+            // The worker has killed and forgotten all that it had.
+            self.release_older_session(id, report.session);
+        }
+        let listed = self.take_tasks(report);
+        if is_beat {
+            self.note_unseen_starts(report, &listed);
+            self.release_missing(report, &listed);
+        }
+        self.note_idleness(id);
+        if first {
+            self.note_settled();
+            self.want_batch();
+        }
+        true
+    }
+
+    /// Whether a report is newer than the last one and its worker has seen the token of the present tenure. One that
+    /// has not may still be a sign of life.
+    fn is_current(&mut self, report: &Report, is_beat: bool) -> bool {
+        let Some(m) = self.machines.get_mut(&report.machine) else {
+            return false;
+        };
+        if (report.session, report.seq) <= m.last || m.gone {
             return false;
         }
         let tenure = self.tenures.get(&m.partition);
         let current = tenure.is_some_and(|tenure| report.epoch >= tenure.since);
         // A beat under an older token may be a late copy, which is no sign of life; an answer is none.
         if current || !is_beat {
-            m.heard = Some(now);
+            m.heard = Some(self.now.ms);
             m.probes_failed = 0;
         }
-        if !current {
-            return false;
-        }
-        let newer_session = report.session > m.last.0 && m.last.0 > 0;
+        current
+    }
+
+    /// Takes what a report says of the machine itself. None: the machine is not known.
+    fn take_machine_state(&mut self, report: &Report) -> Option<MachineNews> {
+        let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
+        let tenures = &self.tenures;
+        let m = self.machines.get_mut(&report.machine)?;
+        let newer_session = report.session > m.last.0 && m.last.0 > 0;
         if newer_session && m.answered.is_some_and(|t| now.saturating_sub(t) < lease / 2) {
             // Its lease has ended though it was being answered: the answers did not arrive.
             m.missed += 2;
         }
-        m.last = key;
+        m.last = (report.session, report.seq);
         m.reported = Some(now);
         m.token = report.epoch;
         m.notice = report.notice_s.is_some();
@@ -252,80 +289,98 @@
         m.directs.retain(|_, (epoch, _)| *epoch >= report.epoch);
         let first = !m.confirmed;
         m.confirmed = true;
-        let tenures = &self.tenures;
         m.unaccounted
             .retain(|p| tenures.get(p).is_none_or(|tenure| report.epoch < tenure.since));
-        if newer_session {
-            // The worker has killed and forgotten all that it had.
-            self.release_older_session(&id, report.session);
-        }
-        let mut listed: BTreeSet<(TaskId, Attempt)> = BTreeSet::new();
+        Some(MachineNews { first, newer_session })
+    }
+
+    /// Takes what a report says of each task, and returns the attempts that it lists.
+    fn take_tasks(&mut self, report: &Report) -> BTreeSet<(TaskId, Attempt)> {
+        let id = &report.machine;
+        let mut listed = BTreeSet::new();
         let mut ended = Vec::new();
         for t in &report.tasks {
             let Some(task) = TaskId::parse(&t.task) else { continue };
             listed.insert((task.clone(), t.attempt));
             if t.state == TaskState::Exited {
-                let done = t.why.as_deref() == Some("done");
-                let held = self.machines.get(&id).and_then(|m| {
-                    let mut held = m.held.iter();
-                    held.find(|h| h.task == task && h.attempt == t.attempt)
-                });
-                let began = held.and_then(|h| h.running_since);
                 let why = t.why.as_deref().unwrap_or("");
-                // An ended attempt stays in the reports for long: it fails once.
-                let failed_before = why == "error" && held.is_none();
-                self.release(&id, &task, t.attempt);
-                ended.push((task.clone(), t.attempt, done));
-                if !failed_before {
-                    self.note_end(&id, &task, t.attempt, why, began);
-                }
+                ended.push((task.clone(), t.attempt, why == "done"));
+                self.take_exit(id, &task, t.attempt, why);
             } else {
-                self.see(&id, task, t.attempt, t.state);
+                self.see(id, task, t.attempt, t.state);
             }
         }
-        let Some(m) = self.machines.get_mut(&id) else {
-            return false;
+        if let Some(m) = self.machines.get_mut(id) {
+            m.ended = ended;
+        }
+        listed
+    }
+
+    /// A report lists an attempt that has ended.
+    fn take_exit(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt, why: &str) {
+        let held = self.machines.get(id).and_then(|m| {
+            let mut held = m.held.iter();
+            held.find(|h| h.task == *task && h.attempt == attempt)
+        });
+        let began = held.and_then(|h| h.running_since);
+        // An ended attempt stays in the reports for long: it fails once.
+        let failed_before = why == "error" && held.is_none();
+        self.release(id, task, attempt);
+        if !failed_before {
+            self.note_end(id, task, attempt, why, began);
+        }
+    }
+
+    /// Counts a beat that comes without a start that the answer to an earlier one carried: the worker never saw it.
+    fn note_unseen_starts(&mut self, report: &Report, listed: &BTreeSet<(TaskId, Attempt)>) {
+        let key = (report.session, report.seq);
+        let Some(m) = self.machines.get_mut(&report.machine) else {
+            return;
         };
-        m.ended = ended;
-        if is_beat {
-            let unheard = |h: &Held| match h.state {
-                HeldState::Sent(session, seq) => (session, seq) < key && !listed.contains(&(h.task.clone(), h.attempt)),
-                _ => false,
-            };
-            if m.held.iter().any(unheard) {
-                // It never saw the answer. Once is a lost packet; if it goes on, other machines get
-                // the work, for it would be lost here again and again.
-                m.missed += 1;
-                m.avoid_until = now + (self.settings.report_ms() << m.missed.min(5));
-            }
-            let lost: Vec<(TaskId, Attempt)> = m
-                .held
-                .iter()
-                .filter(|h| match h.state {
-                    HeldState::Booked | HeldState::Direct => false,
-                    HeldState::Sent(session, seq) => (session, seq) < key,
-                    HeldState::Seen(_) => true,
-                })
-                .filter(|h| !listed.contains(&(h.task.clone(), h.attempt)))
-                .filter(|h| !m.pins.contains_key(&(h.task.clone(), h.attempt)))
-                .map(|h| (h.task.clone(), h.attempt))
-                .collect();
-            for (task, attempt) in lost {
-                self.release(&id, &task, attempt);
-            }
+        let unseen = |h: &Held| match h.state {
+            HeldState::Sent(session, seq) => (session, seq) < key && !listed.contains(&(h.task.clone(), h.attempt)),
+            _ => false,
+        };
+        if m.held.iter().any(unseen) {
+            // Once is a lost packet; if it goes on, other machines get the work, for it would be lost here
+            // again and again.
+            m.missed += 1;
+            m.avoid_until = self.now.ms + (self.settings.report_ms() << m.missed.min(5));
         }
-        if let Some(m) = self.machines.get_mut(&id) {
+    }
+
+    /// Releases what a beat should have listed and does not: it is gone, or never began.
+    fn release_missing(&mut self, report: &Report, listed: &BTreeSet<(TaskId, Attempt)>) {
+        let key = (report.session, report.seq);
+        let Some(m) = self.machines.get(&report.machine) else {
+            return;
+        };
+        let lost: Vec<(TaskId, Attempt)> = m
+            .held
+            .iter()
+            .filter(|h| match h.state {
+                HeldState::Booked | HeldState::Direct => false,
+                HeldState::Sent(session, seq) => (session, seq) < key,
+                HeldState::Seen(_) => true,
+            })
+            .map(|h| (h.task.clone(), h.attempt))
+            .filter(|attempt| !listed.contains(attempt) && !m.pins.contains_key(attempt))
+            .collect();
+        for (task, attempt) in lost {
+            self.release(&report.machine, &task, attempt);
+        }
+    }
+
+    /// Notes since when a machine holds nothing.
+    fn note_idleness(&mut self, id: &MachineId) {
+        let now = self.now.ms;
+        if let Some(m) = self.machines.get_mut(id) {
             if m.held.is_empty() {
                 m.idle_since.get_or_insert(now);
             } else {
                 m.idle_since = None;
             }
         }
-        if first {
-            self.note_settled();
-            self.want_batch();
-        }
-        true
     }
 
     pub(super) fn release_older_session(&mut self, id: &MachineId, session: u64) {
@@ -359,6 +414,14 @@
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.note_gang(attempt, state, now);
         }
+        if !self.see_held(id, &task, attempt, state) {
+            self.hold_found(id, task, attempt, state);
+        }
+    }
+
+    /// Takes the state of a task that is known to be held by a machine. False: it is not known.
+    fn see_held(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt, state: TaskState) -> bool {
+        let now = self.now.ms;
         let room = self
             .machines
             .get(id)
@@ -368,31 +431,36 @@
             .jobs
             .get(&task.job)
             .map(|j| (j.spec.image.clone(), j.spec.image_gb));
-        if let Some(m) = self.machines.get_mut(id)
-            && let Some(h) = m.held.iter_mut().find(|h| h.task == task && h.attempt == attempt)
-        {
-            m.missed = 0;
-            let began = state == TaskState::Running && h.running_since.is_none();
-            let text = began.then(|| format!("{id}: {task} runs"));
-            if began {
-                h.running_since = Some(now);
-            }
-            h.state = HeldState::Seen(state);
-            let running_since = h.running_since;
-            // A gang's task that waits for the others has its image.
-            let has_image = began || state == TaskState::Gathering;
-            if let Some((image, gb)) = image.filter(|_| has_image) {
-                m.note_image(&image, gb, room);
-            }
-            if let Some(text) = text {
-                self.log(Level::Debug, text);
-            }
-            if let Some(since) = running_since {
-                self.note_running_replica(&task.job, id, since);
-            }
-            return;
+        let Some(m) = self.machines.get_mut(id) else {
+            return false;
+        };
+        let Some(h) = m.held.iter_mut().find(|h| h.task == *task && h.attempt == attempt) else {
+            return false;
+        };
+        m.missed = 0;
+        let began = state == TaskState::Running && h.running_since.is_none();
+        if began {
+            h.running_since = Some(now);
+        }
+        h.state = HeldState::Seen(state);
+        let running_since = h.running_since;
+        // A gang's task that waits for the others has its image.
+        let has_image = began || state == TaskState::Gathering;
+        if let Some((image, gb)) = image.filter(|_| has_image) {
+            m.note_image(&image, gb, room);
+        }
+        if began {
+            self.log(Level::Debug, format!("{id}: {task} runs"));
         }
-        // Not booked in this tenure: found after a take-over, or a stray.
+        if let Some(since) = running_since {
+            self.note_running_replica(&task.job, id, since);
+        }
+        true
+    }
+
+    /// Takes in a task that was not booked in this tenure: found after a take-over, or a stray.
+    fn hold_found(&mut self, id: &MachineId, task: TaskId, attempt: Attempt, state: TaskState) {
+        let now = self.now.ms;
         let (size, team) = match (self.jobs.get(&task.job), self.over.get(&task.job)) {
             (Some(j), _) => (Self::size(&j.spec), j.spec.team.clone()),
             (None, Some(over)) => (over.size, over.team.clone()),
@@ -408,18 +476,16 @@
                 format!("{id}: {task} attempt {attempt} is on a second machine: stopping it"),
             );
         }
-        self.hold(
-            id,
-            Held {
-                task,
-                attempt,
-                state: HeldState::Seen(state),
-                running_since: (state == TaskState::Running).then_some(now),
-                stop: twice.then_some(Stop::new(0.0, now)),
-                size,
-                team,
-            },
-        );
+        let held = Held {
+            task,
+            attempt,
+            state: HeldState::Seen(state),
+            running_since: (state == TaskState::Running).then_some(now),
+            stop: twice.then_some(Stop::new(0.0, now)),
+            size,
+            team,
+        };
+        self.hold(id, held);
     }
 
     /// A task has ended on a machine.
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -3,12 +3,32 @@
 use super::records::{EPOCH_KEY, EpochRecord, LeaderRecord, MemberRecord, PartitionOwner};
 use crate::calls::Purpose;
 use crate::controller::Controller;
-use crate::ids::{ControllerId, Epoch, Stamp};
+use crate::ids::{ControllerId, Epoch, Incarnation, Stamp};
 use crate::messages::Level;
 use crate::settings::SHARED_MACHINES_LEVEL;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
+/// The earlier owners that a partition's new owner waits for: a live one, and those that it was itself still waiting
+/// for, must be heard from (or be gone) before the new one acts.
+fn predecessors(
+    before: Option<&PartitionOwner>,
+    members: &BTreeMap<ControllerId, MemberRecord>,
+    (owner, inc): (&ControllerId, Incarnation),
+) -> Vec<LeaderRecord> {
+    let mut wait = Vec::new();
+    if let Some(h) = before {
+        wait.extend(h.wait.iter().cloned());
+        wait.push(LeaderRecord {
+            name: h.owner.clone(),
+            inc: h.inc,
+        });
+    }
+    wait.retain(|w| members.get(&w.name).is_some_and(|m| m.inc == w.inc));
+    wait.retain(|w| w.name != *owner || w.inc != inc);
+    wait
+}
+
 /// Chooses owners afresh: each partition goes to its home controller while that lives, else stays
 /// where it is, else goes to the live controller with the fewest. `None`: nothing changes.
 pub fn next_epoch(
@@ -58,18 +78,7 @@
             Some(h) if h.owner == owner && h.inc == inc => parts.push(h.clone()),
             _ => {
                 changed = true;
-                // A live earlier owner, and those that it was itself still waiting for, must be
-                // heard from (or be gone) before the new one acts.
-                let mut wait = Vec::new();
-                if let Some(h) = before {
-                    wait.extend(h.wait.iter().cloned());
-                    wait.push(LeaderRecord {
-                        name: h.owner.clone(),
-                        inc: h.inc,
-                    });
-                }
-                wait.retain(|w| members.get(&w.name).is_some_and(|m| m.inc == w.inc));
-                wait.retain(|w| w.name != owner || w.inc != inc);
+                let wait = predecessors(before, members, (&owner, inc));
                 parts.push(PartitionOwner {
                     owner,
                     inc,
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -82,21 +82,7 @@
                 }
                 _ => {}
             }
-            let carried = self.take_carried_tasks(id);
-            let kind = if record.spot { " (spot)" } else { "" };
-            self.log(
-                Level::Debug,
-                format!(
-                    "{id}: {} in {}{kind}, partition {}",
-                    record.model, record.zone, record.part
-                ),
-            );
-            let batch = self.roster.addresses.get(id);
-            let floor = batch.map_or(*seen, |b| b.seen.max(*seen));
-            let addr = batch.map_or(String::new(), |b| b.addr.clone());
-            let mut machine = Machine::new(name, &record, addr, floor, self.now.ms);
-            machine.carry(carried);
-            self.machines.insert(id.clone(), machine);
+            self.enter_machine(id, name, &record, *seen);
         }
         // Whatever change of it was under way has landed, or cannot land any more; what is still to be
         // written is sent on top of this value.
@@ -116,6 +102,25 @@
         );
     }
 
+    /// Enters a machine that was not known, or comes from another partition, in the view of the machines.
+    fn enter_machine(&mut self, id: &MachineId, group: &str, record: &GroupRecord, seen: (u64, u64)) {
+        let carried = self.take_carried_tasks(id);
+        let kind = if record.spot { " (spot)" } else { "" };
+        self.log(
+            Level::Debug,
+            format!(
+                "{id}: {} in {}{kind}, partition {}",
+                record.model, record.zone, record.part
+            ),
+        );
+        let batch = self.roster.addresses.get(id);
+        let floor = batch.map_or(seen, |b| b.seen.max(seen));
+        let addr = batch.map_or(String::new(), |b| b.addr.clone());
+        let mut machine = Machine::new(group, record, addr, floor, self.now.ms);
+        machine.carry(carried);
+        self.machines.insert(id.clone(), machine);
+    }
+
     /// A machine group is being taken apart in steps, or no longer.
     pub(crate) fn apply_step(&mut self, name: &str, stamp: Stamp) {
         if let Some(group) = self.roster.groups.get_mut(name) {
