--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -258,7 +258,7 @@
                 };
                 self.answer(asker, answer);
             }
-            (Method::Post, "/agent/beat") => self.on_beat(asker, body, true),
+            (Method::Post, "/agent/beat") => self.on_report(asker, body, true),
             (Method::Post, "/submissions") => self.on_submission(asker, body),
             _ => {
                 let rest = path.strip_prefix("/submissions/");
@@ -280,7 +280,7 @@
     fn on_peer_request(&mut self, id: u64, request: PeerRequest) {
         let asker = Asker::Peer(id);
         match request {
-            PeerRequest::Relay { report } => self.on_beat(asker, &report, false),
+            PeerRequest::Relay { report } => self.on_report(asker, &report, false),
             PeerRequest::Forward { job, withdraw: true } => self.on_withdraw(asker, &job, false),
             PeerRequest::Forward { job, withdraw: false } => self.on_status(asker, &job, false),
             PeerRequest::Heartbeat {
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -1,7 +1,7 @@
 //! The machines as this controller sees them: what may be on each, and the evidence for it.
 //!
 //! A task counts as held by a machine from the moment it is booked there. It stops to count only when
-//! its exit is reported, when a later beat than the one that carried its start comes without it, when
+//! its exit is reported, when a later periodic report than the one that carried its start comes without it, when
 //! the machine begins a new session, or when the cloud has answered that the machine is deleted. A
 //! silent worker's lease is never taken as evidence: any entitled controller may have answered it.
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Boot batches a start on a machine: it counts from now on, and goes out with the next beat's answer.
+    /// Books a start on a machine: it counts from now on, and goes out with the answer to the next report.
     pub(crate) fn book_start(&mut self, machine: &MachineId, task: TaskId) {
         let of_job = self
             .jobs
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -1,4 +1,4 @@
-//! Orders for machines: with answers to their beats, and by direct commands.
+//! Orders for machines: with answers to their reports, and by direct commands.
 
 use super::{Held, HeldState, Machine, Stop};
 use crate::calls::Purpose;
@@ -33,8 +33,8 @@
 }
 
 impl Controller {
-    /// Orders for a machine: with the answer to one of its beats, or in a direct command.
-    pub(crate) fn orders_for(&mut self, id: &MachineId, beat: Option<(u64, u64)>) -> Vec<Command> {
+    /// Orders for a machine: with the answer to one of its reports, or in a direct command.
+    pub(crate) fn orders_for(&mut self, id: &MachineId, answered_report: Option<(u64, u64)>) -> Vec<Command> {
         let now = self.now.ms;
         let report_ms = self.settings.report_ms();
         let epoch = self.epoch();
@@ -53,11 +53,11 @@
             let live = job.is_some_and(|j| !j.is_done(h.task.index)) && !self.cancellations.calls_off(&h.task.job);
             match h.state {
                 HeldState::Booked if live && open && h.stop.is_none() => {
-                    h.state = match beat {
+                    h.state = match answered_report {
                         Some((session, seq)) => HeldState::Sent(session, seq),
                         None => HeldState::Direct,
                     };
-                    if beat.is_none()
+                    if answered_report.is_none()
                         && let Some(epoch) = epoch
                     {
                         m.directs.insert((h.task.clone(), h.attempt), (epoch, now));
@@ -66,7 +66,9 @@
                 }
                 HeldState::Booked => dropped.push((h.task.clone(), h.attempt)),
                 HeldState::Seen(state) => commands.extend(order_to_stop(h, state, live, now, report_ms)),
-                HeldState::Sent(..) if beat.is_some() && live && m.pins.contains_key(&(h.task.clone(), h.attempt)) => {
+                HeldState::Sent(..)
+                    if answered_report.is_some() && live && m.pins.contains_key(&(h.task.clone(), h.attempt)) =>
+                {
                     // The same attempt once more: whichever copy comes second has no effect.
                     commands.extend(open.then(|| order_to_start(h)));
                 }
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Sends what machines have to do at once, rather than with their next beats.
+    /// Sends what machines have to do at once, rather than with the answers to their next reports.
     pub(crate) fn send_direct(&mut self) {
         if self.poked.is_empty() {
             return;
--- a/crates/tidelatch-core/src/machine_view/machine.rs
+++ b/crates/tidelatch-core/src/machine_view/machine.rs
@@ -9,11 +9,11 @@
 /// How far a start has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeldState {
-    /// Booked: goes out with the next beat's answer.
+    /// Booked: goes out with the answer to the next report.
     Booked,
     /// In a direct command that has no answer yet.
     Direct,
-    /// Sent with the answer to this beat, or executed by the direct command whose answer was this
+    /// Sent with the answer to this report, or executed by the direct command whose answer was this
     /// report (session, sequence number).
     Sent(u64, u64),
     /// Reported.
@@ -138,10 +138,10 @@
     pub(crate) unaccounted: BTreeSet<Partition>,
     /// Since when it holds nothing but tasks of other partitions.
     pub(super) only_others_since: Option<u64>,
-    /// Starts sent with answers to its beats that a later beat came without, one after the other, and
-    /// leases of its worker that ended though its beats were answered: answers do not reach it.
+    /// Starts sent with answers to its reports that a later periodic report came without, one after the other, and
+    /// leases of its worker that ended though its reports were answered: answers do not reach it.
     pub(crate) missed: u32,
-    /// When a beat of its was last answered.
+    /// When a report of its was last answered.
     pub(super) answered: Option<u64>,
     /// Attempts started by direct command, with the token and the time of the command.
     pub(super) directs: BTreeMap<(TaskId, Attempt), (Epoch, u64)>,
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -19,7 +19,7 @@
 }
 
 impl Controller {
-    pub(crate) fn on_beat(&mut self, asker: Asker, body: &[u8], direct: bool) {
+    pub(crate) fn on_report(&mut self, asker: Asker, body: &[u8], direct: bool) {
         let report = match serde_json::from_slice::<Report>(body) {
             Ok(report) => report,
             Err(fault) => {
@@ -50,14 +50,14 @@
             return;
         };
         if self.acting(partition).is_some() {
-            self.own_beat(asker, &report, epoch);
+            self.take_own_report(asker, &report, epoch);
             return;
         }
         let owner = self.holding(partition).map(|h| h.owner.clone());
         match owner {
             Some(owner) if owner != self.me && direct => {
                 if !self.stop_called_off_at_once(asker, &report, epoch) {
-                    self.foreign_beat(asker, report, &owner, body);
+                    self.pass_on_report(asker, report, &owner, body);
                 }
             }
             Some(owner) if owner != self.me => {
@@ -93,7 +93,7 @@
     ///
     /// Passing on comes first: a worker that is here because it could not reach its owner has been
     /// silent for a while already, and a redirection into the same cut would double that.
-    pub(super) fn foreign_beat(&mut self, asker: Asker, report: Report, owner: &ControllerId, body: &[u8]) {
+    pub(super) fn pass_on_report(&mut self, asker: Asker, report: Report, owner: &ControllerId, body: &[u8]) {
         let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
         let settle = 2 * self.settings.report_ms();
@@ -175,7 +175,7 @@
             .collect()
     }
 
-    pub(super) fn own_beat(&mut self, asker: Asker, report: &Report, epoch: Epoch) {
+    pub(super) fn take_own_report(&mut self, asker: Asker, report: &Report, epoch: Epoch) {
         let id = report.machine.clone();
         let taken = self.take_report(report, true);
         if taken && matches!(asker, Asker::Request(_)) {
@@ -192,7 +192,7 @@
         if first && !report.addr.is_empty() {
             self.note_boot(&id);
             // It may hold tasks only once its entry says that it is up.
-            self.store_first_beat(asker, report);
+            self.store_first_report(asker, report);
             return;
         }
         if let Some(m) = self.machines.get_mut(&id) {
@@ -222,8 +222,8 @@
 
     /// Takes a report into the view of the machines. False: it is late, or its worker has not seen the token of the
     /// present tenure; then it changes nothing.
-    pub(crate) fn take_report(&mut self, report: &Report, is_beat: bool) -> bool {
-        if !self.is_current(report, is_beat) {
+    pub(crate) fn take_report(&mut self, report: &Report, is_periodic: bool) -> bool {
+        if !self.is_current(report, is_periodic) {
             return false;
         }
         let Some(MachineNews { first, newer_session }) = self.take_machine_state(report) else {
@@ -235,7 +235,7 @@
             self.release_older_session(id, report.session);
         }
         let listed = self.take_tasks(report);
-        if is_beat {
+        if is_periodic {
             self.note_unseen_starts(report, &listed);
             self.release_missing(report, &listed);
         }
@@ -249,7 +249,7 @@
 
     /// Whether a report is newer than the last one and its worker has seen the token of the present tenure. One that
     /// has not may still be a sign of life.
-    fn is_current(&mut self, report: &Report, is_beat: bool) -> bool {
+    fn is_current(&mut self, report: &Report, is_periodic: bool) -> bool {
         let Some(m) = self.machines.get_mut(&report.machine) else {
             return false;
         };
@@ -258,8 +258,8 @@
         }
         let tenure = self.tenures.get(&m.partition);
         let current = tenure.is_some_and(|tenure| report.epoch >= tenure.since);
-        // A beat under an older token may be a late copy, which is no sign of life; an answer is none.
-        if current || !is_beat {
+        // A periodic report under an older token may be a late copy, which is no sign of life; an answer is none.
+        if current || !is_periodic {
             m.heard = Some(self.now.ms);
             m.probes_failed = 0;
         }
@@ -331,7 +331,7 @@
         }
     }
 
-    /// Counts a beat that comes without a start that the answer to an earlier one carried: the worker never saw it.
+    /// Counts a periodic report that comes without a start that the answer to an earlier one carried: the worker never saw it.
     fn note_unseen_starts(&mut self, report: &Report, listed: &BTreeSet<(TaskId, Attempt)>) {
         let key = (report.session, report.seq);
         let Some(m) = self.machines.get_mut(&report.machine) else {
@@ -349,7 +349,7 @@
         }
     }
 
-    /// Releases what a beat should have listed and does not: it is gone, or never began.
+    /// Releases what a periodic report should have listed and does not: it is gone, or never began.
     fn release_missing(&mut self, report: &Report, listed: &BTreeSet<(TaskId, Attempt)>) {
         let key = (report.session, report.seq);
         let Some(m) = self.machines.get(&report.machine) else {
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -6,11 +6,11 @@
 //! what becomes of them, and alone marks them done or starts them anew. The machine's owner keeps them running,
 //! keeps their results, and stops those of jobs that are over.
 //!
-//! The roster names the partitions whose tasks may be on a machine ([`RackRecord::also_holds`]), written in the
+//! The roster names the partitions whose tasks may be on a machine ([`GroupRecord::also_holds`]), written in the
 //! transaction that hands it over, so that a new owner of such a partition accounts for the machine before it
 //! starts older tasks.
 //!
-//! [`RackRecord::also_holds`]: crate::roster::RackRecord::also_holds
+//! [`GroupRecord::also_holds`]: crate::roster::GroupRecord::also_holds
 
 use super::{Held, HeldState, Machine};
 use crate::calls::Purpose;
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -47,7 +47,7 @@
     }
 
     /// A machine's first report: it may hold tasks only once a boot batch says that it is up.
-    pub(crate) fn store_first_beat(&mut self, asker: Asker, report: &Report) {
+    pub(crate) fn store_first_report(&mut self, asker: Asker, report: &Report) {
         let now = self.now.ms;
         if self.roster.newcomers.is_empty() {
             self.roster.newcomers_due = now + self.settings.batch_wait_ms();
@@ -73,8 +73,8 @@
             return;
         };
         let commands = match machine {
-            Some((id, beat)) if self.machines.get(id).is_some_and(|m| m.last() == beat) => {
-                self.orders_for(id, Some(beat))
+            Some((id, seen)) if self.machines.get(id).is_some_and(|m| m.last() == seen) => {
+                self.orders_for(id, Some(seen))
             }
             _ => Vec::new(),
         };
@@ -206,8 +206,8 @@
             // It may yet land. Until it is clear, nothing is placed on these machines.
             self.roster.unsure.push(batch);
         }
-        for (asker, id, beat) in askers {
-            self.answer_newcomer(asker, Some((&id, beat)).filter(|_| stored));
+        for (asker, id, seen) in askers {
+            self.answer_newcomer(asker, Some((&id, seen)).filter(|_| stored));
         }
     }
 
