--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -42,7 +42,7 @@
 
 /// What a gang's machines say of it, taken together.
 #[derive(Debug, Default)]
-struct Muster {
+struct GangObservation {
     /// Tasks of the present attempt that a machine holds, or may hold.
     held: Vec<(MachineId, TaskId, Attempt)>,
     /// Tasks of older attempts.
@@ -56,7 +56,7 @@
 }
 
 /// What becomes of a gang.
-enum Course {
+enum GangDecision {
     GoesOn,
     /// All its tasks are stopped, with time to save.
     Stops,
@@ -103,8 +103,8 @@
         self.settings.features.gangs && self.member.members.values().all(|m| m.knows >= 1)
     }
 
-    fn muster(&self, id: &JobId, job: &Job) -> Muster {
-        let mut muster = Muster::default();
+    fn observe_gang(&self, id: &JobId, job: &Job) -> GangObservation {
+        let mut observation = GangObservation::default();
         let current = job.gang.map(|g| g.attempt);
         for (index, machines) in &job.placed {
             for machine in machines {
@@ -112,18 +112,18 @@
                 for h in m.held.iter().filter(|h| h.task.index == *index && h.task.job == *id) {
                     let entry = (machine.clone(), h.task.clone(), h.attempt);
                     if Some(h.attempt) != current {
-                        muster.stale.push(entry);
+                        observation.stale.push(entry);
                         continue;
                     }
-                    muster.held.push(entry);
-                    muster.stopping |= h.stop.is_some_and(|s| s.grace_s > 0.0);
-                    muster.stopping |= h.state == HeldState::Seen(TaskState::Saving);
-                    muster.lost |= m.retiring || m.gone;
-                    muster.notice |= m.notice;
+                    observation.held.push(entry);
+                    observation.stopping |= h.stop.is_some_and(|s| s.grace_s > 0.0);
+                    observation.stopping |= h.state == HeldState::Seen(TaskState::Saving);
+                    observation.lost |= m.retiring || m.gone;
+                    observation.notice |= m.notice;
                 }
             }
         }
-        muster
+        observation
     }
 
     /// Looks at every gang that has tasks somewhere: completes, stops or ends it as a whole.
@@ -138,51 +138,53 @@
         // A replacement that is not found in two batches may not be found for long, and meanwhile the others
         // hold room that another gang may be waiting for.
         let patience = 2 * self.settings.batch_retry_ms();
-        let mut courses: Vec<(JobId, Muster, Course)> = Vec::new();
+        let mut decisions: Vec<(JobId, GangObservation, GangDecision)> = Vec::new();
         for (id, job) in &self.jobs {
             let looked_at = job.spec.shape == Shape::Gang && !job.placed.is_empty() && job.ending.is_none();
             if !looked_at || !acting.contains(&job.partition) {
                 continue;
             }
             let Some(gang) = job.gang else { continue };
-            let muster = self.muster(id, job);
+            let observation = self.observe_gang(id, job);
             // Tasks older than the take-over may be on a machine that has not reported yet.
             let open = self.may_be_elsewhere(job);
-            let missing = !open && (muster.held.len() as u32) < job.spec.tasks;
+            let missing = !open && (observation.held.len() as u32) < job.spec.tasks;
             let missing_for = gang.missing_since.map_or(0, |t| now.saturating_sub(t));
-            let course = if gang.over {
-                Course::Ends("a task of it has ended")
-            } else if gang.ran && (missing || muster.lost) {
-                Course::Ends("a task of it is gone")
+            let decision = if gang.over {
+                GangDecision::Ends("a task of it has ended")
+            } else if gang.ran && (missing || observation.lost) {
+                GangDecision::Ends("a task of it is gone")
             } else if missing && (missing_for > patience || now.saturating_sub(gang.since) > wait / 2) {
-                Course::Ends("it is not complete")
-            } else if muster.stopping || (muster.notice && job.spec.checkpoint_s > 0.0) {
-                Course::Stops
+                GangDecision::Ends("it is not complete")
+            } else if observation.stopping || (observation.notice && job.spec.checkpoint_s > 0.0) {
+                GangDecision::Stops
             } else {
-                Course::GoesOn
+                GangDecision::GoesOn
             };
-            if missing != gang.missing_since.is_some() || !muster.stale.is_empty() || !matches!(course, Course::GoesOn)
+            if missing != gang.missing_since.is_some()
+                || !observation.stale.is_empty()
+                || !matches!(decision, GangDecision::GoesOn)
             {
-                courses.push((id.clone(), muster, course));
+                decisions.push((id.clone(), observation, decision));
             }
         }
-        for (id, muster, course) in courses {
+        for (id, observation, decision) in decisions {
             let open = self.jobs.get(&id).is_some_and(|j| self.may_be_elsewhere(j));
             if let Some(job) = self.jobs.get_mut(&id) {
-                let missing = !open && (muster.held.len() as u32) < job.spec.tasks;
+                let missing = !open && (observation.held.len() as u32) < job.spec.tasks;
                 if let Some(gang) = &mut job.gang {
                     gang.missing_since = missing.then(|| gang.missing_since.unwrap_or(now));
                 }
             }
-            for (machine, task, attempt) in &muster.stale {
+            for (machine, task, attempt) in &observation.stale {
                 self.halt(machine, task, *attempt);
             }
-            match course {
-                Course::GoesOn => {}
-                Course::Stops => self.stop_gang(&id),
-                Course::Ends(why) => {
+            match decision {
+                GangDecision::GoesOn => {}
+                GangDecision::Stops => self.stop_gang(&id),
+                GangDecision::Ends(why) => {
                     let mut told = false;
-                    for (machine, task, attempt) in &muster.held {
+                    for (machine, task, attempt) in &observation.held {
                         told |= self.halt(machine, task, *attempt);
                     }
                     if told {
@@ -218,7 +220,7 @@
     /// notice each other's end, so all machines are told at once.
     pub(crate) fn stop_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        for (machine, task, attempt) in self.muster(id, job).held {
+        for (machine, task, attempt) in self.observe_gang(id, job).held {
             self.stop_held(&machine, &task, attempt);
         }
     }
@@ -227,7 +229,7 @@
     pub(crate) fn gang_tasks(&self, id: &JobId) -> Option<Vec<(MachineId, TaskId, Attempt)>> {
         let job = self.jobs.get(id)?;
         self.gang_loss(id, job)?;
-        Some(self.muster(id, job).held)
+        Some(self.observe_gang(id, job).held)
     }
 
     /// What stopping a gang would lose, in seconds of work over all its tasks; none if it cannot be stopped
@@ -235,16 +237,16 @@
     pub(crate) fn gang_loss(&self, id: &JobId, job: &Job) -> Option<f64> {
         let now = self.now.ms;
         let gang = job.gang?;
-        let muster = self.muster(id, job);
-        let whole = muster.held.len() as u32 == job.spec.tasks && muster.stale.is_empty();
-        let reachable = muster.held.iter().all(|(machine, _, _)| {
+        let observation = self.observe_gang(id, job);
+        let whole = observation.held.len() as u32 == job.spec.tasks && observation.stale.is_empty();
+        let reachable = observation.held.iter().all(|(machine, _, _)| {
             let m = self.machines.get(machine);
             m.is_some_and(|m| {
                 m.heard
                     .is_some_and(|t| now.saturating_sub(t) <= 2 * self.settings.report_ms())
             })
         });
-        if !whole || !reachable || muster.stopping || muster.lost || gang.over {
+        if !whole || !reachable || observation.stopping || observation.lost || gang.over {
             return None;
         }
         // What was done since the last checkpoint is saved by an orderly stop; gathering again costs each
