--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -2,7 +2,7 @@
 //!
 //! In an outage of the state service no watch tells of an end, yet every controller that acts under its
 //! peers' grants answers workers' reports, also for partitions whose owner has gone. So a cancellation is
-//! passed on in greetings from the moment at which it is asked, a grant carries what its giver knows, and
+//! passed on in heartbeats from the moment at which it is asked, a grant carries what its giver knows, and
 //! no user is told that a job is cancelled before a second controller knows it: if the one that told it ends,
 //! whoever acts under grants has the other's, and takes that in first.
 
@@ -12,7 +12,7 @@
 use crate::messages::Answer;
 use std::collections::BTreeMap;
 
-/// Most cancellations in one greeting. A grant is given only if all that its asker lacks fit.
+/// Most cancellations in one heartbeat. A grant is given only if all that its asker lacks fit.
 const MOST: usize = 2000;
 
 /// A cancellation that this controller knows of.
@@ -45,7 +45,7 @@
     whole: bool,
 }
 
-/// What one greeting or its answer says of cancellations.
+/// What one heartbeat or its answer says of cancellations.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CancellationNotice {
     /// The life of who tells; 0: a version that does not tell.
@@ -66,7 +66,7 @@
     taken: BTreeMap<ControllerId, Taken>,
     /// Users who wait until a second controller knows, each with the time until which that makes sense.
     waiting: Vec<(JobId, Asker, u64)>,
-    /// Greetings are to go out at once.
+    /// Heartbeats are to go out at once.
     urgent: bool,
     /// The latest extension of the lease that the state service has granted was sent then.
     served: u64,
@@ -166,7 +166,7 @@
         self.cancellations.learn(id, since, true, false);
     }
 
-    /// The others are to know of what is new before their next greeting is due.
+    /// The others are to know of what is new before their next heartbeat is due.
     pub(crate) fn tell_at_once(&mut self) {
         self.cancellations.urgent = true;
     }
@@ -243,7 +243,7 @@
         self.poked.extend(job.placed.values().flatten().cloned());
     }
 
-    /// A peer's life has answered a greeting that told it of a span. What came before that span an earlier life
+    /// A peer's life has answered a heartbeat that told it of a span. What came before that span an earlier life
     /// may have been told of: then the present one has taken in nothing that counts.
     pub(crate) fn note_taken(&mut self, peer: &ControllerId, life: u64, (after, up_to): (u64, u64)) {
         if let Some(t) = self.cancellations.taken.get_mut(peer)
@@ -323,7 +323,7 @@
         });
     }
 
-    /// Greets the others at once if there is something that they have to know.
+    /// Sends heartbeats to the others at once if there is something that they have to know.
     pub(crate) fn send_cancellations(&mut self) {
         if std::mem::take(&mut self.cancellations.urgent) {
             self.greet(true);
--- a/crates/tidelatch-core/src/membership/records.rs
+++ b/crates/tidelatch-core/src/membership/records.rs
@@ -61,11 +61,11 @@
     pub wait: Vec<LeaderRecord>,
 }
 
-/// The epoch and all holdings under it.
+/// The epoch and the owners of all partitions under it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
     /// The epoch: the fencing token.
     pub n: Epoch,
-    /// Holdings, by partition.
+    /// Owners, by partition.
     pub parts: Vec<PartitionOwner>,
 }
--- a/crates/tidelatch-core/src/roster.rs
+++ b/crates/tidelatch-core/src/roster.rs
@@ -17,7 +17,7 @@
 mod rentals;
 
 pub(crate) use boot_batches::BootBatch;
-use boot_batches::Newcomer;
+use boot_batches::BootedMachine;
 use groups::MachineGroup;
 pub use records::{BootEntry, GroupRecord};
 pub(crate) use rentals::Rented;
@@ -35,8 +35,8 @@
     listed: BTreeSet<String>,
     /// Machine groups with something to be written, and from when on.
     due: BTreeMap<String, u64>,
-    newcomers: Vec<Newcomer>,
-    newcomers_due: u64,
+    booted: Vec<BootedMachine>,
+    booted_due: u64,
     /// Boot batches without a clear answer, to be sent again.
     unsure: Vec<BootBatch>,
     boot_batches_sent: u32,
@@ -56,7 +56,7 @@
     pub(crate) fn reset_roster(&mut self, partition: Partition) {
         let mut askers = Vec::new();
         let machines = &self.machines;
-        self.roster.newcomers.retain_mut(|n| {
+        self.roster.booted.retain_mut(|n| {
             let other = machines.get(&n.machine).is_some_and(|m| m.partition != partition);
             if !other {
                 askers.extend(n.asker.take());
@@ -79,16 +79,16 @@
             }
         }
         for asker in askers {
-            self.answer_newcomer(asker, None);
+            self.answer_first_report(asker, None);
         }
     }
 
-    /// Writes what is due: newcomers, machine groups that change, and boot batches that can go.
+    /// Writes what is due: machines that have booted, machine groups that change, and boot batches that can go.
     pub(crate) fn tick_roster(&mut self) {
         if !self.entitled() {
             return;
         }
-        self.send_newcomers();
+        self.send_booted();
         let now = self.now.ms;
         let due: Vec<String> = self
             .roster
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -11,7 +11,7 @@
 
 /// A first report that waits for its machine to be entered.
 #[derive(Debug, Clone)]
-pub(super) struct Newcomer {
+pub(super) struct BootedMachine {
     pub(super) machine: MachineId,
     pub(super) entry: BootEntry,
     pub(super) asker: Option<Asker>,
@@ -49,13 +49,13 @@
     /// A machine's first report: it may hold tasks only once a boot batch says that it is up.
     pub(crate) fn store_first_report(&mut self, asker: Asker, report: &Report) {
         let now = self.now.ms;
-        if self.roster.newcomers.is_empty() {
-            self.roster.newcomers_due = now + self.settings.batch_wait_ms();
+        if self.roster.booted.is_empty() {
+            self.roster.booted_due = now + self.settings.batch_wait_ms();
         }
         if let Some(m) = self.machines.get_mut(&report.machine) {
             m.storing = true;
         }
-        self.roster.newcomers.push(Newcomer {
+        self.roster.booted.push(BootedMachine {
             machine: report.machine.clone(),
             entry: BootEntry {
                 addr: report.addr.clone(),
@@ -66,7 +66,7 @@
         });
     }
 
-    pub(super) fn answer_newcomer(&mut self, asker: Asker, machine: Option<(&MachineId, (u64, u64))>) {
+    pub(super) fn answer_first_report(&mut self, asker: Asker, machine: Option<(&MachineId, (u64, u64))>) {
         let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
             let later = crate::messages::Answer::later(503, 1, "not entitled to act at present");
             self.answer(asker, later);
@@ -81,18 +81,18 @@
         self.answer_orders(asker, epoch, commands);
     }
 
-    pub(super) fn send_newcomers(&mut self) {
+    pub(super) fn send_booted(&mut self) {
         let now = self.now.ms;
         // Nobody waits for longer than a worker's patience allows.
         let patience = self.settings.report_ms();
         let mut late = Vec::new();
-        for n in &mut self.roster.newcomers {
+        for n in &mut self.roster.booted {
             if now.saturating_sub(n.since) > patience {
                 late.extend(n.asker.take());
             }
         }
         for asker in late {
-            self.answer_newcomer(asker, None);
+            self.answer_first_report(asker, None);
         }
         let mine = |c: &Self, id: &MachineId| c.machines.get(id).is_some_and(|m| c.acting(m.partition).is_some());
         if let Some(batch) = self.roster.unsure.pop() {
@@ -104,7 +104,7 @@
                 self.roster.unsure.push(batch);
             }
         }
-        if self.roster.newcomers.is_empty() || now < self.roster.newcomers_due {
+        if self.roster.booted.is_empty() || now < self.roster.booted_due {
             return;
         }
         if !self.state_writes.take(now, 0.0, 0.0) {
@@ -112,12 +112,12 @@
         }
         let fill = self.fill();
         let mut bytes = 2;
-        let fits = |n: &&Newcomer| {
+        let fits = |n: &&BootedMachine| {
             bytes += entry_bytes(&n.machine, &n.entry);
             bytes <= fill
         };
-        let n = self.roster.newcomers.iter().take(SEATS).take_while(fits).count().max(1);
-        let batch: Vec<Newcomer> = self.roster.newcomers.drain(..n).collect();
+        let n = self.roster.booted.iter().take(SEATS).take_while(fits).count().max(1);
+        let batch: Vec<BootedMachine> = self.roster.booted.drain(..n).collect();
         let mut entries = BTreeMap::new();
         let mut askers = Vec::new();
         for n in batch {
@@ -130,7 +130,7 @@
         }
         let Some(first) = entries.keys().next() else {
             for (asker, _, _) in askers {
-                self.answer_newcomer(asker, None);
+                self.answer_first_report(asker, None);
             }
             return;
         };
@@ -207,7 +207,7 @@
             self.roster.unsure.push(batch);
         }
         for (asker, id, seen) in askers {
-            self.answer_newcomer(asker, Some((&id, seen)).filter(|_| stored));
+            self.answer_first_report(asker, Some((&id, seen)).filter(|_| stored));
         }
     }
 
