--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -7,6 +7,7 @@
 
 mod commands;
 mod machine;
+mod report_routing;
 mod reports;
 mod shared_machines;
 mod silence;
