--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -28,9 +28,14 @@
             let owner = settings.partition_of_team(&held.team);
             owner.is_some_and(|p| p != partition && tenures.contains_key(&p))
         };
-        for m in self.machines.values_mut().filter(|m| m.partition == partition) {
+        // Jobs of partitions that this controller does not own stay in its view, and are not reset below. A place that they
+        // kept here would look like a second machine as soon as this one reports the task again, which would be stopped.
+        let mut forgotten: Vec<(TaskId, MachineId)> = Vec::new();
+        for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.partition == partition) {
             m.confirmed = false;
             m.confirming = false;
+            let dropped = m.held.iter().filter(|held| !of_another(held));
+            forgotten.extend(dropped.map(|held| (held.task.clone(), id.clone())));
             m.held.retain(of_another);
             m.only_others_since = None;
             m.ended.clear();
@@ -54,6 +59,9 @@
             m.answered = None;
             m.directs.clear();
         }
+        for (task, machine) in forgotten {
+            self.forget_place(&task, &machine);
+        }
         self.reset_disruption(partition);
         self.reset_roster(partition);
         self.reset_jobs(partition);
@@ -96,14 +104,8 @@
         );
     }
 
-    /// One attempt is proven gone from a machine.
-    pub(super) fn release(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
-        if let Some(m) = self.machines.get_mut(machine) {
-            m.held.retain(|h| h.task != *task || h.attempt != attempt);
-            if m.held.iter().any(|h| h.task == *task) {
-                return;
-            }
-        }
+    /// A machine counts no longer as one that holds the task.
+    fn forget_place(&mut self, task: &TaskId, machine: &MachineId) {
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(machines) = job.placed.get_mut(&task.index)
         {
@@ -113,6 +115,17 @@
                 job.cursor = job.cursor.min(task.index);
             }
         }
+    }
+
+    /// One attempt is proven gone from a machine.
+    pub(super) fn release(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
+        if let Some(m) = self.machines.get_mut(machine) {
+            m.held.retain(|h| h.task != *task || h.attempt != attempt);
+            if m.held.iter().any(|h| h.task == *task) {
+                return;
+            }
+        }
+        self.forget_place(task, machine);
         self.want_batch();
     }
 
--- a/crates/tidelatch-standin/tests/shared_machines.rs
+++ b/crates/tidelatch-standin/tests/shared_machines.rs
@@ -98,6 +98,30 @@
     }
 }
 
+#[test]
+fn the_tasks_on_a_shared_machine_run_on_when_its_owner_stood_still_past_its_lease() {
+    // Guard: an owner that is back in the same process forgets where the other partition's job was placed on its
+    // machines. It took the machine's next report for a second machine with the task, and stopped it.
+    for node in 0..3 {
+        let (mut world, shared) = with_shared_machine("standing", 600_000);
+        world.freeze(node);
+        world.run(33_000);
+        world.thaw(node);
+        world.run(40_000);
+        sound(&world, node);
+        let trace = world.trace();
+        assert!(!trace.contains("is on a second machine"), "{node}\n{trace}");
+        for id in [shared.tenant, LATER] {
+            assert_eq!(
+                world.machines_of(id),
+                std::slice::from_ref(&shared.machine),
+                "{node}\n{trace}"
+            );
+            assert_eq!(starts(&world, &shared.machine, id), 1, "{node} {id}\n{trace}");
+        }
+    }
+}
+
 #[test]
 fn all_controllers_end_and_the_tasks_on_a_shared_machine_run_on() {
     let (mut world, shared) = with_shared_machine("standing", 600_000);
