--- a/crates/tidelatch-core/src/calls.rs
+++ b/crates/tidelatch-core/src/calls.rs
@@ -113,4 +113,10 @@
     ForwardWithdraw {
         asker: Asker,
     },
+    /// A submission that this controller cannot store.
+    ForwardSubmission {
+        asker: Asker,
+        /// None: it names no job.
+        job: Option<JobId>,
+    },
 }
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -234,6 +234,11 @@
         });
     }
 
+    /// Number of the next call to any service or peer.
+    pub(crate) fn next_call_number(&self) -> u64 {
+        self.next_call
+    }
+
     pub(crate) fn ask(&mut self, to: ControllerId, request: PeerRequest, timeout_ms: u64, purpose: Purpose) {
         let id = self.next_call;
         self.next_call += 1;
@@ -259,7 +264,7 @@
                 self.answer(asker, answer);
             }
             (Method::Post, "/agent/beat") => self.on_report(asker, body, true),
-            (Method::Post, "/submissions") => self.on_submission(asker, body),
+            (Method::Post, "/submissions") => self.on_submission(asker, body, true),
             _ => {
                 let rest = path.strip_prefix("/submissions/");
                 match (method, rest) {
@@ -283,6 +288,7 @@
             PeerRequest::Relay { report } => self.on_report(asker, &report, false),
             PeerRequest::Forward { job, withdraw: true } => self.on_withdraw(asker, &job, false),
             PeerRequest::Forward { job, withdraw: false } => self.on_status(asker, &job, false),
+            PeerRequest::Submit { submission } => self.on_submission(asker, &submission, false),
             PeerRequest::Heartbeat {
                 name,
                 entitled,
@@ -381,7 +387,8 @@
             Purpose::Heartbeat { .. }
             | Purpose::Relay { .. }
             | Purpose::ForwardStatus { .. }
-            | Purpose::ForwardWithdraw { .. } => {}
+            | Purpose::ForwardWithdraw { .. }
+            | Purpose::ForwardSubmission { .. } => {}
         }
     }
 
@@ -430,6 +437,7 @@
                 Some(PeerReply::Answer(answer)) if answer.status == 200 && !self.stale => self.answer(asker, answer),
                 _ => self.read_status(asker, job),
             },
+            (Purpose::ForwardSubmission { asker, job }, result) => self.on_passed_on(asker, job, result),
             (Purpose::ForwardWithdraw { asker }, result) => {
                 let answer = match result {
                     Some(PeerReply::Answer(answer)) => answer,
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -131,6 +131,8 @@
         epoch: Epoch,
         at: u64,
         tries: u32,
+        /// The submission as it came, if a peer may be asked to store it instead.
+        submission: Option<Vec<u8>>,
     },
     /// Whether a submission is known, when its acceptance has no clear outcome or its body a fault.
     Known { asker: Asker, id: JobId, absent: Answer },
@@ -316,7 +318,8 @@
                 epoch,
                 at,
                 tries,
-            } => self.on_accepted(asker, id, *spec, (epoch, at), tries, result),
+                submission,
+            } => self.on_accepted((asker, submission), id, *spec, (epoch, at), tries, result),
             // By the time at which a read comes back, this controller may know more: it may have accepted the job,
             // or read its end. What lay in its buffers while it stood still is asked anew.
             Purpose::Status { id } => self.on_status_read(id, result),
--- a/crates/tidelatch-core/src/membership/entitlement.rs
+++ b/crates/tidelatch-core/src/membership/entitlement.rs
@@ -19,6 +19,20 @@
         until.saturating_sub(self.now.ms)
     }
 
+    /// A peer within reach that was entitled to act when it was last heard: of several, one after the other.
+    pub(crate) fn entitled_peer(&self) -> Option<ControllerId> {
+        let entitled = |(name, peer): &(&ControllerId, &Peer)| peer.entitled && self.reachable(name);
+        let peers: Vec<&ControllerId> = self
+            .member
+            .peers
+            .iter()
+            .filter(entitled)
+            .map(|(name, _)| name)
+            .collect();
+        let turn = self.next_call_number() as usize % peers.len().max(1);
+        peers.get(turn).map(|name| (*name).clone())
+    }
+
     pub(super) fn entitled_at(&self, now: u64) -> bool {
         self.member.permit.is_some() && now < self.member.entitled_until.max(self.granted_until())
     }
--- a/crates/tidelatch-core/src/messages.rs
+++ b/crates/tidelatch-core/src/messages.rs
@@ -214,6 +214,11 @@
         /// Withdraw, or else ask for its state.
         withdraw: bool,
     },
+    /// A user's submission that the sender cannot store.
+    Submit {
+        /// The submission as it came.
+        submission: Vec<u8>,
+    },
     /// How the sender stands.
     Heartbeat {
         /// The sender.
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -6,10 +6,12 @@
 use crate::ids::{Epoch, JobId, Stamp};
 use crate::jobs::{JobRecord, Purpose, Stored, bytes_of};
 use crate::membership::JOB_PREFIX;
-use crate::messages::{Answer, Level};
+use crate::messages::{Answer, Level, NOT_SENT, NOT_TRIED};
 use crate::protocol::{JobSpec, Malformed, Shape, TxnAnswer, parse_submission, submission_id};
 use serde_json::json;
 
+mod forwarding;
+
 impl Controller {
     fn fits_some_type(&self, spec: &JobSpec) -> bool {
         self.types.iter().any(|t| {
@@ -21,7 +23,8 @@
         })
     }
 
-    pub(crate) fn on_submission(&mut self, asker: Asker, body: &[u8]) {
+    /// Takes a submission, of a user or of a peer that cannot store it itself: only the former may be passed on.
+    pub(crate) fn on_submission(&mut self, asker: Asker, body: &[u8], may_forward: bool) {
         let id = submission_id(body);
         // A job that is known gets its state, whatever the body says.
         if let Some(id) = &id
@@ -30,8 +33,10 @@
             self.on_status(asker, id.as_str(), true);
             return;
         }
+        let submission = may_forward.then(|| body.to_vec());
         if !self.entitled() || self.member.epoch.is_none() {
-            self.answer(asker, Answer::later(503, 1, "not entitled to act at present"));
+            let refusal = Answer::later(503, 1, "not entitled to act at present");
+            self.pass_on(asker, id, submission, refusal);
             return;
         }
         let refusal = match parse_submission(body) {
@@ -57,7 +62,7 @@
             self.answer(asker, answer);
             return;
         }
-        self.accept(asker, id, spec, 0);
+        self.accept((asker, submission), id, spec, 0);
     }
 
     /// 429 or 503 for a submission that cannot be taken now.
@@ -136,7 +141,7 @@
         None
     }
 
-    fn accept(&mut self, asker: Asker, id: JobId, spec: JobSpec, tries: u32) {
+    fn accept(&mut self, (asker, submission): (Asker, Option<Vec<u8>>), id: JobId, spec: JobSpec, tries: u32) {
         let Some(epoch) = self.epoch() else { return };
         let at = self.now.wall_ms;
         let key = format!("{JOB_PREFIX}{id}");
@@ -167,13 +172,14 @@
                 epoch,
                 at,
                 tries,
+                submission,
             }),
         );
     }
 
     pub(crate) fn on_accepted(
         &mut self,
-        asker: Asker,
+        (asker, submission): (Asker, Option<Vec<u8>>),
         id: JobId,
         spec: JobSpec,
         under: (Epoch, u64),
@@ -216,7 +222,7 @@
                     self.known(asker, id, Answer::later(503, 1, "try again"));
                 } else if tries < 3 && self.epoch() > Some(under.0) && self.entitled() {
                     // The epoch has moved on, and the new one is known by now.
-                    self.accept(asker, id, spec, tries + 1);
+                    self.accept((asker, submission), id, spec, tries + 1);
                 } else {
                     self.answer(asker, Answer::later(503, 1, "membership is changing"));
                 }
@@ -225,6 +231,10 @@
                 // It may have been carried out: only a read can tell.
                 self.known(asker, id, Answer::later(503, 1, "the state service does not answer"));
             }
+            Some((503 | NOT_SENT | NOT_TRIED, _)) => {
+                let refusal = Answer::later(503, 1, "the state service does not answer");
+                self.pass_on(asker, Some(id), submission, refusal);
+            }
             Some(_) => self.answer(asker, Answer::later(503, 1, "the state service does not answer")),
         }
     }
--- a/crates/tidelatch-standin/src/world/peers.rs
+++ b/crates/tidelatch-standin/src/world/peers.rs
@@ -14,6 +14,7 @@
                 "relay"
             }
             PeerRequest::Forward { .. } => "forward",
+            PeerRequest::Submit { .. } => "submit",
             PeerRequest::Heartbeat { .. } => "hello",
         };
         if kind != "relay" {
--- a/crates/tidelatch-standin/tests/acceptance.rs
+++ b/crates/tidelatch-standin/tests/acceptance.rs
@@ -1,8 +1,11 @@
 //! Acceptance of submissions: what a swarm of small jobs of one team does to itself and to the others.
 
+use std::cell::Cell;
 use std::collections::BTreeMap;
+use std::rc::Rc;
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::{Cloud, Size, World, job};
+use tidelatch_standin::support::is_done;
+use tidelatch_standin::{Cloud, Delivery, Size, World, job};
 
 /// How long a user retries.
 const USER_PATIENCE_MS: u64 = 60_000;
@@ -307,3 +310,61 @@
     );
     sound(&world);
 }
+
+/// Time for which the state service refuses one controller: its lease, and as long again.
+const REFUSED_MS: u64 = 2 * 7_200;
+
+#[test]
+fn a_controller_that_the_state_service_refuses_has_submissions_stored_by_others() {
+    // Guard: until its lease ends, a controller that is refused alone stays healthy in the load balancer's eyes. All
+    // submissions that came to it meanwhile were answered 503.
+    let mut world = World::new();
+    world.run(5000);
+    world.meddle(|m| match (m.from, m.to) {
+        ("berth-0", "state") => Delivery::Refused,
+        _ => Delivery::Pass,
+    });
+    let mut users = Users::default();
+    let until = world.now + REFUSED_MS;
+    for n in 0.. {
+        if world.now >= until {
+            break;
+        }
+        users.come(&world, 0, job(n, n % 3, "sweep", 1));
+        users.run(&mut world, AT_ONCE_MS);
+    }
+    let late: Vec<_> = users
+        .accepted
+        .iter()
+        .filter(|(_, (ms, tries))| *ms > AT_ONCE_MS || *tries > 1)
+        .collect();
+    assert!(
+        late.is_empty() && users.waiting.is_empty(),
+        "{late:?}\n{}",
+        world.trace()
+    );
+    world.meddle(|_| Delivery::Pass);
+    let jobs: Vec<String> = users.accepted.keys().cloned().collect();
+    let over = world.run_until(120_000, |w| jobs.iter().all(|j| is_done(w, j)));
+    assert!(over, "{}", world.trace());
+    sound(&world);
+}
+
+#[test]
+fn a_submission_is_passed_on_once() {
+    // Guard: in an outage every controller is refused, and each takes the others to be served.
+    let mut world = World::new();
+    world.run(5000);
+    world.store.down = true;
+    let passed_on = Rc::new(Cell::new(0));
+    let count = passed_on.clone();
+    world.meddle(move |m| {
+        count.set(count.get() + u32::from(m.what == "submit"));
+        Delivery::Pass
+    });
+    let request = world.submit(0, &job(1, 0, "sweep", 1));
+    world.run(500);
+    assert_eq!(world.status(request), 503, "{}", world.trace());
+    assert_eq!(passed_on.get(), 1);
+    sound(&world);
+}
--- a/crates/tidelatch/src/peers/client.rs
+++ b/crates/tidelatch/src/peers/client.rs
@@ -109,6 +109,10 @@
                 let answer = client.forward(request).await.ok()?;
                 Some(answer.into_inner().into())
             }
+            WireRequest::Submit(request) => {
+                let answer = client.submit(request).await.ok()?;
+                Some(answer.into_inner().into())
+            }
             WireRequest::Hello(request) => {
                 let reply = client.hello(*request).await.ok()?;
                 Some(reply.into_inner().into())
--- a/crates/tidelatch/src/peers/convert.rs
+++ b/crates/tidelatch/src/peers/convert.rs
@@ -17,6 +17,7 @@
 pub(super) enum WireRequest {
     Relay(wire::RelayRequest),
     Forward(wire::ForwardRequest),
+    Submit(wire::SubmitRequest),
     Hello(Box<wire::HelloRequest>),
 }
 
@@ -25,6 +26,7 @@
         match request {
             PeerRequest::Relay { report } => Self::Relay(wire::RelayRequest { report }),
             PeerRequest::Forward { job, withdraw } => Self::Forward(wire::ForwardRequest { job, withdraw }),
+            PeerRequest::Submit { submission } => Self::Submit(wire::SubmitRequest { submission }),
             PeerRequest::Heartbeat {
                 name,
                 entitled,
@@ -66,6 +68,14 @@
     }
 }
 
+impl From<wire::SubmitRequest> for PeerRequest {
+    fn from(request: wire::SubmitRequest) -> Self {
+        Self::Submit {
+            submission: request.submission,
+        }
+    }
+}
+
 impl From<wire::HelloRequest> for PeerRequest {
     fn from(request: wire::HelloRequest) -> Self {
         Self::Heartbeat {
--- a/crates/tidelatch/src/peers/server.rs
+++ b/crates/tidelatch/src/peers/server.rs
@@ -57,6 +57,13 @@
         self.answer(request).await
     }
 
+    async fn submit(
+        &self,
+        request: tonic::Request<wire::SubmitRequest>,
+    ) -> Result<tonic::Response<wire::Answer>, Status> {
+        self.answer(request).await
+    }
+
     async fn hello(
         &self,
         request: tonic::Request<wire::HelloRequest>,
