--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -9,6 +9,7 @@
 mod ranking;
 mod spreading;
 mod victims;
+mod warm_room;
 
 pub use ranking::{Claim, EstimateCorrections, next_in_turn, starved_s, urgency};
 
--- a/crates/tidelatch-core/src/queue/placing.rs
+++ b/crates/tidelatch-core/src/queue/placing.rs
@@ -33,12 +33,16 @@
     pub(super) fn place_partition(&mut self, partition: Partition, budget: &mut usize) -> Vec<UnplacedTasks> {
         let used = self.used_by_teams();
         let mut room = self.room_under_limits(&used);
-        let Queued { waiting, over_limit } = self.collect(partition, &room);
+        let Queued {
+            mut waiting,
+            over_limit,
+        } = self.collect(partition, &room);
         if waiting.is_empty() && over_limit.is_empty() {
             return Vec::new();
         }
         let (ids, mut slots) = self.slots(partition, &self.least_size(&waiting));
         let mut jobs = self.terms_of_waiting(partition, &waiting, &ids);
+        self.make_warm_room(partition, &mut waiting, (&mut jobs, &ids), &used);
         let mut search = BatchSearch {
             next: vec![0; waiting.len()],
             stuck: BTreeSet::new(),
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -4,7 +4,7 @@
 use super::victims::{CandidateMachine, StopOrder, Victim, add, fits, subtract};
 use crate::controller::Controller;
 use crate::disruption::BudgetLookup;
-use crate::ids::{JobId, Partition};
+use crate::ids::{JobId, MachineId, Partition};
 use crate::messages::Level;
 use crate::placement::{Amounts, JobTerms};
 use crate::protocol::{Priority, Shape};
@@ -31,6 +31,8 @@
     measure: f64,
     /// It stays within its team's guarantee.
     within_guarantee: bool,
+    /// Only machines that hold the image are of use to it.
+    image_there: bool,
 }
 
 /// Tasks on one machine that are to be stopped.
@@ -41,7 +43,7 @@
 }
 
 /// The machines, what teams use, and what has been chosen to be stopped.
-struct Search<'a> {
+pub(super) struct Search<'a> {
     controller: &'a Controller,
     partition: Partition,
     budgets: BudgetLookup<'a>,
@@ -100,7 +102,7 @@
         Preempted { machines, stuck }
     }
 
-    fn stop_preempted(&mut self, stops: Vec<StopOrder>) {
+    pub(super) fn stop_preempted(&mut self, stops: Vec<StopOrder>) {
         for (machine, task, attempt) in stops {
             self.log(Level::Info, format!("{machine}: stopping {task} to make room"));
             self.note_involuntary(&task, "preempted");
@@ -139,7 +141,7 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(controller: &'a Controller, partition: Partition, used: &[Amounts]) -> Self {
+    pub(super) fn new(controller: &'a Controller, partition: Partition, used: &[Amounts]) -> Self {
         let used = used
             .iter()
             .enumerate()
@@ -178,6 +180,7 @@
             priority: w.priority,
             measure,
             within_guarantee,
+            image_there: false,
         })
     }
 
@@ -195,6 +198,65 @@
         }
     }
 
+    /// Chooses places on machines that hold the image for the tasks of a job. How many of them wait for stops is
+    /// returned, and the machines of those are noted.
+    pub(super) fn hold_back(&mut self, w: &Waiting, terms: &JobTerms, kept: &mut BTreeSet<MachineId>) -> usize {
+        let most = self.controller.settings.search_evaluations();
+        // What is allowed depends on the places of the job's other tasks.
+        let mut terms = terms.clone();
+        let mut held_back = 0;
+        for _ in &w.tasks {
+            let Some(claim) = self.claim(w, &terms).filter(|_| self.looks <= most) else {
+                break;
+            };
+            let claim = Claim {
+                image_there: true,
+                ..claim
+            };
+            let Some((machine, free_now)) = self.take_room(&claim) else {
+                break;
+            };
+            *terms.in_zone.entry(machine.zone.clone()).or_default() += 1;
+            if !free_now {
+                held_back += 1;
+                kept.insert(machine.id.clone());
+            }
+        }
+        held_back
+    }
+
+    /// Takes room on a machine, free or to be made; says which machine, and whether the room is free now.
+    fn take_room(&mut self, claim: &Claim) -> Option<(&CandidateMachine, bool)> {
+        let size = &claim.terms.size;
+        self.looks += self.machines().len();
+        let machines = self.machines().iter_mut().enumerate();
+        let fitting = machines.filter(|(_, m)| fits(size, &m.free) && claim.admits(m));
+        let at = match fitting.max_by_key(|(_, m)| fits(size, &m.free_now)) {
+            Some((at, machine)) => {
+                subtract(&mut machine.free, size);
+                self.count_used(claim);
+                at
+            }
+            None => {
+                let choice = self.cheapest(claim)?;
+                let at = choice.machine;
+                self.carry_out(claim, choice);
+                at
+            }
+        };
+        let machine = self.machines().get_mut(at)?;
+        let free_now = fits(size, &machine.free_now);
+        if free_now {
+            subtract(&mut machine.free_now, size);
+        }
+        Some((machine, free_now))
+    }
+
+    /// The tasks that are to be stopped.
+    pub(super) fn into_stops(self) -> Vec<StopOrder> {
+        self.stops
+    }
+
     /// Room that is free, or will be by stops that have been chosen.
     fn take_free_room(&mut self, claim: &Claim) -> bool {
         let mut machines = self.machines().iter_mut();
@@ -319,6 +381,7 @@
 
 impl Claim<'_> {
     fn admits(&self, machine: &CandidateMachine) -> bool {
-        self.terms.admits(&machine.model, &machine.zone, machine.spot)
+        (!self.image_there || machine.images.contains(&self.terms.image))
+            && self.terms.admits(&machine.model, &machine.zone, machine.spot)
     }
 }
--- a/crates/tidelatch-core/src/queue/victims.rs
+++ b/crates/tidelatch-core/src/queue/victims.rs
@@ -34,7 +34,12 @@
     pub(super) model: String,
     pub(super) zone: String,
     pub(super) spot: bool,
+    /// Room that is free or that stops under way will free.
     pub(super) free: Amounts,
+    /// Room that is free now.
+    pub(super) free_now: Amounts,
+    /// Images that it holds.
+    pub(super) images: BTreeSet<String>,
     pub(super) victims: Vec<Victim>,
 }
 
@@ -76,6 +81,8 @@
     fn candidate_machine(&self, id: &MachineId, m: &Machine) -> Option<CandidateMachine> {
         let t = self.types.iter().find(|t| t.name == m.model)?;
         let mut free = [t.cpus, t.gpus, t.memory_gb];
+        let mut free_now = free;
+        subtract(&mut free_now, &m.taken());
         let mut victims = Vec::new();
         // Room that stops already under way will free counts as free.
         for held in m.held.iter().filter(|h| h.stop.is_none()) {
@@ -88,10 +95,21 @@
             zone: m.zone.clone(),
             spot: m.spot,
             free,
+            free_now,
+            images: self.images_held(m),
             victims,
         })
     }
 
+    /// The images that a machine holds: those of tasks that have run there lately.
+    fn images_held(&self, m: &Machine) -> BTreeSet<String> {
+        let running = m.held.iter().filter(|h| h.running_since.is_some());
+        let in_use = running
+            .filter_map(|h| self.jobs.get(&h.task.job))
+            .map(|j| j.spec.image.clone());
+        m.images.iter().map(|(image, _)| image.clone()).chain(in_use).collect()
+    }
+
     fn victim(&self, held: &Held) -> Option<Victim> {
         let job = self.jobs.get(&held.task.job)?;
         let (team, _) = self.settings.team(&held.team)?;
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -202,8 +202,8 @@
                 };
                 if let Some(spec) = &record.spec {
                     let text = format!(
-                        "{id} accepted: {} tasks of {} for {}, {:.0} s each",
-                        spec.tasks, spec.class, spec.team, spec.estimate_s
+                        "{id} accepted: {} tasks of {} for {}, {:.0} s each, image {} of {:.1} GB",
+                        spec.tasks, spec.class, spec.team, spec.estimate_s, spec.image, spec.image_gb
                     );
                     self.log(Level::Debug, text);
                 }
--- a/crates/tidelatch-standin/src/world/deployment.rs
+++ b/crates/tidelatch-standin/src/world/deployment.rs
@@ -23,6 +23,8 @@
     pub next: Option<(f64, f64, u32)>,
     /// Bytes of each team's name, at least.
     pub long_names: usize,
+    /// Seconds within which tasks of the class `c` should start, by the objectives; 0: none says so.
+    pub start_within_s: f64,
 }
 
 impl Default for Size {
@@ -36,6 +38,7 @@
             value_kb: 32.0,
             next: None,
             long_names: 0,
+            start_within_s: 0.0,
         }
     }
 }
@@ -49,12 +52,17 @@
     let teams: Vec<Value> = (0..size.teams)
         .map(|i| json!({ "name": team_name(i, size), "gpus": size.guarantee, "gpus_max": size.limit }))
         .collect();
+    let objectives = if size.start_within_s > 0.0 {
+        json!([{ "kind": "wait", "class": "c", "within_s": size.start_within_s }])
+    } else {
+        json!([])
+    };
     let platform = json!({
         "host_name": format!("berth-{index}"), "area": "a",
         "api_addr": format!("10.0.0.{}:8080", index + 1), "peer_listen": format!("10.0.0.{}:8081", index + 1),
         "siblings": siblings, "outside": { "cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379" },
         "facts": {
-            "nodes": size.controllers, "zones": ["a", "b"], "skew_ms": 25.0, "teams": teams,
+            "nodes": size.controllers, "zones": ["a", "b"], "skew_ms": 25.0, "teams": teams, "objectives": objectives,
             "workers": { "report_s": 2.5, "lease_s": 18.0, "cancel_s": 38.0,
                 "gang_wait_s": WAIT_MS as f64 / 1000.0, "gang_peer_s": PEER_MS as f64 / 1000.0 },
             "state": { "rps": 250.0, "write_rps": size.write_rps, "value_kb": size.value_kb, "txn_ops": 16,
--- a/crates/tidelatch-standin/tests/preemption.rs
+++ b/crates/tidelatch-standin/tests/preemption.rs
@@ -332,3 +332,48 @@
         sound(&world);
     }
 }
+
+/// A service has brought its image to a machine whose other place an array's task has taken; another machine has
+/// room, and fetches an image of `gigabytes` in as many seconds. A second service comes, which should start within
+/// two seconds. Whether it runs beside the first one, and what was stopped for it, is returned.
+fn second_service_of_an_image(gigabytes: f64) -> (bool, usize) {
+    let size = Size {
+        start_within_s: 2.0,
+        ..Size::default()
+    };
+    let mut world = World::sized(&Operator::default(), size);
+    world.run_ms = LONG_MS;
+    world.run(3000);
+    let mut service = job(SERVICE, 0, "standing", 1);
+    service["stock"] = json!("camera");
+    service["sizeGb"] = json!(gigabytes);
+    world.accepted(0, &service);
+    runs(&mut world, SERVICE, 1, 40_000);
+    let mut array = job(ARRAY, 0, "sweep", 2);
+    array["consist"] = json!("audit");
+    world.accepted(0, &array);
+    runs(&mut world, ARRAY, 2, 40_000);
+    let with_image = world.machines_of(&name(SERVICE));
+    assert!(
+        world.machines_of(&name(ARRAY)).contains(&with_image[0]),
+        "{}",
+        world.trace()
+    );
+    let stops = watch_stops(&mut world, |_| Delivery::Pass);
+    service["uid"] = json!(name(GANG));
+    world.accepted(0, &service);
+    runs(&mut world, GANG, 1, SOON_MS);
+    runs(&mut world, ARRAY, 2, SOON_MS);
+    sound(&world);
+    (world.machines_of(&name(GANG)) == with_image, stopped(&stops))
+}
+
+#[test]
+fn a_replica_that_has_no_time_to_fetch_gets_room_where_its_image_is() {
+    assert_eq!(second_service_of_an_image(4.0), (true, 1));
+}
+
+#[test]
+fn nothing_is_stopped_for_a_replica_that_has_time_to_fetch() {
+    assert_eq!(second_service_of_an_image(1.0), (false, 0));
+}
