--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -163,7 +163,7 @@
     }
 
     /// The claim of a task that has waited for long enough; none: nobody is stopped for it yet.
-    fn claim(&self, w: &Waiting, terms: &'a JobTerms) -> Option<Claim<'a>> {
+    fn claim<'t>(&self, w: &Waiting, terms: &'t JobTerms) -> Option<Claim<'t>> {
         let controller = self.controller;
         let measure = controller.measure(w.team, &terms.size);
         let guarantee = self.guarantee(w.team);
