--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -99,79 +99,99 @@
 
     /// What this controller's partitions need and have to spare.
     pub(super) fn own_digests(&self) -> Vec<Digest> {
-        let now = self.now.ms;
         let acting = self.tenures.iter().filter(|(_, t)| t.stage == Stage::Active);
-        let mut digests = Vec::new();
-        for (p, _) in acting {
-            let late = self.late_machines(*p);
-            let mut lanes = Vec::new();
-            let mut idle = Vec::new();
-            let mut yielding = Vec::new();
-            let mut spare_room = Vec::new();
-            let mut in_zones: BTreeMap<String, u32> = BTreeMap::new();
-            let mut demand = 0.0;
-            for (id, m) in self.machines.iter().filter(|(_, m)| m.partition == *p && !m.gone) {
-                *in_zones.entry(m.zone.clone()).or_default() += 1;
-                demand += m.held.iter().map(|h| h.size[1].max(h.size[0] / 100.0)).sum::<f64>();
-                if let Some(lane) = self.lane(m).filter(|_| !late.contains(id)) {
-                    lanes.push(lane);
-                }
-                if let Some(loss) = self.yielding(m) {
-                    let machine = IdleMachine {
-                        machine: id.clone(),
-                        model: m.model.clone(),
-                        zone: m.zone.clone(),
-                        spot: m.spot,
-                    };
-                    yielding.push((loss, machine));
-                }
-                spare_room.extend(self.spare_room(id, m));
-                let spare = m
-                    .idle_since
-                    .is_some_and(|t| now.saturating_sub(t) > self.settings.report_ms());
-                if spare && !m.reserved && m.usable(now, 2 * self.settings.report_ms()) {
-                    idle.push(IdleMachine {
-                        machine: id.clone(),
-                        model: m.model.clone(),
-                        zone: m.zone.clone(),
-                        spot: m.spot,
-                    });
-                }
-            }
-            let mut wishes: Vec<UnplacedTasks> = self
-                .cloud
-                .wishes
-                .iter()
-                .filter(|w| w.partition == *p)
-                .cloned()
-                .collect();
-            let wants = wants(&wishes, &self.settings.platform.facts.zones);
-            demand += wishes
+        acting.map(|(p, _)| self.digest(*p)).collect()
+    }
+
+    fn digest(&self, partition: Partition) -> Digest {
+        let now = self.now.ms;
+        let mut supply = self.supply(partition);
+        let own = |w: &&UnplacedTasks| w.partition == partition;
+        let mut wishes: Vec<UnplacedTasks> = self.cloud.wishes.iter().filter(own).cloned().collect();
+        let wants = wants(&wishes, &self.settings.platform.facts.zones);
+        let waiting: f64 = wishes.iter().map(|w| f64::from(w.count) * demand_of(&w.size)).sum();
+        let refused = |kind: &Kind| self.cloud.is_refused(kind, now);
+        absorb(
+            &mut wishes,
+            &mut supply.lanes,
+            &self.types,
+            &refused,
+            self.guarantee_s(),
+        );
+        let mut needs = plan(&wishes, Vec::new(), &self.types, &refused, &supply.in_zones);
+        needs.extend(self.replacements_wanted(partition));
+        supply.yielding.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let unwanted = |room: &SpareRoom| {
+            !wants
                 .iter()
-                .map(|w| f64::from(w.count) * w.size[1].max(w.size[0] / 100.0))
-                .sum::<f64>();
-            let refused = |kind: &Kind| self.cloud.refused.get(kind).is_some_and(|t| now < *t);
-            absorb(&mut wishes, &mut lanes, &self.types, &refused, self.guarantee_s());
-            let mut needs = plan(&wishes, Vec::new(), &self.types, &refused, &in_zones);
-            needs.extend(self.replacements_wanted(*p));
-            yielding.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let unwanted = |room: &SpareRoom| {
-                !wants
-                    .iter()
-                    .any(|want| want.takes(&room.machine) && want.fits(&room.free) > 0)
-            };
-            spare_room.retain(unwanted);
-            digests.push(Digest {
-                partition: *p,
-                ledger: self.member.ledger,
-                demand,
-                needs,
-                wants,
-                idle,
-                yielding: yielding.into_iter().map(|(_, i)| i).take(YIELDING).collect(),
-                spare_room: largest_of_each_kind(spare_room),
-            });
+                .any(|want| want.takes(&room.machine) && want.fits(&room.free) > 0)
+        };
+        supply.spare_room.retain(unwanted);
+        Digest {
+            partition,
+            ledger: self.member.ledger,
+            demand: supply.running + waiting,
+            needs,
+            wants,
+            idle: supply.idle,
+            yielding: supply.yielding.into_iter().map(|(_, i)| i).take(YIELDING).collect(),
+            spare_room: largest_of_each_kind(supply.spare_room),
+        }
+    }
+
+    fn supply(&self, partition: Partition) -> Supply {
+        let late = self.late_machines(partition);
+        let mut supply = Supply::default();
+        let own = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.gone;
+        for (id, m) in self.machines.iter().filter(own) {
+            *supply.in_zones.entry(m.zone.clone()).or_default() += 1;
+            supply.running += m.held.iter().map(|h| demand_of(&h.size)).sum::<f64>();
+            if let Some(lane) = self.lane(m).filter(|_| !late.contains(id)) {
+                supply.lanes.push(lane);
+            }
+            if let Some(loss) = self.yielding(m) {
+                supply.yielding.push((loss, idle_machine(id, m)));
+            }
+            supply.spare_room.extend(self.spare_room(id, m));
+            if self.is_spare(m) {
+                supply.idle.push(idle_machine(id, m));
+            }
         }
-        digests
+        supply
+    }
+
+    /// Whether a machine has been idle for long enough to be lent.
+    fn is_spare(&self, m: &Machine) -> bool {
+        let report_ms = self.settings.report_ms();
+        let idle_ms = m.idle_since.map_or(0, |t| self.now.ms.saturating_sub(t));
+        idle_ms > report_ms && !m.reserved && m.usable(self.now.ms, 2 * report_ms)
+    }
+}
+
+/// What a partition's machines hold and could take.
+#[derive(Default)]
+struct Supply {
+    lanes: Vec<Lane>,
+    idle: Vec<IdleMachine>,
+    /// Machines that could be vacated, with the seconds of work lost by that.
+    yielding: Vec<(f64, IdleMachine)>,
+    spare_room: Vec<SpareRoom>,
+    /// Machines in each zone.
+    in_zones: BTreeMap<String, u32>,
+    /// Demand of what runs.
+    running: f64,
+}
+
+/// Share of demand of a task: accelerators, or processors in hundreds where they are more.
+fn demand_of(size: &Amounts) -> f64 {
+    size[1].max(size[0] / 100.0)
+}
+
+fn idle_machine(id: &MachineId, m: &Machine) -> IdleMachine {
+    IdleMachine {
+        machine: id.clone(),
+        model: m.model.clone(),
+        zone: m.zone.clone(),
+        spot: m.spot,
     }
 }
--- a/crates/tidelatch-core/src/capacity/planning.rs
+++ b/crates/tidelatch-core/src/capacity/planning.rs
@@ -296,6 +296,103 @@
         .unwrap_or(u32::MAX)
 }
 
+/// Machines of one kind that are to be rented.
+struct Need {
+    count: u32,
+    urgent: bool,
+    any_zone: bool,
+}
+
+/// A kind that would do for a task, and what it costs.
+struct Offer {
+    /// Price of a task on a full machine.
+    cost: f64,
+    /// How many machines and tasks of the job its zone has already.
+    crowd: u32,
+    kind: Kind,
+    total: Amounts,
+}
+
+impl Offer {
+    /// Cheaper than another one, or as cheap in an emptier zone.
+    fn is_better_than(&self, other: &Self) -> bool {
+        self.cost < other.cost - COST_SLACK || (self.cost < other.cost + COST_SLACK && self.crowd < other.crowd)
+    }
+}
+
+/// Costs that differ by less are the same.
+const COST_SLACK: f64 = 1e-9;
+/// A task of the job in a zone weighs as much as this many machines there.
+const TASK_CROWD: u32 = 8;
+
+/// The kind that costs least for a task. Where the cloud refuses all that would do, the cheapest is named all the
+/// same: another partition may have one to lend or to vacate.
+fn best_offer(
+    wish: &UnplacedTasks,
+    types: &[MachineType],
+    refused: &dyn Fn(&Kind) -> bool,
+    in_zones: &BTreeMap<String, u32>,
+) -> Option<Offer> {
+    let mut best: Option<Offer> = None;
+    let mut best_refused: Option<Offer> = None;
+    for offer in types.iter().flat_map(|t| offers_of_type(wish, t, in_zones)) {
+        let best = if refused(&offer.kind) {
+            &mut best_refused
+        } else {
+            &mut best
+        };
+        if best.as_ref().is_none_or(|best| offer.is_better_than(best)) {
+            *best = Some(offer);
+        }
+    }
+    best.or(best_refused)
+}
+
+/// What a machine type offers to a task, by zone and for spot machines first.
+fn offers_of_type(wish: &UnplacedTasks, t: &MachineType, in_zones: &BTreeMap<String, u32>) -> Vec<Offer> {
+    let total = [t.cpus, t.gpus, t.memory_gb];
+    // Full machines are assumed: what this job leaves free, the next one takes.
+    let fit = room_for(&wish.size, &total);
+    if fit == 0 {
+        return Vec::new();
+    }
+    // Time spent fetching is paid for too.
+    let fetch_s = wish.image_gb / t.fetch_gb_per_s.max(1e-3);
+    let overhead = if wish.run_s > 0.0 {
+        1.0 + fetch_s / wish.run_s
+    } else {
+        1.0
+    };
+    let count = |zones: &BTreeMap<String, u32>, zone: &str| zones.get(zone).copied().unwrap_or(0);
+    let kinds = t.zones.iter().flat_map(|zone| [(zone, true), (zone, false)]);
+    let allowed = kinds.filter(|(zone, spot)| wish.allows(&t.name, zone, *spot));
+    let offer = |(zone, spot): (&String, bool)| Offer {
+        cost: if spot { t.spot_price } else { t.price } / f64::from(fit) * overhead,
+        crowd: count(in_zones, zone) + TASK_CROWD * count(&wish.in_zone, zone),
+        kind: (t.name.clone(), zone.clone(), spot),
+        total,
+    };
+    allowed.map(offer).collect()
+}
+
+/// Places tasks on machines that are coming, until one finds no room.
+fn fill_coming(wish: &mut UnplacedTasks, coming: &mut [Coming], from: &mut usize) {
+    while wish.count > 0 {
+        let found = coming
+            .iter()
+            .skip(*from)
+            .position(|c| wish.allows(&c.model, &c.zone, c.spot) && room_for(&wish.size, &c.free) > 0);
+        *from += found.unwrap_or(coming.len());
+        let Some(c) = coming.get_mut(*from) else {
+            *from = coming.len();
+            return;
+        };
+        c.free.iter_mut().zip(wish.size).for_each(|(f, s)| *f -= s);
+        *wish.in_zone.entry(c.zone.clone()).or_default() += 1;
+        wish.count -= 1;
+    }
+}
+
 /// The machines to rent for what finds no room on those that are coming: for each task the kind that
 /// costs least for it, counting how many of its like fit on one.
 pub fn plan(
@@ -305,7 +402,7 @@
     refused: &dyn Fn(&Kind) -> bool,
     in_zones: &BTreeMap<String, u32>,
 ) -> Vec<MachineRequest> {
-    let mut needs: BTreeMap<Kind, (u32, bool, bool)> = BTreeMap::new();
+    let mut needs: BTreeMap<Kind, Need> = BTreeMap::new();
     let mut in_zones = in_zones.clone();
     let mut order: Vec<&UnplacedTasks> = wishes.iter().collect();
     order.sort_by(|a, b| b.urgent.cmp(&a.urgent).then(a.slack_s.total_cmp(&b.slack_s)));
@@ -313,82 +410,40 @@
         let mut wish = wish.clone();
         // What has no room for one task of a job has none for the next: room and zones only fill up.
         let mut from = 0;
-        while wish.count > 0 {
-            let found = coming
-                .iter()
-                .skip(from)
-                .position(|c| wish.allows(&c.model, &c.zone, c.spot) && room_for(&wish.size, &c.free) > 0);
-            from += found.unwrap_or(coming.len());
-            if let Some(c) = coming.get_mut(from) {
-                c.free.iter_mut().zip(wish.size).for_each(|(f, s)| *f -= s);
-                *wish.in_zone.entry(c.zone.clone()).or_default() += 1;
-                wish.count -= 1;
-                continue;
-            }
-            from = coming.len();
-            let mut best: Option<(f64, u32, Kind, Amounts)> = None;
-            // Where the cloud refuses all that would do, the cheapest is named all the same: another
-            // partition may have one to lend or to vacate.
-            let mut any: Option<(f64, u32, Kind, Amounts)> = None;
-            for t in types {
-                let total = [t.cpus, t.gpus, t.memory_gb];
-                // Full machines are assumed: what this job leaves free, the next one takes.
-                let fit = room_for(&wish.size, &total);
-                if fit == 0 {
-                    continue;
-                }
-                // Time spent fetching is paid for too.
-                let fetch_s = wish.image_gb / t.fetch_gb_per_s.max(1e-3);
-                let overhead = if wish.run_s > 0.0 {
-                    1.0 + fetch_s / wish.run_s
-                } else {
-                    1.0
-                };
-                for zone in &t.zones {
-                    for spot in [true, false] {
-                        let kind = (t.name.clone(), zone.clone(), spot);
-                        if !wish.allows(&t.name, zone, spot) {
-                            continue;
-                        }
-                        let price = if spot { t.spot_price } else { t.price };
-                        let cost = price / f64::from(fit) * overhead;
-                        let crowd =
-                            in_zones.get(zone).copied().unwrap_or(0) + 8 * wish.in_zone.get(zone).copied().unwrap_or(0);
-                        let best = if refused(&kind) { &mut any } else { &mut best };
-                        let better = best
-                            .as_ref()
-                            .is_none_or(|(c, n, _, _)| cost < c - 1e-9 || (cost < c + 1e-9 && crowd < *n));
-                        if better {
-                            *best = Some((cost, crowd, kind, total));
-                        }
-                    }
-                }
+        loop {
+            fill_coming(&mut wish, &mut coming, &mut from);
+            if wish.count == 0 {
+                break;
             }
-            let Some((_, _, kind, total)) = best.or(any) else { break };
-            let need = needs.entry(kind.clone()).or_insert((0, false, true));
-            need.0 += 1;
-            need.1 |= wish.urgent;
-            need.2 &= wish.zone.is_none() && !wish.one_zone && wish.in_zone.values().all(|n| *n == 0);
-            *in_zones.entry(kind.1.clone()).or_default() += 1;
+            let Some(offer) = best_offer(&wish, types, refused, &in_zones) else {
+                break;
+            };
+            let need = needs.entry(offer.kind.clone()).or_insert(Need {
+                count: 0,
+                urgent: false,
+                any_zone: true,
+            });
+            need.count += 1;
+            need.urgent |= wish.urgent;
+            need.any_zone &= wish.zone.is_none() && !wish.one_zone && wish.in_zone.values().all(|n| *n == 0);
+            *in_zones.entry(offer.kind.1.clone()).or_default() += 1;
             coming.push(Coming {
-                model: kind.0,
-                zone: kind.1,
-                spot: kind.2,
-                free: total,
+                model: offer.kind.0,
+                zone: offer.kind.1,
+                spot: offer.kind.2,
+                free: offer.total,
             });
         }
     }
-    needs
-        .into_iter()
-        .map(|((model, zone, spot), (count, urgent, any_zone))| MachineRequest {
-            model,
-            zone,
-            spot,
-            count,
-            urgent,
-            any_zone,
-        })
-        .collect()
+    let request = |((model, zone, spot), need): (Kind, Need)| MachineRequest {
+        model,
+        zone,
+        spot,
+        count: need.count,
+        urgent: need.urgent,
+        any_zone: need.any_zone,
+    };
+    needs.into_iter().map(request).collect()
 }
 
 /// Most kinds of waiting tasks in a digest.
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -133,11 +133,6 @@
         }
         let now = self.now.ms;
         let acting = self.acting_partitions();
-        let lease = self.settings.worker_lease_ms();
-        let wait = self.settings.gang_ms().map_or(lease, |(wait, _)| wait);
-        // A replacement that is not found in two batches may not be found for long, and meanwhile the others
-        // hold room that another gang may be waiting for.
-        let patience = 2 * self.settings.batch_retry_ms();
         let mut decisions: Vec<(JobId, GangObservation, GangDecision)> = Vec::new();
         for (id, job) in &self.jobs {
             let looked_at = job.spec.shape == Shape::Gang && !job.placed.is_empty() && job.ending.is_none();
@@ -146,21 +141,8 @@
             }
             let Some(gang) = job.gang else { continue };
             let observation = self.observe_gang(id, job);
-            // Tasks older than the take-over may be on a machine that has not reported yet.
-            let open = self.may_be_elsewhere(job);
-            let missing = !open && (observation.held.len() as u32) < job.spec.tasks;
-            let missing_for = gang.missing_since.map_or(0, |t| now.saturating_sub(t));
-            let decision = if gang.over {
-                GangDecision::Ends("a task of it has ended")
-            } else if gang.ran && (missing || observation.lost) {
-                GangDecision::Ends("a task of it is gone")
-            } else if missing && (missing_for > patience || now.saturating_sub(gang.since) > wait / 2) {
-                GangDecision::Ends("it is not complete")
-            } else if observation.stopping || (observation.notice && job.spec.checkpoint_s > 0.0) {
-                GangDecision::Stops
-            } else {
-                GangDecision::GoesOn
-            };
+            let missing = self.misses_tasks(job, &observation);
+            let decision = self.decide_gang(job, &gang, &observation, missing);
             if missing != gang.missing_since.is_some()
                 || !observation.stale.is_empty()
                 || !matches!(decision, GangDecision::GoesOn)
@@ -169,12 +151,12 @@
             }
         }
         for (id, observation, decision) in decisions {
-            let open = self.jobs.get(&id).is_some_and(|j| self.may_be_elsewhere(j));
-            if let Some(job) = self.jobs.get_mut(&id) {
-                let missing = !open && (observation.held.len() as u32) < job.spec.tasks;
-                if let Some(gang) = &mut job.gang {
-                    gang.missing_since = missing.then(|| gang.missing_since.unwrap_or(now));
-                }
+            let missing = self
+                .jobs
+                .get(&id)
+                .is_some_and(|job| self.misses_tasks(job, &observation));
+            if let Some(gang) = self.jobs.get_mut(&id).and_then(|job| job.gang.as_mut()) {
+                gang.missing_since = missing.then(|| gang.missing_since.unwrap_or(now));
             }
             for (machine, task, attempt) in &observation.stale {
                 self.halt(machine, task, *attempt);
@@ -195,6 +177,33 @@
         }
     }
 
+    /// Whether tasks of a gang are nowhere. Those older than the take-over may be on a machine that has not reported
+    /// yet.
+    fn misses_tasks(&self, job: &Job, observation: &GangObservation) -> bool {
+        !self.may_be_elsewhere(job) && (observation.held.len() as u32) < job.spec.tasks
+    }
+
+    fn decide_gang(&self, job: &Job, gang: &Gang, observation: &GangObservation, missing: bool) -> GangDecision {
+        let now = self.now.ms;
+        let lease = self.settings.worker_lease_ms();
+        let wait = self.settings.gang_ms().map_or(lease, |(wait, _)| wait);
+        // A replacement that is not found in two batches may not be found for long, and meanwhile the others
+        // hold room that another gang may be waiting for.
+        let patience = 2 * self.settings.batch_retry_ms();
+        let missing_for = gang.missing_since.map_or(0, |t| now.saturating_sub(t));
+        if gang.over {
+            GangDecision::Ends("a task of it has ended")
+        } else if gang.ran && (missing || observation.lost) {
+            GangDecision::Ends("a task of it is gone")
+        } else if missing && (missing_for > patience || now.saturating_sub(gang.since) > wait / 2) {
+            GangDecision::Ends("it is not complete")
+        } else if observation.stopping || (observation.notice && job.spec.checkpoint_s > 0.0) {
+            GangDecision::Stops
+        } else {
+            GangDecision::GoesOn
+        }
+    }
+
     /// Whether tasks of a job may be on machines that have not reported since the take-over.
     fn may_be_elsewhere(&self, job: &Job) -> bool {
         let since = self.tenures.get(&job.partition).map(|t| t.since);
--- a/crates/tidelatch-core/src/lib.rs
+++ b/crates/tidelatch-core/src/lib.rs
@@ -4,6 +4,8 @@
 //! [`Controller`] takes an [`Input`] with the time at which it came, and returns what is to be sent,
 //! stored and answered. The daemon puts sockets and timers round it; tests put stand-ins there.
 
+#![warn(clippy::too_many_lines)]
+
 mod admission;
 mod calls;
 mod cancellations;
--- a/crates/tidelatch-core/src/machine_view/silence.rs
+++ b/crates/tidelatch-core/src/machine_view/silence.rs
@@ -259,82 +259,16 @@
         }
     }
 
+    /// Gives up machines that have died, hang, or may do what must not happen: they are deleted.
     pub(super) fn give_up_silent(&mut self, partition: Partition, active_at: u64) {
-        let now = self.now.ms;
-        let silent_ms = self.settings.silent_ms();
-        let quiet = |m: &Machine, limit: u64| {
-            let since = m.heard.unwrap_or(m.known_since).max(active_at);
-            now.saturating_sub(since) > limit
-        };
-        let up: Vec<&Machine> = self
-            .machines
-            .values()
-            .filter(|m| m.partition == partition && m.up() && !m.gone)
-            .collect();
-        let silent = up.iter().filter(|m| quiet(m, silent_ms / 2)).count();
-        // When most fall silent at once, the fault is more likely on this side of the network.
-        let limit = if silent > 1 && silent * 2 > up.len() {
-            self.settings.worker_lease_ms() + silent_ms
-        } else {
-            silent_ms
-        };
-        let slow_boot = |m: &Machine| {
-            let machine_type = self.types.iter().find(|t| t.name == m.model);
-            let give_up_s = machine_type.map_or(UNKNOWN_BOOT_S, |t| {
-                self.cloud.boot_times.give_up_after_s(t, m.known_since)
-            });
-            // Once it is up, its first reports still have to arrive.
-            (give_up_s * 1000.0) as u64 + 2 * self.settings.report_ms()
-        };
-        let report = self.settings.report_ms();
-        // Reports may arrive from a worker that no answer reaches. Its token stays old, so it would be
-        // unaccounted for without end, or it loses every start; only its deletion makes an end of that.
-        // If it is more than a few, the fault is more likely on this side.
-        let unheard = up.iter().filter(|m| m.missed >= DEAF).count();
-        let few = unheard <= 1 || unheard * 8 <= up.len();
-        let token_ms = self.settings.worker_lease_ms() + silent_ms;
+        let watch = self.silence_watch(partition, active_at);
         let mut lost: BTreeMap<MachineId, &str> = BTreeMap::new();
-        for (id, m) in &self.machines {
-            if m.partition != partition || m.gone || m.retiring {
-                continue;
+        let here = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.gone && !m.retiring;
+        for (id, m) in self.machines.iter().filter(here) {
+            if let Some(why) = self.loss(m, &watch) {
+                lost.insert(id.clone(), why);
             }
-            let tenure = now.saturating_sub(active_at.max(m.known_since));
-            if m.up() && !m.confirmed && !m.storing && tenure > token_ms {
-                lost.insert(id.clone(), "has not taken the token");
-            } else if m.up() && m.missed >= DEAF && few {
-                lost.insert(id.clone(), "answers do not reach it");
-            } else if m.up() {
-                // After a notice the machine is as good as gone once it stops to report.
-                let noticed = m.notice && quiet(m, 2 * self.settings.report_ms());
-                // One that was taken over holds up the older tasks of its whole partition, and it has been
-                // asked from the first moment on.
-                let holds_up = !m.confirmed && m.may_hold;
-                let dead = quiet(m, if holds_up { report } else { report * 12 / 5 }) && m.probes_failed >= 2;
-                if noticed || dead || quiet(m, limit) {
-                    lost.insert(id.clone(), "silent");
-                }
-            } else if m.heard.is_none() && quiet(m, slow_boot(m)) {
-                lost.insert(id.clone(), "never came up");
-            }
-        }
-        let cancel_ms = self.settings.cancel_ms();
-        for (id, m) in self
-            .machines
-            .iter()
-            .filter(|(_, m)| m.partition == partition && !m.retiring && !m.gone)
-        {
-            // A late start of a job that is over by then must not happen: its machine goes first.
-            // While the worker lists the attempt, in whatever state, a late copy has no effect.
-            let listed = |task: &TaskId, attempt: Attempt| {
-                let seen = |h: &Held| matches!(h.state, HeldState::Seen(_)) && h.task == *task && h.attempt == attempt;
-                m.held.iter().any(seen) || m.ended.iter().any(|(t, a, _)| t == task && *a == attempt)
-            };
-            let risky = m.pins.iter().any(|((task, attempt), pin)| {
-                !self.jobs.contains_key(&task.job)
-                    && !listed(task, *attempt)
-                    && now.saturating_sub(pin.since) > cancel_ms / 3
-            });
-            if risky {
+            if self.holds_risky_start(m) {
                 lost.insert(id.clone(), "a start of a job that is over may still reach it");
             }
         }
@@ -346,4 +280,94 @@
             }
         }
     }
+
+    fn silence_watch(&self, partition: Partition, active_at: u64) -> SilenceWatch {
+        let silent_ms = self.settings.silent_ms();
+        let mut watch = SilenceWatch {
+            now: self.now.ms,
+            active_at,
+            limit_ms: silent_ms,
+            few_unheard: true,
+        };
+        let here = |m: &&Machine| m.partition == partition && m.up() && !m.gone;
+        let up: Vec<&Machine> = self.machines.values().filter(here).collect();
+        let silent = up.iter().filter(|m| watch.is_quiet(m, silent_ms / 2)).count();
+        // When most fall silent at once, the fault is more likely on this side of the network.
+        if silent > 1 && silent * 2 > up.len() {
+            watch.limit_ms = self.settings.worker_lease_ms() + silent_ms;
+        }
+        // Reports may arrive from a worker that no answer reaches. Its token stays old, so it would be
+        // unaccounted for without end, or it loses every start; only its deletion makes an end of that.
+        // If it is more than a few, the fault is more likely on this side.
+        let unheard = up.iter().filter(|m| m.missed >= DEAF).count();
+        watch.few_unheard = unheard <= 1 || unheard * 8 <= up.len();
+        watch
+    }
+
+    /// Why a machine counts as lost, if it does.
+    fn loss(&self, m: &Machine, watch: &SilenceWatch) -> Option<&'static str> {
+        if !m.up() {
+            let late = m.heard.is_none() && watch.is_quiet(m, self.slow_boot_ms(m));
+            return late.then_some("never came up");
+        }
+        let report_ms = self.settings.report_ms();
+        let token_ms = self.settings.worker_lease_ms() + self.settings.silent_ms();
+        let tenure_ms = watch.now.saturating_sub(watch.active_at.max(m.known_since));
+        if !m.confirmed && !m.storing && tenure_ms > token_ms {
+            return Some("has not taken the token");
+        }
+        if m.missed >= DEAF && watch.few_unheard {
+            return Some("answers do not reach it");
+        }
+        // After a notice the machine is as good as gone once it stops to report.
+        let noticed = m.notice && watch.is_quiet(m, 2 * report_ms);
+        // One that was taken over holds up the older tasks of its whole partition, and it has been
+        // asked from the first moment on.
+        let holds_up = !m.confirmed && m.may_hold;
+        let dead_ms = if holds_up { report_ms } else { report_ms * 12 / 5 };
+        let dead = watch.is_quiet(m, dead_ms) && m.probes_failed >= 2;
+        (noticed || dead || watch.is_quiet(m, watch.limit_ms)).then_some("silent")
+    }
+
+    fn slow_boot_ms(&self, m: &Machine) -> u64 {
+        let machine_type = self.types.iter().find(|t| t.name == m.model);
+        let give_up_s = machine_type.map_or(UNKNOWN_BOOT_S, |t| {
+            self.cloud.boot_times.give_up_after_s(t, m.known_since)
+        });
+        // Once it is up, its first reports still have to arrive.
+        (give_up_s * 1000.0) as u64 + 2 * self.settings.report_ms()
+    }
+
+    /// A late start of a job that is over by then must not happen: its machine goes first.
+    /// While the worker lists the attempt, in whatever state, a late copy has no effect.
+    fn holds_risky_start(&self, m: &Machine) -> bool {
+        let limit_ms = self.settings.cancel_ms() / 3;
+        let listed = |task: &TaskId, attempt: Attempt| {
+            let seen = |h: &Held| matches!(h.state, HeldState::Seen(_)) && h.task == *task && h.attempt == attempt;
+            m.held.iter().any(seen) || m.ended.iter().any(|(t, a, _)| t == task && *a == attempt)
+        };
+        m.pins.iter().any(|((task, attempt), pin)| {
+            !self.jobs.contains_key(&task.job)
+                && !listed(task, *attempt)
+                && self.now.ms.saturating_sub(pin.since) > limit_ms
+        })
+    }
+}
+
+/// By what the silence of a partition's machines is judged.
+struct SilenceWatch {
+    now: u64,
+    /// Since when the partition is owned: silence before that says nothing.
+    active_at: u64,
+    /// How long a machine may be silent.
+    limit_ms: u64,
+    /// No more than a few machines do not hear answers.
+    few_unheard: bool,
+}
+
+impl SilenceWatch {
+    fn is_quiet(&self, m: &Machine, limit_ms: u64) -> bool {
+        let since = m.heard.unwrap_or(m.known_since).max(self.active_at);
+        self.now.saturating_sub(since) > limit_ms
+    }
 }
