--- a/crates/tidelatch-standin/src/loopback/services.rs
+++ b/crates/tidelatch-standin/src/loopback/services.rs
@@ -89,6 +89,13 @@
         owner.strip_prefix("berth-")?.parse().ok()
     }
 
+    /// The numbers of the controllers that are members: their keys live as long as their leases.
+    pub fn members(&self) -> Vec<usize> {
+        let keys = lock(&self.store).keys("t/c/member/");
+        let numbers = keys.iter().filter_map(|key| key.strip_prefix("t/c/member/berth-"));
+        numbers.filter_map(|number| number.parse().ok()).collect()
+    }
+
     /// A drain as stored.
     pub fn drain(&self, name: &str) -> Option<serde_json::Value> {
         lock(&self.store).get(&format!("t/d/{name}")).cloned()
--- a/crates/tidelatch/tests/loopback.rs
+++ b/crates/tidelatch/tests/loopback.rs
@@ -64,6 +64,11 @@
         self.controllers.log(observer).matches(text).count()
     }
 
+    fn all_teams_owned_by(&self, owners: &[usize]) -> bool {
+        let owner = |team| self.services.owner_of_team(team);
+        (0..CONTROLLERS).all(|team| owner(team).is_some_and(|owner| owners.contains(&owner)))
+    }
+
     fn anybody_says(&self, text: &str) -> usize {
         (0..CONTROLLERS).map(|observer| self.says(observer, text)).sum()
     }
@@ -113,6 +118,10 @@
     // Split evenly, one side without the state service: it is fenced, and taken over from.
     deployment.controllers.split(&[0, 1], true);
     deployment.wait_for("a take-over from the other side", |d| d.services.epoch() > epoch);
+    // A controller whose lease has not expired yet when the network heals extends it and never takes another.
+    deployment.wait_for("a take-over from both of the other side", |d| {
+        d.services.members() == [0, 1] && d.all_teams_owned_by(&[0, 1])
+    });
     deployment.submit_arrays();
     deployment.controllers.heal();
     deployment.wait_for("both are back", |d| {
