--- a/crates/tidelatch-core/src/placement.rs
+++ b/crates/tidelatch-core/src/placement.rs
@@ -1,52 +1,57 @@
-//! Placing one batch jointly: hard filters, a greedy pass by largest task, then moves and swaps.
+//! Joint placement of one batch of tasks: hard constraints, a greedy pass by rank and then by largest task, then moves
+//! and swaps.
 //!
-//! Pure functions over a snapshot. What a task wants and what a machine has are given; what comes
-//! back is which task goes where.
+//! These are pure functions over a snapshot of machines and jobs. They return the machine for each task.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Processors, accelerators, memory.
+/// Amounts of resources: CPUs, accelerators, memory in GB.
 pub type Amounts = [f64; 3];
 
-const SLACK: f64 = 1e-6;
+/// Amounts below this are rounding errors.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
+/// Whether a size fits into some room, with a tolerance for rounding errors.
 fn fits(size: &Amounts, room: &Amounts) -> bool {
-    size.iter().zip(room).all(|(s, r)| *s <= r + SLACK)
+    size.iter().zip(room).all(|(s, r)| *s <= r + ROUNDING_TOLERANCE)
 }
 
-/// How many of a size fit into an amount.
-fn most_of(size: &Amounts, total: &Amounts) -> f64 {
+/// Number of tasks of a size that fit into an amount; `f64::MAX` if the size is zero.
+fn count_fitting(size: &Amounts, total: &Amounts) -> f64 {
     let each = size.iter().zip(total).filter(|(s, _)| **s > 0.0);
-    each.map(|(s, t)| ((t + SLACK) / s).floor()).fold(f64::MAX, f64::min)
+    each.map(|(s, t)| ((t + ROUNDING_TOLERANCE) / s).floor())
+        .fold(f64::MAX, f64::min)
 }
 
-/// Weight of a machine's price for services, which stay.
-const DEAR_SERVICE: f64 = 2.0;
-/// Weight of a machine's price for arrays, which leave soon.
-const DEAR_ARRAY: f64 = 1.5;
-/// What starting takes beside the fetch.
-const FETCH_MARGIN_S: f64 = 0.5;
+/// Weight of a machine's price for services, which run for long.
+const SERVICE_PRICE_WEIGHT: f64 = 2.0;
+/// Weight of a machine's price for arrays, which end soon.
+const ARRAY_PRICE_WEIGHT: f64 = 1.5;
+/// Seconds that a start takes in addition to fetching the image.
+const START_OVERHEAD_S: f64 = 0.5;
 
-fn take(room: &mut Amounts, size: &Amounts) {
+/// Subtracts a size from some room.
+fn subtract(room: &mut Amounts, size: &Amounts) {
     room.iter_mut().zip(size).for_each(|(r, s)| *r -= s);
 }
 
-fn give(room: &mut Amounts, size: &Amounts) {
+/// Adds a size to some room.
+fn add(room: &mut Amounts, size: &Amounts) {
     room.iter_mut().zip(size).for_each(|(r, s)| *r += s);
 }
 
-/// A machine with its free room.
+/// A machine and its free room.
 #[derive(Debug, Clone)]
 pub struct Slot {
-    /// Type.
+    /// Machine type.
     pub model: String,
     /// Zone.
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot machine.
     pub spot: bool,
-    /// Room that is free, all bookings taken off.
+    /// Free room, after all assigned tasks are subtracted.
     pub free: Amounts,
-    /// Room in all.
+    /// Total room.
     pub total: Amounts,
     /// Images that it has or is fetching.
     pub images: BTreeSet<String>,
@@ -54,71 +59,74 @@
     pub fetch_s_per_gb: f64,
     /// Seconds that its type takes to boot.
     pub boot_s: f64,
-    /// What it costs an hour.
+    /// Price per hour.
     pub price: f64,
-    /// How many jobs have failed on it lately.
+    /// Number of jobs that failed on it recently.
     pub doubts: f64,
 }
 
-/// What the tasks of one job have in common.
+/// Placement terms that all tasks of a job share.
 #[derive(Debug, Clone)]
 pub struct JobTerms {
-    /// What each task takes.
+    /// Size of each task.
     pub size: Amounts,
-    /// Allowed types.
+    /// Allowed machine types; `None` allows all.
     pub models: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone, if there is one.
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in the same zone.
     pub one_zone: bool,
-    /// Most tasks in one zone.
+    /// Maximum number of tasks in one zone.
     pub most_per_zone: Option<u32>,
-    /// Zones with the cheapest kind, and how many tasks may be in other ones; none: no such limit. What
-    /// only those other zones can take is left to whom spreading leaves nothing else.
+    /// Zones with the cheapest machine types; empty if there is no restriction to them. Machines in other zones are
+    /// left to jobs that the spreading rule leaves no other zone.
     pub cheap_zones: Vec<String>,
-    /// See `cheap_zones`.
+    /// Maximum number of tasks outside `cheap_zones`.
     pub most_elsewhere: u32,
-    /// A zone that it has just left for others, and does not come back to yet.
+    /// A zone that a replica was moved out of recently and that the job must not use yet.
     pub shunned: Option<String>,
-    /// May use spot machines.
+    /// Whether it may use spot machines.
     pub spot: bool,
-    /// Image.
+    /// Container image.
     pub image: String,
-    /// Its size.
+    /// Size of the image in GB.
     pub image_gb: f64,
-    /// Within its team's guarantee, together with the team's earlier jobs.
+    /// Whether it is within its team's guarantee, together with the team's earlier jobs.
     pub guaranteed: bool,
-    /// Seconds from submission to deadline; 0: none.
+    /// Seconds from submission to deadline; 0 without a deadline.
     pub deadline_s: f64,
-    /// Estimated run time; 0 for services.
+    /// Estimated run time in seconds; 0 for services.
     pub estimate_s: f64,
-    /// Rank by priority, deadline and share: higher first.
+    /// Rank by priority and deadline: higher ranks are placed first.
     pub rank: f64,
-    /// A service: its replicas are better apart.
+    /// Whether it is a service; its replicas are spread over zones.
     pub service: bool,
-    /// A gang: all its tasks find machines, or none does.
+    /// Whether it is a gang: all of its tasks are placed or none.
     pub gang: bool,
-    /// Places of machines that may not take it.
+    /// Indices of machines that are excluded for this job.
     pub barred: BTreeSet<usize>,
-    /// Seconds within which its class should start, by the objectives; 0: none is named.
+    /// Seconds within which its class should start according to the objectives; 0 without such an objective.
     pub within_s: f64,
-    /// What a task costs an hour on the cheapest machine that would take it, full of its like; 0: unknown.
+    /// Price per hour of one task on the cheapest machine that may run it, fully packed with such tasks; 0 if unknown.
     pub cheapest: f64,
-    /// Seconds left within which it should start, by the objectives of its class.
+    /// Seconds left until it should have started according to the objectives of its class; 0 without such an
+    /// objective.
     pub wait_left_s: f64,
-    /// Tasks now in each zone, uncertain ones included.
+    /// Number of its tasks in each zone, including those whose state is uncertain.
     pub in_zone: BTreeMap<String, u32>,
-    /// Its team's place.
+    /// Index of its team.
     pub team: usize,
 }
 
 impl JobTerms {
-    fn elsewhere(&self) -> u32 {
-        let dear = self.in_zone.iter().filter(|(z, _)| !self.cheap_zones.contains(z));
-        dear.map(|(_, n)| n).sum()
+    /// Number of the job's tasks in zones other than `cheap_zones`.
+    fn tasks_outside_cheap_zones(&self) -> u32 {
+        let outside = self.in_zone.iter().filter(|(z, _)| !self.cheap_zones.contains(z));
+        outside.map(|(_, n)| n).sum()
     }
 
-    /// Hard filters that do not depend on room.
+    /// Whether the job may use machines of this type, zone and spot kind. Checks the hard constraints that do not
+    /// depend on free room.
     pub fn admits(&self, model: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.models.as_ref().is_none_or(|m| m.iter().any(|x| x == model))
@@ -127,30 +135,32 @@
             && (!self.one_zone || self.in_zone.iter().all(|(z, n)| *n == 0 || z == zone))
             && (self.cheap_zones.is_empty()
                 || self.cheap_zones.iter().any(|z| z == zone)
-                || self.elsewhere() < self.most_elsewhere)
+                || self.tasks_outside_cheap_zones() < self.most_elsewhere)
             && self
                 .most_per_zone
                 .is_none_or(|most| self.in_zone.get(zone).copied().unwrap_or(0) < most)
     }
 }
 
-/// Result for one task of a batch: the machine's place, or none.
+/// Result for one task of a batch: the index of its machine, or `None` if it found none.
 pub type Choice = Option<usize>;
 
-/// A batch being placed.
+/// A batch of tasks during its placement.
 pub struct Batch<'a> {
     slots: &'a mut [Slot],
     jobs: &'a mut [JobTerms],
     /// Room left under each team's limit.
     teams: &'a mut [Amounts],
-    /// The job of each task.
+    /// Job index of each task.
     tasks: &'a [usize],
+    /// For each task, whether it is within its team's guarantee; may be empty.
     guaranteed: Vec<bool>,
+    /// The choice for each task so far.
     choice: Vec<Choice>,
 }
 
 impl<'a> Batch<'a> {
-    /// A batch over a snapshot.
+    /// Creates a batch over a snapshot. `tasks` holds the job index of each task.
     pub fn new(slots: &'a mut [Slot], jobs: &'a mut [JobTerms], teams: &'a mut [Amounts], tasks: &'a [usize]) -> Self {
         let choice = vec![None; tasks.len()];
         Self {
@@ -163,25 +173,29 @@
         }
     }
 
-    /// Of tasks of one priority, those within their team's guarantee come first. Whoever stops others
-    /// to get its guarantee must also get the room that this makes, or they would stop each other in
-    /// turns.
+    /// Places tasks within their team's guarantee before others of the same priority. A team that stops other work to
+    /// get its guarantee must also get the room that this frees; otherwise teams would stop each other in turn.
     pub fn guaranteed_first(mut self, guaranteed: Vec<bool>) -> Self {
         self.guaranteed = guaranteed;
         self
     }
 
-    fn can(&self, task: usize, at: usize) -> bool {
-        let (Some(job), Some(slot)) = (self.tasks.get(task).and_then(|j| self.jobs.get(*j)), self.slots.get(at)) else {
+    /// Whether a task may be assigned to a slot and fits there, also under its team's limit.
+    fn can_place(&self, task: usize, slot_index: usize) -> bool {
+        let (Some(job), Some(slot)) = (
+            self.tasks.get(task).and_then(|j| self.jobs.get(*j)),
+            self.slots.get(slot_index),
+        ) else {
             return false;
         };
         fits(&job.size, &slot.free)
-            && !job.barred.contains(&at)
+            && !job.barred.contains(&slot_index)
             && self.teams.get(job.team).is_some_and(|room| fits(&job.size, room))
             && job.admits(&slot.model, &slot.zone, slot.spot)
     }
 
-    /// Soft terms, each between 0 and 1 times its weight.
+    /// Score of a machine for a task: a weighted sum of soft constraints, most of them between 0 and 1. Higher is
+    /// better.
     fn score(&self, task: usize, slot: usize) -> f64 {
         let (Some(job), Some(slot)) = (
             self.tasks.get(task).and_then(|j| self.jobs.get(*j)),
@@ -194,60 +208,65 @@
         } else {
             job.image_gb * slot.fetch_s_per_gb
         };
-        // A long fetch costs as much as it delays: one as long as a boot outweighs all else.
-        let image = -fetch_s / slot.boot_s.max(1.0);
-        // Full machines first, so that others run empty and can be returned.
+        // The cost of a fetch is proportional to the delay: one as long as a boot outweighs all other terms.
+        let image_score = -fetch_s / slot.boot_s.max(1.0);
+        // Prefer full machines, so that others become empty and can be returned.
         let mut used = 0.0;
-        let mut parts: f64 = 0.0;
+        let mut resources: f64 = 0.0;
         for ((free, total), size) in slot.free.iter().zip(slot.total).zip(job.size) {
             if total > 0.0 && size > 0.0 {
                 used += 1.0 - (free - size).max(0.0) / total;
-                parts += 1.0;
+                resources += 1.0;
             }
         }
-        let packing = used / parts.max(1.0);
-        let apart = if job.service {
+        let packing = used / resources.max(1.0);
+        let spreading = if job.service {
             1.0 / (1.0 + f64::from(job.in_zone.get(&slot.zone).copied().unwrap_or(0)))
         } else {
             0.0
         };
-        // A kind that costs this job a multiple of what another does is left to those who need it.
-        // Small machines that take one replica each are often the only ones that a zone has.
-        let dear = if job.cheapest > 0.0 {
-            let fit = most_of(&job.size, &slot.total).max(1.0);
+        // Leave machines that cost this job a multiple of the cheapest one to jobs that need them. Small machines that
+        // take one replica each are often the only ones that a zone has.
+        let price_excess = if job.cheapest > 0.0 {
+            let fit = count_fitting(&job.size, &slot.total).max(1.0);
             (slot.price / fit / job.cheapest - 1.0).clamp(0.0, 1.0)
         } else {
             0.0
         };
-        let dear = dear * if job.service { DEAR_SERVICE } else { DEAR_ARRAY };
-        // An image that takes longer to fetch than the class may wait decides.
-        let missed = job.wait_left_s > 0.0 && fetch_s > 0.0 && fetch_s + FETCH_MARGIN_S > job.wait_left_s;
-        let missed = if missed { 2.0 } else { 0.0 };
-        // Accelerators are wasted on tasks that need none, and more so if what is left beside them is too
-        // little for tasks that do.
+        let price_penalty = price_excess
+            * if job.service {
+                SERVICE_PRICE_WEIGHT
+            } else {
+                ARRAY_PRICE_WEIGHT
+            };
+        // A fetch that takes longer than the class may still wait outweighs the other terms.
+        let is_too_late = job.wait_left_s > 0.0 && fetch_s > 0.0 && fetch_s + START_OVERHEAD_S > job.wait_left_s;
+        let lateness = if is_too_late { 2.0 } else { 0.0 };
+        // Avoid machines with accelerators for tasks that need none, especially if the CPUs and memory left beside the
+        // accelerators are too little for tasks that need accelerators.
         let waste = if job.size[1] == 0.0 && slot.total[1] > 0.0 {
-            let left = |i: usize| (slot.free[i] - job.size[i]) / slot.total[i].max(1e-9);
-            let idle = slot.free[1] / slot.total[1];
-            idle + 2.0 * (idle - left(0).min(left(2))).max(0.0)
+            let share_left = |i: usize| (slot.free[i] - job.size[i]) / slot.total[i].max(1e-9);
+            let idle_share = slot.free[1] / slot.total[1];
+            idle_share + 2.0 * (idle_share - share_left(0).min(share_left(2))).max(0.0)
         } else {
             0.0
         };
-        // The last task to have its image sets a gang's start, and the slowest machine its pace.
-        let gang = if job.gang {
-            let late = if job.within_s > 0.0 {
+        // The slowest image fetch determines when a gang starts, and the slowest machine determines its speed.
+        let gang_penalty = if job.gang {
+            let fetch_penalty = if job.within_s > 0.0 {
                 3.0 * fetch_s / job.within_s
             } else {
                 0.0
             };
-            late.min(3.0) + 3.0 * slot.doubts
+            fetch_penalty.min(3.0) + 3.0 * slot.doubts
         } else {
             0.0
         };
-        2.0 * image + 1.5 * packing + 0.5 * apart - dear - waste - missed - gang
+        2.0 * image_score + 1.5 * packing + 0.5 * spreading - price_penalty - waste - lateness - gang_penalty
     }
 
-    /// Finds machines for all of a gang's tasks, or boot batches none. If they have to be in one zone, each zone is
-    /// tried, and the one with the highest sum is taken.
+    /// Finds machines for all tasks of a gang, or for none. If they must run in one zone, each zone is tried, and the
+    /// one with the highest total score is chosen.
     fn place_gang(&mut self, tasks: &[usize]) -> bool {
         let Some(job) = tasks.first().and_then(|t| self.tasks.get(*t)).copied() else {
             return false;
@@ -261,12 +280,12 @@
         }
         let mut best: Option<(f64, Vec<usize>)> = None;
         for zone in zones {
-            let here = |s: &Slot| zone.as_ref().is_none_or(|z| *z == s.zone);
+            let is_in_zone = |s: &Slot| zone.as_ref().is_none_or(|z| *z == s.zone);
             let room: f64 = self
                 .slots
                 .iter()
-                .filter(|s| here(s))
-                .map(|s| most_of(&size, &s.free).max(0.0))
+                .filter(|s| is_in_zone(s))
+                .map(|s| count_fitting(&size, &s.free).max(0.0))
                 .sum();
             if room < tasks.len() as f64 {
                 continue;
@@ -275,44 +294,45 @@
             let mut chosen: Vec<(usize, bool)> = Vec::new();
             for task in tasks {
                 let found = (0..self.slots.len())
-                    .filter(|s| self.slots.get(*s).is_some_and(here) && self.can(*task, *s))
+                    .filter(|s| self.slots.get(*s).is_some_and(is_in_zone) && self.can_place(*task, *s))
                     .map(|s| (s, self.score(*task, s)))
                     .max_by(|a, b| a.1.total_cmp(&b.1));
                 let Some((slot, score)) = found else { break };
                 let image = self.jobs.get(job).map(|j| j.image.clone()).unwrap_or_default();
-                let had = self.slots.get(slot).is_some_and(|s| s.images.contains(&image));
-                self.put(*task, slot);
-                chosen.push((slot, had));
+                let had_image = self.slots.get(slot).is_some_and(|s| s.images.contains(&image));
+                self.assign(*task, slot);
+                chosen.push((slot, had_image));
                 sum += score;
             }
-            let whole = chosen.len() == tasks.len();
-            // What was tried leaves no mark, the image included.
-            for (task, (slot, had)) in tasks.iter().zip(&chosen) {
-                self.lift(*task);
+            let is_complete = chosen.len() == tasks.len();
+            // Undo the attempt, including the image.
+            for (task, (slot, had_image)) in tasks.iter().zip(&chosen) {
+                self.unassign(*task);
                 let image = self.jobs.get(job).map(|j| j.image.clone()).unwrap_or_default();
-                if let Some(s) = self.slots.get_mut(*slot).filter(|_| !had) {
+                if let Some(s) = self.slots.get_mut(*slot).filter(|_| !had_image) {
                     s.images.remove(&image);
                 }
             }
-            if whole && best.as_ref().is_none_or(|(s, _)| sum > *s) {
+            if is_complete && best.as_ref().is_none_or(|(s, _)| sum > *s) {
                 best = Some((sum, chosen.into_iter().map(|(slot, _)| slot).collect()));
             }
         }
         let Some((_, slots)) = best else { return false };
         for (task, slot) in tasks.iter().zip(slots) {
-            self.put(*task, slot);
+            self.assign(*task, slot);
         }
         true
     }
 
-    fn put(&mut self, task: usize, slot: usize) {
+    /// Assigns a task to a slot: takes room there and under the team's limit, and adds the image to the slot.
+    fn assign(&mut self, task: usize, slot: usize) {
         let Some(job) = self.tasks.get(task).and_then(|j| self.jobs.get_mut(*j)) else {
             return;
         };
         let Some(s) = self.slots.get_mut(slot) else { return };
-        take(&mut s.free, &job.size);
+        subtract(&mut s.free, &job.size);
         if let Some(room) = self.teams.get_mut(job.team) {
-            take(room, &job.size);
+            subtract(room, &job.size);
         }
         *job.in_zone.entry(s.zone.clone()).or_default() += 1;
         s.images.insert(job.image.clone());
@@ -321,13 +341,14 @@
         }
     }
 
-    fn lift(&mut self, task: usize) -> Choice {
+    /// Takes a task off its slot and gives its room back; the image stays. Returns the slot, if the task had one.
+    fn unassign(&mut self, task: usize) -> Choice {
         let slot = self.choice.get_mut(task)?.take()?;
         let job = self.tasks.get(task).and_then(|j| self.jobs.get_mut(*j))?;
         let s = self.slots.get_mut(slot)?;
-        give(&mut s.free, &job.size);
+        add(&mut s.free, &job.size);
         if let Some(room) = self.teams.get_mut(job.team) {
-            give(room, &job.size);
+            add(room, &job.size);
         }
         if let Some(n) = job.in_zone.get_mut(&s.zone) {
             *n = n.saturating_sub(1);
@@ -335,15 +356,17 @@
         Some(slot)
     }
 
-    fn best(&self, task: usize, except: Choice) -> Option<(usize, f64)> {
+    /// The slot with the highest score for a task, and that score; `excluded` is left out.
+    fn best_slot(&self, task: usize, excluded: Choice) -> Option<(usize, f64)> {
         (0..self.slots.len())
-            .filter(|s| Some(*s) != except && self.can(task, *s))
+            .filter(|s| Some(*s) != excluded && self.can_place(task, *s))
             .map(|s| (s, self.score(task, s)))
             .max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
+    /// Rank of a task, with a bonus if it is within its team's guarantee.
     fn rank(&self, task: usize) -> f64 {
-        let first = if self.guaranteed.get(task) == Some(&true) {
+        let guarantee_bonus = if self.guaranteed.get(task) == Some(&true) {
             5.0
         } else {
             0.0
@@ -351,10 +374,11 @@
         self.tasks
             .get(task)
             .and_then(|j| self.jobs.get(*j))
-            .map_or(0.0, |j| j.rank + first)
+            .map_or(0.0, |j| j.rank + guarantee_bonus)
     }
 
-    fn weight(&self, task: usize) -> f64 {
+    /// Size of a task as the sum of its shares of the largest total of each resource on any machine.
+    fn relative_size(&self, task: usize) -> f64 {
         let largest = self.slots.iter().fold([1e-9f64; 3], |mut m, s| {
             m.iter_mut().zip(s.total).for_each(|(m, t)| *m = m.max(t));
             m
@@ -365,19 +389,19 @@
             .map_or(0.0, |j| j.size.iter().zip(largest).map(|(s, m)| s / m).sum())
     }
 
-    /// Greedy by rank, then by largest task; then single moves that raise the sum or make room for
-    /// a task that found none, at most `moves` of them tried.
+    /// Places the tasks greedily by rank, then by largest task. Afterwards tries at most `moves` single moves that
+    /// raise the total score or make room for a task that found none. Returns the choice for each task.
     pub fn place(mut self, moves: usize) -> Vec<Choice> {
-        let weights: Vec<f64> = (0..self.tasks.len()).map(|t| self.weight(t)).collect();
+        let relative_sizes: Vec<f64> = (0..self.tasks.len()).map(|t| self.relative_size(t)).collect();
         let mut order: Vec<usize> = (0..self.tasks.len()).collect();
         order.sort_by(|a, b| {
             self.rank(*b)
                 .total_cmp(&self.rank(*a))
                 .then(
-                    weights
+                    relative_sizes
                         .get(*b)
                         .unwrap_or(&0.0)
-                        .total_cmp(weights.get(*a).unwrap_or(&0.0)),
+                        .total_cmp(relative_sizes.get(*a).unwrap_or(&0.0)),
                 )
                 .then(a.cmp(b))
         });
@@ -393,76 +417,77 @@
                 }
                 continue;
             }
-            match self.best(task, None) {
-                Some((slot, _)) => self.put(task, slot),
+            match self.best_slot(task, None) {
+                Some((slot, _)) => self.assign(task, slot),
                 None => unplaced.push(task),
             }
         }
-        let mut left = moves;
+        let mut moves_left = moves;
         for task in unplaced {
-            self.make_room(task, &mut left);
+            self.make_room(task, &mut moves_left);
         }
-        let mut moved = true;
-        while moved && left > 0 {
-            moved = false;
+        let mut has_moved = true;
+        while has_moved && moves_left > 0 {
+            has_moved = false;
             for task in 0..self.tasks.len() {
-                if left == 0 {
+                if moves_left == 0 {
                     break;
                 }
-                left -= 1;
-                moved |= self.improve(task);
+                moves_left -= 1;
+                has_moved |= self.try_move(task);
             }
         }
         self.choice
     }
 
-    fn improve(&mut self, task: usize) -> bool {
-        let Some(from) = self.lift(task) else { return false };
-        let here = self.score(task, from);
-        match self.best(task, Some(from)) {
-            Some((to, there)) if there > here + 1e-3 => {
-                self.put(task, to);
+    /// Moves a task to a slot with a clearly higher score. Returns whether it moved.
+    fn try_move(&mut self, task: usize) -> bool {
+        let Some(from) = self.unassign(task) else { return false };
+        let current_score = self.score(task, from);
+        match self.best_slot(task, Some(from)) {
+            Some((to, new_score)) if new_score > current_score + 1e-3 => {
+                self.assign(task, to);
                 true
             }
             _ => {
-                self.put(task, from);
+                self.assign(task, from);
                 false
             }
         }
     }
 
-    /// Moves one task of the batch elsewhere so that another one fits.
-    fn make_room(&mut self, task: usize, left: &mut usize) {
+    /// Moves one assigned task to another machine so that an unplaced task fits.
+    fn make_room(&mut self, task: usize, moves_left: &mut usize) {
         for other in 0..self.tasks.len() {
-            if *left == 0 {
+            if *moves_left == 0 {
                 return;
             }
             let Some(from) = self.choice.get(other).copied().flatten() else {
                 continue;
             };
-            let worth = self
+            let is_allowed = self
                 .tasks
                 .get(task)
                 .and_then(|j| self.jobs.get(*j))
                 .zip(self.slots.get(from))
                 .is_some_and(|(job, slot)| job.admits(&slot.model, &slot.zone, slot.spot));
-            if !worth {
+            if !is_allowed {
                 continue;
             }
-            *left -= 1;
-            self.lift(other);
-            if self.can(task, from)
-                && let Some((to, _)) = self.best(other, Some(from))
+            *moves_left -= 1;
+            self.unassign(other);
+            if self.can_place(task, from)
+                && let Some((to, _)) = self.best_slot(other, Some(from))
             {
-                self.put(other, to);
-                // Where the other went may have changed what is allowed.
-                if self.can(task, from) {
-                    self.put(task, from);
+                self.assign(other, to);
+                // The new machine of the other task may have changed which zones are allowed.
+                if self.can_place(task, from) {
+                    self.assign(task, from);
                     return;
                 }
-                self.lift(other);
+                self.unassign(other);
             }
-            self.put(other, from);
+            self.assign(other, from);
         }
     }
 }
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -1,15 +1,15 @@
-//! The queues: one for each team, served in turn by shares, and the batches that are drawn from them.
+//! Queues of waiting jobs, one per team, and the batches of tasks that are selected from them by fair share.
 
-mod collecting;
-mod drawing;
-mod emptying;
-mod limits;
-mod placing;
+mod batch_placement;
+mod batch_selection;
+mod cached_image_preemption;
+mod consolidation;
+mod eligible_jobs;
+mod limit_preemption;
 mod preemption;
 mod ranking;
-mod spreading;
+mod replica_swaps;
 mod victims;
-mod warm_room;
 
 pub use ranking::{Claim, EstimateCorrections, next_in_turn, starved_s, urgency};
 
@@ -18,55 +18,62 @@
 use crate::jobs::Job;
 use crate::placement::Amounts;
 use crate::protocol::Priority;
-use limits::OverLimit;
-use ranking::start_within;
+use limit_preemption::JobBlockedByLimit;
+use ranking::class_start_objective_s;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job that waits, as the queue sees it.
-struct Waiting {
+/// A waiting job with the values by which it is ordered.
+struct WaitingJob {
     id: JobId,
     team: usize,
     priority: Priority,
-    /// Seconds until it has to be started to be in time; services and jobs without deadline: none.
+    /// Seconds until it must start to meet its deadline; `f64::MAX` for services and jobs without a deadline.
     slack_s: f64,
-    /// What it has left to start, in seconds of run time, and how small that is among what waits.
-    work_s: f64,
-    small: f64,
-    /// Nothing of it has been started for long.
-    starved: bool,
+    /// Run time of the tasks it has left to start, in seconds.
+    remaining_work_s: f64,
+    /// Between 0 and 1; larger for jobs with less remaining work than the mean of all waiting jobs.
+    short_job_factor: f64,
+    /// None of its tasks has started for longer than [`starved_s`] allows.
+    is_starved: bool,
+    /// See [`urgency`].
     urgency: f64,
-    at: u64,
+    /// Time of submission, wall clock, in milliseconds.
+    submitted_wall_ms: u64,
+    /// Indices of the tasks that the next batches may place.
     tasks: Vec<u32>,
 }
 
-/// What a partition has to place.
+/// The jobs of a partition that wait for placement.
 #[derive(Default)]
-struct Queued {
-    /// Jobs with tasks that have room under their teams' limits.
-    waiting: Vec<Waiting>,
-    /// Production jobs that have none, the longest waiting first.
-    over_limit: Vec<OverLimit>,
+struct PartitionQueue {
+    /// Jobs with tasks that have room under their team's limit, in placement order.
+    waiting: Vec<WaitingJob>,
+    /// Production jobs whose next task has no room under its team's limit, the longest waiting first.
+    blocked_by_limit: Vec<JobBlockedByLimit>,
 }
 
 impl Controller {
-    /// Something may be placed that could not be before: a batch closes after the usual wait.
+    /// Schedules a placement batch after the usual batching delay, unless one is due earlier. Called when something
+    /// may be placed that could not be placed before.
     pub(crate) fn want_batch(&mut self) {
         let due = self.now.ms + self.settings.batch_wait_ms();
         self.batch_due = Some(self.batch_due.map_or(due, |d| d.min(due)));
     }
 
+    /// Runs a batch if it is due, or early if enough tasks of unstarted jobs for a full batch wait.
     pub(crate) fn tick_batch(&mut self) {
-        let full = self.settings.operator.batch_tasks;
-        let due = match self.batch_due {
-            Some(due) => self.now.ms >= due || self.fresh_tasks() >= full,
+        let full_batch_tasks = self.settings.operator.batch_tasks;
+        let is_due = match self.batch_due {
+            Some(due) => self.now.ms >= due || self.count_tasks_of_unstarted_jobs() >= full_batch_tasks,
             None => false,
         };
-        if due {
+        if is_due {
             self.run_batch();
         }
     }
 
-    fn fresh_tasks(&self) -> u32 {
+    /// Number of waiting tasks of jobs of this controller of which no task is placed yet.
+    fn count_tasks_of_unstarted_jobs(&self) -> u32 {
         self.jobs
             .values()
             .filter(|j| j.placed.is_empty() && self.tenures.contains_key(&j.partition))
@@ -74,15 +81,17 @@
             .sum()
     }
 
-    fn measure(&self, team: usize, size: &Amounts) -> f64 {
+    /// Amount in the unit in which a team's usage is accounted: accelerators if the team has a guarantee or a limit of
+    /// accelerators, else CPUs.
+    fn amount_in_team_unit(&self, team: usize, size: &Amounts) -> f64 {
         match self.settings.platform.facts.teams.get(team) {
             Some(t) if t.gpus > 0.0 || t.gpus_max > 0.0 => size[1],
             _ => size[0],
         }
     }
 
-    /// What each team's tasks take, those that may still be somewhere included.
-    pub(crate) fn used_by_teams(&self) -> Vec<Amounts> {
+    /// Resources that the tasks of each team use, including tasks that may still be on a machine.
+    pub(crate) fn usage_by_team(&self) -> Vec<Amounts> {
         let teams = &self.settings.platform.facts.teams;
         let mut used = vec![[0.0; 3]; teams.len()];
         let index: BTreeMap<&str, usize> = teams.iter().enumerate().map(|(i, t)| (t.name.as_str(), i)).collect();
@@ -92,15 +101,16 @@
                     u.iter_mut().zip(h.size).for_each(|(u, s)| *u += s);
                 }
             }
-            // Until it has reported, a machine that was taken over may be full of any one team.
-            let unknown = |p: Partition| {
+            // A machine that was taken over and has not reported yet counts as full for each team of the partition: it
+            // may run tasks of any of them.
+            let may_be_full_for = |p: Partition| {
                 (p == m.partition && !m.confirmed && m.may_hold()) || (m.unaccounted.contains(&p) && !m.gone)
             };
             if (!m.confirmed || !m.unaccounted.is_empty())
                 && let Some(t) = self.types.iter().find(|t| t.name == m.model)
             {
                 for (i, u) in used.iter_mut().enumerate() {
-                    if unknown(Partition(i as u32 % self.settings.partitions())) {
+                    if may_be_full_for(Partition(i as u32 % self.settings.partitions())) {
                         u.iter_mut()
                             .zip([t.cpus, t.gpus, t.memory_gb])
                             .for_each(|(u, s)| *u += s);
@@ -111,7 +121,8 @@
         used
     }
 
-    /// Draws batches from the queues and places them, until nothing more can be placed.
+    /// Selects batches from the queues of all partitions of this controller and places them, until nothing more can be
+    /// placed or the search budget is used up.
     pub(crate) fn run_batch(&mut self) {
         self.batch_due = None;
         let acting = self.acting_partitions();
@@ -119,53 +130,54 @@
             return;
         }
         let now = self.now.ms;
-        self.guaranteed = self.within_guarantees();
+        self.guaranteed = self.jobs_within_guarantees();
         self.resting.retain(|_, (_, until)| now < *until);
-        let mut wishes = Vec::new();
-        let mut budget = self.settings.search_evaluations();
+        let mut demands = Vec::new();
+        let mut evaluations_left = self.settings.search_evaluations();
         for partition in acting {
-            wishes.extend(self.place_partition(partition, &mut budget));
+            demands.extend(self.place_partition(partition, &mut evaluations_left));
         }
-        wishes.extend(self.resting.values().filter_map(|(wish, _)| wish.clone()));
-        self.cloud.wishes = wishes;
-        if budget == 0 {
-            // The rest goes on in the next slice: beats and polls come first.
+        demands.extend(self.resting.values().filter_map(|(demand, _)| demand.clone()));
+        self.cloud.wishes = demands;
+        if evaluations_left == 0 {
+            // The rest is placed in the next batch, so that heartbeats and polls are not delayed.
             self.want_batch();
         }
-        let waits = self
+        let has_waiting_tasks = self
             .jobs
             .values()
             .any(|j| self.tenures.contains_key(&j.partition) && j.waiting_count() > 0);
-        if waits {
+        if has_waiting_tasks {
             let due = self.now.ms + self.settings.batch_retry_ms();
             self.batch_due = Some(self.batch_due.map_or(due, |d| d.min(due)));
         }
     }
 
-    /// The jobs that fit into their teams' guarantees, each along with its team's earlier unfinished jobs.
-    fn within_guarantees(&self) -> BTreeSet<JobId> {
-        let mut earlier: Vec<(u64, &JobId, &Job)> = self.jobs.iter().map(|(id, j)| (j.at_wall, id, j)).collect();
-        earlier.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
-        let mut sums: BTreeMap<&str, [f64; 2]> = BTreeMap::new();
-        let mut within = BTreeSet::new();
-        for (_, id, j) in earlier {
+    /// Jobs that fit into their team's guarantee together with all unfinished jobs that the team submitted earlier.
+    fn jobs_within_guarantees(&self) -> BTreeSet<JobId> {
+        let mut jobs_by_age: Vec<(u64, &JobId, &Job)> = self.jobs.iter().map(|(id, j)| (j.at_wall, id, j)).collect();
+        jobs_by_age.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
+        let mut unfinished_by_team: BTreeMap<&str, [f64; 2]> = BTreeMap::new();
+        let mut job_ids = BTreeSet::new();
+        for (_, id, j) in jobs_by_age {
             let Some((_, team)) = self.settings.team(&j.spec.team) else {
                 continue;
             };
-            let sum = sums.entry(j.spec.team.as_str()).or_default();
-            let left = f64::from(j.spec.tasks - j.done_count);
-            sum[0] += left * j.spec.cpus;
-            sum[1] += left * j.spec.gpus;
+            let sum = unfinished_by_team.entry(j.spec.team.as_str()).or_default();
+            let unfinished_tasks = f64::from(j.spec.tasks - j.done_count);
+            sum[0] += unfinished_tasks * j.spec.cpus;
+            sum[1] += unfinished_tasks * j.spec.gpus;
             if (team.cpus <= 0.0 || sum[0] <= team.cpus + 1e-6) && (team.gpus <= 0.0 || sum[1] <= team.gpus + 1e-6) {
-                within.insert(id.clone());
+                job_ids.insert(id.clone());
             }
         }
-        within
+        job_ids
     }
 
-    /// Time within which tasks of a job's class should start, by the objectives; 0 if none says so.
-    fn wait_s(&self, id: &JobId) -> f64 {
+    /// Seconds within which tasks of the job's class should start according to the objectives; 0 without such an
+    /// objective.
+    fn job_start_objective_s(&self, id: &JobId) -> f64 {
         let class = self.jobs.get(id).map_or("", |j| j.spec.class.as_str());
-        start_within(&self.settings.platform.facts.objectives, class)
+        class_start_objective_s(&self.settings.platform.facts.objectives, class)
     }
 }
--- /dev/null
+++ b/crates/tidelatch-core/src/queue/batch_selection.rs
@@ -0,0 +1,82 @@
+//! Selection of one batch of tasks from the queues: by priority, then by fair share among the teams.
+
+use super::WaitingJob;
+use super::ranking::{Claim, next_in_turn};
+use crate::placement::JobTerms;
+use crate::protocol::Priority;
+use std::collections::{BTreeSet, VecDeque};
+
+/// A task selected for a batch.
+pub(super) struct SelectedTask {
+    /// Index of its job among the waiting jobs.
+    pub(super) job: usize,
+    /// Index of the task in its job.
+    pub(super) index: u32,
+    /// Whether it is within its team's guarantee, counting all that the team uses and the tasks selected before it.
+    pub(super) guaranteed: bool,
+}
+
+/// Selects at most `batch_size` tasks by priority, and within a priority in turn from the team that uses least for its
+/// share. A gang is selected as a whole, even beyond the batch size.
+///
+/// `next_tasks` holds for each job the position of its first unselected task and is advanced. `unplaceable_jobs` are
+/// skipped. `claims` is charged with the selected tasks.
+pub(super) fn select_batch(
+    waiting: &[WaitingJob],
+    next_tasks: &mut [usize],
+    unplaceable_jobs: &BTreeSet<usize>,
+    claims: &mut [Claim],
+    jobs: &[JobTerms],
+    batch_size: usize,
+) -> Vec<SelectedTask> {
+    let mut batch = Vec::new();
+    for priority in [Priority::Prod, Priority::Urgent, Priority::Normal, Priority::Low] {
+        // One queue per team, so that a selection does not scan all waiting jobs.
+        let mut queues: Vec<VecDeque<usize>> = vec![VecDeque::new(); claims.len()];
+        let mut ready_teams = vec![false; claims.len()];
+        for (j, w) in waiting.iter().enumerate() {
+            let has_tasks_left = next_tasks.get(j).is_some_and(|n| *n < w.tasks.len());
+            if w.priority == priority
+                && has_tasks_left
+                && !unplaceable_jobs.contains(&j)
+                && let Some((queue, ready)) = queues.get_mut(w.team).zip(ready_teams.get_mut(w.team))
+            {
+                queue.push_back(j);
+                *ready = true;
+            }
+        }
+        while batch.len() < batch_size {
+            let Some(team) = next_in_turn(claims, &ready_teams) else {
+                break;
+            };
+            let Some(queue) = queues.get_mut(team) else { break };
+            let Some(j) = queue.front().copied() else { break };
+            let (Some(w), Some(n)) = (waiting.get(j), next_tasks.get_mut(j)) else {
+                break;
+            };
+            // A gang is selected as a whole, even beyond the batch size.
+            let is_gang = jobs.get(j).is_some_and(|t| t.gang);
+            let count = if is_gang { w.tasks.len() - *n } else { 1 };
+            let first_task = *n;
+            *n += count;
+            if *n >= w.tasks.len() {
+                queue.pop_front();
+                if let Some(ready) = ready_teams.get_mut(team).filter(|_| queue.is_empty()) {
+                    *ready = false;
+                }
+            }
+            let Some((claim, job)) = claims.get_mut(team).zip(jobs.get(j)) else {
+                break;
+            };
+            for index in w.tasks.iter().skip(first_task).take(count).copied() {
+                claim.used += if job.size[1] > 0.0 { job.size[1] } else { job.size[0] };
+                batch.push(SelectedTask {
+                    job: j,
+                    index,
+                    guaranteed: claim.used <= claim.share + 1e-6,
+                });
+            }
+        }
+    }
+    batch
+}
--- a/crates/tidelatch-core/src/queue/emptying.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -1,4 +1,4 @@
-//! Emptying machines that only a few replicas keep, so that they can be returned.
+//! Consolidation: emptying machines that run only a few replicas, so that they can be returned to the cloud.
 
 use crate::controller::Controller;
 use crate::disruption::BudgetLookup;
@@ -9,14 +9,14 @@
 use crate::protocol::Shape;
 use std::collections::BTreeSet;
 
-/// Of so many machines one at a time is emptied within a worker's lease.
-const EMPTIED: u64 = 64;
+/// Number of machines of a partition per machine that may be emptied within one worker lease.
+const MACHINES_PER_CONSOLIDATION: u64 = 64;
 
 impl Controller {
-    /// Empties a machine that only a few replicas keep, when others have room for all of them.
+    /// Empties a machine that runs only a few replicas if other machines have room for all of them.
     ///
-    /// One machine of a partition at a time, and no more than one of [`EMPTIED`] within a worker's lease,
-    /// so that few replicas are away at any moment.
+    /// A partition empties one machine at a time, and within a worker lease no more than one of each
+    /// [`MACHINES_PER_CONSOLIDATION`] machines, so that only few replicas are unavailable at any moment.
     pub(crate) fn consolidate(&mut self) {
         let now = self.now.ms;
         if !self.entitled() || now < self.consolidate_due {
@@ -30,24 +30,25 @@
             .map(|(p, _)| *p)
             .collect();
         for p in acting {
-            let calm = !self
+            let has_no_waiting_services = !self
                 .jobs
                 .values()
                 .any(|j| j.partition == p && j.spec.shape == Shape::Service && j.waiting_count() > 0);
             let machines = self.machines.values().filter(|m| m.partition == p).count() as u64;
-            let pause = self.settings.worker_lease_ms() / (machines / EMPTIED).max(1);
-            let lately = self
+            let min_interval_ms = self.settings.worker_lease_ms() / (machines / MACHINES_PER_CONSOLIDATION).max(1);
+            let is_too_early = self
                 .consolidated
                 .get(&p)
-                .is_some_and(|t| now.saturating_sub(*t) < pause);
-            if calm && !lately {
-                self.empty_one(p);
+                .is_some_and(|t| now.saturating_sub(*t) < min_interval_ms);
+            if has_no_waiting_services && !is_too_early {
+                self.empty_machine(p);
             }
         }
     }
 
-    pub(super) fn empty_one(&mut self, partition: Partition) {
-        let Some((id, held)) = self.machine_to_empty(partition) else {
+    /// Starts moving all replicas off one machine of a partition, if there is a suitable machine.
+    pub(super) fn empty_machine(&mut self, partition: Partition) {
+        let Some((id, held)) = self.find_machine_to_empty(partition) else {
             return;
         };
         self.log(
@@ -68,25 +69,25 @@
         self.consolidated.insert(partition, self.now.ms);
     }
 
-    /// A machine of a partition that others have room for, with what it holds: the emptiest of those with nothing
-    /// but replicas, for some time.
-    fn machine_to_empty(&self, partition: Partition) -> Option<(MachineId, Vec<(TaskId, Attempt)>)> {
+    /// The cheapest machine to empty and the tasks it holds: fewest replicas for its price among the machines that
+    /// hold only replicas which have run for some time, and whose replicas fit on other machines.
+    fn find_machine_to_empty(&self, partition: Partition) -> Option<(MachineId, Vec<(TaskId, Attempt)>)> {
         let now = self.now.ms;
-        let patience = 2 * self.settings.report_ms();
-        let settled = 2 * self.settings.worker_lease_ms();
+        let max_report_age_ms = 2 * self.settings.report_ms();
+        let min_run_ms = 2 * self.settings.worker_lease_ms();
         let mut candidates: Vec<(f64, MachineId)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.partition == partition && m.usable(now, patience) && !m.held.is_empty())
+            .filter(|(_, m)| m.partition == partition && m.usable(now, max_report_age_ms) && !m.held.is_empty())
             .filter(|(_, m)| {
                 m.held.iter().all(|h| {
-                    let service = self
+                    let is_service = self
                         .jobs
                         .get(&h.task.job)
                         .filter(|j| j.partition == partition)
                         .is_some_and(|j| j.spec.shape == Shape::Service && j.ending.is_none());
-                    let old = h.running_since.is_some_and(|t| now.saturating_sub(t) > settled);
-                    service && old && h.stop.is_none()
+                    let has_run_long_enough = h.running_since.is_some_and(|t| now.saturating_sub(t) > min_run_ms);
+                    is_service && has_run_long_enough && h.stop.is_none()
                 })
             })
             .filter_map(|(id, m)| {
@@ -99,42 +100,42 @@
             return None;
         }
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-        // Others that hold something already, looked at once for all candidates; and no more of those
-        // than a slice of the search may look at: with hundreds of machines each, this grew by the square.
-        let (ids, mut slots) = self.slots(partition, &[0.0; 3]);
-        let mut busy: Vec<MachineId> = Vec::new();
-        let mut held_here = ids
+        // Only machines that hold tasks are destinations. Their slots are built once for all candidates, and the
+        // search stops at its evaluation limit: with hundreds of machines the cost grew quadratically.
+        let (ids, mut slots) = self.machine_slots(partition, &[0.0; 3]);
+        let mut occupied_ids: Vec<MachineId> = Vec::new();
+        let mut holds_tasks = ids
             .iter()
             .map(|id| self.machines.get(id).is_some_and(|m| !m.held.is_empty()));
-        slots.retain(|_| held_here.next().unwrap_or(false));
-        busy.extend(
+        slots.retain(|_| holds_tasks.next().unwrap_or(false));
+        occupied_ids.extend(
             ids.into_iter()
                 .filter(|id| self.machines.get(id).is_some_and(|m| !m.held.is_empty())),
         );
         let budgets = BudgetLookup::new(self);
-        let mut budget = self.settings.search_evaluations();
+        let mut evaluations_left = self.settings.search_evaluations();
         for (_, id) in candidates {
             let Some(m) = self.machines.get(&id) else { continue };
             let held: Vec<(TaskId, Attempt)> = m.held.iter().map(|h| (h.task.clone(), h.attempt)).collect();
             let cost = (held.len() + 1) * slots.len();
-            if cost > budget {
+            if cost > evaluations_left {
                 return None;
             }
-            budget -= cost;
+            evaluations_left -= cost;
             if !held.iter().all(|(task, _)| budgets.permits(&task.job)) {
                 continue;
             }
-            let others = busy.iter().zip(&slots).filter(|(other, _)| **other != id);
+            let others = occupied_ids.iter().zip(&slots).filter(|(other, _)| **other != id);
             let others = others.map(|(_, s)| s.clone()).collect();
-            if self.fits_elsewhere(others, &id, &held) {
+            if self.can_relocate_tasks(others, &id, &held) {
                 return Some((id, held));
             }
         }
         None
     }
 
-    /// Whether the tasks of a machine would all find room on some others.
-    pub(super) fn fits_elsewhere(&self, mut slots: Vec<Slot>, id: &MachineId, held: &[(TaskId, Attempt)]) -> bool {
+    /// Whether all tasks of a machine fit on other machines that already have their images.
+    pub(super) fn can_relocate_tasks(&self, mut slots: Vec<Slot>, id: &MachineId, held: &[(TaskId, Attempt)]) -> bool {
         let Some(zone) = self.machines.get(id).map(|m| m.zone.clone()) else {
             return false;
         };
@@ -146,7 +147,7 @@
                 Some(at) => at,
                 None => {
                     let team = self.jobs.get(&task.job).and_then(|j| self.settings.team(&j.spec.team));
-                    let Some(terms) = team.and_then(|(t, _)| self.terms(&task.job, t, f64::MAX)) else {
+                    let Some(terms) = team.and_then(|(t, _)| self.job_terms(&task.job, t, f64::MAX)) else {
                         return false;
                     };
                     jobs.push(terms);
@@ -154,7 +155,7 @@
                     names.len() - 1
                 }
             };
-            // The task itself leaves its zone.
+            // The task no longer counts in the zone that it leaves.
             if let Some(n) = jobs.get_mut(at).and_then(|j| j.in_zone.get_mut(&zone)) {
                 *n = n.saturating_sub(1);
             }
@@ -164,12 +165,12 @@
         let cached: Vec<BTreeSet<String>> = slots.iter().map(|s| s.images.clone()).collect();
         let moves = tasks.len() * self.settings.operator.search_moves_per_task as usize;
         let choices = Batch::new(&mut slots, &mut jobs, &mut room, &tasks).place(moves);
-        // A replica that has to fetch its image again is away for too long.
-        let warm = |(choice, job): (&Option<usize>, &usize)| {
+        // A replica that has to fetch its image again would be unavailable for too long.
+        let has_image = |(choice, job): (&Option<usize>, &usize)| {
             let slot = choice.and_then(|c| cached.get(c));
             slot.zip(jobs.get(*job))
                 .is_some_and(|(images, job)| images.contains(&job.image))
         };
-        choices.iter().zip(&tasks).all(warm)
+        choices.iter().zip(&tasks).all(has_image)
     }
 }
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -1,6 +1,6 @@
-//! Preemption: stopping others to make room for tasks that found none.
+//! Preemption: stopping tasks to make room for tasks that found none.
 
-use super::Waiting;
+use super::WaitingJob;
 use super::victims::{CandidateMachine, StopOrder, Victim, add, fits, subtract};
 use crate::controller::Controller;
 use crate::disruption::BudgetLookup;
@@ -10,98 +10,109 @@
 use crate::protocol::{Priority, Shape};
 use std::collections::BTreeSet;
 
-/// What stopping a task of the same priority counts for, in seconds of lost work: more than any task
-/// of lower priority loses.
-const EQUAL_COST: f64 = 1e6;
+/// Cost of stopping a task of the same priority, in seconds of lost work: more than stopping any task of lower
+/// priority costs.
+const EQUAL_PRIORITY_COST_S: f64 = 1e6;
 
-/// What [`Controller::preempt`] has found out.
+/// Result of [`Controller::preempt`].
 #[derive(Default)]
-pub(super) struct Preempted {
-    /// The machines as they will be after the stops, if they were looked at.
+pub(super) struct PreemptionResult {
+    /// The candidate machines as they will be after the stops; `None` if no machine was examined.
     pub(super) machines: Option<Vec<CandidateMachine>>,
-    /// Replicas of production work for which no room can be made.
-    pub(super) stuck: Vec<usize>,
+    /// Job index of each production replica for which no room can be made.
+    pub(super) blocked_replicas: Vec<usize>,
 }
 
-/// A task for which others may be stopped.
-struct Claim<'a> {
+/// A task for which other tasks may be stopped.
+struct PreemptionRequest<'a> {
     terms: &'a JobTerms,
     priority: Priority,
-    /// What it takes, in its team's measure.
-    measure: f64,
-    /// It stays within its team's guarantee.
-    within_guarantee: bool,
-    /// Only machines that hold the image are of use to it.
-    image_there: bool,
+    /// Its size in the unit in which its team is accounted.
+    amount_in_team_unit: f64,
+    /// Whether its team's usage stays within the guarantee with it.
+    is_within_guarantee: bool,
+    /// Whether only machines that already have its image are suitable.
+    needs_cached_image: bool,
 }
 
-/// Tasks on one machine that are to be stopped.
-struct Choice {
-    machine: usize,
+/// Tasks on one machine that are to be stopped. `victims` holds their indices on the machine, `cost` is in seconds of
+/// lost work plus 1 for each stop.
+struct StopChoice {
+    machine_index: usize,
     victims: Vec<usize>,
     cost: f64,
 }
 
-/// The machines, what teams use, and what has been chosen to be stopped.
-pub(super) struct Search<'a> {
+/// State of a search: the candidate machines, the usage of the teams, and the stops chosen so far.
+pub(super) struct PreemptionSearch<'a> {
     controller: &'a Controller,
     partition: Partition,
     budgets: BudgetLookup<'a>,
     machines: Option<Vec<CandidateMachine>>,
-    /// What each team uses and is guaranteed, in its measure.
+    /// Usage and guarantee of each team, in the unit in which the team is accounted.
     used: Vec<f64>,
     guarantees: Vec<f64>,
-    looks: usize,
+    evaluations: usize,
     stops: Vec<StopOrder>,
 }
 
 impl Controller {
-    /// Stops work of lower priority, or work that another team runs beyond its guarantee, where that
-    /// makes room for a task that found none.
+    /// Stops work of lower priority, or work that another team runs beyond its guarantee, if that makes room for a
+    /// task that found none. `unplaced` holds the job index of each such task.
     pub(super) fn preempt(
         &mut self,
         partition: Partition,
         unplaced: &[usize],
-        waiting: &[Waiting],
+        waiting: &[WaitingJob],
         jobs: &[JobTerms],
         used: &[Amounts],
-    ) -> Preempted {
-        let most = self.settings.search_evaluations();
-        let mut search = Search::new(self, partition, used);
-        let mut stuck: Vec<usize> = Vec::new();
-        // Jobs for which no room can be made: their other tasks need not be tried.
-        let mut hopeless: BTreeSet<usize> = BTreeSet::new();
+    ) -> PreemptionResult {
+        let max_evaluations = self.settings.search_evaluations();
+        let mut search = PreemptionSearch::new(self, partition, used);
+        let mut blocked_replicas: Vec<usize> = Vec::new();
+        // Jobs for which no room can be made: their other tasks are not tried.
+        let mut unplaceable_jobs: BTreeSet<usize> = BTreeSet::new();
         for j in unplaced {
             let (Some(w), Some(terms)) = (waiting.get(*j), jobs.get(*j)) else {
                 continue;
             };
-            let Some(claim) = search.claim(w, terms).filter(|_| !hopeless.contains(j)) else {
+            let Some(request) = search
+                .preemption_request(w, terms)
+                .filter(|_| !unplaceable_jobs.contains(j))
+            else {
                 continue;
             };
-            if search.take_free_room(&claim) {
+            if search.reserve_free_room(&request) {
                 continue;
             }
-            if search.looks > most {
-                // The rest is tried with the next batch: beats and polls come first.
+            if search.evaluations > max_evaluations {
+                // The rest is tried with the next batch, so that heartbeats and polls are not delayed.
                 break;
             }
-            if let Some(choice) = search.cheapest(&claim) {
-                search.carry_out(&claim, choice);
+            if let Some(choice) = search.find_cheapest_choice(&request) {
+                search.apply_choice(&request, choice);
                 continue;
             }
-            hopeless.insert(*j);
+            unplaceable_jobs.insert(*j);
             if terms.service && w.priority >= Priority::Prod {
-                stuck.push(*j);
+                blocked_replicas.push(*j);
             }
         }
-        let Search {
-            looks, stops, machines, ..
+        let PreemptionSearch {
+            evaluations,
+            stops,
+            machines,
+            ..
         } = search;
-        self.evaluated += looks as u64;
+        self.evaluated += evaluations as u64;
         self.stop_preempted(stops);
-        Preempted { machines, stuck }
+        PreemptionResult {
+            machines,
+            blocked_replicas,
+        }
     }
 
+    /// Stops the chosen tasks, and the whole gang if a task belongs to one.
     pub(super) fn stop_preempted(&mut self, stops: Vec<StopOrder>) {
         for (machine, task, attempt) in stops {
             self.log(Level::Info, format!("{machine}: stopping {task} to make room"));
@@ -113,39 +124,40 @@
         }
     }
 
-    /// Seconds for which production work waits before others are stopped for it. Where the class may wait
-    /// for a machine to boot, nobody is stopped before that.
-    pub(super) fn stop_patience_s(&self, id: &JobId, guaranteed: bool) -> f64 {
-        let wait_s = self.wait_s(id);
-        // The time for guaranteed work counts as well, for work that is.
-        let wait_s = if guaranteed {
-            wait_s.min(self.guarantee_s())
+    /// Seconds for which production work waits before other work is stopped for it. If the class may wait long enough
+    /// for a machine to boot, nothing is stopped before such a machine could be ready.
+    pub(super) fn preemption_delay_s(&self, id: &JobId, guaranteed: bool) -> f64 {
+        let start_objective_s = self.job_start_objective_s(id);
+        // Work within the guarantee is also subject to the start objective of guaranteed work.
+        let start_objective_s = if guaranteed {
+            start_objective_s.min(self.guarantee_s())
         } else {
-            wait_s
+            start_objective_s
         };
-        (wait_s - self.longest_boot_s()).max(0.0)
+        (start_objective_s - self.longest_boot_s()).max(0.0)
     }
 
+    /// Boot time of the slowest machine type, in seconds.
     fn longest_boot_s(&self) -> f64 {
         self.types.iter().map(|t| t.boot_s).fold(0.0, f64::max)
     }
 
-    /// What each team is guaranteed, in its measure.
+    /// Guarantee of each team, in the unit in which the team is accounted.
     fn guarantees(&self) -> Vec<f64> {
         let teams = self.settings.platform.facts.teams.iter();
-        let by_gpus = |gpus: f64, most: f64| gpus > 0.0 || most > 0.0;
+        let is_by_gpus = |gpus: f64, max_gpus: f64| gpus > 0.0 || max_gpus > 0.0;
         teams
-            .map(|t| if by_gpus(t.gpus, t.gpus_max) { t.gpus } else { t.cpus })
+            .map(|t| if is_by_gpus(t.gpus, t.gpus_max) { t.gpus } else { t.cpus })
             .collect()
     }
 }
 
-impl<'a> Search<'a> {
+impl<'a> PreemptionSearch<'a> {
     pub(super) fn new(controller: &'a Controller, partition: Partition, used: &[Amounts]) -> Self {
         let used = used
             .iter()
             .enumerate()
-            .map(|(team, used)| controller.measure(team, used));
+            .map(|(team, used)| controller.amount_in_team_unit(team, used));
         Self {
             controller,
             partition,
@@ -153,7 +165,7 @@
             machines: None,
             used: used.collect(),
             guarantees: controller.guarantees(),
-            looks: 0,
+            evaluations: 0,
             stops: Vec::new(),
         }
     }
@@ -162,89 +174,97 @@
         self.guarantees.get(team).copied().unwrap_or(0.0)
     }
 
-    /// The claim of a task that has waited for long enough; none: nobody is stopped for it yet.
-    fn claim<'t>(&self, w: &Waiting, terms: &'t JobTerms) -> Option<Claim<'t>> {
+    /// The preemption request of a task that has waited long enough; `None` if nothing may be stopped for it yet.
+    fn preemption_request<'t>(&self, w: &WaitingJob, terms: &'t JobTerms) -> Option<PreemptionRequest<'t>> {
         let controller = self.controller;
-        let measure = controller.measure(w.team, &terms.size);
+        let amount_in_team_unit = controller.amount_in_team_unit(w.team, &terms.size);
         let guarantee = self.guarantee(w.team);
-        let within_guarantee = self
+        let is_within_guarantee = self
             .used
             .get(w.team)
-            .is_some_and(|used| used + measure <= guarantee + 1e-6);
-        let waited_s = controller.now.wall_ms.saturating_sub(w.at) as f64 / 1000.0;
-        let patience_s = controller.stop_patience_s(&w.id, terms.guaranteed);
-        let urgent = w.priority >= Priority::Prod && waited_s >= patience_s;
-        let due = within_guarantee && waited_s > controller.longest_boot_s();
-        (urgent || due).then_some(Claim {
+            .is_some_and(|used| used + amount_in_team_unit <= guarantee + 1e-6);
+        let waited_s = controller.now.wall_ms.saturating_sub(w.submitted_wall_ms) as f64 / 1000.0;
+        let delay_s = controller.preemption_delay_s(&w.id, terms.guaranteed);
+        let can_preempt_lower = w.priority >= Priority::Prod && waited_s >= delay_s;
+        let can_reclaim_guarantee = is_within_guarantee && waited_s > controller.longest_boot_s();
+        (can_preempt_lower || can_reclaim_guarantee).then_some(PreemptionRequest {
             terms,
             priority: w.priority,
-            measure,
-            within_guarantee,
-            image_there: false,
+            amount_in_team_unit,
+            is_within_guarantee,
+            needs_cached_image: false,
         })
     }
 
     fn machines(&mut self) -> &mut Vec<CandidateMachine> {
         let (controller, partition) = (self.controller, self.partition);
-        let patience = 3 * controller.settings.report_ms();
+        let max_report_age_ms = 3 * controller.settings.report_ms();
         self.machines
-            .get_or_insert_with(|| controller.candidate_machines(partition, patience))
+            .get_or_insert_with(|| controller.candidate_machines(partition, max_report_age_ms))
     }
 
-    /// Room that was made for one task counts for its team: the guarantee is not claimed twice.
-    fn count_used(&mut self, claim: &Claim) {
-        if let Some(used) = self.used.get_mut(claim.terms.team) {
-            *used += claim.measure;
+    /// Adds the task to its team's usage, so that the same guarantee is not claimed twice.
+    fn add_usage(&mut self, request: &PreemptionRequest) {
+        if let Some(used) = self.used.get_mut(request.terms.team) {
+            *used += request.amount_in_team_unit;
         }
     }
 
-    /// Chooses places on machines that hold the image for the tasks of a job. How many of them wait for stops is
-    /// returned, and the machines of those are noted.
-    pub(super) fn hold_back(&mut self, w: &Waiting, terms: &JobTerms, kept: &mut BTreeSet<MachineId>) -> usize {
-        let most = self.controller.settings.search_evaluations();
-        // What is allowed depends on the places of the job's other tasks.
+    /// Reserves room on machines that have the image for the tasks of a job. Returns how many of them wait for stops,
+    /// and adds the machines of those to `reserved`.
+    pub(super) fn reserve_rooms_with_image(
+        &mut self,
+        w: &WaitingJob,
+        terms: &JobTerms,
+        reserved: &mut BTreeSet<MachineId>,
+    ) -> usize {
+        let max_evaluations = self.controller.settings.search_evaluations();
+        // The allowed zones depend on where the other tasks of the job are placed.
         let mut terms = terms.clone();
-        let mut held_back = 0;
+        let mut waiting_for_stops = 0;
         for _ in &w.tasks {
-            let Some(claim) = self.claim(w, &terms).filter(|_| self.looks <= most) else {
+            let Some(request) = self
+                .preemption_request(w, &terms)
+                .filter(|_| self.evaluations <= max_evaluations)
+            else {
                 break;
             };
-            let claim = Claim {
-                image_there: true,
-                ..claim
+            let request = PreemptionRequest {
+                needs_cached_image: true,
+                ..request
             };
-            let Some((machine, free_now)) = self.take_room(&claim) else {
+            let Some((machine, free_now)) = self.reserve_room(&request) else {
                 break;
             };
             *terms.in_zone.entry(machine.zone.clone()).or_default() += 1;
             if !free_now {
-                held_back += 1;
-                kept.insert(machine.id.clone());
+                waiting_for_stops += 1;
+                reserved.insert(machine.id.clone());
             }
         }
-        held_back
+        waiting_for_stops
     }
 
-    /// Takes room on a machine, free or to be made; says which machine, and whether the room is free now.
-    fn take_room(&mut self, claim: &Claim) -> Option<(&CandidateMachine, bool)> {
-        let size = &claim.terms.size;
-        self.looks += self.machines().len();
+    /// Reserves room on a machine, free or to be freed by stops. Returns the machine and whether the room is free now.
+    fn reserve_room(&mut self, request: &PreemptionRequest) -> Option<(&CandidateMachine, bool)> {
+        let size = &request.terms.size;
+        self.evaluations += self.machines().len();
         let machines = self.machines().iter_mut().enumerate();
-        let fitting = machines.filter(|(_, m)| fits(size, &m.free) && claim.admits(m));
-        let at = match fitting.max_by_key(|(_, m)| fits(size, &m.free_now)) {
-            Some((at, machine)) => {
+        let fitting = machines.filter(|(_, m)| fits(size, &m.free) && request.admits(m));
+        let machine_index = match fitting.max_by_key(|(_, m)| fits(size, &m.free_now)) {
+            Some((machine_index, machine)) => {
                 subtract(&mut machine.free, size);
-                self.count_used(claim);
-                at
+                self.add_usage(request);
+                machine_index
             }
             None => {
-                let choice = self.cheapest(claim)?;
-                let at = choice.machine;
-                self.carry_out(claim, choice);
-                at
+                let choice = self.find_cheapest_choice(request)?;
+                let machine_index = choice.machine_index;
+                self.apply_choice(request, choice);
+                machine_index
             }
         };
-        let machine = self.machines().get_mut(at)?;
+        let machine = self.machines().get_mut(machine_index)?;
         let free_now = fits(size, &machine.free_now);
         if free_now {
             subtract(&mut machine.free_now, size);
@@ -252,30 +272,30 @@
         Some((machine, free_now))
     }
 
-    /// The tasks that are to be stopped.
+    /// The tasks to stop.
     pub(super) fn into_stops(self) -> Vec<StopOrder> {
         self.stops
     }
 
-    /// Room that is free, or will be by stops that have been chosen.
-    fn take_free_room(&mut self, claim: &Claim) -> bool {
+    /// Reserves room that is free or that chosen stops will free. Returns whether there was any.
+    fn reserve_free_room(&mut self, request: &PreemptionRequest) -> bool {
         let mut machines = self.machines().iter_mut();
-        let Some(machine) = machines.find(|m| fits(&claim.terms.size, &m.free) && claim.admits(m)) else {
+        let Some(machine) = machines.find(|m| fits(&request.terms.size, &m.free) && request.admits(m)) else {
             return false;
         };
-        subtract(&mut machine.free, &claim.terms.size);
-        self.count_used(claim);
+        subtract(&mut machine.free, &request.terms.size);
+        self.add_usage(request);
         true
     }
 
-    /// The tasks on one machine whose stop loses least.
-    fn cheapest(&mut self, claim: &Claim) -> Option<Choice> {
+    /// The tasks on one machine that lose the least work when stopped; `None` if room cannot be made on any machine.
+    fn find_cheapest_choice(&mut self, request: &PreemptionRequest) -> Option<StopChoice> {
         let count = self.machines().len();
-        self.looks += count;
+        self.evaluations += count;
         let machines = self.machines.as_ref()?;
-        let mut best: Option<Choice> = None;
-        for (at, machine) in machines.iter().enumerate().filter(|(_, m)| claim.admits(m)) {
-            let choice = self.choose(claim, at, machine);
+        let mut best: Option<StopChoice> = None;
+        for (machine_index, machine) in machines.iter().enumerate().filter(|(_, m)| request.admits(m)) {
+            let choice = self.choose_on_machine(request, machine_index, machine);
             if let Some(choice) = choice.filter(|c| best.as_ref().is_none_or(|b| c.cost < b.cost)) {
                 best = Some(choice);
             }
@@ -283,79 +303,88 @@
         best
     }
 
-    /// The tasks to be stopped on a machine; none: room cannot be made there.
-    fn choose(&self, claim: &Claim, at: usize, machine: &CandidateMachine) -> Option<Choice> {
-        let victims = self.victims(claim, machine);
+    /// The tasks to stop on a machine; `None` if room cannot be made there.
+    fn choose_on_machine(
+        &self,
+        request: &PreemptionRequest,
+        machine_index: usize,
+        machine: &CandidateMachine,
+    ) -> Option<StopChoice> {
+        let victims = self.list_victims(request, machine);
         if victims.is_empty() {
             return None;
         }
         let mut free = machine.free;
-        let mut choice = Choice {
-            machine: at,
+        let mut choice = StopChoice {
+            machine_index,
             victims: Vec::new(),
             cost: 0.0,
         };
-        for (lost_s, i) in victims {
-            if fits(&claim.terms.size, &free) {
+        for (cost_s, i) in victims {
+            if fits(&request.terms.size, &free) {
                 break;
             }
             let Some(victim) = machine.victims.get(i) else { continue };
             add(&mut free, &victim.size);
-            choice.cost += 1.0 + lost_s;
+            choice.cost += 1.0 + cost_s;
             choice.victims.push(i);
         }
-        fits(&claim.terms.size, &free).then_some(choice)
+        fits(&request.terms.size, &free).then_some(choice)
     }
 
-    /// What may be stopped on a machine for a claim, what loses least first.
-    fn victims(&self, claim: &Claim, machine: &CandidateMachine) -> Vec<(f64, usize)> {
-        let victims = machine.victims.iter().enumerate().filter(|(_, v)| !v.taken);
-        let mut victims: Vec<(f64, usize)> = victims.filter_map(|(i, v)| Some((self.lost_s(claim, v)?, i))).collect();
-        // Of equal victims one whose team has budget left for it goes first.
-        let has_budget = |at: usize| {
-            let victim = machine.victims.get(at);
+    /// Cost and index of each task on a machine that may be stopped for a request, the cheapest first.
+    fn list_victims(&self, request: &PreemptionRequest, machine: &CandidateMachine) -> Vec<(f64, usize)> {
+        let victims = machine.victims.iter().enumerate().filter(|(_, v)| !v.is_chosen);
+        let mut victims: Vec<(f64, usize)> = victims
+            .filter_map(|(i, v)| Some((self.stop_cost_s(request, v)?, i)))
+            .collect();
+        // Among victims of equal cost, one whose team has disruption budget left comes first.
+        let has_budget = |index: usize| {
+            let victim = machine.victims.get(index);
             victim.is_some_and(|v| self.budgets.permits(&v.task.job))
         };
         victims.sort_by(|a, b| {
-            let by_budget = || has_budget(b.1).cmp(&has_budget(a.1));
-            a.0.total_cmp(&b.0).then_with(by_budget)
+            let by_remaining_budget = || has_budget(b.1).cmp(&has_budget(a.1));
+            a.0.total_cmp(&b.0).then_with(by_remaining_budget)
         });
         victims
     }
 
-    /// What stopping a task for a claim loses; none: it may not be stopped for that.
-    fn lost_s(&self, claim: &Claim, victim: &Victim) -> Option<f64> {
-        let lower = victim.priority < claim.priority;
-        // Higher priority would only take the room back: both would stop each other in turns.
-        let borrowed = claim.within_guarantee
-            && victim.priority <= claim.priority
-            && victim.team != claim.terms.team
+    /// Cost in seconds of stopping a task for a request; `None` if it may not be stopped for it.
+    fn stop_cost_s(&self, request: &PreemptionRequest, victim: &Victim) -> Option<f64> {
+        let is_lower_priority = victim.priority < request.priority;
+        // Work of higher priority is never stopped to reclaim a guarantee: it would take the room back, and the two
+        // would stop each other in turn.
+        let is_borrowed = request.is_within_guarantee
+            && victim.priority <= request.priority
+            && victim.team != request.terms.team
             && self
                 .used
                 .get(victim.team)
                 .is_some_and(|used| *used > self.guarantee(victim.team));
-        // Of one priority, stopping one for the other gains nothing for users: last choice.
-        let lost_s = if lower {
-            victim.lost_s
+        // Stopping a task for another one of the same priority gains nothing for users, so it is the last choice.
+        let cost_s = if is_lower_priority {
+            victim.lost_work_s
         } else {
-            victim.lost_s + EQUAL_COST
+            victim.lost_work_s + EQUAL_PRIORITY_COST_S
         };
-        (lower || borrowed).then_some(lost_s)
+        (is_lower_priority || is_borrowed).then_some(cost_s)
     }
 
-    fn carry_out(&mut self, claim: &Claim, choice: Choice) {
-        self.count_used(claim);
+    /// Records a choice: its victims are stopped, their room becomes free, and the task takes its room.
+    fn apply_choice(&mut self, request: &PreemptionRequest, choice: StopChoice) {
+        self.add_usage(request);
         let Self {
             machines, used, stops, ..
         } = self;
         let Some(machines) = machines else { return };
-        let Some(machine) = machines.get_mut(choice.machine) else {
+        let Some(machine) = machines.get_mut(choice.machine_index) else {
             return;
         };
-        subtract(&mut machine.free, &claim.terms.size);
-        let mut count_less = |v: &Victim| {
+        subtract(&mut machine.free, &request.terms.size);
+        let mut subtract_usage = |v: &Victim| {
             if let Some(used) = used.get_mut(v.team) {
-                *used -= v.measure;
+                *used -= v.amount_in_team_unit;
             }
         };
         let mut gangs: BTreeSet<JobId> = BTreeSet::new();
@@ -364,24 +393,24 @@
                 continue;
             };
             stops.push((machine.id.clone(), victim.task.clone(), victim.attempt));
-            if victim.gang {
+            if victim.is_gang {
                 gangs.insert(victim.task.job.clone());
                 continue;
             }
-            victim.taken = true;
+            victim.is_chosen = true;
             add(&mut machine.free, &victim.size);
-            count_less(victim);
+            subtract_usage(victim);
         }
-        // With a gang's task go all others of the gang, wherever they are.
+        // Stopping a task of a gang stops all tasks of the gang on all machines.
         for machine in machines.iter_mut().filter(|_| !gangs.is_empty()) {
-            machine.take_gangs(&gangs, &mut count_less);
+            machine.choose_gangs(&gangs, &mut subtract_usage);
         }
     }
 }
 
-impl Claim<'_> {
+impl PreemptionRequest<'_> {
     fn admits(&self, machine: &CandidateMachine) -> bool {
-        (!self.image_there || machine.images.contains(&self.terms.image))
+        (!self.needs_cached_image || machine.images.contains(&self.terms.image))
             && self.terms.admits(&machine.model, &machine.zone, machine.spot)
     }
 }
--- a/crates/tidelatch-core/src/queue/victims.rs
+++ b/crates/tidelatch-core/src/queue/victims.rs
@@ -1,4 +1,4 @@
-//! Machines on which room could be made, and the tasks that could be stopped there.
+//! Preemption victims: machines on which room could be made, and the tasks that could be stopped there.
 
 use crate::controller::Controller;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
@@ -8,24 +8,24 @@
 use crate::protocol::{Priority, Shape};
 use std::collections::BTreeSet;
 
-/// A task that might be stopped to make room.
+/// A task that may be stopped to make room.
 pub(super) struct Victim {
     pub(super) task: TaskId,
     pub(super) attempt: Attempt,
     pub(super) team: usize,
     pub(super) size: Amounts,
-    /// What it takes, in its team's measure.
-    pub(super) measure: f64,
+    /// Its size in the unit in which its team is accounted.
+    pub(super) amount_in_team_unit: f64,
     pub(super) priority: Priority,
-    /// Seconds of work lost with it; for a gang's task with the whole gang.
-    pub(super) lost_s: f64,
-    /// It is stopped with all others of its gang, or not at all.
-    pub(super) gang: bool,
-    /// It has been chosen.
-    pub(super) taken: bool,
+    /// Seconds of work lost when it is stopped; for a task of a gang, those of the whole gang.
+    pub(super) lost_work_s: f64,
+    /// Whether it belongs to a gang and is only stopped with all others of it.
+    pub(super) is_gang: bool,
+    /// Whether it has been chosen to be stopped.
+    pub(super) is_chosen: bool,
 }
 
-/// A task to be stopped: its machine, its name and its attempt.
+/// A task to stop: its machine, id and attempt.
 pub(super) type StopOrder = (MachineId, TaskId, Attempt);
 
 /// A machine on which room could be made.
@@ -34,23 +34,23 @@
     pub(super) model: String,
     pub(super) zone: String,
     pub(super) spot: bool,
-    /// Room that is free or that stops under way will free.
+    /// Room that is free or that pending stops will free.
     pub(super) free: Amounts,
     /// Room that is free now.
     pub(super) free_now: Amounts,
-    /// Images that it holds.
+    /// Images that it has.
     pub(super) images: BTreeSet<String>,
     pub(super) victims: Vec<Victim>,
 }
 
 impl CandidateMachine {
-    /// All tasks of these gangs on it are chosen; what each of them leaves is handed to `left`.
-    pub(super) fn take_gangs(&mut self, gangs: &BTreeSet<JobId>, mut left: impl FnMut(&Victim)) {
+    /// Chooses all tasks of the given gangs on this machine and calls `on_chosen` for each.
+    pub(super) fn choose_gangs(&mut self, gangs: &BTreeSet<JobId>, mut on_chosen: impl FnMut(&Victim)) {
         let victims = self.victims.iter_mut();
-        for victim in victims.filter(|v| !v.taken && gangs.contains(&v.task.job)) {
-            victim.taken = true;
+        for victim in victims.filter(|v| !v.is_chosen && gangs.contains(&v.task.job)) {
+            victim.is_chosen = true;
             add(&mut self.free, &victim.size);
-            left(victim);
+            on_chosen(victim);
         }
     }
 }
@@ -60,20 +60,21 @@
     amounts.iter_mut().zip(more).for_each(|(a, m)| *a += m);
 }
 
-/// Takes amounts off.
+/// Subtracts amounts.
 pub(super) fn subtract(amounts: &mut Amounts, less: &Amounts) {
     amounts.iter_mut().zip(less).for_each(|(a, l)| *a -= l);
 }
 
-/// Whether a size fits into some room.
+/// Whether a size fits into some room, with a tolerance for rounding errors.
 pub(super) fn fits(size: &Amounts, room: &Amounts) -> bool {
     size.iter().zip(room).all(|(s, r)| *s <= r + 1e-6)
 }
 
 impl Controller {
-    /// The machines of a partition on which room could be made, with all that could be stopped there.
-    pub(super) fn candidate_machines(&self, partition: Partition, patience: u64) -> Vec<CandidateMachine> {
-        let usable = |m: &Machine| m.partition == partition && m.usable(self.now.ms, patience);
+    /// The usable machines of a partition with the tasks that could be stopped there. `max_report_age_ms` is the
+    /// maximum age of a machine's last report.
+    pub(super) fn candidate_machines(&self, partition: Partition, max_report_age_ms: u64) -> Vec<CandidateMachine> {
+        let usable = |m: &Machine| m.partition == partition && m.usable(self.now.ms, max_report_age_ms);
         let machines = self.machines.iter().filter(|(_, m)| usable(m));
         machines.filter_map(|(id, m)| self.candidate_machine(id, m)).collect()
     }
@@ -84,7 +85,7 @@
         let mut free_now = free;
         subtract(&mut free_now, &m.taken());
         let mut victims = Vec::new();
-        // Room that stops already under way will free counts as free.
+        // Room that pending stops will free counts as free.
         for held in m.held.iter().filter(|h| h.stop.is_none()) {
             subtract(&mut free, &held.size);
             victims.extend(self.victim(held));
@@ -101,7 +102,7 @@
         })
     }
 
-    /// The images that a machine holds: those of tasks that have run there lately.
+    /// Images that a machine has: those of tasks that run there or ran there recently.
     fn images_held(&self, m: &Machine) -> BTreeSet<String> {
         let running = m.held.iter().filter(|h| h.running_since.is_some());
         let in_use = running
@@ -110,6 +111,7 @@
         m.images.iter().map(|(image, _)| image.clone()).chain(in_use).collect()
     }
 
+    /// The task as a victim; `None` if it cannot be stopped now, or its job or team is unknown.
     fn victim(&self, held: &Held) -> Option<Victim> {
         let job = self.jobs.get(&held.task.job)?;
         let (team, _) = self.settings.team(&held.team)?;
@@ -118,21 +120,25 @@
             attempt: held.attempt,
             team,
             size: held.size,
-            measure: self.measure(team, &held.size),
+            amount_in_team_unit: self.amount_in_team_unit(team, &held.size),
             priority: job.spec.priority,
-            lost_s: self.lost_s(held, job)?,
-            gang: job.spec.shape == Shape::Gang,
-            taken: false,
+            lost_work_s: self.lost_work_s(held, job)?,
+            is_gang: job.spec.shape == Shape::Gang,
+            is_chosen: false,
         })
     }
 
-    /// Seconds of work that are lost with a task; none if it cannot be stopped now.
-    fn lost_s(&self, held: &Held, job: &Job) -> Option<f64> {
+    /// Seconds of work lost when a task is stopped; `None` if it cannot be stopped now.
+    fn lost_work_s(&self, held: &Held, job: &Job) -> Option<f64> {
         if job.spec.shape == Shape::Gang {
             return self.gang_loss(&held.task.job, job);
         }
         let ran_s = held.running_since.map_or(0, |t| self.now.ms.saturating_sub(t)) as f64 / 1000.0;
-        let saves = job.spec.checkpoint_s > 0.0;
-        Some(if saves { ran_s.min(job.spec.save_s) } else { ran_s })
+        let has_checkpoints = job.spec.checkpoint_s > 0.0;
+        Some(if has_checkpoints {
+            ran_s.min(job.spec.save_s)
+        } else {
+            ran_s
+        })
     }
 }
