--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -49,7 +49,7 @@
     /// Jobs with tasks that have room under their team's limit, in placement order.
     waiting: Vec<WaitingJob>,
     /// Production jobs whose next task has no room under its team's limit, the longest waiting first.
-    blocked_by_limit: Vec<JobBlockedByLimit>,
+    blocked_jobs: Vec<JobBlockedByLimit>,
 }
 
 impl Controller {
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -40,9 +40,9 @@
         let mut room = self.room_under_limits(&used);
         let PartitionQueue {
             mut waiting,
-            blocked_by_limit,
+            blocked_jobs,
         } = self.collect_waiting_jobs(partition, &room);
-        if waiting.is_empty() && blocked_by_limit.is_empty() {
+        if waiting.is_empty() && blocked_jobs.is_empty() {
             return Vec::new();
         }
         let (ids, mut slots) = self.machine_slots(partition, &self.smallest_size(&waiting));
@@ -72,7 +72,7 @@
         let (mut demands, jobs_without_machine) =
             self.collect_machine_demands(partition, &unplaced, &waiting, &jobs, (&mut room, &slots));
         let mut preemption = self.preempt(partition, &jobs_without_machine, &waiting, &jobs, &used);
-        let limit_demands = self.preempt_under_limits(partition, &blocked_by_limit, &room, &mut preemption.machines);
+        let limit_demands = self.preempt_under_limits(partition, &blocked_jobs, &room, &mut preemption.machines);
         self.swap_replicas(
             partition,
             &preemption.blocked_replicas,
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -21,7 +21,7 @@
     waiting: Vec<WaitingJob>,
     /// For each team with a production job that has no room under the team's limit, the size of one task of that job.
     blocked_size_by_team: BTreeMap<usize, Amounts>,
-    jobs_blocked_by_limit: Vec<JobBlockedByLimit>,
+    blocked_jobs: Vec<JobBlockedByLimit>,
 }
 
 /// Values that are the same for all jobs of a partition.
@@ -68,7 +68,7 @@
         if max_tasks == 0 && job.spec.priority >= Priority::Prod && job.waiting_count() > 0 {
             collected.blocked_size_by_team.entry(team).or_insert(size);
             if job.spec.shape != Shape::Gang && !job.failures.is_suspected() {
-                collected.jobs_blocked_by_limit.push(JobBlockedByLimit {
+                collected.blocked_jobs.push(JobBlockedByLimit {
                     id: id.clone(),
                     team,
                     submitted_wall_ms: job.at_wall,
@@ -131,7 +131,7 @@
         let CollectedJobs {
             mut waiting,
             blocked_size_by_team,
-            mut jobs_blocked_by_limit,
+            mut blocked_jobs,
         } = collected;
         self.reserve_room_under_limits(&mut waiting, room, &blocked_size_by_team);
         let partitions = self.settings.partitions() as usize;
@@ -139,11 +139,8 @@
             .retain(|team, _| team % partitions != partition.0 as usize);
         // Jobs that have no room now have priority for the next room that becomes free.
         self.kept_room.extend(blocked_size_by_team);
-        jobs_blocked_by_limit.sort_by(|a, b| (a.submitted_wall_ms, &a.id).cmp(&(b.submitted_wall_ms, &b.id)));
-        PartitionQueue {
-            waiting,
-            blocked_by_limit: jobs_blocked_by_limit,
-        }
+        blocked_jobs.sort_by(|a, b| (a.submitted_wall_ms, &a.id).cmp(&(b.submitted_wall_ms, &b.id)));
+        PartitionQueue { waiting, blocked_jobs }
     }
 
     /// The jobs of a partition that may be placed now.
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -65,13 +65,13 @@
     pub(super) fn preempt_under_limits(
         &mut self,
         partition: Partition,
-        blocked_by_limit: &[JobBlockedByLimit],
+        blocked_jobs: &[JobBlockedByLimit],
         room: &[Amounts],
         machines: &mut Option<Vec<CandidateMachine>>,
     ) -> Vec<UnplacedTasks> {
         // A machine that has not reported counts as full for each team, so it is unknown whether a team has reached
         // its limit.
-        if blocked_by_limit.is_empty() || self.unconfirmed(partition) > 0 {
+        if blocked_jobs.is_empty() || self.unconfirmed(partition) > 0 {
             return Vec::new();
         }
         let max_report_age_ms = 3 * self.settings.report_ms();
@@ -82,7 +82,7 @@
         };
         let mut demands = Vec::new();
         let mut stops = Vec::new();
-        for job in blocked_by_limit {
+        for job in blocked_jobs {
             if !search.can_free_room(job.team, &job.size) {
                 continue;
             }
--- a/crates/tidelatch-core/src/queue/replica_swaps.rs
+++ b/crates/tidelatch-core/src/queue/replica_swaps.rs
@@ -149,11 +149,11 @@
                 if !self.can_be_chosen(held) || !fits(&terms.size, &room) {
                     continue;
                 }
-                if let Some(to) = self.find_destination(m, held) {
+                if let Some(destination) = self.find_destination(m, held) {
                     return Some(ReplicaMove {
                         stop: (id.clone(), held.task.clone(), held.attempt),
                         size: held.size,
-                        destination: to,
+                        destination,
                     });
                 }
             }
--- a/crates/tidelatch-core/src/queue/victims.rs
+++ b/crates/tidelatch-core/src/queue/victims.rs
@@ -74,8 +74,8 @@
     /// The usable machines of a partition with the tasks that could be stopped there. `max_report_age_ms` is the
     /// maximum age of a machine's last report.
     pub(super) fn candidate_machines(&self, partition: Partition, max_report_age_ms: u64) -> Vec<CandidateMachine> {
-        let usable = |m: &Machine| m.partition == partition && m.usable(self.now.ms, max_report_age_ms);
-        let machines = self.machines.iter().filter(|(_, m)| usable(m));
+        let is_usable = |m: &Machine| m.partition == partition && m.usable(self.now.ms, max_report_age_ms);
+        let machines = self.machines.iter().filter(|(_, m)| is_usable(m));
         machines.filter_map(|(id, m)| self.candidate_machine(id, m)).collect()
     }
 
