--- a/crates/tidelatch-core/src/queue/replica_swaps.rs
+++ b/crates/tidelatch-core/src/queue/replica_swaps.rs
@@ -94,7 +94,7 @@
         } else {
             self.log(
                 Level::Info,
-                format!("{machine}: {task} moves to another zone, for a replica that may not"),
+                format!("{machine}: moving {task} to another zone so that a replica that cannot run elsewhere fits"),
             );
             self.stop_held(machine, task, attempt);
         }
