--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -17,8 +17,8 @@
 /// type.
 const CHEAP_ZONE_BOOT_TIMES: f64 = 2.0;
 
-/// Fraction of [`MAX_START_DELAY_S`], the 240 seconds within which jobs should start. A gang waits for that long
-/// before machines are reserved for it, and each reservation lasts for as long.
+/// Fraction of [`MAX_START_DELAY_S`] (240 s) for which a gang waits before machines are reserved for it, and for which
+/// each reservation lasts.
 const GANG_RESERVATION_FRACTION: f64 = 0.25;
 
 /// Progress of the batches of a partition.
--- a/crates/tidelatch-core/src/queue/batch_selection.rs
+++ b/crates/tidelatch-core/src/queue/batch_selection.rs
@@ -34,15 +34,17 @@
         // One queue per team, so that a selection does not scan all waiting jobs.
         let mut queues: Vec<VecDeque<usize>> = vec![VecDeque::new(); claims.len()];
         let mut ready_teams = vec![false; claims.len()];
-        for (j, w) in waiting.iter().enumerate() {
-            let has_tasks_left = next_tasks.get(j).is_some_and(|n| *n < w.tasks.len());
+        for (job_index, w) in waiting.iter().enumerate() {
+            let has_tasks_left = next_tasks
+                .get(job_index)
+                .is_some_and(|next_task| *next_task < w.tasks.len());
             if w.priority == priority
                 && has_tasks_left
-                && !unplaceable_jobs.contains(&j)
-                && let Some((queue, ready)) = queues.get_mut(w.team).zip(ready_teams.get_mut(w.team))
+                && !unplaceable_jobs.contains(&job_index)
+                && let Some((queue, is_ready)) = queues.get_mut(w.team).zip(ready_teams.get_mut(w.team))
             {
-                queue.push_back(j);
-                *ready = true;
+                queue.push_back(job_index);
+                *is_ready = true;
             }
         }
         while batch.len() < batch_size {
@@ -50,28 +52,28 @@
                 break;
             };
             let Some(queue) = queues.get_mut(team) else { break };
-            let Some(j) = queue.front().copied() else { break };
-            let (Some(w), Some(n)) = (waiting.get(j), next_tasks.get_mut(j)) else {
+            let Some(job_index) = queue.front().copied() else { break };
+            let (Some(w), Some(next_task)) = (waiting.get(job_index), next_tasks.get_mut(job_index)) else {
                 break;
             };
             // A gang is selected as a whole, even beyond the batch size.
-            let is_gang = jobs.get(j).is_some_and(|t| t.gang);
-            let count = if is_gang { w.tasks.len() - *n } else { 1 };
-            let first_task = *n;
-            *n += count;
-            if *n >= w.tasks.len() {
+            let is_gang = jobs.get(job_index).is_some_and(|t| t.gang);
+            let count = if is_gang { w.tasks.len() - *next_task } else { 1 };
+            let first_task = *next_task;
+            *next_task += count;
+            if *next_task >= w.tasks.len() {
                 queue.pop_front();
-                if let Some(ready) = ready_teams.get_mut(team).filter(|_| queue.is_empty()) {
-                    *ready = false;
+                if let Some(is_ready) = ready_teams.get_mut(team).filter(|_| queue.is_empty()) {
+                    *is_ready = false;
                 }
             }
-            let Some((claim, job)) = claims.get_mut(team).zip(jobs.get(j)) else {
+            let Some((claim, job)) = claims.get_mut(team).zip(jobs.get(job_index)) else {
                 break;
             };
             for index in w.tasks.iter().skip(first_task).take(count).copied() {
                 claim.used += if job.size[1] > 0.0 { job.size[1] } else { job.size[0] };
                 batch.push(SelectedTask {
-                    job: j,
+                    job: job_index,
                     index,
                     guaranteed: claim.used <= claim.share + 1e-6,
                 });
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -9,7 +9,7 @@
 use crate::protocol::Shape;
 use std::collections::BTreeSet;
 
-/// Number of machines of a partition per machine that may be emptied within one worker lease.
+/// One machine per this many machines of a partition may be emptied within a worker lease.
 const MACHINES_PER_CONSOLIDATION: u64 = 64;
 
 impl Controller {
@@ -23,13 +23,13 @@
             return;
         }
         self.consolidate_due = now + self.settings.report_ms();
-        let acting: Vec<Partition> = self
+        let active_partitions: Vec<Partition> = self
             .tenures
             .iter()
             .filter(|(_, t)| t.stage == Stage::Active && t.settled)
             .map(|(p, _)| *p)
             .collect();
-        for p in acting {
+        for p in active_partitions {
             let has_no_waiting_services = !self
                 .jobs
                 .values()
--- a/crates/tidelatch-core/src/queue/ranking.rs
+++ b/crates/tidelatch-core/src/queue/ranking.rs
@@ -4,7 +4,7 @@
 use crate::settings::Objective;
 use std::collections::BTreeMap;
 
-/// Time within which even the largest jobs should start, in seconds: users expect four minutes.
+/// Seconds within which users expect even the largest jobs to start: four minutes.
 pub(super) const MAX_START_DELAY_S: f64 = 240.0;
 /// Fraction of the start objective of a class after which a job without a started task precedes others. It leaves time
 /// for a machine to boot and to fetch an image.
@@ -17,7 +17,7 @@
 pub struct Claim {
     /// Amount it uses, in the unit of its guarantee: accelerators or CPUs.
     pub used: f64,
-    /// Amount it is entitled to in proportion to other teams, in the same unit.
+    /// Share by which its usage is divided when teams are compared, in the same unit.
     pub share: f64,
 }
 
