--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -369,7 +369,7 @@
     Some(chosen)
 }
 
-/// How much of a size exceeds some room; negative where there is room to spare.
+/// How much of a size exceeds some room; below 0 where there is room to spare.
 fn shortfall(size: &Amounts, room: &Amounts) -> Amounts {
     let mut shortfall = *size;
     subtract(&mut shortfall, room);
