--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -1,10 +1,12 @@
-//! Cancellations that the controllers tell each other of, besides the store.
+//! Exchange of cancellations between controllers, in addition to the state service.
 //!
-//! In an outage of the state service no watch tells of an end, yet every controller that acts under its
-//! peers' grants answers workers' reports, also for partitions whose owner has gone. So a cancellation is
-//! passed on in heartbeats from the moment at which it is asked, a grant carries what its giver knows, and
-//! no user is told that a job is cancelled before a second controller knows it: if the one that told it ends,
-//! whoever acts under grants has the other's, and takes that in first.
+//! During an outage of the state service no watch reports the end of a job. Yet every controller that acts under
+//! grants of its peers answers workers' reports, also for partitions whose owner is gone. Therefore:
+//!
+//! - Heartbeats carry a cancellation from the moment at which a user requests it.
+//! - A grant carries the cancellations that the granting controller knows.
+//! - No user is told that a job is cancelled before a second controller knows of it. If the controller that told the
+//!   user stops, a controller that acts under grants has a grant of the second one and applies its cancellations first.
 
 use crate::calls::Asker;
 use crate::controller::Controller;
@@ -12,327 +14,350 @@
 use crate::messages::Answer;
 use std::collections::BTreeMap;
 
-/// Most cancellations in one heartbeat. A grant is given only if all that its asker lacks fit.
-const MOST: usize = 2000;
+/// Limit on cancellations in one heartbeat. A grant is given only if all that its requester lacks fit.
+const MAX_CANCELLATIONS_PER_HEARTBEAT: usize = 2000;
 
 /// A cancellation that this controller knows of.
 #[derive(Debug, Clone, Copy)]
-struct Known {
-    /// When its user was first told so, or may have been, on this clock.
-    since: u64,
-    /// It is stored, and not only asked for.
-    stored: bool,
-    /// Its place in the order in which this controller learned of them.
-    number: u64,
-    /// A peer has told of it, as stored: so two know it.
-    shared: bool,
+struct KnownCancellation {
+    /// Time at which a user was, or may have been, first told of the cancellation; before it is stored, the time of the
+    /// latest request. Milliseconds on this controller's clock.
+    since_ms: u64,
+    /// The cancellation is stored, not only requested.
+    is_stored: bool,
+    /// Position in the order in which this controller learned of cancellations.
+    sequence: u64,
+    /// A peer has reported it as stored, so two controllers know of it.
+    is_shared: bool,
 }
 
-/// How far a life of a peer has taken in what this controller told it.
+/// How far an incarnation of a peer has acknowledged the cancellations that this controller sent to it.
 #[derive(Debug, Clone, Copy)]
-struct Taken {
-    inc: Incarnation,
+struct AcknowledgedCancellations {
+    incarnation: Incarnation,
+    /// Highest acknowledged sequence number.
     up_to: u64,
 }
 
-/// What a peer has not taken in.
-struct Untaken {
-    stored: Vec<JobId>,
-    asked: Vec<JobId>,
-    /// It begins after the first of these numbers, and goes up to the second.
-    span: (u64, u64),
-    /// Nothing had to be left out.
-    whole: bool,
+/// Cancellations that a peer has not acknowledged.
+struct UnacknowledgedCancellations {
+    cancelled: Vec<JobId>,
+    requested: Vec<JobId>,
+    /// Range of sequence numbers covered: from after the first up to and including the second.
+    sequence_range: (u64, u64),
+    /// Nothing was left out for lack of space.
+    is_complete: bool,
 }
 
-/// What one heartbeat or its answer says of cancellations.
+/// The cancellations in a heartbeat or in the answer to one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CancellationNotice {
-    /// The life of who tells; 0: a version that does not tell.
+    /// Incarnation of the sender; 0 if its version does not send cancellations.
     pub life: u64,
     /// Jobs whose cancellation is stored.
     pub cancelled: Vec<JobId>,
-    /// Jobs whose cancellation was asked for, and whose fate is open.
+    /// Jobs whose cancellation was requested and is not known to be stored.
     pub asked: Vec<JobId>,
-    /// Who tells has not read the store in this life: it does not know what its earlier ones knew.
+    /// The sender has not read the state service in this incarnation, so it does not know the cancellations that its
+    /// earlier incarnations knew.
     pub unread: bool,
 }
 
-/// All cancellations that this controller knows of, and who else does.
+/// All cancellations that this controller knows of, and which peers know them.
 #[derive(Debug, Default)]
 pub(crate) struct Cancellations {
-    known: BTreeMap<JobId, Known>,
-    last: u64,
-    taken: BTreeMap<ControllerId, Taken>,
-    /// Users who wait until a second controller knows, each with the time until which that makes sense.
-    waiting: Vec<(JobId, Asker, u64)>,
-    /// Heartbeats are to go out at once.
-    urgent: bool,
-    /// The latest extension of the lease that the state service has granted was sent then.
-    served: u64,
+    known: BTreeMap<JobId, KnownCancellation>,
+    /// Highest sequence number assigned.
+    last_sequence: u64,
+    acknowledged: BTreeMap<ControllerId, AcknowledgedCancellations>,
+    /// Users who wait until a second controller knows of a cancellation, each with the time at which waiting ends.
+    waiting_requesters: Vec<(JobId, Asker, u64)>,
+    /// Heartbeats are to be sent at once.
+    heartbeats_requested: bool,
+    /// Time at which the latest granted extension of the lease was sent to the state service.
+    lease_extension_sent_ms: u64,
 }
 
 impl Cancellations {
-    fn learn(&mut self, id: &JobId, since: u64, stored: bool, shared: bool) -> bool {
-        let number = self.last + 1;
+    /// Records a cancellation. Returns whether it is new, or newly known to be stored.
+    fn record(&mut self, id: &JobId, since_ms: u64, is_stored: bool, is_shared: bool) -> bool {
+        let sequence = self.last_sequence + 1;
         match self.known.get_mut(id) {
-            Some(k) if k.stored >= stored => {
-                k.shared |= shared;
-                k.since = if stored == k.stored && !stored {
-                    // Asked for again.
-                    since
+            Some(k) if k.is_stored >= is_stored => {
+                k.is_shared |= is_shared;
+                k.since_ms = if is_stored == k.is_stored && !is_stored {
+                    // The cancellation was requested again.
+                    since_ms
                 } else {
-                    k.since.min(since)
+                    k.since_ms.min(since_ms)
                 };
                 return false;
             }
             Some(k) => {
-                *k = Known {
-                    since,
-                    stored,
-                    number,
-                    shared,
+                *k = KnownCancellation {
+                    since_ms,
+                    is_stored,
+                    sequence,
+                    is_shared,
                 }
             }
             None => {
-                let known = Known {
-                    since,
-                    stored,
-                    number,
-                    shared,
+                let known = KnownCancellation {
+                    since_ms,
+                    is_stored,
+                    sequence,
+                    is_shared,
                 };
                 self.known.insert(id.clone(), known);
             }
         }
-        self.last = number;
+        self.last_sequence = sequence;
         true
     }
 
-    /// What a peer has not taken in yet, the oldest first.
-    fn untaken(&self, peer: &ControllerId) -> Untaken {
-        let from = self.taken.get(peer).map_or(0, |t| t.up_to);
-        let mut news: Vec<(&JobId, &Known)> = self.known.iter().filter(|(_, k)| k.number > from).collect();
-        news.sort_by_key(|(_, k)| k.number);
-        let whole = news.len() <= MOST;
-        news.truncate(MOST);
-        let up_to = if whole {
-            self.last
+    /// The cancellations that a peer has not acknowledged, oldest first.
+    fn unacknowledged(&self, peer: &ControllerId) -> UnacknowledgedCancellations {
+        let from = self.acknowledged.get(peer).map_or(0, |t| t.up_to);
+        let mut pending: Vec<(&JobId, &KnownCancellation)> =
+            self.known.iter().filter(|(_, k)| k.sequence > from).collect();
+        pending.sort_by_key(|(_, k)| k.sequence);
+        let is_complete = pending.len() <= MAX_CANCELLATIONS_PER_HEARTBEAT;
+        pending.truncate(MAX_CANCELLATIONS_PER_HEARTBEAT);
+        let up_to = if is_complete {
+            self.last_sequence
         } else {
-            news.last().map_or(from, |(_, k)| k.number)
+            pending.last().map_or(from, |(_, k)| k.sequence)
         };
-        let ids = |stored: bool| {
-            let of = news.iter().filter(|(_, k)| k.stored == stored);
-            of.map(|(id, _)| (*id).clone()).collect()
+        let ids = |is_stored: bool| {
+            let selected = pending.iter().filter(|(_, k)| k.is_stored == is_stored);
+            selected.map(|(id, _)| (*id).clone()).collect()
         };
-        Untaken {
-            stored: ids(true),
-            asked: ids(false),
-            span: (from, up_to),
-            whole,
+        UnacknowledgedCancellations {
+            cancelled: ids(true),
+            requested: ids(false),
+            sequence_range: (from, up_to),
+            is_complete,
         }
     }
 
-    /// Whether a job's tasks are to be stopped and none started, for its cancellation is stored or asked for.
+    /// Whether a job's cancellation is stored or requested: its tasks are to be stopped, and none is to be started.
     pub(crate) fn calls_off(&self, id: &JobId) -> bool {
         self.known.contains_key(id)
     }
 }
 
 impl Controller {
-    /// How long a stored cancellation is kept here and told of: beyond it no task of the job can be left.
-    fn cancellations_kept_ms(&self) -> u64 {
+    /// How long a stored cancellation is kept and sent to peers, in milliseconds. After that no task of the job can be
+    /// left.
+    fn cancellation_retention_ms(&self) -> u64 {
         2 * self.settings.cancel_ms() + self.settings.worker_lease_ms()
     }
 
-    /// A user asks for a job's cancellation: its tasks are stopped from now on, by whoever feeds them.
-    pub(crate) fn note_asked(&mut self, id: &JobId) {
-        if self.settings.features.cancellations && self.cancellations.learn(id, self.now.ms, false, false) {
-            self.cancellations.urgent = true;
+    /// Records that a user requests the cancellation of a job. From now on every controller that answers the workers'
+    /// reports stops the job's tasks.
+    pub(crate) fn record_cancel_request(&mut self, id: &JobId) {
+        if self.settings.features.cancellations && self.cancellations.record(id, self.now.ms, false, false) {
+            self.cancellations.heartbeats_requested = true;
         }
     }
 
-    /// A job's cancellation is stored. `ended_wall`: the time of day at which it was written, if the record says
-    /// so; a job that was known here as unfinished has ended just now.
-    pub(crate) fn note_cancelled(&mut self, id: &JobId, ended_wall: Option<u64>, was_open: bool) {
+    /// Records that a job's cancellation is stored. `ended_wall` is the time of day at which it was written, if the
+    /// record holds that. Without it, a job that this controller knew as unfinished counts as cancelled just now.
+    pub(crate) fn record_cancellation(&mut self, id: &JobId, ended_wall: Option<u64>, was_open: bool) {
         let age = match ended_wall {
             Some(wall) => self.now.wall_ms.saturating_sub(wall),
             None if was_open => 0,
             None => return,
         };
-        if !self.settings.features.cancellations || age > self.cancellations_kept_ms() {
+        if !self.settings.features.cancellations || age > self.cancellation_retention_ms() {
             return;
         }
-        let since = self.now.ms.saturating_sub(age);
-        self.cancellations.learn(id, since, true, false);
+        let since_ms = self.now.ms.saturating_sub(age);
+        self.cancellations.record(id, since_ms, true, false);
     }
 
-    /// The others are to know of what is new before their next heartbeat is due.
-    pub(crate) fn tell_at_once(&mut self) {
-        self.cancellations.urgent = true;
+    /// Requests heartbeats to the peers before they are due, so that the peers learn of new cancellations.
+    pub(crate) fn request_urgent_heartbeats(&mut self) {
+        self.cancellations.heartbeats_requested = true;
     }
 
-    /// Since when a job's user may have been told that it is cancelled; none: it is not, as far as is known.
+    /// Time since which a user may have been told that a job is cancelled, or `None` if no stored cancellation of it is
+    /// known.
     pub(crate) fn cancelled_since(&self, id: &JobId) -> Option<u64> {
-        self.cancellations.known.get(id).filter(|k| k.stored).map(|k| k.since)
+        self.cancellations
+            .known
+            .get(id)
+            .filter(|k| k.is_stored)
+            .map(|k| k.since_ms)
     }
 
-    /// The earliest cancellation that is still of concern.
+    /// Time of the earliest stored cancellation in a partition that is recent enough for tasks of its job to be left.
     pub(crate) fn oldest_cancellation(&self, partition: crate::ids::Partition) -> Option<u64> {
-        let keep = self.settings.cancel_ms() + self.settings.worker_lease_ms();
-        let recent = |since: u64| self.now.ms.saturating_sub(since) <= keep;
-        let of = |id: &JobId| {
-            let team = self.over.get(id).map(|over| over.team.as_str());
+        let relevant_ms = self.settings.cancel_ms() + self.settings.worker_lease_ms();
+        let is_recent = |since_ms: u64| self.now.ms.saturating_sub(since_ms) <= relevant_ms;
+        let matches_partition = |id: &JobId| {
+            let team = self.over.get(id).map(|ended_job| ended_job.team.as_str());
             team.is_none_or(|team| self.settings.partition_of_team(team) == Some(partition))
         };
         let known = self.cancellations.known.iter();
         known
-            .filter(|(id, k)| k.stored && recent(k.since) && of(id))
-            .map(|(_, k)| k.since)
+            .filter(|(id, k)| k.is_stored && is_recent(k.since_ms) && matches_partition(id))
+            .map(|(_, k)| k.since_ms)
             .min()
     }
 
-    /// What is told to a peer, the span of numbers that it covers, and whether it is all that the peer lacks.
+    /// The cancellations to send to a peer, the range of sequence numbers that they cover, and whether they are
+    /// all that the peer lacks.
     pub(crate) fn tell_cancellations(&self, to: &ControllerId) -> (CancellationNotice, (u64, u64), bool) {
         if !self.settings.features.cancellations {
             return (CancellationNotice::default(), (0, 0), true);
         }
-        let untaken = self.cancellations.untaken(to);
-        let told = CancellationNotice {
+        let unacknowledged = self.cancellations.unacknowledged(to);
+        let notice = CancellationNotice {
             life: self.member.inc.0,
-            cancelled: untaken.stored,
-            asked: untaken.asked,
+            cancelled: unacknowledged.cancelled,
+            asked: unacknowledged.requested,
             unread: self.member.ledger == 0,
         };
-        (told, untaken.span, untaken.whole)
+        (notice, unacknowledged.sequence_range, unacknowledged.is_complete)
     }
 
-    /// Takes in what a peer tells, before anything else that its message allows.
-    pub(crate) fn take_cancellations(&mut self, from: &ControllerId, told: &CancellationNotice) {
+    /// Applies the cancellations in a peer's message. This comes before anything else that the message allows.
+    pub(crate) fn take_cancellations(&mut self, from: &ControllerId, notice: &CancellationNotice) {
         if !self.settings.features.cancellations {
             return;
         }
-        if told.life == 0 {
-            // A version that neither tells nor takes in.
-            self.cancellations.taken.remove(from);
+        if notice.life == 0 {
+            // The peer's version neither sends nor applies cancellations.
+            self.cancellations.acknowledged.remove(from);
             return;
         }
-        let life = Incarnation(told.life);
-        if self.cancellations.taken.get(from).map(|t| t.inc) != Some(life) {
-            // An earlier life's knowledge is gone.
+        let incarnation = Incarnation(notice.life);
+        if self.cancellations.acknowledged.get(from).map(|t| t.incarnation) != Some(incarnation) {
+            // What an earlier incarnation knew is lost.
             self.cancellations
-                .taken
-                .insert(from.clone(), Taken { inc: life, up_to: 0 });
+                .acknowledged
+                .insert(from.clone(), AcknowledgedCancellations { incarnation, up_to: 0 });
         }
         let now = self.now.ms;
-        for id in &told.asked {
-            if self.cancellations.learn(id, now, false, false) {
-                self.stop_called_off(id);
+        for id in &notice.asked {
+            if self.cancellations.record(id, now, false, false) {
+                self.stop_tasks_of_job(id);
             }
         }
-        for id in &told.cancelled {
-            if self.cancellations.learn(id, now, true, true) {
-                self.stop_called_off(id);
+        for id in &notice.cancelled {
+            if self.cancellations.record(id, now, true, true) {
+                self.stop_tasks_of_job(id);
             }
         }
-        self.answer_cancelled();
+        self.answer_waiting_requesters();
     }
 
-    /// Whatever holds tasks of a job is told to stop them.
-    pub(crate) fn stop_called_off(&mut self, id: &JobId) {
+    /// Has the machines that hold tasks of a job told to stop them.
+    pub(crate) fn stop_tasks_of_job(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         self.poked.extend(job.placed.values().flatten().cloned());
     }
 
-    /// A peer's life has answered a heartbeat that told it of a span. What came before that span an earlier life
-    /// may have been told of: then the present one has taken in nothing that counts.
-    pub(crate) fn note_taken(&mut self, peer: &ControllerId, life: u64, (after, up_to): (u64, u64)) {
-        if let Some(t) = self.cancellations.taken.get_mut(peer)
-            && t.inc.0 == life
+    /// Records that an incarnation of a peer has answered a heartbeat that carried a range of cancellations. If this
+    /// incarnation has not acknowledged what precedes the range, only an earlier one may have received that, and
+    /// nothing is recorded.
+    pub(crate) fn note_taken(&mut self, peer: &ControllerId, incarnation: u64, (after, up_to): (u64, u64)) {
+        if let Some(t) = self.cancellations.acknowledged.get_mut(peer)
+            && t.incarnation.0 == incarnation
             && t.up_to >= after
         {
             t.up_to = t.up_to.max(up_to);
         }
-        self.answer_cancelled();
+        self.answer_waiting_requesters();
     }
 
-    /// The state service has extended this controller's lease, by a request that was sent at some time.
+    /// Records that the state service has extended this controller's lease, by a request sent at time `sent`.
     pub(crate) fn note_served(&mut self, sent: u64) {
-        self.cancellations.served = self.cancellations.served.max(sent);
-        self.answer_cancelled();
+        self.cancellations.lease_extension_sent_ms = self.cancellations.lease_extension_sent_ms.max(sent);
+        self.answer_waiting_requesters();
     }
 
-    /// Whether a user may be told that a job is cancelled: a second controller knows it, or nobody else can act
-    /// without having read it.
-    pub(crate) fn may_tell_cancelled(&self, id: &JobId) -> bool {
-        let Some(known) = self.cancellations.known.get(id).filter(|k| k.stored) else {
+    /// Whether a user may be told that a job is cancelled: a second controller knows of the cancellation, or no other
+    /// controller can act without having read it.
+    pub(crate) fn may_confirm_cancellation(&self, id: &JobId) -> bool {
+        let Some(known) = self.cancellations.known.get(id).filter(|k| k.is_stored) else {
             return true;
         };
         let others = self.member.members.iter().filter(|(name, _)| **name != self.me);
-        let mut telling = others.filter(|(_, m)| m.knows >= 2).peekable();
-        let mut taken = self.cancellations.taken.iter().filter(|(_, t)| t.up_to >= known.number);
-        known.shared
-            || telling.peek().is_none()
-            || taken.any(|(name, _)| self.member.peers.get(name).is_some_and(|p| p.reachable))
-            // Served since: so were the others' watches, or they are refused alone and need a grant of those
-            // who know.
-            || self.cancellations.served > known.since
+        let mut exchanging_peers = others.filter(|(_, m)| m.knows >= 2).peekable();
+        let mut acknowledged = self
+            .cancellations
+            .acknowledged
+            .iter()
+            .filter(|(_, t)| t.up_to >= known.sequence);
+        known.is_shared
+            || exchanging_peers.peek().is_none()
+            || acknowledged.any(|(name, _)| self.member.peers.get(name).is_some_and(|p| p.reachable))
+            // The state service has served this controller since. Either it has served the peers' watches too, or it
+            // refuses only them, and they need a grant of a controller that knows of the cancellation.
+            || self.cancellations.lease_extension_sent_ms > known.since_ms
     }
 
-    /// Answers a user who asks about a cancelled job, once that may be told.
-    pub(crate) fn tell_over(&mut self, asker: Asker, id: &JobId) {
-        if self.may_tell_cancelled(id) {
-            let body = self.over.get(id).map(|over| over.body(id));
-            let answer = match body {
-                Some(body) => Answer::new(200, body),
+    /// Answers a request about an ended job. If the job is cancelled, the answer may wait until a second controller
+    /// knows of the cancellation.
+    pub(crate) fn tell_over(&mut self, requester: Asker, id: &JobId) {
+        if self.may_confirm_cancellation(id) {
+            let status_body = self.over.get(id).map(|ended_job| ended_job.status_body(id));
+            let answer = match status_body {
+                Some(status_body) => Answer::new(200, status_body),
                 None => Answer::later(503, 1, "try again"),
             };
-            self.answer(asker, answer);
+            self.answer(requester, answer);
             return;
         }
-        self.cancellations.urgent = true;
-        // Users wait 2 s for a poll.
-        let until = self.now.ms + (self.settings.lease_ms() / 8).min(1500);
-        self.cancellations.waiting.push((id.clone(), asker, until));
+        self.cancellations.heartbeats_requested = true;
+        // Users wait 2 s for the answer to a poll.
+        let deadline_ms = self.now.ms + (self.settings.lease_ms() / 8).min(1500);
+        self.cancellations
+            .waiting_requesters
+            .push((id.clone(), requester, deadline_ms));
     }
 
-    /// Answers those for whom a second controller knows by now, and those who have waited for long enough.
-    fn answer_cancelled(&mut self) {
+    /// Answers users whose cancellation a second controller knows of by now, and users whose waiting time is over.
+    fn answer_waiting_requesters(&mut self) {
         let now = self.now.ms;
-        for (id, asker, until) in std::mem::take(&mut self.cancellations.waiting) {
-            if self.may_tell_cancelled(&id) {
-                self.tell_over(asker, &id);
-            } else if now >= until {
-                let why = "no other controller has heard of the cancellation yet";
-                self.answer(asker, Answer::later(503, 1, why));
+        for (id, requester, deadline_ms) in std::mem::take(&mut self.cancellations.waiting_requesters) {
+            if self.may_confirm_cancellation(&id) {
+                self.tell_over(requester, &id);
+            } else if now >= deadline_ms {
+                let reason = "no other controller has heard of the cancellation yet";
+                self.answer(requester, Answer::later(503, 1, reason));
             } else {
-                self.cancellations.waiting.push((id, asker, until));
+                self.cancellations.waiting_requesters.push((id, requester, deadline_ms));
             }
         }
     }
 
+    /// Answers waiting users, and drops cancellations whose retention time is over.
     pub(crate) fn tick_cancellations(&mut self) {
         let now = self.now.ms;
-        if !self.cancellations.waiting.is_empty() {
-            self.answer_cancelled();
+        if !self.cancellations.waiting_requesters.is_empty() {
+            self.answer_waiting_requesters();
         }
-        let (stored, asked) = (self.cancellations_kept_ms(), self.settings.cancel_ms() / 2);
+        let (stored_ms, requested_ms) = (self.cancellation_retention_ms(), self.settings.cancel_ms() / 2);
         let jobs = &self.jobs;
         self.cancellations.known.retain(|id, k| {
-            let own = jobs.get(id).is_some_and(|j| j.ending.is_some());
-            own || now.saturating_sub(k.since) < if k.stored { stored } else { asked }
+            let is_ending_here = jobs.get(id).is_some_and(|j| j.ending.is_some());
+            is_ending_here || now.saturating_sub(k.since_ms) < if k.is_stored { stored_ms } else { requested_ms }
         });
     }
 
-    /// Sends heartbeats to the others at once if there is something that they have to know.
+    /// Sends heartbeats to the peers at once if that was requested.
     pub(crate) fn send_cancellations(&mut self) {
-        if std::mem::take(&mut self.cancellations.urgent) {
+        if std::mem::take(&mut self.cancellations.heartbeats_requested) {
             self.greet(true);
         }
     }
 
-    /// Whether a peer has not taken in all that there is to tell.
+    /// Whether a peer that takes cancellations has not acknowledged all of them.
     pub(crate) fn lacks_cancellations(&self, peer: &ControllerId) -> bool {
-        let up_to = self.cancellations.taken.get(peer).map(|t| t.up_to);
-        up_to.is_some_and(|n| self.cancellations.known.values().any(|k| k.number > n))
+        let up_to = self.cancellations.acknowledged.get(peer).map(|t| t.up_to);
+        up_to.is_some_and(|n| self.cancellations.known.values().any(|k| k.sequence > n))
     }
 }
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that are not over: how they become known, how their tasks are counted, and how they end.
+//! Unfinished jobs: reading their records, counting finished tasks, and storing the end of a job.
 
 mod bitmap;
 mod record;
@@ -8,11 +8,11 @@
 pub(crate) use bitmap::Piece;
 pub use bitmap::bits_from_hex;
 pub(crate) use record::{EndedJob, bytes_of};
-pub use record::{JobRecord, Stored};
+pub use record::{JobRecord, StoredJobStatus};
 pub(crate) use status_reads::StatusReads;
 
-use bitmap::Chunk;
-use record::StoredState;
+use bitmap::InFlightPiece;
+use record::StatusOnlyRecord;
 
 use crate::calls::{Asker, Purpose as Call};
 use crate::controller::Controller;
@@ -25,45 +25,59 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An end of a job that is being stored.
+/// How a job ends, while that end is being stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Ending {
+    /// All tasks are done.
     Done,
-    Withdrawn,
+    /// A user cancelled the job.
+    Cancelled,
 }
 
-/// An unfinished job.
+/// A job that has not ended.
 #[derive(Debug, Clone)]
 pub(crate) struct Job {
     pub(crate) spec: JobSpec,
+    /// Revision of the job's record in the state service.
     pub(crate) stamp: Stamp,
+    /// Epoch under which the job was accepted.
     pub(crate) epoch: Epoch,
+    /// Time of day of the acceptance, in milliseconds.
     pub(crate) at_wall: u64,
     pub(crate) partition: Partition,
+    /// Bitmap of the finished tasks, by task index.
     pub(crate) done: Vec<u64>,
     pub(crate) done_count: u32,
-    stored: Vec<u64>,
+    /// Bitmap of the finished tasks that the state service has stored.
+    stored_bits: Vec<u64>,
+    /// Pieces of the bitmap that are yet to be written.
     dirty: BTreeSet<Piece>,
-    /// Pieces on their way to the store.
-    flying: BTreeSet<Piece>,
-    /// Pieces that are stored, or may be.
-    chunks: BTreeSet<Piece>,
-    /// Chunks whose own key holds bits beyond their first piece: written when values could be larger.
-    long: BTreeSet<u32>,
-    /// Machines that hold each task that is placed, uncertain ones included.
+    /// Pieces whose write has been sent and not answered.
+    in_flight: BTreeSet<Piece>,
+    /// Pieces whose key exists in the store, or may exist because a write was sent.
+    stored_pieces: BTreeSet<Piece>,
+    /// Chunks whose own key holds bits beyond the first piece, because values could be larger when it was written.
+    oversized_chunks: BTreeSet<u32>,
+    /// Machines that run each placed task, including those that may run it without having confirmed it.
     pub(crate) placed: BTreeMap<u32, Vec<MachineId>>,
+    /// Every task below this index is done or placed.
     pub(crate) cursor: u32,
+    /// The end that is being stored; no task is started from then on.
     pub(crate) ending: Option<Ending>,
-    pub(crate) ending_sent: bool,
-    pub(crate) askers: Vec<Asker>,
+    /// A write of the end has been sent and not answered.
+    pub(crate) is_end_in_flight: bool,
+    /// Users who wait for the job's cancellation to be stored.
+    pub(crate) requesters: Vec<Asker>,
     pub(crate) failures: JobFailures,
-    /// A zone that a replica has just left for another job's, and until when none comes back.
+    /// A zone that a replica has left to make room for another job's replica, and the time until which no replica
+    /// returns there.
     pub(crate) shunned: Option<(String, u64)>,
-    /// A gang's attempt, if any of its tasks may be on a machine.
+    /// The gang's current attempt, if a machine may have any of its tasks.
     pub(crate) gang: Option<Gang>,
 }
 
 impl Job {
+    /// Creates a job with no finished or placed task. `record` holds the epoch, time and revision of its acceptance.
     fn new(spec: JobSpec, record: (Epoch, u64, Stamp), partition: Partition) -> Self {
         let words = (spec.tasks as usize).div_ceil(64);
         Self {
@@ -74,39 +88,40 @@
             partition,
             done: vec![0; words],
             done_count: 0,
-            stored: vec![0; words],
+            stored_bits: vec![0; words],
             dirty: BTreeSet::new(),
-            flying: BTreeSet::new(),
-            chunks: BTreeSet::new(),
-            long: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
+            stored_pieces: BTreeSet::new(),
+            oversized_chunks: BTreeSet::new(),
             placed: BTreeMap::new(),
             cursor: 0,
             ending: None,
-            ending_sent: false,
-            askers: Vec::new(),
+            is_end_in_flight: false,
+            requesters: Vec::new(),
             failures: JobFailures::default(),
             shunned: None,
             gang: None,
         }
     }
 
+    /// Discards everything but what the job record holds.
     fn reset(&mut self) {
         let record = (self.epoch, self.at_wall, self.stamp);
         *self = Self::new(self.spec.clone(), record, self.partition);
     }
 
-    /// Tasks that neither are done nor may be on a machine, from the lowest number on.
-    pub(crate) fn waiting(&mut self, most: usize) -> Vec<u32> {
+    /// Returns up to `limit` tasks that are not done and cannot be on a machine, lowest index first.
+    pub(crate) fn waiting(&mut self, limit: usize) -> Vec<u32> {
         while self.cursor < self.spec.tasks && (self.is_done(self.cursor) || self.placed.contains_key(&self.cursor)) {
             self.cursor += 1;
         }
         (self.cursor..self.spec.tasks)
             .filter(|i| !self.is_done(*i) && !self.placed.contains_key(i))
-            .take(most)
+            .take(limit)
             .collect()
     }
 
-    /// Number of tasks neither done nor placed.
+    /// Number of tasks that are neither done nor placed.
     pub(crate) fn waiting_count(&self) -> u32 {
         self.spec
             .tasks
@@ -114,68 +129,75 @@
             .saturating_sub(self.placed.len() as u32)
     }
 
-    /// May tasks of this job be started?
+    /// Whether tasks of this job may be started.
     pub(crate) fn startable(&self, now: u64) -> bool {
         self.ending.is_none() && !self.failures.is_held(now)
     }
 }
 
-/// Calls made for jobs.
+/// Why a call to the state service was made for a job.
 #[derive(Debug, Clone)]
 pub(crate) enum Purpose {
-    /// The acceptance of a submission.
+    /// Stores the acceptance of a submission.
     Accept {
-        asker: Asker,
+        requester: Asker,
         id: JobId,
         spec: Box<JobSpec>,
         epoch: Epoch,
         at: u64,
-        tries: u32,
-        /// The submission as it came, if a peer may be asked to store it instead.
+        retries: u32,
+        /// The submission as received, if it may be forwarded to a peer to be stored there.
         submission: Option<Vec<u8>>,
     },
-    /// Whether a submission is known, when its acceptance has no clear outcome or its body a fault.
-    Known { asker: Asker, id: JobId, absent: Answer },
-    /// A fresh read for those who poll a job.
+    /// Reads whether a job with this id exists, because the outcome of its acceptance is unknown or the submission
+    /// is invalid.
+    CheckExisting {
+        requester: Asker,
+        id: JobId,
+        answer_if_absent: Answer,
+    },
+    /// Reads the record of a job for the users who poll it.
     Status { id: JobId },
-    /// A fresh read for a withdrawal of a job that is not known here.
-    WithdrawRead { asker: Asker, id: JobId },
-    /// A job's end.
+    /// Reads the record of a job that is to be cancelled and that this controller does not know.
+    CancelRead { requester: Asker, id: JobId },
+    /// Stores the end of a job.
     End { id: JobId, ending: Ending },
-    /// Done bits.
-    Flush { chunks: Vec<Chunk> },
-    /// Bitmaps of jobs that are over.
+    /// Stores bits of finished tasks.
+    Flush { pieces: Vec<InFlightPiece> },
+    /// Deletes bitmaps of ended jobs.
     Sweep { keys: Vec<String> },
 }
 
 impl Controller {
+    /// Applies a job record that the watch or a listing returned.
     pub(crate) fn apply_job(&mut self, id: JobId, value: Option<Value>, stamp: Stamp) {
-        // Records are never deleted.
+        // Job records are never deleted, so an absent value is ignored.
         let Some(record) = value.and_then(|v| serde_json::from_value::<JobRecord>(v).ok()) else {
             return;
         };
-        if !self.readable(&record) {
+        if !self.is_readable_record(&record) {
             return;
         }
-        self.record_job(id, record, stamp);
+        self.apply_job_record(id, record, stamp);
     }
 
-    /// The version before gangs cannot read what it stores of one.
-    fn readable(&self, record: &JobRecord) -> bool {
+    /// Whether this version can read the record. Versions without gangs cannot read the record of a gang.
+    fn is_readable_record(&self, record: &JobRecord) -> bool {
         let gang = record.spec.as_ref().is_some_and(|s| s.shape == Shape::Gang);
         self.settings.features.gangs || !gang
     }
 
-    pub(crate) fn record_job(&mut self, id: JobId, record: JobRecord, stamp: Stamp) {
+    /// Adds a job from its record, updates its revision, or closes it if the record says that it has ended.
+    pub(crate) fn apply_job_record(&mut self, id: JobId, record: JobRecord, stamp: Stamp) {
         if self.over.contains_key(&id) {
             return;
         }
-        if let Some(over) = EndedJob::of(&record) {
-            if !over.done {
+        if let Some(ended_job) = EndedJob::from_record(&record) {
+            if !ended_job.done {
                 let was_open = self.jobs.contains_key(&id);
-                self.note_cancelled(&id, record.ended, was_open);
+                self.record_cancellation(&id, record.ended, was_open);
             }
-            self.job_over(&id, over);
+            self.close_job(&id, ended_job);
             return;
         }
         if let Some(job) = self.jobs.get_mut(&id) {
@@ -188,41 +210,42 @@
         };
         let gang = spec.shape == Shape::Gang;
         let job = Job::new(spec, (record.epoch, record.at, stamp), partition);
-        self.admission.job_opened(&job.spec);
+        self.admission.add_job(&job.spec);
         self.jobs.insert(id, job);
         if self.tenures.contains_key(&partition) {
             self.want_batch();
             if gang {
-                // It enters the batch whole, and its users wait in seconds: nothing is gained by waiting for
-                // more to come.
+                // The batch runs now: a gang enters it with all of its tasks, so waiting for more tasks gains
+                // nothing, while its users wait for seconds.
                 self.batch_due = Some(self.now.ms);
                 self.tick_batch();
             }
         }
     }
 
-    /// Keeps a final state at hand. Beyond a part of the memory the oldest are dropped: a question about
-    /// one of those is answered by a read.
-    fn remember_over(&mut self, id: &JobId, over: EndedJob) {
-        // A fifth of the memory, at about 300 bytes for each.
-        let most = (self.settings.platform.facts.machine_limits.ram_mb * 1e6 / 5.0 / 300.0) as usize;
-        self.over.insert(id.clone(), over);
+    /// Keeps the final state of a job in memory. Beyond a share of the memory the oldest are evicted; status requests
+    /// for those are answered from the state service.
+    fn remember_ended_job(&mut self, id: &JobId, ended_job: EndedJob) {
+        // A fifth of the memory, at about 300 bytes per job.
+        let limit = (self.settings.platform.facts.machine_limits.ram_mb * 1e6 / 5.0 / 300.0) as usize;
+        self.over.insert(id.clone(), ended_job);
         self.over_order.push_back(id.clone());
-        while self.over_order.len() > most.max(1000) {
+        while self.over_order.len() > limit.max(1000) {
             if let Some(oldest) = self.over_order.pop_front() {
                 self.over.remove(&oldest);
             }
         }
     }
 
-    fn job_over(&mut self, id: &JobId, over: EndedJob) {
-        self.remember_over(id, over);
+    /// Removes an ended job, answers those who wait for its cancellation, and has its tasks stopped.
+    fn close_job(&mut self, id: &JobId, ended_job: EndedJob) {
+        self.remember_ended_job(id, ended_job);
         if let Some(job) = self.jobs.remove(id) {
-            self.admission.job_closed(self.now.ms, &job.spec);
-            for asker in job.askers {
-                self.tell_over(asker, id);
+            self.admission.remove_job(self.now.ms, &job.spec);
+            for requester in job.requesters {
+                self.tell_over(requester, id);
             }
-            // Whatever may still hold its tasks is told to stop them.
+            // Machines that may still run its tasks are told to stop them.
             for machines in job.placed.values() {
                 for machine in machines {
                     if let Some(m) = self.machines.get_mut(machine) {
@@ -234,29 +257,29 @@
         }
     }
 
-    /// Everything known of what a partition's jobs do is forgotten: it comes anew from reports.
+    /// Discards the task state of all jobs of a partition. It is rebuilt from the stored bitmaps and from reports.
     pub(crate) fn reset_jobs(&mut self, partition: Partition) {
-        let mut askers = Vec::new();
+        let mut requesters = Vec::new();
         for job in self.jobs.values_mut().filter(|j| j.partition == partition) {
-            askers.append(&mut job.askers);
+            requesters.append(&mut job.requesters);
             job.reset();
         }
-        for asker in askers {
-            self.answer(asker, Answer::later(503, 1, "membership is changing"));
+        for requester in requesters {
+            self.answer(requester, Answer::later(503, 1, "membership is changing"));
         }
     }
 
-    /// Begins to store a job's end. From here on none of its tasks is started.
-    fn end_job(&mut self, id: &JobId, ending: Ending) {
+    /// Sends the write that stores a job's end. From then on none of its tasks is started.
+    fn store_job_end(&mut self, id: &JobId, ending: Ending) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.ending = Some(ending);
-        job.ending_sent = true;
+        job.is_end_in_flight = true;
         let record = JobRecord {
             epoch: job.epoch,
             at: job.at_wall,
             st: match ending {
-                Ending::Done => Stored::Done,
-                Ending::Withdrawn => Stored::Withdrawn,
+                Ending::Done => StoredJobStatus::Done,
+                Ending::Cancelled => StoredJobStatus::Cancelled,
             },
             n: job.spec.tasks,
             team: job.spec.team.clone(),
@@ -267,25 +290,25 @@
         let key = format!("{JOB_PREFIX}{id}");
         let mut conditions = vec![json!({ "k": key, "stamp": job.stamp })];
         let mut changes = vec![json!({ "write": key, "value": record })];
-        let room = self.limits.ops.saturating_sub(1);
+        let deletions_in_txn = self.limits.ops.saturating_sub(1);
         let partition = job.partition;
-        let mut keys = job.chunks.iter().map(|c| c.key(partition, id));
-        changes.extend(keys.by_ref().take(room).map(|k| json!({ "delete": k })));
-        let rest: Vec<String> = keys.collect();
-        self.cloud.stale_keys.extend(rest);
+        let mut keys = job.stored_pieces.iter().map(|c| c.key(partition, id));
+        changes.extend(keys.by_ref().take(deletions_in_txn).map(|k| json!({ "delete": k })));
+        let remaining: Vec<String> = keys.collect();
+        self.cloud.stale_keys.extend(remaining);
         conditions.push(self.epoch_condition());
         self.txn(conditions, changes, Call::Job(Purpose::End { id: id.clone(), ending }));
     }
 
-    /// Notes that a task has run through; the end of the last one is stored at once.
+    /// Records that a task has finished. After the last one the job's end is stored at once.
     pub(crate) fn task_done(&mut self, task: &TaskId) {
         let (chunk_bits, piece_bits) = (self.chunk_bits(), self.piece_bits());
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        // A gang completes together: if one of its tasks is done, all are.
-        let all = job.spec.shape == Shape::Gang;
-        let tasks = if all {
+        // The tasks of a gang finish together: if one is done, all are.
+        let is_gang = job.spec.shape == Shape::Gang;
+        let tasks = if is_gang {
             0..job.spec.tasks
         } else {
             task.index..task.index + 1
@@ -293,10 +316,11 @@
         tasks.for_each(|i| job.mark_done(i, chunk_bits, piece_bits));
         let complete = job.done_count >= job.spec.tasks && job.ending.is_none();
         if complete {
-            self.end_job(&task.job.clone(), Ending::Done);
+            self.store_job_end(&task.job.clone(), Ending::Done);
         }
     }
 
+    /// Stores the end of every job of a partition whose tasks are all done.
     pub(crate) fn complete_finished(&mut self, partition: Partition) {
         let finished: Vec<JobId> = self
             .jobs
@@ -305,122 +329,136 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in finished {
-            self.end_job(&id, Ending::Done);
+            self.store_job_end(&id, Ending::Done);
         }
     }
 
+    /// Handles the answer to a call that was made for a job; `None` if there was no answer.
     pub(crate) fn on_job_reply(&mut self, purpose: Purpose, result: Option<(u16, Vec<u8>)>) {
         match purpose {
             Purpose::Accept {
-                asker,
+                requester,
                 id,
                 spec,
                 epoch,
                 at,
-                tries,
+                retries,
                 submission,
-            } => self.on_accepted((asker, submission), id, *spec, (epoch, at), tries, result),
-            // By the time at which a read comes back, this controller may know more: it may have accepted the job,
-            // or read its end. What lay in its buffers while it stood still is asked anew.
+            } => self.on_accept_reply((requester, submission), id, *spec, (epoch, at), retries, result),
+            // When a read returns, this controller may know more than it says: it may have accepted the job, or read
+            // its end. Answers that stayed in buffers while this process was paused are discarded and read again.
             Purpose::Status { id } => self.on_status_read(id, result),
-            Purpose::Known { asker, id, .. } if self.knows(&id) => {
-                self.on_status(asker, id.as_str(), true);
+            Purpose::CheckExisting { requester, id, .. } if self.can_answer_without_read(&id) => {
+                self.on_status(requester, id.as_str(), true);
             }
-            Purpose::WithdrawRead { asker, id } if self.knows(&id) || self.stale => {
-                self.on_withdraw(asker, id.as_str(), true);
+            Purpose::CancelRead { requester, id } if self.can_answer_without_read(&id) || self.stale => {
+                self.on_withdraw(requester, id.as_str(), true);
             }
-            Purpose::Known { asker, id, absent } if self.stale => self.known(asker, id, absent),
-            // A 404 is from before the watch told of the job.
-            Purpose::Known { asker, id, .. } if matches!(result, Some((404, _))) && self.jobs.contains_key(&id) => {
-                self.on_status(asker, id.as_str(), true);
+            Purpose::CheckExisting {
+                requester,
+                id,
+                answer_if_absent,
+            } if self.stale => self.check_existing_job(requester, id, answer_if_absent),
+            // The 404 predates the job, which the watch has reported since.
+            Purpose::CheckExisting { requester, id, .. }
+                if matches!(result, Some((404, _))) && self.jobs.contains_key(&id) =>
+            {
+                self.on_status(requester, id.as_str(), true);
             }
-            Purpose::WithdrawRead { asker, id } if matches!(result, Some((404, _))) && self.jobs.contains_key(&id) => {
-                self.on_withdraw(asker, id.as_str(), true);
+            Purpose::CancelRead { requester, id }
+                if matches!(result, Some((404, _))) && self.jobs.contains_key(&id) =>
+            {
+                self.on_withdraw(requester, id.as_str(), true);
             }
-            Purpose::Known { asker, id, absent } => match result {
-                Some((404, _)) => self.answer(asker, absent),
-                result => self.answer_read(asker, &id, result),
+            Purpose::CheckExisting {
+                requester,
+                id,
+                answer_if_absent,
+            } => match result {
+                Some((404, _)) => self.answer(requester, answer_if_absent),
+                result => self.answer_from_read(requester, &id, result),
             },
-            Purpose::WithdrawRead { asker, id } => match result {
-                Some((404, _)) => self.answer(asker, Answer::new(404, r#"{"error":"no such job"}"#)),
+            Purpose::CancelRead { requester, id } => match result {
+                Some((404, _)) => self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#)),
                 Some((200, body)) => {
-                    self.learn_read(&id, &body);
+                    self.apply_read_record(&id, &body);
                     if self.over.contains_key(&id) {
-                        self.tell_over(asker, &id);
+                        self.tell_over(requester, &id);
                     } else {
-                        self.answer(asker, Answer::later(503, 1, "try again"));
+                        self.answer(requester, Answer::later(503, 1, "try again"));
                     }
                 }
-                _ => self.answer(asker, Answer::later(503, 1, "the state service does not answer")),
+                _ => self.answer(requester, Answer::later(503, 1, "the state service does not answer")),
             },
-            Purpose::End { id, ending } => self.on_ended(id, ending, result),
-            Purpose::Flush { chunks } => self.on_flushed(chunks, result),
+            Purpose::End { id, ending } => self.on_end_reply(id, ending, result),
+            Purpose::Flush { pieces } => self.on_flush_reply(pieces, result),
             Purpose::Sweep { keys } => match result {
                 Some((200 | 409, _)) => {}
-                // Not carried out, or not clear: they are cleared away later.
+                // The deletion failed or its outcome is unknown: it is retried later.
                 _ => self.cloud.stale_keys.extend(keys),
             },
         }
     }
 
-    fn on_ended(&mut self, id: JobId, ending: Ending, result: Option<(u16, Vec<u8>)>) {
+    /// Handles the answer to the write of a job's end.
+    fn on_end_reply(&mut self, id: JobId, ending: Ending, result: Option<(u16, Vec<u8>)>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.ending_sent = false;
+        job.is_end_in_flight = false;
         match result {
             Some((200, _)) => {
-                let over = EndedJob {
+                let ended_job = EndedJob {
                     done: ending == Ending::Done,
                     tasks: job.spec.tasks,
                     team: job.spec.team.clone(),
                     size: Self::size(&job.spec),
                 };
                 let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
-                let word = match (over.done, job.spec.deadline_s) {
+                let outcome = match (ended_job.done, job.spec.deadline_s) {
                     (true, Some(due)) => format!("done after {age_s:.0} s, due after {due:.0} s"),
                     (true, None) => format!("done after {age_s:.0} s"),
                     (false, _) => format!("cancelled after {age_s:.0} s"),
                 };
-                self.log(Level::Info, format!("{id} {word}"));
-                if !over.done {
-                    self.note_cancelled(&id, Some(self.now.wall_ms), true);
-                    self.tell_at_once();
+                self.log(Level::Info, format!("{id} {outcome}"));
+                if !ended_job.done {
+                    self.record_cancellation(&id, Some(self.now.wall_ms), true);
+                    self.request_urgent_heartbeats();
                 }
-                self.job_over(&id, over);
+                self.close_job(&id, ended_job);
             }
             Some((409, _)) => {
-                // The epoch moved on, or an earlier copy of this change has landed: the watch tells.
-                for asker in std::mem::take(&mut job.askers) {
-                    self.answer(asker, Answer::later(503, 1, "membership is changing"));
+                // The epoch has changed, or an earlier copy of this write was applied: the watch will report which.
+                for requester in std::mem::take(&mut job.requesters) {
+                    self.answer(requester, Answer::later(503, 1, "membership is changing"));
                 }
             }
             _ => {
-                // Without a definite answer the change may still land: it is sent until it has one.
-                for asker in std::mem::take(&mut job.askers) {
-                    self.answer(asker, Answer::later(503, 1, "the state service does not answer"));
+                // The write may still be applied: it is sent again until it has a definite answer.
+                for requester in std::mem::take(&mut job.requesters) {
+                    self.answer(requester, Answer::later(503, 1, "the state service does not answer"));
                 }
             }
         }
     }
 
-    /// Sends ends again that have no definite answer, and done bits that are due.
+    /// Retries writes of job ends that have no definite answer, and sends the bits of finished tasks that are due.
     pub(crate) fn tick_jobs(&mut self) {
         if !self.entitled() || self.now.ms < self.flush_due {
             return;
         }
         self.flush_due = self.now.ms + self.settings.report_ms() / 3;
         let acting = self.acting_partitions();
-        let again: Vec<(JobId, Ending)> = self
+        let unconfirmed: Vec<(JobId, Ending)> = self
             .jobs
             .iter()
-            .filter(|(_, j)| acting.contains(&j.partition) && !j.ending_sent)
+            .filter(|(_, j)| acting.contains(&j.partition) && !j.is_end_in_flight)
             .filter_map(|(id, j)| j.ending.map(|e| (id.clone(), e)))
             .collect();
-        for (id, ending) in again {
+        for (id, ending) in unconfirmed {
             if self.state_writes.take(self.now.ms, 0.0, 0.1) {
-                self.end_job(&id, ending);
+                self.store_job_end(&id, ending);
             }
         }
         self.flush_bits(&acting);
-        self.sweep_keys();
+        self.delete_stale_keys();
     }
 }
--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -1,4 +1,4 @@
-//! The bitmap of a job's tasks that are done, and the pieces in which it is stored.
+//! The bitmap of a job's finished tasks, and the pieces in which it is stored.
 
 use super::{Job, Purpose};
 use crate::calls::Purpose as Call;
@@ -6,26 +6,28 @@
 use crate::ids::{JobId, Partition};
 use serde_json::json;
 
-/// Part of the burst of the budget of changes that a flush of done bits leaves, for acceptances and ends of jobs.
-const FLUSH_RESERVE: f64 = 0.3;
-/// The same for clearing away the bitmaps of jobs that have ended, which can wait longest.
-const SWEEP_RESERVE: f64 = 0.7;
+/// Share of the write budget's burst that a flush of done bits leaves to acceptances and ends of jobs.
+const FLUSH_RESERVED_SHARE: f64 = 0.3;
+/// Share of the same burst that the deletion of ended jobs' bitmaps leaves to other writes: it can wait longest.
+const CLEANUP_RESERVED_SHARE: f64 = 0.7;
 
-/// A stored part of a bitmap: a chunk, or from some bit of it on.
+/// Position of a stored part of a bitmap: a whole chunk, or the part of a chunk that begins at some bit.
 ///
-/// Chunks are as large as three quarters of the largest value, which the version before gangs derives from
-/// the settings when it reads them: that may not change under a stored job. Where values will be smaller, a
-/// chunk is stored in pieces. The first has the chunk's own key, and that version reads it; it passes over
-/// the others, and would run their tasks again, which their workers answer with the result that they keep.
+/// A chunk takes three quarters of the largest value. The version without gangs derives that size from the
+/// settings when it reads a chunk, so the size must not change while a job is stored. Where the limit on values
+/// will be lower, a chunk is stored in pieces. The first piece has the key of the chunk, and the version without
+/// gangs reads it. It ignores the other pieces and would start their tasks again; the workers answer those starts
+/// with the results that they keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Piece {
+    /// Number of the chunk in the bitmap.
     chunk: u32,
-    /// The first of its bits in the chunk.
+    /// Offset of the first bit of the piece within the chunk.
     from: u32,
 }
 
 impl Piece {
-    /// Reads the last part of a key: `3`, or `3+6144`.
+    /// Parses the last part of a key, such as `3` or `3+6144`: the chunk, and the offset of the piece unless it is 0.
     pub(crate) fn parse(text: &str) -> Option<Self> {
         let (chunk, from) = text.split_once('+').unwrap_or((text, "0"));
         Some(Self {
@@ -34,7 +36,8 @@
         })
     }
 
-    fn of(index: u32, chunk_bits: u32, piece_bits: u32) -> Self {
+    /// The piece that holds the bit of a task.
+    fn containing(index: u32, chunk_bits: u32, piece_bits: u32) -> Self {
         let bit = index % chunk_bits;
         Self {
             chunk: index / chunk_bits,
@@ -42,6 +45,7 @@
         }
     }
 
+    /// Key of the piece in the state service.
     pub(super) fn key(self, partition: Partition, id: &JobId) -> String {
         match self.from {
             0 => format!("d/{partition}/{id}/{}", self.chunk),
@@ -50,26 +54,27 @@
     }
 }
 
-/// A piece of a bitmap on its way to the store: its key, and the tasks that it newly calls done.
+/// A piece of a bitmap whose write has been sent: its key, and the tasks that it newly records as done.
 #[derive(Debug, Clone)]
-pub(crate) struct Chunk {
+pub(crate) struct InFlightPiece {
     job: JobId,
-    piece: Piece,
+    position: Piece,
     key: String,
-    done: Vec<u32>,
+    newly_done: Vec<u32>,
 }
 
-fn bit(words: &[u64], i: u32) -> bool {
-    words.get(i as usize / 64).is_some_and(|w| w >> (i % 64) & 1 == 1)
+fn is_bit_set(words: &[u64], i: u32) -> bool {
+    words.get(i as usize / 64).is_some_and(|word| word >> (i % 64) & 1 == 1)
 }
 
 fn set_bit(words: &mut [u64], i: u32) {
-    if let Some(w) = words.get_mut(i as usize / 64) {
-        *w |= 1 << (i % 64);
+    if let Some(word) = words.get_mut(i as usize / 64) {
+        *word |= 1 << (i % 64);
     }
 }
 
-/// The numbers of the bits that are set in a chunk of a bitmap.
+/// Indexes of the bits that are set in a hexadecimal part of a bitmap. Each digit holds four bits, lowest first;
+/// other characters count as 0.
 pub fn bits_from_hex(hex: &str) -> Vec<u32> {
     let mut bits = Vec::new();
     for (i, c) in hex.chars().enumerate() {
@@ -80,17 +85,19 @@
 }
 
 impl Job {
+    /// Whether a task is done.
     pub(crate) fn is_done(&self, index: u32) -> bool {
-        bit(&self.done, index)
+        is_bit_set(&self.done, index)
     }
 
+    /// Whether the state service has stored that a task is done.
     pub(crate) fn is_stored(&self, index: u32) -> bool {
-        bit(&self.stored, index)
+        is_bit_set(&self.stored_bits, index)
     }
 
-    /// Tasks that were done according to a stored piece of the bitmap.
+    /// Marks tasks as done that a stored piece of the bitmap records; `bits` are offsets within the piece.
     pub(crate) fn restore(&mut self, piece: Piece, bits: &[u32], chunk_bits: u32, piece_bits: u32) {
-        self.chunks.insert(piece);
+        self.stored_pieces.insert(piece);
         let first = u64::from(piece.chunk) * u64::from(chunk_bits) + u64::from(piece.from);
         for bit in bits {
             let index = first + u64::from(*bit);
@@ -102,44 +109,47 @@
                 set_bit(&mut self.done, index);
                 self.done_count += 1;
             }
-            set_bit(&mut self.stored, index);
-            // A chunk that was stored whole can be written again only once its later pieces have keys of
-            // their own: its value would lose them.
+            set_bit(&mut self.stored_bits, index);
+            // A chunk that was stored whole must not be overwritten before its later pieces are stored under
+            // their own keys: the new value would not hold their bits.
             if piece.from == 0 && *bit >= piece_bits {
-                self.long.insert(piece.chunk);
-                self.dirty.insert(Piece::of(index, chunk_bits, piece_bits));
+                self.oversized_chunks.insert(piece.chunk);
+                self.dirty.insert(Piece::containing(index, chunk_bits, piece_bits));
             }
         }
     }
 
+    /// Marks a task as done and its piece as to be written.
     pub(super) fn mark_done(&mut self, index: u32, chunk_bits: u32, piece_bits: u32) {
         if index < self.spec.tasks && !self.is_done(index) {
             set_bit(&mut self.done, index);
             self.done_count += 1;
-            self.dirty.insert(Piece::of(index, chunk_bits, piece_bits));
+            self.dirty.insert(Piece::containing(index, chunk_bits, piece_bits));
         }
     }
 
-    /// The next piece that may be written.
+    /// The next piece that may be written: the first piece of an oversized chunk only after the later ones.
     fn next_piece(&self) -> Option<Piece> {
-        let later = |c: u32| {
+        let has_later_pieces = |c: u32| {
             self.dirty
                 .iter()
-                .chain(&self.flying)
+                .chain(&self.in_flight)
                 .any(|p| p.chunk == c && p.from > 0)
         };
-        let ready = |p: &&Piece| p.from > 0 || !self.long.contains(&p.chunk) || !later(p.chunk);
-        self.dirty.iter().find(ready).copied()
+        let is_writable =
+            |p: &&Piece| p.from > 0 || !self.oversized_chunks.contains(&p.chunk) || !has_later_pieces(p.chunk);
+        self.dirty.iter().find(is_writable).copied()
     }
 
-    /// The bits of a piece.
-    fn bits_of(&self, piece: Piece, chunk_bits: u32, piece_bits: u32) -> (u32, u32) {
+    /// First task index of a piece, and the index after its last one.
+    fn bit_range(&self, piece: Piece, chunk_bits: u32, piece_bits: u32) -> (u32, u32) {
         let first = piece.chunk * chunk_bits + piece.from;
         let end = (piece.chunk + 1) * chunk_bits;
         (first, (first + piece_bits).min(end).min(self.spec.tasks))
     }
 
-    fn chunk_hex(&self, (first, last): (u32, u32)) -> String {
+    /// Encodes a range of the bitmap as hexadecimal digits, four bits each, lowest first.
+    fn bits_to_hex(&self, (first, last): (u32, u32)) -> String {
         (first..last)
             .step_by(4)
             .map(|i| {
@@ -151,102 +161,113 @@
 }
 
 impl Controller {
-    /// Bits in one stored chunk: four to a character, in three quarters of the largest value.
+    /// Bits in one stored chunk: four per character, in three quarters of the largest value.
     pub(crate) fn chunk_bits(&self) -> u32 {
         (self.settings.platform.facts.state.value_kb * 1024.0 * 0.75) as u32 * 4
     }
 
-    /// Bits in one piece of a chunk: the same of the tighter limit.
+    /// Bits in one piece of a chunk: four per character, in three quarters of the lower of the present and the coming
+    /// limit on values.
     pub(crate) fn piece_bits(&self) -> u32 {
         let bits = (self.settings.value_bytes() as f64 * 0.75) as u32 * 4;
         bits.clamp(4, self.chunk_bits().max(4))
     }
 
+    /// Writes bits of finished tasks for the jobs of the given partitions, as far as the write budget allows.
     pub(super) fn flush_bits(&mut self, acting: &[Partition]) {
         let (chunk_bits, piece_bits) = (self.chunk_bits(), self.piece_bits());
-        // A flush takes no more changes than the budget holds above its reserve. One transaction of many
-        // changes would otherwise leave the budget in debt for seconds, and acceptances, which may go below
-        // the reserve but not that far, would be put off meanwhile.
-        let room = self.limits.ops.min(self.state_writes.spare(self.now.ms, FLUSH_RESERVE));
-        if room == 0 {
+        // A flush uses no more changes than the budget holds above the reserved share. Otherwise one large
+        // transaction would overdraw the budget for seconds, and acceptances would be deferred meanwhile: they may
+        // use the reserved share, but not overdraw the budget that far.
+        let max_changes = self
+            .limits
+            .ops
+            .min(self.state_writes.spare(self.now.ms, FLUSH_RESERVED_SHARE));
+        if max_changes == 0 {
             return;
         }
         let mut changes = Vec::new();
-        let mut chunks = Vec::new();
+        let mut pieces = Vec::new();
         let mut bytes = 0;
         for (id, job) in &mut self.jobs {
             if !acting.contains(&job.partition) || job.ending.is_some() {
                 continue;
             }
             while let Some(piece) = job.next_piece() {
-                // A transaction holds 64 KiB; half of that leaves room for all else in it.
-                if changes.len() >= room || bytes > 32 * 1024 {
+                // A transaction holds at most 64 KiB; the bits use half, which leaves space for everything else.
+                if changes.len() >= max_changes || bytes > 32 * 1024 {
                     break;
                 }
                 job.dirty.remove(&piece);
-                job.flying.insert(piece);
-                job.chunks.insert(piece);
-                let (first, last) = job.bits_of(piece, chunk_bits, piece_bits);
-                let hex = job.chunk_hex((first, last));
+                job.in_flight.insert(piece);
+                job.stored_pieces.insert(piece);
+                let (first, last) = job.bit_range(piece, chunk_bits, piece_bits);
+                let hex = job.bits_to_hex((first, last));
                 bytes += hex.len();
-                let done = (first..last)
-                    .filter(|i| bit(&job.done, *i) && !bit(&job.stored, *i))
+                let newly_done = (first..last)
+                    .filter(|i| is_bit_set(&job.done, *i) && !is_bit_set(&job.stored_bits, *i))
                     .collect();
                 let key = piece.key(job.partition, id);
                 changes.push(json!({ "write": key, "value": hex }));
-                chunks.push(Chunk {
+                pieces.push(InFlightPiece {
                     job: id.clone(),
-                    piece,
+                    position: piece,
                     key,
-                    done,
+                    newly_done,
                 });
             }
         }
         if changes.is_empty() {
             return;
         }
-        // The writers of an older epoch cannot land after a take-over has read the bitmaps; and a
+        // The condition on the epoch rejects writes from an older epoch once a takeover has read the bitmaps. A
         // bitmap is not written for a job whose record has changed meanwhile.
         let conditions = vec![self.epoch_condition()];
-        self.txn(conditions, changes, Call::Job(Purpose::Flush { chunks }));
+        self.txn(conditions, changes, Call::Job(Purpose::Flush { pieces }));
     }
 
-    fn unflush(&mut self, chunks: Vec<Chunk>) {
-        for chunk in chunks {
-            if let Some(job) = self.jobs.get_mut(&chunk.job) {
-                job.flying.remove(&chunk.piece);
-                job.dirty.insert(chunk.piece);
+    /// Marks pieces as to be written again after a failed write.
+    fn requeue_pieces(&mut self, pieces: Vec<InFlightPiece>) {
+        for piece in pieces {
+            if let Some(job) = self.jobs.get_mut(&piece.job) {
+                job.in_flight.remove(&piece.position);
+                job.dirty.insert(piece.position);
             }
         }
     }
 
-    pub(super) fn on_flushed(&mut self, chunks: Vec<Chunk>, result: Option<(u16, Vec<u8>)>) {
+    /// Handles the answer to a write of pieces.
+    pub(super) fn on_flush_reply(&mut self, pieces: Vec<InFlightPiece>, result: Option<(u16, Vec<u8>)>) {
         if !matches!(result, Some((200, _))) {
-            self.unflush(chunks);
+            self.requeue_pieces(pieces);
             return;
         }
-        for chunk in chunks {
-            match self.jobs.get_mut(&chunk.job) {
+        for piece in pieces {
+            match self.jobs.get_mut(&piece.job) {
                 Some(job) => {
-                    job.flying.remove(&chunk.piece);
-                    if chunk.piece.from == 0 {
-                        job.long.remove(&chunk.piece.chunk);
+                    job.in_flight.remove(&piece.position);
+                    if piece.position.from == 0 {
+                        job.oversized_chunks.remove(&piece.position.chunk);
                     }
-                    chunk.done.into_iter().for_each(|i| set_bit(&mut job.stored, i));
+                    piece
+                        .newly_done
+                        .into_iter()
+                        .for_each(|i| set_bit(&mut job.stored_bits, i));
                 }
-                // The job's end overtook its bits: they are cleared away.
-                None => self.cloud.stale_keys.push(chunk.key),
+                // The job ended before its bits were stored: the key is deleted later.
+                None => self.cloud.stale_keys.push(piece.key),
             }
         }
     }
 
-    pub(super) fn sweep_keys(&mut self) {
-        let spare = self.state_writes.spare(self.now.ms, SWEEP_RESERVE);
-        let n = self.cloud.stale_keys.len().min(self.limits.ops).min(spare);
-        if n == 0 {
+    /// Deletes keys that are not used any more, such as bitmaps of ended jobs, as far as the write budget allows.
+    pub(super) fn delete_stale_keys(&mut self) {
+        let max_keys = self.state_writes.spare(self.now.ms, CLEANUP_RESERVED_SHARE);
+        let key_count = self.cloud.stale_keys.len().min(self.limits.ops).min(max_keys);
+        if key_count == 0 {
             return;
         }
-        let keys: Vec<String> = self.cloud.stale_keys.drain(..n).collect();
+        let keys: Vec<String> = self.cloud.stale_keys.drain(..key_count).collect();
         let changes = keys.iter().map(|k| json!({ "delete": k })).collect();
         let conditions = vec![self.epoch_condition()];
         self.txn(conditions, changes, Call::Job(Purpose::Sweep { keys }));
@@ -259,68 +280,76 @@
     use crate::ids::{Epoch, Stamp};
     use crate::protocol::parse_submission;
 
-    const CHUNK: u32 = 12_288;
-    const PIECE: u32 = 6_144;
+    const CHUNK_BITS: u32 = 12_288;
+    const PIECE_BITS: u32 = 6_144;
 
-    fn large() -> Job {
+    fn large_job() -> Job {
         let body =
             br#"{"uid":"job-1","consist":"c","crew":"t","shape":"sweep","precedence":"low","wagons":30000,"vcpus":1,
             "accelerators":1,"ramGb":1,"stock":"i","sizeGb":1,"together":false,"spread":false,"standby":false,
             "runtimeS":5,"waypointS":0,"stowS":0}"#;
-        let (_, spec) = parse_submission(body).expect("in form");
+        let (_, spec) = parse_submission(body).expect("a valid submission");
         Job::new(spec, (Epoch(1), 0, Stamp(1)), Partition(0))
     }
 
-    /// How the version before gangs read one stored chunk: its key's number, and the bits from its start.
-    fn as_before(key: &str, hex: &str) -> Vec<u32> {
+    /// Reads one stored chunk as the version without gangs does: the chunk number from its key, and the bits from the
+    /// start of that chunk.
+    fn read_by_previous_version(key: &str, hex: &str) -> Vec<u32> {
         let chunk = key.split('/').nth(3).and_then(|c| c.parse::<u32>().ok());
-        let bits = |chunk: u32| bits_from_hex(hex).into_iter().map(move |b| chunk * CHUNK + b);
+        let bits = |chunk: u32| bits_from_hex(hex).into_iter().map(move |b| chunk * CHUNK_BITS + b);
         chunk.map_or(Vec::new(), |c| bits(c).collect())
     }
 
     #[test]
-    fn a_chunk_that_was_stored_whole_is_taken_apart_before_it_is_written_again() {
-        // Guard: with values of half the size the chunk's own key can hold its first piece only. Written
-        // before the later piece has a key of its own, it would lose what is stored of that.
-        let mut job = large();
-        let mut whole = vec!['0'; CHUNK as usize / 4];
+    fn later_pieces_of_an_oversized_chunk_are_written_before_its_first_piece() {
+        // Guards against losing stored bits when the limit on values is halved. The chunk's key can then hold only
+        // the first piece. Writing it before the later piece has its own key would drop the bits of that piece.
+        let mut job = large_job();
+        let mut whole = vec!['0'; CHUNK_BITS as usize / 4];
         whole[0] = '1';
         whole[2000] = '2';
         let hex: String = whole.into_iter().collect();
-        let first = Piece { chunk: 1, from: 0 };
-        let later = Piece { chunk: 1, from: PIECE };
-        job.restore(first, &bits_from_hex(&hex), CHUNK, PIECE);
-        assert!(job.is_stored(CHUNK) && job.is_stored(CHUNK + 8001));
-        job.mark_done(CHUNK + 5, CHUNK, PIECE);
-        assert_eq!(job.next_piece(), Some(later));
-        job.dirty.remove(&later);
-        job.flying.insert(later);
-        assert_eq!(job.next_piece(), None, "not before the later one is stored");
-        job.flying.remove(&later);
-        assert_eq!(job.next_piece(), Some(first));
+        let first_piece = Piece { chunk: 1, from: 0 };
+        let later_piece = Piece {
+            chunk: 1,
+            from: PIECE_BITS,
+        };
+        job.restore(first_piece, &bits_from_hex(&hex), CHUNK_BITS, PIECE_BITS);
+        assert!(job.is_stored(CHUNK_BITS) && job.is_stored(CHUNK_BITS + 8001));
+        job.mark_done(CHUNK_BITS + 5, CHUNK_BITS, PIECE_BITS);
+        assert_eq!(job.next_piece(), Some(later_piece));
+        job.dirty.remove(&later_piece);
+        job.in_flight.insert(later_piece);
+        assert_eq!(
+            job.next_piece(),
+            None,
+            "the first piece waits until the later one is stored"
+        );
+        job.in_flight.remove(&later_piece);
+        assert_eq!(job.next_piece(), Some(first_piece));
     }
 
     #[test]
-    fn both_versions_read_the_same_from_the_keys_that_both_know() {
-        let mut job = large();
-        for i in [3, PIECE - 1, PIECE, CHUNK - 1, CHUNK + 7, 29_999] {
-            job.mark_done(i, CHUNK, PIECE);
+    fn both_versions_read_the_same_bits_from_the_keys_they_share() {
+        let mut job = large_job();
+        for i in [3, PIECE_BITS - 1, PIECE_BITS, CHUNK_BITS - 1, CHUNK_BITS + 7, 29_999] {
+            job.mark_done(i, CHUNK_BITS, PIECE_BITS);
         }
         let id = JobId::new("job-1");
-        let mut before = Vec::new();
-        let mut again = large();
+        let mut previous_version_bits = Vec::new();
+        let mut restored = large_job();
         for piece in job.dirty.clone() {
             let (key, hex) = (
                 piece.key(Partition(0), &id),
-                job.chunk_hex(job.bits_of(piece, CHUNK, PIECE)),
+                job.bits_to_hex(job.bit_range(piece, CHUNK_BITS, PIECE_BITS)),
             );
             assert!(hex.len() <= 1536, "{key}: {}", hex.len());
-            before.extend(as_before(&key, &hex));
+            previous_version_bits.extend(read_by_previous_version(&key, &hex));
             let read = key.split('/').nth(3).and_then(Piece::parse).expect("a piece");
-            again.restore(read, &bits_from_hex(&hex), CHUNK, PIECE);
+            restored.restore(read, &bits_from_hex(&hex), CHUNK_BITS, PIECE_BITS);
         }
-        assert_eq!(again.done, job.done);
-        // It knows of no task that is not done; what it does not know of, it runs again.
-        assert_eq!(before, [3, PIECE - 1, CHUNK + 7, 29_999]);
+        assert_eq!(restored.done, job.done);
+        // The previous version reads no unfinished task as done. Finished tasks that it does not read it starts again.
+        assert_eq!(previous_version_bits, [3, PIECE_BITS - 1, CHUNK_BITS + 7, 29_999]);
     }
 }
--- a/crates/tidelatch-core/src/jobs/record.rs
+++ b/crates/tidelatch-core/src/jobs/record.rs
@@ -1,85 +1,92 @@
-//! What is stored of a job, and what is kept in memory of one that is over.
+//! The stored record of a job, and what is kept in memory of an ended job.
 
 use crate::ids::{Epoch, JobId};
 use crate::protocol::JobSpec;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-/// A job's state as stored. Only `queued` is not final.
+/// Status of a job in its stored record. All but `queued` are final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Stored {
-    /// Accepted and not over.
+pub enum StoredJobStatus {
+    /// Accepted and not ended.
     Queued,
     /// All tasks done.
     Done,
     /// Cancelled by its user.
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
-impl Stored {
-    pub(super) fn word(self) -> &'static str {
+impl StoredJobStatus {
+    /// The status as users see it.
+    pub(super) fn user_facing_name(self) -> &'static str {
         match self {
             Self::Queued => "queued",
             Self::Done => "done",
-            Self::Withdrawn => "withdrawn",
+            Self::Cancelled => "withdrawn",
         }
     }
 }
 
-/// What is stored of a job. Once it is over, the description goes and the rest stays for good.
+/// The stored record of a job. When the job ends, its description is removed; the rest is never deleted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The epoch that it was accepted under.
+    /// Epoch under which the job was accepted.
     pub epoch: Epoch,
-    /// Time of day of its acceptance.
+    /// Time of day of the acceptance, in milliseconds.
     pub at: u64,
-    /// Its state.
-    pub st: Stored,
-    /// Number of its tasks.
+    /// Status of the job.
+    pub st: StoredJobStatus,
+    /// Number of tasks.
     pub n: u32,
-    /// Its team.
+    /// Team that submitted the job.
     pub team: String,
-    /// What each of its tasks takes: its tasks count against the team's limit even after its end.
+    /// Resources that each task takes, kept because tasks count against the team's limit even after the job's end.
     pub size: [f64; 3],
-    /// Time of day at which its end was written; absent: the version before wrote it.
+    /// Time of day at which the end was written, in milliseconds. Absent if the previous version wrote it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<u64>,
-    /// Its description, until it is over.
+    /// Description of the job, until it ends.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
 }
 
-/// What every version's job record tells.
+/// The part of a job record that every version can read.
 #[derive(Debug, Deserialize)]
-pub(super) struct StoredState {
-    pub(super) st: Stored,
+pub(super) struct StatusOnlyRecord {
+    pub(super) st: StoredJobStatus,
 }
 
-/// Length of a value as it is stored.
+/// Length of a value as stored, in bytes; 0 if it cannot be serialized.
 pub(crate) fn bytes_of(value: &impl Serialize) -> usize {
     serde_json::to_string(value).map_or(0, |text| text.len())
 }
 
-/// A job that is over, as kept in memory.
+/// An ended job, as kept in memory.
 #[derive(Debug, Clone)]
 pub(crate) struct EndedJob {
+    /// All tasks were done; otherwise a user cancelled the job.
     pub(crate) done: bool,
+    /// Number of tasks.
     pub(crate) tasks: u32,
     pub(crate) team: String,
+    /// Resources that each task takes.
     pub(crate) size: [f64; 3],
 }
 
 impl EndedJob {
-    pub(super) fn of(record: &JobRecord) -> Option<Self> {
-        (record.st != Stored::Queued).then_some(Self {
-            done: record.st == Stored::Done,
+    /// The ended job that a record describes, or `None` if the job has not ended.
+    pub(super) fn from_record(record: &JobRecord) -> Option<Self> {
+        (record.st != StoredJobStatus::Queued).then_some(Self {
+            done: record.st == StoredJobStatus::Done,
             tasks: record.n,
             team: record.team.clone(),
             size: record.size,
         })
     }
-    pub(crate) fn body(&self, id: &JobId) -> String {
+    /// JSON body of a status answer.
+    pub(crate) fn status_body(&self, id: &JobId) -> String {
         let (status, done) = if self.done {
             ("done", self.tasks)
         } else {
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -1,6 +1,7 @@
-//! Users' questions about jobs and their cancellations: answered here, passed on to the owner, or read anew.
+//! Status and cancellation requests of users: answered from memory, forwarded to the controller that owns the job's
+//! partition, or answered by a read of the state service.
 
-use super::{Ending, Job, JobRecord, Purpose, Stored, StoredState};
+use super::{Ending, Job, JobRecord, Purpose, StatusOnlyRecord, StoredJobStatus};
 use crate::calls::{Asker, Purpose as Call};
 use crate::controller::Controller;
 use crate::ids::{ControllerId, JobId, Partition};
@@ -10,13 +11,22 @@
 use serde_json::json;
 
 impl Controller {
-    pub(crate) fn known(&mut self, asker: Asker, id: JobId, absent: Answer) {
-        self.read_job(&id.clone(), Purpose::Known { asker, id, absent });
+    /// Reads whether a job exists: its requester gets the job's state, or `answer_if_absent` if there is no such job.
+    pub(crate) fn check_existing_job(&mut self, requester: Asker, id: JobId, answer_if_absent: Answer) {
+        self.read_job(
+            &id.clone(),
+            Purpose::CheckExisting {
+                requester,
+                id,
+                answer_if_absent,
+            },
+        );
     }
 
+    /// Reads a job's record from the state service. The read is sent whatever the request budget holds.
     pub(super) fn read_job(&mut self, id: &JobId, purpose: Purpose) {
         self.state_reads.force(self.now.ms, 1.0);
-        // Users wait 2 s for a poll.
+        // Users wait 2 s for the answer to a poll.
         let timeout = (self.settings.lease_ms() / 4).min(1500);
         self.call(
             Target::State,
@@ -28,42 +38,52 @@
         );
     }
 
-    pub(crate) fn on_status(&mut self, asker: Asker, id: &str, may_forward: bool) {
+    /// Answers a status request. Requests from peers are not forwarded again: `may_forward` is false for them.
+    pub(crate) fn on_status(&mut self, requester: Asker, id: &str, may_forward: bool) {
         let Some(id) = JobId::parse(id) else {
-            // No job can have such an id.
-            self.answer(asker, Answer::new(404, r#"{"error":"no such job"}"#));
+            // No job has an invalid id.
+            self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
             return;
         };
         if self.over.contains_key(&id) {
-            self.tell_over(asker, &id);
+            self.tell_over(requester, &id);
             return;
         }
         if let Some(job) = self.jobs.get(&id) {
             if self.acting(job.partition).is_some() && job.ending.is_none() {
-                let body = self.live_body(&id, job);
-                self.answer(asker, Answer::new(200, body));
+                let body = self.live_status_body(&id, job);
+                self.answer(requester, Answer::new(200, body));
                 return;
             }
-            if let Some(owner) = self.owner_elsewhere(job.partition, may_forward) {
+            if let Some(owner) = self.reachable_owner(job.partition, may_forward) {
                 let request = PeerRequest::Forward {
                     job: id.as_str().to_owned(),
                     withdraw: false,
                 };
-                self.ask(owner, request, 500, Call::ForwardStatus { asker, job: id });
+                self.ask(
+                    owner,
+                    request,
+                    500,
+                    Call::ForwardStatus {
+                        asker: requester,
+                        job: id,
+                    },
+                );
                 return;
             }
         }
-        self.read_status(asker, id);
+        self.read_status(requester, id);
     }
 
-    /// Whom to pass a question on to: the owner of a partition, if that is another controller within
-    /// reach and the question has not been passed on before.
-    fn owner_elsewhere(&self, partition: Partition, may_forward: bool) -> Option<ControllerId> {
+    /// The controller to which a request is forwarded: the owner of the partition, if that is another controller that
+    /// can be reached and the request has not been forwarded before.
+    fn reachable_owner(&self, partition: Partition, may_forward: bool) -> Option<ControllerId> {
         let owner = &self.holding(partition)?.owner;
         (may_forward && *owner != self.me && self.reachable(owner)).then(|| owner.clone())
     }
 
-    fn live_body(&self, id: &JobId, job: &Job) -> String {
+    /// JSON body of the status answer for an unfinished job of this controller.
+    fn live_status_body(&self, id: &JobId, job: &Job) -> String {
         let running: usize = job
             .placed
             .iter()
@@ -79,79 +99,88 @@
         json!({ "uid": id, "status": status, "done": job.done_count, "running": running }).to_string()
     }
 
-    pub(crate) fn on_withdraw(&mut self, asker: Asker, id: &str, may_forward: bool) {
+    /// Handles a user's request to cancel a job: stores the end, or forwards the request to the owner.
+    pub(crate) fn on_withdraw(&mut self, requester: Asker, id: &str, may_forward: bool) {
         let Some(id) = JobId::parse(id) else {
-            self.answer(asker, Answer::new(404, r#"{"error":"no such job"}"#));
+            self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
             return;
         };
         if self.over.contains_key(&id) {
-            self.tell_over(asker, &id);
+            self.tell_over(requester, &id);
             return;
         }
         let Some(partition) = self.jobs.get(&id).map(|j| j.partition) else {
-            self.read_job(&id.clone(), Purpose::WithdrawRead { asker, id });
+            self.read_job(&id.clone(), Purpose::CancelRead { requester, id });
             return;
         };
         if self.acting(partition).is_none() {
-            match self.owner_elsewhere(partition, may_forward) {
+            match self.reachable_owner(partition, may_forward) {
                 Some(owner) => {
                     let request = PeerRequest::Forward {
                         job: id.as_str().to_owned(),
                         withdraw: true,
                     };
                     let timeout = 4 * self.settings.report_ms() / 5;
-                    self.ask(owner, request, timeout, Call::ForwardWithdraw { asker });
+                    self.ask(owner, request, timeout, Call::ForwardWithdraw { asker: requester });
                 }
-                None => self.answer(asker, Answer::later(503, 1, "the job's controller cannot be reached")),
+                None => self.answer(
+                    requester,
+                    Answer::later(503, 1, "the job's controller cannot be reached"),
+                ),
             }
             return;
         }
-        self.note_asked(&id);
-        self.stop_called_off(&id);
+        self.record_cancel_request(&id);
+        self.stop_tasks_of_job(&id);
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.askers.push(asker);
+            job.requesters.push(requester);
             if job.ending.is_none() {
-                self.end_job(&id, Ending::Withdrawn);
+                self.store_job_end(&id, Ending::Cancelled);
             }
         }
     }
 
-    /// Whether this controller can answer for a job without the read that has just come back: its end is known,
-    /// or it is this controller's own and was not when the read was sent.
-    pub(super) fn knows(&self, id: &JobId) -> bool {
-        let own = |j: &Job| j.ending.is_none() && self.acting(j.partition).is_some();
-        self.over.contains_key(id) || self.jobs.get(id).is_some_and(own)
+    /// Whether this controller can answer for a job without the read that has just returned: the job's end is known, or
+    /// the controller has come to own the job since the read was sent.
+    pub(super) fn can_answer_without_read(&self, id: &JobId) -> bool {
+        let is_own = |j: &Job| j.ending.is_none() && self.acting(j.partition).is_some();
+        self.over.contains_key(id) || self.jobs.get(id).is_some_and(is_own)
     }
 
-    pub(super) fn learn_read(&mut self, id: &JobId, body: &[u8]) -> Option<Stored> {
+    /// Applies the job record that a read returned and returns its status, or `None` if the body cannot be parsed.
+    pub(super) fn apply_read_record(&mut self, id: &JobId, body: &[u8]) -> Option<StoredJobStatus> {
         let item: Item = serde_json::from_slice(body).ok()?;
         match serde_json::from_value::<JobRecord>(item.value.clone()) {
-            Ok(record) if self.readable(&record) => {
+            Ok(record) if self.is_readable_record(&record) => {
                 let state = record.st;
-                self.record_job(id.clone(), record, item.stamp);
+                self.apply_job_record(id.clone(), record, item.stamp);
                 Some(state)
             }
-            // Guard: a later version's job, with words that this one does not know, stays known.
-            _ => serde_json::from_value::<StoredState>(item.value).ok().map(|r| r.st),
+            // A job of a later version, whose record holds values that this version cannot parse, still counts as
+            // existing.
+            _ => serde_json::from_value::<StatusOnlyRecord>(item.value)
+                .ok()
+                .map(|r| r.st),
         }
     }
 
-    pub(super) fn answer_read(&mut self, asker: Asker, id: &JobId, result: Option<(u16, Vec<u8>)>) {
+    /// Answers a status request with the result of a read.
+    pub(super) fn answer_from_read(&mut self, requester: Asker, id: &JobId, result: Option<(u16, Vec<u8>)>) {
         let state = match result {
-            Some((200, body)) => self.learn_read(id, &body),
+            Some((200, body)) => self.apply_read_record(id, &body),
             _ => None,
         };
         let answer = match state {
             None => Answer::later(503, 1, "the state service does not answer"),
             Some(_) if self.over.contains_key(id) => {
-                self.tell_over(asker, id);
+                self.tell_over(requester, id);
                 return;
             }
             Some(state) => Answer::new(
                 200,
-                json!({ "uid": id, "status": state.word(), "done": 0, "running": 0 }).to_string(),
+                json!({ "uid": id, "status": state.user_facing_name(), "done": 0, "running": 0 }).to_string(),
             ),
         };
-        self.answer(asker, answer);
+        self.answer(requester, answer);
     }
 }
--- a/crates/tidelatch-core/src/jobs/status_reads.rs
+++ b/crates/tidelatch-core/src/jobs/status_reads.rs
@@ -1,8 +1,9 @@
-//! Fresh reads of the store for questions about jobs that neither the watch nor an owner answers.
+//! Reads of the state service for status requests that neither the watch nor the owner of the job can answer.
 //!
-//! There is one read under way for each job at most, however many ask. An answer must not be older than what any
-//! controller has told a user before the question came, so whoever asks while a read is under way waits for the
-//! next one, which all of them share. Only a final state is told to them at once, for it never changes.
+//! At most one read per job is in flight, however many users poll it. An answer must not be older than what any
+//! controller has told a user before the request came. A request that comes while a read is in flight therefore
+//! waits for the next read, which all such requests share. Only a final state, which never changes, answers them at
+//! once.
 
 use super::Purpose;
 use crate::calls::Asker;
@@ -12,104 +13,115 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// Part of the budget of requests to the state service that questions leave to leases, acceptances and
-/// cancellations.
-const BUDGET_KEPT: f64 = 0.25;
-/// Reads under way at a time, as a part of the requests a second that this controller may send.
-const READS_PER_RATE: f64 = 0.25;
+/// Share of the request budget for the state service that status reads leave to leases, acceptances and cancellations.
+const RESERVED_BUDGET_SHARE: f64 = 0.25;
+/// Limit on status reads in flight, as a share of the requests per second that this controller may send.
+const MAX_READS_IN_FLIGHT_PER_RPS: f64 = 0.25;
 
-/// One read that is under way.
+/// One read in flight.
 #[derive(Debug)]
 struct OpenRead {
-    /// Those who had asked when it was sent.
-    askers: Vec<Asker>,
-    /// Those who have asked since.
-    later: Vec<Asker>,
+    /// Requests that came before the read was sent; it answers them.
+    requesters: Vec<Asker>,
+    /// Requests that have come since; the next read answers them.
+    next_requesters: Vec<Asker>,
 }
 
-/// All reads that are under way.
+/// All status reads in flight, by job.
 #[derive(Debug, Default)]
 pub(crate) struct StatusReads {
-    open: BTreeMap<JobId, OpenRead>,
+    in_flight: BTreeMap<JobId, OpenRead>,
 }
 
 impl Controller {
-    /// Answers a question about a job by a read that is sent after the question came.
-    pub(crate) fn read_status(&mut self, asker: Asker, id: JobId) {
-        match self.status_reads.open.get_mut(&id) {
-            Some(read) => read.later.push(asker),
-            None => self.begin_status_read(id, vec![asker]),
+    /// Answers a status request by a read that is sent after the request came.
+    pub(crate) fn read_status(&mut self, requester: Asker, id: JobId) {
+        match self.status_reads.in_flight.get_mut(&id) {
+            Some(read) => read.next_requesters.push(requester),
+            None => self.begin_status_read(id, vec![requester]),
         }
     }
 
-    fn begin_status_read(&mut self, id: JobId, askers: Vec<Asker>) {
-        if askers.is_empty() {
+    /// Sends a read for the given requests, or refuses them if too many reads are in flight or the budget is spent.
+    fn begin_status_read(&mut self, id: JobId, requesters: Vec<Asker>) {
+        if requesters.is_empty() {
             return;
         }
-        let most = (self.state_rate() * READS_PER_RATE).max(1.0) as usize;
-        let open = self.status_reads.open.len();
-        if open >= most || !self.state_reads.take(self.now.ms, 0.0, BUDGET_KEPT) {
-            self.answer_all(askers, &Answer::later(503, 1, "too many requests at present"));
+        let max_in_flight = (self.state_requests_per_s() * MAX_READS_IN_FLIGHT_PER_RPS).max(1.0) as usize;
+        let in_flight = self.status_reads.in_flight.len();
+        if in_flight >= max_in_flight || !self.state_reads.take(self.now.ms, 0.0, RESERVED_BUDGET_SHARE) {
+            self.answer_all(requesters, &Answer::later(503, 1, "too many requests at present"));
             return;
         }
         let read = OpenRead {
-            askers,
-            later: Vec::new(),
+            requesters,
+            next_requesters: Vec::new(),
         };
-        self.status_reads.open.insert(id.clone(), read);
+        self.status_reads.in_flight.insert(id.clone(), read);
         self.read_job(&id.clone(), Purpose::Status { id });
     }
 
-    /// Requests a second that this controller may send to the state service.
-    fn state_rate(&self) -> f64 {
+    /// Requests per second that this controller may send to the state service.
+    fn state_requests_per_s(&self) -> f64 {
         self.settings.platform.facts.state.rps / f64::from(self.settings.partitions())
     }
 
-    /// A read has come back, or was given up.
+    /// Handles the result of a read; `None` if it had no answer.
     pub(super) fn on_status_read(&mut self, id: JobId, result: Option<(u16, Vec<u8>)>) {
-        let Some(OpenRead { mut askers, later }) = self.status_reads.open.remove(&id) else {
+        let Some(OpenRead {
+            mut requesters,
+            next_requesters,
+        }) = self.status_reads.in_flight.remove(&id)
+        else {
             return;
         };
         let missing = matches!(result, Some((404, _)));
-        // By now this controller may know more: it may have accepted the job, or read its end; a 404 may be from
-        // before the watch told of the job.
-        if self.knows(&id) || (missing && self.jobs.contains_key(&id)) {
-            askers.extend(later);
-            askers.into_iter().for_each(|a| self.on_status(a, id.as_str(), true));
+        // This controller may know more by now: it may have accepted the job, or read its end. A 404 may predate
+        // the job, which the watch has reported since.
+        if self.can_answer_without_read(&id) || (missing && self.jobs.contains_key(&id)) {
+            requesters.extend(next_requesters);
+            requesters
+                .into_iter()
+                .for_each(|requester| self.on_status(requester, id.as_str(), true));
             return;
         }
-        // What lay in this process's buffers while it stood still is asked anew.
+        // An answer that stayed in buffers while this process was paused may be outdated, so the read is repeated.
         if self.stale {
-            askers.extend(later);
-            self.begin_status_read(id, askers);
+            requesters.extend(next_requesters);
+            self.begin_status_read(id, requesters);
             return;
         }
         if missing {
-            self.answer_all(askers, &Answer::new(404, r#"{"error":"no such job"}"#));
-            self.begin_status_read(id, later);
+            self.answer_all(requesters, &Answer::new(404, r#"{"error":"no such job"}"#));
+            self.begin_status_read(id, next_requesters);
             return;
         }
         let state = result
             .filter(|(status, _)| *status == 200)
-            .and_then(|(_, body)| self.learn_read(&id, &body));
+            .and_then(|(_, body)| self.apply_read_record(&id, &body));
         match state {
             None => {
-                askers.extend(later);
-                self.answer_all(askers, &Answer::later(503, 1, "the state service does not answer"));
+                requesters.extend(next_requesters);
+                self.answer_all(requesters, &Answer::later(503, 1, "the state service does not answer"));
             }
             Some(_) if self.over.contains_key(&id) => {
-                askers.extend(later);
-                askers.into_iter().for_each(|a| self.tell_over(a, &id));
+                requesters.extend(next_requesters);
+                requesters
+                    .into_iter()
+                    .for_each(|requester| self.tell_over(requester, &id));
             }
             Some(state) => {
-                let body = json!({ "uid": id, "status": state.word(), "done": 0, "running": 0 });
-                self.answer_all(askers, &Answer::new(200, body.to_string()));
-                self.begin_status_read(id, later);
+                let body = json!({ "uid": id, "status": state.user_facing_name(), "done": 0, "running": 0 });
+                self.answer_all(requesters, &Answer::new(200, body.to_string()));
+                self.begin_status_read(id, next_requesters);
             }
         }
     }
 
-    fn answer_all(&mut self, askers: Vec<Asker>, answer: &Answer) {
-        askers.into_iter().for_each(|a| self.answer(a, answer.clone()));
+    /// Sends the same answer to all requesters.
+    fn answer_all(&mut self, requesters: Vec<Asker>, answer: &Answer) {
+        requesters
+            .into_iter()
+            .for_each(|requester| self.answer(requester, answer.clone()));
     }
 }
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -1,10 +1,10 @@
-//! Submissions: checking them, putting them off, and storing their acceptance.
+//! Submissions: validation, deferral, and storing of the acceptance.
 
 use crate::admission::Deferral;
 use crate::calls::{Asker, Purpose as Call};
 use crate::controller::Controller;
 use crate::ids::{Epoch, JobId, Stamp};
-use crate::jobs::{JobRecord, Purpose, Stored, bytes_of};
+use crate::jobs::{JobRecord, Purpose, StoredJobStatus, bytes_of};
 use crate::membership::JOB_PREFIX;
 use crate::messages::{Answer, Level, NOT_SENT, NOT_TRIED};
 use crate::protocol::{JobSpec, Malformed, Shape, TxnAnswer, parse_submission, submission_id};
@@ -13,7 +13,8 @@
 mod forwarding;
 
 impl Controller {
-    fn fits_some_type(&self, spec: &JobSpec) -> bool {
+    /// Whether a task of the job fits an empty machine of some type that the job allows.
+    fn fits_allowed_machine_type(&self, spec: &JobSpec) -> bool {
         self.types.iter().any(|t| {
             spec.models.as_ref().is_none_or(|m| m.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
@@ -23,25 +24,26 @@
         })
     }
 
-    /// Takes a submission, of a user or of a peer that cannot store it itself: only the former may be passed on.
-    pub(crate) fn on_submission(&mut self, asker: Asker, body: &[u8], may_forward: bool) {
+    /// Handles a submission of a user, or of a peer that cannot store it itself. Only a user's submission may be
+    /// forwarded, so `may_forward` is false for a peer's.
+    pub(crate) fn on_submission(&mut self, requester: Asker, body: &[u8], may_forward: bool) {
         let id = submission_id(body);
-        // A job that is known gets its state, whatever the body says.
+        // A submission of a known job is answered with the job's state, whatever the rest of the body says.
         if let Some(id) = &id
             && (self.over.contains_key(id) || self.jobs.contains_key(id))
         {
-            self.on_status(asker, id.as_str(), true);
+            self.on_status(requester, id.as_str(), true);
             return;
         }
         let submission = may_forward.then(|| body.to_vec());
         if !self.entitled() || self.member.epoch.is_none() {
             let refusal = Answer::later(503, 1, "not entitled to act at present");
-            self.pass_on(asker, id, submission, refusal);
+            self.forward_submission(requester, id, submission, refusal);
             return;
         }
         let refusal = match parse_submission(body) {
             Err(fault) => Err(Answer::new(400, json!({ "error": fault.to_string() }).to_string())),
-            Ok((id, spec)) => match self.never_runs(&spec).or_else(|| self.no_gangs(&spec)) {
+            Ok((id, spec)) => match self.reject_unrunnable_job(&spec).or_else(|| self.reject_gang(&spec)) {
                 Some(answer) => Err(answer),
                 None => Ok((id, spec)),
             },
@@ -49,24 +51,24 @@
         let (id, spec) = match (refusal, id) {
             (Ok(job), _) => job,
             (Err(answer), Some(id)) if answer.status != 503 => {
-                // Refused for good only if it has not been accepted before.
-                self.known(asker, id, answer);
+                // A submission is rejected for good only if its job has not been accepted before.
+                self.check_existing_job(requester, id, answer);
                 return;
             }
             (Err(answer), _) => {
-                self.answer(asker, answer);
+                self.answer(requester, answer);
                 return;
             }
         };
-        if let Some(answer) = self.put_off(&spec) {
-            self.answer(asker, answer);
+        if let Some(answer) = self.defer_submission(&spec) {
+            self.answer(requester, answer);
             return;
         }
-        self.accept((asker, submission), id, spec, 0);
+        self.store_acceptance((requester, submission), id, spec, 0);
     }
 
-    /// 429 or 503 for a submission that cannot be taken now.
-    fn put_off(&mut self, spec: &JobSpec) -> Option<Answer> {
+    /// Returns 429 or 503 for a submission that cannot be accepted now.
+    fn defer_submission(&mut self, spec: &JobSpec) -> Option<Answer> {
         if !self.state_reads.take(self.now.ms, 0.0, -0.5) {
             return Some(Answer::later(503, 1, "too many requests at present"));
         }
@@ -75,55 +77,55 @@
             .admission
             .admit(self.now.ms, spec, &mut self.state_writes, controllers);
         let deferral = admitted.err()?;
-        self.note_deferral(spec, deferral);
+        self.log_deferral(spec, deferral);
         Some(match deferral {
             Deferral::QueueFull { retry_after_s } => Answer::later(429, retry_after_s, "the team's queue is full"),
             Deferral::WriteRate { retry_after_s } => Answer::later(503, retry_after_s, "too many requests at present"),
         })
     }
 
-    /// Tells the operators when a team's users begin to be put off.
-    fn note_deferral(&mut self, spec: &JobSpec, deferral: Deferral) {
-        let Some(text) = self.admission.news_of(self.now.ms, spec, deferral) else {
+    /// Logs that submissions of a team are deferred, at most once per time window.
+    fn log_deferral(&mut self, spec: &JobSpec, deferral: Deferral) {
+        let Some(text) = self.admission.deferral_log_line(self.now.ms, spec, deferral) else {
             return;
         };
         self.log(Level::Info, text);
     }
 
-    /// 422 for what can never run, 503 while that cannot be told.
-    fn never_runs(&self, spec: &JobSpec) -> Option<Answer> {
-        let unfit = |why: &str| Some(Answer::new(422, json!({ "error": why }).to_string()));
+    /// Returns 422 for a job that can never run, or 503 while the machine types are not known.
+    fn reject_unrunnable_job(&self, spec: &JobSpec) -> Option<Answer> {
+        let unprocessable = |reason: &str| Some(Answer::new(422, json!({ "error": reason }).to_string()));
         let Some((_, team)) = self.settings.team(&spec.team) else {
-            return unfit("unknown team");
+            return unprocessable("unknown team");
         };
         let tasks = match spec.shape {
             Shape::Service | Shape::Gang => f64::from(spec.tasks),
             Shape::Array => 1.0,
         };
-        for (one, most) in [(spec.cpus, team.cpus_max), (spec.gpus, team.gpus_max)] {
-            if most > 0.0 && one * tasks > most + 1e-9 {
-                return unfit("more than the team's limit");
+        for (per_task, limit) in [(spec.cpus, team.cpus_max), (spec.gpus, team.gpus_max)] {
+            if limit > 0.0 && per_task * tasks > limit + 1e-9 {
+                return unprocessable("more than the team's limit");
             }
         }
         if self.types.is_empty() {
             return Some(Answer::later(503, 1, "the machine types are not known yet"));
         }
-        if !self.fits_some_type(spec) {
-            return unfit("a task fits no allowed machine type");
+        if !self.fits_allowed_machine_type(spec) {
+            return unprocessable("a task fits no allowed machine type");
         }
-        // Half of the tasks, rounded up, is all of them for one task only.
+        // A spread gang may have half of its tasks, rounded up, in one zone: that is all of them only for one task.
         if spec.shape == Shape::Gang && spec.one_zone && spec.spread && spec.tasks > 1 {
-            return unfit("a gang cannot be in one zone and spread over zones at the same time");
+            return unprocessable("a gang cannot be in one zone and spread over zones at the same time");
         }
         None
     }
 
-    /// 400, 422 or 503 for a gang that cannot be accepted here, or not now.
-    fn no_gangs(&self, spec: &JobSpec) -> Option<Answer> {
+    /// Returns 400 or 422 for a gang that this deployment does not accept, or 503 for one that it does not accept yet.
+    fn reject_gang(&self, spec: &JobSpec) -> Option<Answer> {
         if spec.shape != Shape::Gang {
             return None;
         }
-        let error = |status: u16, why: &str| Some(Answer::new(status, json!({ "error": why }).to_string()));
+        let error = |status: u16, reason: &str| Some(Answer::new(status, json!({ "error": reason }).to_string()));
         if !self.settings.features.gangs {
             return error(400, &Malformed::Field("shape").to_string());
         }
@@ -141,14 +143,21 @@
         None
     }
 
-    fn accept(&mut self, (asker, submission): (Asker, Option<Vec<u8>>), id: JobId, spec: JobSpec, tries: u32) {
+    /// Sends the write that stores a job's acceptance. `retries` counts the earlier attempts.
+    fn store_acceptance(
+        &mut self,
+        (requester, submission): (Asker, Option<Vec<u8>>),
+        id: JobId,
+        spec: JobSpec,
+        retries: u32,
+    ) {
         let Some(epoch) = self.epoch() else { return };
         let at = self.now.wall_ms;
         let key = format!("{JOB_PREFIX}{id}");
         let record = JobRecord {
             epoch,
             at,
-            st: Stored::Queued,
+            st: StoredJobStatus::Queued,
             n: spec.tasks,
             team: spec.team.clone(),
             size: Self::size(&spec),
@@ -157,43 +166,44 @@
         };
         if bytes_of(&record) > self.settings.value_bytes() {
             let error = json!({ "error": "the description is longer than can be stored" });
-            self.known(asker, id, Answer::new(422, error.to_string()));
+            self.check_existing_job(requester, id, Answer::new(422, error.to_string()));
             return;
         }
-        self.admission.acceptance_sent(&spec);
+        self.admission.begin_acceptance(&spec);
         let conditions = vec![json!({ "k": key, "stamp": 0 }), self.epoch_condition()];
         self.txn(
             conditions,
             vec![json!({ "write": key, "value": record })],
             Call::Job(Purpose::Accept {
-                asker,
+                requester,
                 id,
                 spec: Box::new(spec),
                 epoch,
                 at,
-                tries,
+                retries,
                 submission,
             }),
         );
     }
 
-    pub(crate) fn on_accepted(
+    /// Handles the answer to the write of an acceptance. `accepted_at` is the epoch and the time of day that it holds.
+    pub(crate) fn on_accept_reply(
         &mut self,
-        (asker, submission): (Asker, Option<Vec<u8>>),
+        (requester, submission): (Asker, Option<Vec<u8>>),
         id: JobId,
         spec: JobSpec,
-        under: (Epoch, u64),
-        tries: u32,
+        accepted_at: (Epoch, u64),
+        retries: u32,
         result: Option<(u16, Vec<u8>)>,
     ) {
-        self.admission.acceptance_settled(&spec);
+        self.admission.finish_acceptance(&spec);
         match result {
             Some((200, body)) => {
                 let stamp = serde_json::from_slice::<TxnAnswer>(&body).map_or(0, |t| t.ledger);
                 let record = JobRecord {
-                    epoch: under.0,
-                    at: under.1,
-                    st: Stored::Queued,
+                    epoch: accepted_at.0,
+                    at: accepted_at.1,
+                    st: StoredJobStatus::Queued,
                     n: spec.tasks,
                     team: spec.team.clone(),
                     size: Self::size(&spec),
@@ -207,35 +217,39 @@
                     );
                     self.log(Level::Debug, text);
                 }
-                self.record_job(id.clone(), record, Stamp(stamp));
+                self.apply_job_record(id.clone(), record, Stamp(stamp));
                 if self.over.contains_key(&id) || self.stale {
-                    // Others may have told of its end since.
-                    self.on_status(asker, id.as_str(), true);
+                    // Another controller may have told a user of the job's end since.
+                    self.on_status(requester, id.as_str(), true);
                     return;
                 }
                 let body = json!({ "uid": id, "status": "queued" }).to_string();
-                self.answer(asker, Answer::new(201, body));
+                self.answer(requester, Answer::new(201, body));
             }
             Some((409, body)) => {
                 let failed = serde_json::from_slice::<TxnAnswer>(&body).unwrap_or_default().failed;
                 if failed.iter().any(|k| k.starts_with(JOB_PREFIX)) {
-                    self.known(asker, id, Answer::later(503, 1, "try again"));
-                } else if tries < 3 && self.epoch() > Some(under.0) && self.entitled() {
-                    // The epoch has moved on, and the new one is known by now.
-                    self.accept((asker, submission), id, spec, tries + 1);
+                    self.check_existing_job(requester, id, Answer::later(503, 1, "try again"));
+                } else if retries < 3 && self.epoch() > Some(accepted_at.0) && self.entitled() {
+                    // The epoch has changed, and this controller knows the new one by now.
+                    self.store_acceptance((requester, submission), id, spec, retries + 1);
                 } else {
-                    self.answer(asker, Answer::later(503, 1, "membership is changing"));
+                    self.answer(requester, Answer::later(503, 1, "membership is changing"));
                 }
             }
             None => {
-                // It may have been carried out: only a read can tell.
-                self.known(asker, id, Answer::later(503, 1, "the state service does not answer"));
+                // The write may have been applied: only a read can tell.
+                self.check_existing_job(
+                    requester,
+                    id,
+                    Answer::later(503, 1, "the state service does not answer"),
+                );
             }
             Some((503 | NOT_SENT | NOT_TRIED, _)) => {
                 let refusal = Answer::later(503, 1, "the state service does not answer");
-                self.pass_on(asker, Some(id), submission, refusal);
+                self.forward_submission(requester, Some(id), submission, refusal);
             }
-            Some(_) => self.answer(asker, Answer::later(503, 1, "the state service does not answer")),
+            Some(_) => self.answer(requester, Answer::later(503, 1, "the state service does not answer")),
         }
     }
 }
--- a/crates/tidelatch-core/src/submissions/forwarding.rs
+++ b/crates/tidelatch-core/src/submissions/forwarding.rs
@@ -1,9 +1,9 @@
-//! Submissions that this controller cannot store, passed on to one that can.
+//! Forwarding of submissions that this controller cannot store to a controller that can.
 //!
-//! The state service may refuse one controller alone while it serves the others. That one stays entitled until its
-//! lease ends, and the load balancer goes on sending users to it until two health checks have failed after that. Any
-//! entitled controller may accept any job, so a peer is asked to. Storing it there is safe whatever became of the try
-//! here: an acceptance is written only if the job has no record yet.
+//! The state service may refuse one controller while it serves the others. The refused controller stays entitled to act
+//! until its lease ends, and the load balancer sends users to it until two health checks after that have failed. Any
+//! entitled controller may accept any job, so a peer is asked to do it. That is safe whatever the outcome of the write
+//! by this controller: an acceptance is written only if the job has no record yet.
 
 use crate::calls::{Asker, Purpose as Call};
 use crate::controller::Controller;
@@ -11,35 +11,42 @@
 use crate::messages::{Answer, PeerReply, PeerRequest};
 
 impl Controller {
-    /// Asks a peer to store a submission; without one, the user is refused. `submission` is none if it came from a
-    /// peer: it is passed on once.
-    pub(super) fn pass_on(&mut self, asker: Asker, job: Option<JobId>, submission: Option<Vec<u8>>, refusal: Answer) {
+    /// Asks an entitled peer to store a submission, or answers with `refusal` if there is none. `submission` is `None`
+    /// if it came from a peer, because a submission is forwarded only once.
+    pub(super) fn forward_submission(
+        &mut self,
+        requester: Asker,
+        job: Option<JobId>,
+        submission: Option<Vec<u8>>,
+        refusal: Answer,
+    ) {
         let Some((submission, peer)) = submission.zip(self.entitled_peer()) else {
-            self.answer(asker, refusal);
+            self.answer(requester, refusal);
             return;
         };
-        // Users wait 5 s for an answer, as workers wait 4 s for theirs.
+        // Users wait 5 s for an answer; workers wait 4 s for theirs.
         let timeout = 4 * self.settings.report_ms() / 5;
         self.ask(
             peer,
             PeerRequest::Submit { submission },
             timeout,
-            Call::ForwardSubmission { asker, job },
+            Call::ForwardSubmission { asker: requester, job },
         );
     }
 
-    /// A peer has answered a submission that was passed on to it, or has not.
-    pub(crate) fn on_passed_on(&mut self, asker: Asker, job: Option<JobId>, result: Option<PeerReply>) {
-        // The job's end may have come by the watch since.
+    /// Handles a peer's answer to a forwarded submission; `None` if there was no answer.
+    pub(crate) fn on_passed_on(&mut self, requester: Asker, job: Option<JobId>, result: Option<PeerReply>) {
+        // The watch may have reported the job's end since.
         if let Some(job) = job.filter(|job| self.over.contains_key(job)) {
-            self.tell_over(asker, &job);
+            self.tell_over(requester, &job);
             return;
         }
         let answer = match result {
-            // An answer that lay in this process's buffers may be older than what others have told since.
+            // An answer that stayed in buffers while this process was paused may be older than what other controllers
+            // have told users since.
             Some(PeerReply::Answer(answer)) if !self.stale => answer,
             _ => Answer::later(503, 1, "no other controller can store it"),
         };
-        self.answer(asker, answer);
+        self.answer(requester, answer);
     }
 }
