--- a/crates/tidelatch-core/src/admission.rs
+++ b/crates/tidelatch-core/src/admission.rs
@@ -264,11 +264,11 @@
         let ends_per_s = team.ends.per_s(now_ms);
         let (reason, retry_after_s) = match deferral {
             Deferral::QueueFull { retry_after_s } => ("its queue is full", retry_after_s),
-            Deferral::WriteRate { retry_after_s } => ("its submissions come too fast", retry_after_s),
+            Deferral::WriteRate { retry_after_s } => ("the write rate is used up", retry_after_s),
         };
         Some(format!(
-            "team {name}: {reason}: users are put off, this one for {retry_after_s} s; {jobs} unfinished jobs \
-             take {percent:.0}% of the queue, {ends_per_s:.2} end in a second"
+            "team {name}: submissions are deferred because {reason}, this one for {retry_after_s} s; {jobs} unfinished \
+             jobs take {percent:.0}% of the queue, {ends_per_s:.2} jobs end per second"
         ))
     }
 }
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -414,7 +414,7 @@
                 };
                 let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
                 let outcome = match (ended_job.done, job.spec.deadline_s) {
-                    (true, Some(due)) => format!("done after {age_s:.0} s, due after {due:.0} s"),
+                    (true, Some(deadline_s)) => format!("done after {age_s:.0} s, deadline {deadline_s:.0} s"),
                     (true, None) => format!("done after {age_s:.0} s"),
                     (false, _) => format!("cancelled after {age_s:.0} s"),
                 };
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -212,7 +212,7 @@
                 };
                 if let Some(spec) = &record.spec {
                     let text = format!(
-                        "{id} accepted: {} tasks of {} for {}, {:.0} s each, image {} of {:.1} GB",
+                        "{id} accepted: {} tasks of class {} for team {}, estimate {:.0} s each, image {} of {:.1} GB",
                         spec.tasks, spec.class, spec.team, spec.estimate_s, spec.image, spec.image_gb
                     );
                     self.log(Level::Debug, text);
