--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -46,7 +46,7 @@
     pub(crate) at_wall: u64,
     pub(crate) partition: Partition,
     /// Bitmap of the finished tasks, by task index.
-    pub(crate) done: Vec<u64>,
+    pub(crate) done_bits: Vec<u64>,
     pub(crate) done_count: u32,
     /// Bitmap of the finished tasks that the state service has stored.
     stored_bits: Vec<u64>,
@@ -86,7 +86,7 @@
             epoch: record.0,
             at_wall: record.1,
             partition,
-            done: vec![0; words],
+            done_bits: vec![0; words],
             done_count: 0,
             stored_bits: vec![0; words],
             dirty: BTreeSet::new(),
--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -87,7 +87,7 @@
 impl Job {
     /// Whether a task is done.
     pub(crate) fn is_done(&self, index: u32) -> bool {
-        is_bit_set(&self.done, index)
+        is_bit_set(&self.done_bits, index)
     }
 
     /// Whether the state service has stored that a task is done.
@@ -106,7 +106,7 @@
             }
             let index = index as u32;
             if !self.is_done(index) {
-                set_bit(&mut self.done, index);
+                set_bit(&mut self.done_bits, index);
                 self.done_count += 1;
             }
             set_bit(&mut self.stored_bits, index);
@@ -122,7 +122,7 @@
     /// Marks a task as done and its piece as to be written.
     pub(super) fn mark_done(&mut self, index: u32, chunk_bits: u32, piece_bits: u32) {
         if index < self.spec.tasks && !self.is_done(index) {
-            set_bit(&mut self.done, index);
+            set_bit(&mut self.done_bits, index);
             self.done_count += 1;
             self.dirty.insert(Piece::containing(index, chunk_bits, piece_bits));
         }
@@ -205,7 +205,7 @@
                 let hex = job.bits_to_hex((first, last));
                 bytes += hex.len();
                 let newly_done = (first..last)
-                    .filter(|i| is_bit_set(&job.done, *i) && !is_bit_set(&job.stored_bits, *i))
+                    .filter(|i| is_bit_set(&job.done_bits, *i) && !is_bit_set(&job.stored_bits, *i))
                     .collect();
                 let key = piece.key(job.partition, id);
                 changes.push(json!({ "write": key, "value": hex }));
@@ -348,7 +348,7 @@
             let read = key.split('/').nth(3).and_then(Piece::parse).expect("a piece");
             restored.restore(read, &bits_from_hex(&hex), CHUNK_BITS, PIECE_BITS);
         }
-        assert_eq!(restored.done, job.done);
+        assert_eq!(restored.done_bits, job.done_bits);
         // The previous version reads no unfinished task as done. Finished tasks that it does not read it starts again.
         assert_eq!(previous_version_bits, [3, PIECE_BITS - 1, CHUNK_BITS + 7, 29_999]);
     }
