--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -58,7 +58,7 @@
     stored_pieces: BTreeSet<Piece>,
     /// Chunks whose own key holds bits beyond the first piece, because values could be larger when it was written.
     oversized_chunks: BTreeSet<u32>,
-    /// Machines that run each placed task, including those that may run it without having confirmed it.
+    /// Machines that hold each placed task, including those where it is uncertain whether they hold it.
     pub(crate) placed: BTreeMap<u32, Vec<MachineId>>,
     /// Every task below this index is done or placed.
     pub(crate) cursor: u32,
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -38,7 +38,7 @@
         );
     }
 
-    /// Answers a status request. Requests from peers are not forwarded again: `may_forward` is false for them.
+    /// Answers a status request. A request that has just come from a peer has `may_forward` unset and is not forwarded.
     pub(crate) fn on_status(&mut self, requester: Asker, id: &str, may_forward: bool) {
         let Some(id) = JobId::parse(id) else {
             // No job has an invalid id.
