--- a/crates/tidelatch-core/src/failures.rs
+++ b/crates/tidelatch-core/src/failures.rs
@@ -1,9 +1,9 @@
-//! Failed tasks: telling faulty machines from jobs with a mistake.
+//! Failed tasks: distinguishes faulty machines from faulty jobs.
 //!
-//! A machine is faulty if tasks of several jobs fail on it that succeed elsewhere. A job is suspected of a
-//! mistake if none of its tasks has ever succeeded and they fail on several machines that are not under
-//! such doubt themselves. A suspected job is retried with one task at a time, after exponentially growing
-//! pauses, until it is cancelled or a task of it succeeds; its failures say nothing of machines.
+//! A machine is faulty if tasks of several jobs fail on it that succeed elsewhere. A job is suspected to be faulty if
+//! none of its tasks has ever succeeded and they fail on several machines that are not suspected themselves. A
+//! suspected job is retried one task at a time, with exponential backoff, until it is cancelled or one of its tasks
+//! succeeds. Its failures are not counted against machines.
 
 use crate::controller::Controller;
 use crate::ids::{JobId, MachineId, TaskId};
@@ -12,36 +12,38 @@
 use crate::protocol::Shape;
 use std::collections::BTreeSet;
 
-/// Distinct machines on which a job must have failed to be suspected.
-const SUSPICION_MACHINES: usize = 3;
-/// Distinct jobs that must have failed on a machine for it to be faulty.
-const FAULT_JOBS: usize = 2;
-/// Reports through which a replica must have run for its job to count as one that succeeds.
-const SUCCESS_REPORTS: u64 = 4;
-/// Part of the machines at hand on which a job may have failed for its retries still to go to others only.
-const RETRY_ELSEWHERE_PART: f64 = 0.5;
-/// Reports for which a machine is avoided after a failure. Longer pauses cost more machines than failures do.
-const AVOIDED_REPORTS: u64 = 2;
-/// Largest exponent of the pause between retries, in report intervals.
+/// Number of distinct machines on which a job must have failed to be suspected.
+const MIN_FAILED_MACHINES_TO_SUSPECT_JOB: usize = 3;
+/// Number of distinct jobs that must have failed on a machine for it to be faulty.
+const MIN_FAILED_JOBS_OF_FAULTY_MACHINE: usize = 2;
+/// Report intervals for which a service's replica must have run for its job to count as successful.
+const REPLICA_SUCCESS_REPORTS: u64 = 4;
+/// Largest fraction of the available machines that a job's retries avoid because the job has failed there. If it has
+/// failed on more, its retries may go to all of them.
+const MAX_EXCLUDED_MACHINES_FRACTION: f64 = 0.5;
+/// Report intervals for which a machine is avoided after a failure. Longer pauses cost more machines than failures
+/// do.
+const AVOIDANCE_REPORTS: u64 = 2;
+/// Largest exponent of the backoff between retries; its unit is the report interval.
 const MAX_BACKOFF_EXPONENT: u32 = 6;
 
-/// What is known of a job's failures.
+/// What is known about a job's failures.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct JobFailures {
     /// Distinct machines on which a task failed since one last succeeded.
     machines: BTreeSet<MachineId>,
-    /// Machines among them that were not under doubt themselves.
-    sound_machines: BTreeSet<MachineId>,
-    /// Failed on several sound machines, and succeeded on none.
+    /// Those of `machines` that were not suspected themselves.
+    unsuspected_machines: BTreeSet<MachineId>,
+    /// The job has failed on several unsuspected machines and succeeded on none.
     suspected: bool,
     /// Retries since it was suspected.
     retries: u32,
-    /// No task is started before this.
-    hold_until: u64,
+    /// No task is started before this time (ms).
+    retry_not_before: u64,
 }
 
 impl JobFailures {
-    /// Whether the job is suspected of a mistake.
+    /// Whether the job is suspected to be faulty.
     pub(crate) fn is_suspected(&self) -> bool {
         self.suspected
     }
@@ -53,20 +55,20 @@
 
     /// Whether its next retry is not due yet.
     pub(crate) fn is_held(&self, now: u64) -> bool {
-        now < self.hold_until
+        now < self.retry_not_before
     }
 }
 
-/// The pause before a retry: doubled each time up to a bound, and up to half longer by a jitter that is
-/// derived from the job and the retry, so that jobs that failed together are not retried together.
+/// The backoff before a retry, in ms: doubled each time up to a limit, plus a jitter of up to half of it. The jitter
+/// is derived from the job and the retry, so that jobs that failed together are not retried together.
 pub fn retry_delay_ms(job: &JobId, retry: u32, report_ms: u64) -> u64 {
     let delay = report_ms << retry.min(MAX_BACKOFF_EXPONENT);
-    let jitter = hash(job.as_str(), retry) % (delay / 2 + 1);
+    let jitter = fnv1a(job.as_str(), retry) % (delay / 2 + 1);
     delay + jitter
 }
 
 /// FNV-1a over a name and a number.
-fn hash(name: &str, number: u32) -> u64 {
+fn fnv1a(name: &str, number: u32) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     name.bytes()
@@ -75,18 +77,18 @@
 }
 
 impl Controller {
-    /// The places, among the machines at hand, of those on which a job has failed: its retries go elsewhere, for
-    /// only another machine can tell whether the job is at fault. None once it has failed on most of them.
+    /// The indices in `machines` of those on which a job has failed. Its retries go to other machines, because only
+    /// another machine can tell whether the job is at fault. Empty once the job has failed on most of the machines.
     pub(crate) fn failed_places(&self, job_id: &JobId, machines: &[MachineId]) -> BTreeSet<usize> {
         let Some(job) = self.jobs.get(job_id) else {
             return BTreeSet::new();
         };
         let failed = |at: &usize| machines.get(*at).is_some_and(|id| job.failures.failed_on(id));
-        let places: BTreeSet<usize> = (0..machines.len()).filter(failed).collect();
-        if places.len() as f64 > RETRY_ELSEWHERE_PART * machines.len() as f64 {
+        let excluded: BTreeSet<usize> = (0..machines.len()).filter(failed).collect();
+        if excluded.len() as f64 > MAX_EXCLUDED_MACHINES_FRACTION * machines.len() as f64 {
             return BTreeSet::new();
         }
-        places
+        excluded
     }
 
     /// Whether any task of a job has failed since one last succeeded.
@@ -94,52 +96,52 @@
         self.jobs.get(job_id).is_some_and(|j| !j.failures.machines.is_empty())
     }
 
-    /// A task has failed on a machine.
-    pub(crate) fn note_failure(&mut self, id: &MachineId, task: &TaskId) {
+    /// Records that a task has failed on a machine.
+    pub(crate) fn record_failure(&mut self, id: &MachineId, task: &TaskId) {
         let now = self.now.ms;
         let report_ms = self.settings.report_ms();
-        let succeeds = self.succeeds_elsewhere(&task.job, id);
-        let sound = self.is_sound_for(id, &task.job);
+        let has_succeeded_elsewhere = self.succeeds_elsewhere(&task.job, id);
+        let is_unsuspected = self.is_unsuspected_machine(id, &task.job);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         let failures = &mut job.failures;
         let first_here = failures.machines.insert(id.clone());
-        if sound {
-            failures.sound_machines.insert(id.clone());
+        if is_unsuspected {
+            failures.unsuspected_machines.insert(id.clone());
         }
-        if succeeds {
+        if has_succeeded_elsewhere {
             failures.suspected = false;
-        } else if failures.suspected || failures.sound_machines.len() >= SUSPICION_MACHINES {
+        } else if failures.suspected || failures.unsuspected_machines.len() >= MIN_FAILED_MACHINES_TO_SUSPECT_JOB {
             let newly_suspected = !failures.suspected;
             failures.suspected = true;
             if !failures.is_held(now) {
                 failures.retries += 1;
-                failures.hold_until = now + retry_delay_ms(&task.job, failures.retries, report_ms);
+                failures.retry_not_before = now + retry_delay_ms(&task.job, failures.retries, report_ms);
             }
             if newly_suspected {
-                self.clear_machines_of(&task.job);
+                self.clear_failures_of_job(&task.job);
             }
             return;
         }
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.avoid_until = machine.avoid_until.max(now + AVOIDED_REPORTS * report_ms);
-        machine.failed_at = now;
+        machine.avoid_until = machine.avoid_until.max(now + AVOIDANCE_REPORTS * report_ms);
+        machine.last_failure_at = now;
         let proven = machine.failures.entry(task.job.clone()).or_default();
-        *proven |= succeeds;
+        *proven |= has_succeeded_elsewhere;
         if first_here {
             self.log(Level::Info, format!("{id}: {task} failed"));
         }
     }
 
-    /// A job is suspected: its failures no longer speak against machines.
-    fn clear_machines_of(&mut self, job: &JobId) {
+    /// Removes the failures of a newly suspected job from the machines: they are no longer counted against them.
+    fn clear_failures_of_job(&mut self, job: &JobId) {
         let now = self.now.ms;
         for machine in self.machines.values_mut() {
-            let cleared = machine.failures.remove(job).is_some();
-            if cleared && machine.failures.is_empty() && machine.missed == 0 {
+            let is_cleared = machine.failures.remove(job).is_some();
+            if is_cleared && machine.failures.is_empty() && machine.missed_answers == 0 {
                 machine.avoid_until = now;
             }
         }
@@ -149,8 +151,8 @@
         );
     }
 
-    /// A job has succeeded on a machine: its failures on others speak against those.
-    pub(crate) fn note_success(&mut self, job_id: &JobId, succeeded_on: &MachineId) {
+    /// Records that a job has succeeded on a machine: its failures on others now count against those.
+    pub(crate) fn record_success(&mut self, job_id: &JobId, succeeded_on: &MachineId) {
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         if job.failures.machines.is_empty() {
             return;
@@ -164,8 +166,8 @@
         }
     }
 
-    /// Whether a job's failure on a machine may be the job's fault: the machine has failed no other job.
-    fn is_sound_for(&self, id: &MachineId, job: &JobId) -> bool {
+    /// Whether a job's failure on a machine may be the job's fault: no other job has failed on the machine.
+    fn is_unsuspected_machine(&self, id: &MachineId, job: &JobId) -> bool {
         self.machines
             .get(id)
             .is_some_and(|m| !m.suspect && m.failures.keys().all(|other| other == job))
@@ -181,30 +183,30 @@
         job.spec.shape == Shape::Service
             && elsewhere.filter_map(|id| self.machines.get(id)).any(|machine| {
                 let mut held = machine.held.iter().filter(|h| h.task.job == *job_id);
-                held.any(|h| h.running_since.is_some_and(|since| self.is_lasting(since)))
+                held.any(|h| h.running_since.is_some_and(|since| self.has_run_long_enough(since)))
             })
     }
 
-    /// Whether a replica that has run since some time counts as a success.
-    fn is_lasting(&self, running_since: u64) -> bool {
-        self.now.ms.saturating_sub(running_since) >= SUCCESS_REPORTS * self.settings.report_ms()
+    /// Whether a replica has run long enough to count as a success.
+    fn has_run_long_enough(&self, running_since: u64) -> bool {
+        self.now.ms.saturating_sub(running_since) >= REPLICA_SUCCESS_REPORTS * self.settings.report_ms()
     }
 
-    /// A replica is reported as running: in time that speaks for its job.
-    pub(crate) fn note_running_replica(&mut self, job_id: &JobId, id: &MachineId, running_since: u64) {
+    /// Records that a replica is reported as running. Once it has run long enough, its job counts as successful.
+    pub(crate) fn record_running_replica(&mut self, job_id: &JobId, id: &MachineId, running_since: u64) {
         let failed = self
             .jobs
             .get(job_id)
             .is_some_and(|j| j.spec.shape == Shape::Service && !j.failures.machines.is_empty());
-        if failed && self.is_lasting(running_since) {
-            self.note_success(job_id, id);
+        if failed && self.has_run_long_enough(running_since) {
+            self.record_success(job_id, id);
         }
     }
 
     /// Takes machines out of use on which several jobs have failed that succeed elsewhere.
     pub(crate) fn judge_machines(&mut self) {
         let proven_jobs = |m: &Machine| m.failures.values().filter(|proven| **proven).count();
-        let is_faulty = |m: &Machine| !m.suspect && proven_jobs(m) >= FAULT_JOBS;
+        let is_faulty = |m: &Machine| !m.suspect && proven_jobs(m) >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE;
         let mut faulty = Vec::new();
         for (id, machine) in self.machines.iter_mut().filter(|(_, m)| is_faulty(m)) {
             machine.suspect = true;
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -1,9 +1,9 @@
-//! Gangs: jobs whose tasks run all at the same time, or not at all.
+//! Gangs: jobs whose tasks run all at the same time or not at all.
 //!
-//! All tasks of a gang carry one attempt number. It is drawn when the first of them is booked, and again
-//! only once none of them may be on any machine any more: so no task is started in a second zone, or a
-//! second time, while an older one is left. What a gang does is read off what its machines report; after
-//! a take-over the same reading tells whether it goes on, is completed, or has to start afresh.
+//! All tasks of a gang share one attempt number. It is assigned when the first of them is booked, and replaced only
+//! once none of them may be on any machine any more. So no task is started in a second zone, or a second time, while
+//! an older one is left. The state of a gang is derived from what its machines report. After a takeover, the same
+//! reports show whether it continues, is completed with its missing tasks, or has to restart.
 
 use crate::controller::Controller;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
@@ -12,61 +12,61 @@
 use crate::messages::Level;
 use crate::protocol::{Shape, TaskState};
 
-/// What is known of the attempt that a gang's tasks share.
+/// What is known about the attempt that a gang's tasks share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Gang {
-    /// The attempt.
+    /// The attempt number.
     pub(crate) attempt: Attempt,
-    /// When it was drawn, or first seen by this owner.
+    /// When it was assigned, or first seen by this owner (ms).
     pub(crate) since: u64,
-    /// A task of it has run: nobody joins it any more.
-    pub(crate) ran: bool,
-    /// A task of it has ended in a way that ends the others.
-    pub(crate) over: bool,
-    /// Since when a task of it is missing.
+    /// A task of the attempt has run. No further task may join it.
+    pub(crate) has_run: bool,
+    /// A task of the attempt has ended in a way that ends the others.
+    pub(crate) has_ended: bool,
+    /// Since when a task of the attempt has been missing (ms).
     missing_since: Option<u64>,
 }
 
 impl Gang {
-    /// An attempt that begins, or comes to light.
+    /// Creates an attempt that begins now, or that a report shows for the first time.
     pub(crate) fn new(attempt: Attempt, now: u64) -> Self {
         Self {
             attempt,
             since: now,
-            ran: false,
-            over: false,
+            has_run: false,
+            has_ended: false,
             missing_since: None,
         }
     }
 }
 
-/// What a gang's machines say of it, taken together.
+/// The state of a gang, combined from the reports of its machines.
 #[derive(Debug, Default)]
 struct GangObservation {
-    /// Tasks of the present attempt that a machine holds, or may hold.
+    /// Tasks of the present attempt that a machine holds or may hold.
     held: Vec<(MachineId, TaskId, Attempt)>,
     /// Tasks of older attempts.
     stale: Vec<(MachineId, TaskId, Attempt)>,
-    /// A task was told to stop with time to save, or does save.
-    stopping: bool,
-    /// Its machine is given up, or already gone.
-    lost: bool,
-    /// The cloud takes its machine away.
-    notice: bool,
+    /// A task was told to stop with time to save, or is saving.
+    is_stopping: bool,
+    /// A machine of the gang is given up or already gone.
+    has_lost_machine: bool,
+    /// The cloud has given notice that it takes back a machine of the gang.
+    has_notice: bool,
 }
 
-/// What becomes of a gang.
+/// The next step for a gang.
 enum GangDecision {
-    GoesOn,
-    /// All its tasks are stopped, with time to save.
-    Stops,
-    /// It cannot go on: what is left of it is ended at once.
-    Ends(&'static str),
+    Continue,
+    /// All its tasks are stopped with time to save.
+    StopWithGrace,
+    /// It cannot continue: its remaining tasks are stopped at once, for this reason.
+    Abort(&'static str),
 }
 
 impl Job {
-    /// A state of one of a gang's tasks has come to light.
-    pub(crate) fn note_gang(&mut self, attempt: Attempt, state: TaskState, now: u64) {
+    /// Applies the reported state of one of the job's tasks, if the job is a gang.
+    pub(crate) fn update_gang(&mut self, attempt: Attempt, state: TaskState, now: u64) {
         if self.spec.shape != Shape::Gang {
             return;
         }
@@ -75,34 +75,35 @@
             *gang = Gang::new(attempt, now);
         }
         if attempt == gang.attempt && matches!(state, TaskState::Running | TaskState::Saving) {
-            gang.ran = true;
+            gang.has_run = true;
         }
     }
 
-    /// One of a gang's tasks has ended. Whatever the cause, the others end with it, but for starts that a
-    /// worker refused: those may be made up for.
-    pub(crate) fn note_gang_end(&mut self, attempt: Attempt, why: &str) {
+    /// Records that one of a gang's tasks has ended. Whatever the cause, the other tasks end with it, except after a
+    /// start that the worker refused: that task may be placed on another machine.
+    pub(crate) fn record_gang_task_end(&mut self, attempt: Attempt, why: &str) {
         let refused = matches!(why, "no_room" | "busy" | "no_such");
         if let Some(gang) = self.gang.as_mut().filter(|g| g.attempt == attempt && !refused) {
-            gang.over = true;
+            gang.has_ended = true;
         }
     }
 
-    /// May more of a gang's tasks be started now? Either none of it is anywhere, or its attempt still waits
-    /// for the others.
+    /// Whether more tasks of a gang may be started now: none of its tasks is on any machine, or its attempt still
+    /// waits for missing tasks.
     pub(crate) fn gang_may_start(&self) -> bool {
-        self.placed.is_empty() || self.gang.is_some_and(|g| !g.ran && !g.over)
+        self.placed.is_empty() || self.gang.is_some_and(|g| !g.has_run && !g.has_ended)
     }
 }
 
 impl Controller {
-    /// Whether every live controller has said that it knows gangs: only then is one accepted. A controller
-    /// that says nothing is of the version before. One that joins later raises the epoch, of which every
-    /// acceptance is a condition.
+    /// Whether every member controller has announced that it supports gangs. A gang is accepted only then. A
+    /// controller that announces nothing runs the previous version. A controller that joins later raises the epoch,
+    /// and every acceptance is conditional on the epoch.
     pub(crate) fn all_know_gangs(&self) -> bool {
         self.settings.features.gangs && self.member.members.values().all(|m| m.knows >= 1)
     }
 
+    /// Combines what this controller knows about the tasks of a gang on all their machines.
     fn observe_gang(&self, id: &JobId, job: &Job) -> GangObservation {
         let mut observation = GangObservation::default();
         let current = job.gang.map(|g| g.attempt);
@@ -116,17 +117,17 @@
                         continue;
                     }
                     observation.held.push(entry);
-                    observation.stopping |= h.stop.is_some_and(|s| s.grace_s > 0.0);
-                    observation.stopping |= h.state == HeldState::Seen(TaskState::Saving);
-                    observation.lost |= m.retiring || m.gone;
-                    observation.notice |= m.notice;
+                    observation.is_stopping |= h.stop.is_some_and(|s| s.grace_s > 0.0);
+                    observation.is_stopping |= h.state == HeldState::Seen(TaskState::Saving);
+                    observation.has_lost_machine |= m.retiring || m.gone;
+                    observation.has_notice |= m.notice;
                 }
             }
         }
         observation
     }
 
-    /// Looks at every gang that has tasks somewhere: completes, stops or ends it as a whole.
+    /// Checks every gang that has tasks on machines, and completes, stops or ends it as a whole.
     pub(crate) fn tick_gangs(&mut self) {
         if !self.entitled() {
             return;
@@ -135,17 +136,17 @@
         let acting = self.acting_partitions();
         let mut decisions: Vec<(JobId, GangObservation, GangDecision)> = Vec::new();
         for (id, job) in &self.jobs {
-            let looked_at = job.spec.shape == Shape::Gang && !job.placed.is_empty() && job.ending.is_none();
-            if !looked_at || !acting.contains(&job.partition) {
+            let is_placed_gang = job.spec.shape == Shape::Gang && !job.placed.is_empty() && job.ending.is_none();
+            if !is_placed_gang || !acting.contains(&job.partition) {
                 continue;
             }
             let Some(gang) = job.gang else { continue };
             let observation = self.observe_gang(id, job);
-            let missing = self.misses_tasks(job, &observation);
+            let missing = self.has_missing_tasks(job, &observation);
             let decision = self.decide_gang(job, &gang, &observation, missing);
             if missing != gang.missing_since.is_some()
                 || !observation.stale.is_empty()
-                || !matches!(decision, GangDecision::GoesOn)
+                || !matches!(decision, GangDecision::Continue)
             {
                 decisions.push((id.clone(), observation, decision));
             }
@@ -154,22 +155,22 @@
             let missing = self
                 .jobs
                 .get(&id)
-                .is_some_and(|job| self.misses_tasks(job, &observation));
+                .is_some_and(|job| self.has_missing_tasks(job, &observation));
             if let Some(gang) = self.jobs.get_mut(&id).and_then(|job| job.gang.as_mut()) {
                 gang.missing_since = missing.then(|| gang.missing_since.unwrap_or(now));
             }
             for (machine, task, attempt) in &observation.stale {
-                self.halt(machine, task, *attempt);
+                self.stop_at_once(machine, task, *attempt);
             }
             match decision {
-                GangDecision::GoesOn => {}
-                GangDecision::Stops => self.stop_gang(&id),
-                GangDecision::Ends(why) => {
-                    let mut told = false;
+                GangDecision::Continue => {}
+                GangDecision::StopWithGrace => self.stop_gang(&id),
+                GangDecision::Abort(why) => {
+                    let mut has_new_request = false;
                     for (machine, task, attempt) in &observation.held {
-                        told |= self.halt(machine, task, *attempt);
+                        has_new_request |= self.stop_at_once(machine, task, *attempt);
                     }
-                    if told {
+                    if has_new_request {
                         self.log(Level::Info, format!("{id}: {why}: the gang starts afresh"));
                     }
                 }
@@ -177,41 +178,42 @@
         }
     }
 
-    /// Whether tasks of a gang are nowhere. Those older than the take-over may be on a machine that has not reported
-    /// yet.
-    fn misses_tasks(&self, job: &Job, observation: &GangObservation) -> bool {
-        !self.may_be_elsewhere(job) && (observation.held.len() as u32) < job.spec.tasks
+    /// Whether tasks of a gang are on no machine. Tasks from before the takeover may be on a machine that has not
+    /// reported yet; until that is known, none counts as missing.
+    fn has_missing_tasks(&self, job: &Job, observation: &GangObservation) -> bool {
+        !self.may_be_on_unconfirmed_machines(job) && (observation.held.len() as u32) < job.spec.tasks
     }
 
+    /// Decides how a gang proceeds. `missing` says whether tasks of it are on no machine.
     fn decide_gang(&self, job: &Job, gang: &Gang, observation: &GangObservation, missing: bool) -> GangDecision {
         let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
         let wait = self.settings.gang_ms().map_or(lease, |(wait, _)| wait);
-        // A replacement that is not found in two batches may not be found for long, and meanwhile the others
-        // hold room that another gang may be waiting for.
-        let patience = 2 * self.settings.batch_retry_ms();
-        let missing_for = gang.missing_since.map_or(0, |t| now.saturating_sub(t));
-        if gang.over {
-            GangDecision::Ends("a task of it has ended")
-        } else if gang.ran && (missing || observation.lost) {
-            GangDecision::Ends("a task of it is gone")
-        } else if missing && (missing_for > patience || now.saturating_sub(gang.since) > wait / 2) {
-            GangDecision::Ends("it is not complete")
-        } else if observation.stopping || (observation.notice && job.spec.checkpoint_s > 0.0) {
-            GangDecision::Stops
+        // A replacement that is not found in two batches may not be found for a long time, and meanwhile the other
+        // tasks hold resources that another gang may be waiting for.
+        let replacement_ms = 2 * self.settings.batch_retry_ms();
+        let missing_for_ms = gang.missing_since.map_or(0, |t| now.saturating_sub(t));
+        if gang.has_ended {
+            GangDecision::Abort("a task of it has ended")
+        } else if gang.has_run && (missing || observation.has_lost_machine) {
+            GangDecision::Abort("a task of it is gone")
+        } else if missing && (missing_for_ms > replacement_ms || now.saturating_sub(gang.since) > wait / 2) {
+            GangDecision::Abort("it is not complete")
+        } else if observation.is_stopping || (observation.has_notice && job.spec.checkpoint_s > 0.0) {
+            GangDecision::StopWithGrace
         } else {
-            GangDecision::GoesOn
+            GangDecision::Continue
         }
     }
 
-    /// Whether tasks of a job may be on machines that have not reported since the take-over.
-    fn may_be_elsewhere(&self, job: &Job) -> bool {
+    /// Whether tasks of a job may be on machines that have not reported since the takeover.
+    fn may_be_on_unconfirmed_machines(&self, job: &Job) -> bool {
         let since = self.tenures.get(&job.partition).map(|t| t.since);
         since.is_some_and(|since| job.epoch < since) && self.unconfirmed(job.partition) > 0
     }
 
-    /// Ends a task at once, whatever it was told before; whether that is news.
-    fn halt(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) -> bool {
+    /// Requests that a task stops at once, whatever was requested before. Returns whether that is a new request.
+    fn stop_at_once(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) -> bool {
         let now = self.now.ms;
         let Some(m) = self.machines.get_mut(machine) else {
             return false;
@@ -225,8 +227,8 @@
         true
     }
 
-    /// Stops all tasks of a gang, with time to save: each has to be told within the time in which they
-    /// notice each other's end, so all machines are told at once.
+    /// Stops all tasks of a gang with time to save. All machines are told at once, because each must be told within
+    /// the time in which the tasks notice each other's end.
     pub(crate) fn stop_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         for (machine, task, attempt) in self.observe_gang(id, job).held {
@@ -234,56 +236,62 @@
         }
     }
 
-    /// All tasks of a gang that is whole and runs, each with its machine; none: it cannot be stopped as a whole now.
+    /// All tasks of a gang that is complete and running, each with its machine. None if it cannot be stopped as a
+    /// whole now.
     pub(crate) fn gang_tasks(&self, id: &JobId) -> Option<Vec<(MachineId, TaskId, Attempt)>> {
         let job = self.jobs.get(id)?;
         self.gang_loss(id, job)?;
         Some(self.observe_gang(id, job).held)
     }
 
-    /// What stopping a gang would lose, in seconds of work over all its tasks; none if it cannot be stopped
-    /// as a whole just now: a machine of it may not hear that in time, or it is ending already.
+    /// The work that stopping a gang would lose, in seconds summed over all its tasks. None if it cannot be stopped
+    /// as a whole now: one of its machines may not receive the request in time, or the gang is already ending.
     pub(crate) fn gang_loss(&self, id: &JobId, job: &Job) -> Option<f64> {
         let now = self.now.ms;
         let gang = job.gang?;
         let observation = self.observe_gang(id, job);
-        let whole = observation.held.len() as u32 == job.spec.tasks && observation.stale.is_empty();
-        let reachable = observation.held.iter().all(|(machine, _, _)| {
+        let is_complete = observation.held.len() as u32 == job.spec.tasks && observation.stale.is_empty();
+        let all_are_reachable = observation.held.iter().all(|(machine, _, _)| {
             let m = self.machines.get(machine);
             m.is_some_and(|m| {
                 m.heard
                     .is_some_and(|t| now.saturating_sub(t) <= 2 * self.settings.report_ms())
             })
         });
-        if !whole || !reachable || observation.stopping || observation.lost || gang.over {
+        if !is_complete
+            || !all_are_reachable
+            || observation.is_stopping
+            || observation.has_lost_machine
+            || gang.has_ended
+        {
             return None;
         }
-        // What was done since the last checkpoint is saved by an orderly stop; gathering again costs each
-        // task about a report's time.
+        // An orderly stop saves the work done since the last checkpoint. Waiting for all tasks of the gang again
+        // costs each task about a report interval.
         let ran_s = now.saturating_sub(gang.since) as f64 / 1000.0;
         let lost_s = if job.spec.checkpoint_s > 0.0 {
             ran_s.min(job.spec.save_s)
         } else {
             ran_s
         };
-        let again_s = self.settings.report_ms() as f64 / 1000.0;
-        Some((lost_s + again_s) * f64::from(job.spec.tasks))
+        let regather_s = self.settings.report_ms() as f64 / 1000.0;
+        Some((lost_s + regather_s) * f64::from(job.spec.tasks))
     }
 
-    /// The attempt under which the next task of a job is booked.
+    /// The attempt number under which the next task of a job is booked.
     pub(crate) fn next_attempt(&mut self, id: &JobId, partition: Partition) -> Option<Attempt> {
         let now = self.now.ms;
-        let joins = self
+        let current = self
             .jobs
             .get(id)
             .filter(|j| j.spec.shape == Shape::Gang && !j.placed.is_empty())
             .and_then(|j| j.gang);
-        if let Some(gang) = joins {
+        if let Some(gang) = current {
             return Some(gang.attempt);
         }
         let tenure = self.tenures.get_mut(&partition)?;
         tenure.next_attempt += 1;
-        // Attempts carry the epoch with which the tenure began: no other tenure can make the same.
+        // Attempt numbers contain the epoch at which the tenure began, so no other tenure can assign the same number.
         let attempt = Attempt((tenure.since.0 << 24) + tenure.next_attempt);
         if let Some(job) = self.jobs.get_mut(id).filter(|j| j.spec.shape == Shape::Gang) {
             job.gang = Some(Gang::new(attempt, now));
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -1,16 +1,17 @@
-//! The machines as this controller sees them: what may be on each, and the evidence for it.
+//! This controller's view of the machines: which tasks may be on each, and the reports that prove it.
 //!
-//! A task counts as held by a machine from the moment it is booked there. It stops to count only when
-//! its exit is reported, when a later periodic report than the one that carried its start comes without it, when
-//! the machine begins a new session, or when the cloud has answered that the machine is deleted. A
-//! silent worker's lease is never taken as evidence: any entitled controller may have answered it.
+//! A machine counts as holding a task from the moment the task is booked there. It stops counting only when the
+//! task's exit is reported, when a later periodic report than the one whose answer carried the start does not list
+//! the task, when the machine begins a new session, or when the cloud has answered that the machine is deleted. The
+//! expiry of an unresponsive worker's lease is never taken as evidence, because any entitled controller may have
+//! answered the worker and thereby renewed it.
 
 mod commands;
 mod machine;
 mod report_routing;
 mod reports;
 mod shared_machines;
-mod silence;
+mod unresponsive_machines;
 
 pub(crate) use machine::{Guest, Held, HeldState, Machine, Stop};
 
@@ -19,32 +20,33 @@
 use crate::messages::Level;
 
 impl Controller {
-    /// At the start of a tenure nothing of the partition's machines and jobs is known any more.
+    /// Discards what is known about a partition's machines and jobs. Called at the start of a tenure.
     pub(crate) fn reset_partition(&mut self, partition: Partition) {
         let now = self.now.ms;
         let (settings, tenures) = (&self.settings, &self.tenures);
-        // Tasks that another partition of this controller's has on one of these machines stay known.
-        let of_another = |held: &Held| {
+        // Tasks of the other partitions that this controller owns stay known if they are on one of these machines.
+        let is_of_another_partition = |held: &Held| {
             let owner = settings.partition_of_team(&held.team);
             owner.is_some_and(|p| p != partition && tenures.contains_key(&p))
         };
-        // Jobs of partitions that this controller does not own stay in its view, and are not reset below. A place that they
-        // kept here would look like a second machine as soon as this one reports the task again, which would be stopped.
-        let mut forgotten: Vec<(TaskId, MachineId)> = Vec::new();
+        // Jobs of partitions that this controller does not own stay in its view and are not reset below. If they kept
+        // a placement on this machine, the next report of the task would look like a second copy on another machine,
+        // and the task would be stopped.
+        let mut removed_placements: Vec<(TaskId, MachineId)> = Vec::new();
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.partition == partition) {
             m.confirmed = false;
             m.confirming = false;
-            let dropped = m.held.iter().filter(|held| !of_another(held));
-            forgotten.extend(dropped.map(|held| (held.task.clone(), id.clone())));
-            m.held.retain(of_another);
+            let dropped = m.held.iter().filter(|held| !is_of_another_partition(held));
+            removed_placements.extend(dropped.map(|held| (held.task.clone(), id.clone())));
+            m.held.retain(is_of_another_partition);
             m.only_others_since = None;
             m.ended.clear();
-            // Older starts are fenced by the token of this tenure, without which nothing counts.
-            m.pins.clear();
-            m.commanding = None;
+            // Older starts are fenced by the epoch of this tenure: reports under an older epoch are not accepted.
+            m.unanswered_starts.clear();
+            m.pending_command = None;
             m.heard = None;
             m.heard_directly = None;
-            m.probes_failed = 0;
+            m.failed_probes = 0;
             m.probing = false;
             m.known_since = now;
             m.idle_since = None;
@@ -55,12 +57,12 @@
             m.deleting = false;
             m.storing = false;
             m.may_hold = m.up();
-            m.missed = 0;
-            m.answered = None;
-            m.directs.clear();
+            m.missed_answers = 0;
+            m.last_answered_at = None;
+            m.direct_starts.clear();
         }
-        for (task, machine) in forgotten {
-            self.forget_place(&task, &machine);
+        for (task, machine) in removed_placements {
+            self.remove_placement(&task, &machine);
         }
         self.reset_disruption(partition);
         self.reset_roster(partition);
@@ -68,7 +70,8 @@
         self.reset_shared_machines(partition);
     }
 
-    pub(super) fn hold(&mut self, machine: &MachineId, held: Held) {
+    /// Adds a task to those that a machine holds and to the placements of its job.
+    pub(super) fn add_held_task(&mut self, machine: &MachineId, held: Held) {
         if let Some(job) = self.jobs.get_mut(&held.task.job) {
             job.placed.entry(held.task.index).or_default().push(machine.clone());
         }
@@ -78,19 +81,22 @@
         }
     }
 
-    /// Books a start on a machine: it counts from now on, and goes out with the answer to the next report.
+    /// Books the start of a task on a machine. The task counts as held from now on; the command is sent with the
+    /// answer to the next report or in a direct command.
     pub(crate) fn book_start(&mut self, machine: &MachineId, task: TaskId) {
-        let of_job = self
+        let job_details = self
             .jobs
             .get(&task.job)
             .map(|j| (Self::size(&j.spec), j.spec.team.clone(), j.partition));
-        let Some((size, team, partition)) = of_job else { return };
+        let Some((size, team, partition)) = job_details else {
+            return;
+        };
         let Some(attempt) = self.next_attempt(&task.job, partition) else {
             return;
         };
         self.poked.insert(machine.clone());
         self.log(Level::Debug, format!("{machine}: {task} placed, attempt {attempt}"));
-        self.hold(
+        self.add_held_task(
             machine,
             Held {
                 task,
@@ -104,8 +110,8 @@
         );
     }
 
-    /// A machine counts no longer as one that holds the task.
-    fn forget_place(&mut self, task: &TaskId, machine: &MachineId) {
+    /// Removes a machine from the placements of a task.
+    fn remove_placement(&mut self, task: &TaskId, machine: &MachineId) {
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(machines) = job.placed.get_mut(&task.index)
         {
@@ -117,19 +123,19 @@
         }
     }
 
-    /// One attempt is proven gone from a machine.
-    pub(super) fn release(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
+    /// Releases one attempt that is proven to be gone from a machine.
+    pub(super) fn release_attempt(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
         if let Some(m) = self.machines.get_mut(machine) {
             m.held.retain(|h| h.task != *task || h.attempt != attempt);
             if m.held.iter().any(|h| h.task == *task) {
                 return;
             }
         }
-        self.forget_place(task, machine);
+        self.remove_placement(task, machine);
         self.want_batch();
     }
 
-    /// Everything on a machine is proven gone.
+    /// Releases all attempts on a machine after proof that they are gone. `why` names the proof in the log.
     pub(crate) fn release_all(&mut self, machine: &MachineId, why: &str) {
         let held: Vec<(TaskId, Attempt)> = match self.machines.get(machine) {
             Some(m) => m.held.iter().map(|h| (h.task.clone(), h.attempt)).collect(),
@@ -139,7 +145,7 @@
             self.log(Level::Info, format!("{machine}: {} tasks are gone: {why}", held.len()));
         }
         for (task, attempt) in held {
-            self.release(machine, &task, attempt);
+            self.release_attempt(machine, &task, attempt);
         }
     }
 }
--- a/crates/tidelatch-core/src/machine_view/machine.rs
+++ b/crates/tidelatch-core/src/machine_view/machine.rs
@@ -1,4 +1,4 @@
-//! One machine as this controller sees it, and the tasks that it holds or may hold.
+//! One machine in this controller's view, and the tasks that it holds or may hold.
 
 use crate::ids::{Attempt, Epoch, JobId, Partition, TaskId};
 use crate::jobs::Job;
@@ -6,31 +6,34 @@
 use crate::roster::GroupRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a start has come.
+/// How far the start of a task has progressed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeldState {
-    /// Booked: goes out with the answer to the next report.
+    /// Booked, not sent yet: goes out with the answer to the next report or in a direct command.
     Booked,
-    /// In a direct command that has no answer yet.
+    /// Sent in a direct command that has not been answered yet.
     Direct,
-    /// Sent with the answer to this report, or executed by the direct command whose answer was this
-    /// report (session, sequence number).
+    /// Sent with the answer to this report, or executed by the direct command that was answered with this report
+    /// (session, sequence number).
     Sent(u64, u64),
-    /// Reported.
+    /// Listed in a report of the machine, in this state.
     Seen(TaskState),
 }
 
-/// A stop that was ordered.
+/// A requested stop of a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Stop {
+    /// Time that the task gets for saving its state; 0 kills it at once.
     pub(crate) grace_s: f64,
+    /// When the stop was requested (ms).
     pub(crate) at: u64,
-    /// The partition whose owner permitted it, and with what epoch that ownership began; none: no permit was needed.
+    /// The partition whose owner permitted the stop, and the epoch at which that ownership began. None if no permit
+    /// was needed.
     pub(crate) permit: Option<(Partition, Epoch)>,
 }
 
 impl Stop {
-    /// A stop that needs no permit.
+    /// Creates a stop that needs no permit.
     pub(crate) fn new(grace_s: f64, at: u64) -> Self {
         Self {
             grace_s,
@@ -40,35 +43,42 @@
     }
 }
 
-/// A task that a machine holds, or may hold.
+/// A task that a machine holds or may hold.
 #[derive(Debug, Clone)]
 pub(crate) struct Held {
     pub(crate) task: TaskId,
     pub(crate) attempt: Attempt,
     pub(crate) state: HeldState,
+    /// When it was first reported as running (ms).
     pub(crate) running_since: Option<u64>,
+    /// The stop that was requested, if any.
     pub(crate) stop: Option<Stop>,
+    /// Its CPUs, GPUs and memory in GB.
     pub(crate) size: [f64; 3],
     pub(crate) team: String,
 }
 
-/// What fences a start whose direct command got no answer.
+/// A start whose direct command got no answer. It is fenced once the worker has reported a newer epoch or session.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Pin {
+pub(super) struct UnansweredStart {
     pub(super) epoch: Epoch,
     pub(super) session: u64,
+    /// When the command was found to have no answer (ms).
     pub(super) since: u64,
 }
 
-/// A worker that reports here though another controller owns its machine.
+/// A worker that reports to this controller although another controller owns its machine. Times are in ms.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Guest {
+    /// When its present stay here began.
     pub(super) since: u64,
-    pub(super) seen: u64,
-    pub(super) redirected: Option<u64>,
+    /// When it last reported here.
+    pub(super) last_seen: u64,
+    /// When it was last redirected to another controller.
+    pub(super) redirected_at: Option<u64>,
 }
 
-/// A machine of the roster.
+/// A machine of the roster. Times are in ms.
 #[derive(Debug, Clone)]
 pub(crate) struct Machine {
     pub(crate) partition: Partition,
@@ -76,79 +86,89 @@
     pub(crate) zone: String,
     pub(crate) spot: bool,
     pub(crate) addr: String,
-    /// The machine group that it stands in.
+    /// The machine group whose record lists it.
     pub(crate) group: String,
-    pub(super) last: (u64, u64),
+    /// Session and sequence number of its newest report.
+    pub(super) last_report_key: (u64, u64),
+    /// When it was last heard, also by reports that other controllers relayed.
     pub(crate) heard: Option<u64>,
-    /// When a report of it was last taken that says what is on it.
+    /// When a report that lists the machine's tasks was last accepted.
     pub(crate) reported: Option<u64>,
-    /// The token that its worker had seen by then.
+    /// The epoch that its worker had seen at that time.
     pub(crate) token: Epoch,
-    /// When it was last heard with no other controller between.
+    /// When it last reported or answered to this controller directly, without another controller as relay.
     pub(super) heard_directly: Option<u64>,
+    /// Since when this controller has known it under its present partition.
     pub(crate) known_since: u64,
-    /// What is on it is known: it has reported under a token of the present tenure.
+    /// Its tasks are known: it has reported under an epoch of the present tenure.
     pub(crate) confirmed: bool,
     pub(super) confirming: bool,
-    pub(super) confirm_at: u64,
+    pub(super) next_confirm_at: u64,
     pub(crate) held: Vec<Held>,
+    /// Attempts that its last report lists as ended, and whether each completed its task.
     pub(super) ended: Vec<(TaskId, Attempt, bool)>,
-    /// Starts in direct commands that got no answer, with the token and session that they carry. Such
-    /// a command may still be executed, until the worker has seen a newer token or session: so the
-    /// task is not started anywhere else, and an attempt that has ended is not forgotten.
-    pub(super) pins: BTreeMap<(TaskId, Attempt), Pin>,
-    /// A direct command is under way.
-    pub(super) commanding: Option<u64>,
-    /// No direct commands before this: the last one got no answer.
-    pub(super) direct_from: u64,
+    /// Starts in direct commands that got no answer, with the epoch and session that they carry. Such a command may
+    /// still be executed until the worker has seen a newer epoch or session. Until then the task is not started
+    /// anywhere else, and an attempt that has ended is not forgotten.
+    pub(super) unanswered_starts: BTreeMap<(TaskId, Attempt), UnansweredStart>,
+    /// The number of the direct command that has not been answered yet.
+    pub(super) pending_command: Option<u64>,
+    /// No direct commands are sent before this time, because the last one got no answer or was not executed.
+    pub(super) direct_commands_from: u64,
+    /// The cloud has given notice that it takes the machine back.
     pub(crate) notice: bool,
-    /// Jobs of which tasks have failed on it, and whether they are known to succeed elsewhere.
+    /// Jobs whose tasks have failed on it, and whether each job is known to succeed on other machines.
     pub(crate) failures: BTreeMap<JobId, bool>,
-    pub(crate) failed_at: u64,
-    /// Status calls without an answer since it was last heard.
-    pub(super) probes_failed: u32,
+    pub(crate) last_failure_at: u64,
+    /// Status or confirmation requests without an answer since the machine was last heard.
+    pub(super) failed_probes: u32,
     pub(super) probing: bool,
-    pub(super) probe_at: u64,
+    pub(super) next_probe_at: u64,
+    /// It is faulty: it is not used any more.
     pub(crate) suspect: bool,
+    /// No task is placed on it before this time.
     pub(crate) avoid_until: u64,
+    /// Images in its cache with their sizes in GB, the one recorded longest ago first.
     pub(crate) images: Vec<(String, f64)>,
     pub(crate) idle_since: Option<u64>,
     /// Being handed to another partition.
     pub(crate) moving: Option<Partition>,
-    /// To be deleted; nothing is started on it any more.
+    /// To be deleted. Nothing is started on it any more.
     pub(crate) retiring: bool,
-    /// Being emptied for another partition, and since when.
+    /// The partition for which it is being emptied, and since when.
     pub(crate) vacating: Option<(Partition, u64)>,
-    /// Nothing is started on it: it is drained.
+    /// A drain covers it: nothing is started on it.
     pub(crate) cordoned: bool,
-    /// It is kept for what leaves a drained machine.
+    /// It is reserved for tasks that leave a drained machine.
     pub(crate) reserved: bool,
-    /// Being emptied, to be returned then.
+    /// It is being emptied and will then be returned to the cloud.
     pub(crate) draining: bool,
     pub(crate) deleting: bool,
-    /// The cloud has answered its deletion.
+    /// The cloud has confirmed its deletion.
     pub(crate) gone: bool,
-    /// It is being entered in a boot batch.
+    /// The write of the boot batch that records it as up is in progress.
     pub(crate) storing: bool,
-    /// It was in the roster, and up, when the tenure began: it may hold tasks not known of.
+    /// It was in the roster, and up, when the tenure began, so it may hold tasks that this controller does not know.
     pub(super) may_hold: bool,
-    /// Other partitions whose tasks may be on it, by the roster.
+    /// The other partitions whose tasks may be on it, according to the roster.
     pub(crate) also_holds: BTreeSet<Partition>,
-    /// Partitions of this controller's, other than the machine's, of whose tasks it is not known yet which are on it.
+    /// Partitions that this controller owns, other than the machine's own, whose tasks on this machine are not known
+    /// yet.
     pub(crate) unaccounted: BTreeSet<Partition>,
     /// Since when it holds nothing but tasks of other partitions.
     pub(super) only_others_since: Option<u64>,
-    /// Starts sent with answers to its reports that a later periodic report came without, one after the other, and
-    /// leases of its worker that ended though its reports were answered: answers do not reach it.
-    pub(crate) missed: u32,
-    /// When a report of its was last answered.
-    pub(super) answered: Option<u64>,
-    /// Attempts started by direct command, with the token and the time of the command.
-    pub(super) directs: BTreeMap<(TaskId, Attempt), (Epoch, u64)>,
+    /// Counts signs that answers do not reach the machine: one for each periodic report that does not list a start
+    /// sent with the answer to an earlier report, and two when its worker's lease expires although its reports were
+    /// answered. Any report that lists a known task resets it.
+    pub(crate) missed_answers: u32,
+    /// When a report of the machine was last answered.
+    pub(super) last_answered_at: Option<u64>,
+    /// Attempts started by a direct command, with the epoch and the time of the command.
+    pub(super) direct_starts: BTreeMap<(TaskId, Attempt), (Epoch, u64)>,
 }
 
 impl Machine {
-    /// State of a task on it, if it holds the task.
+    /// The reported state of a task on this machine. None if the machine has not reported the task.
     pub(crate) fn state_of(&self, job: &JobId, index: u32) -> Option<TaskState> {
         self.held.iter().find_map(|h| match h.state {
             HeldState::Seen(s) if h.task.index == index && h.task.job == *job => Some(s),
@@ -156,28 +176,28 @@
         })
     }
 
-    /// It lists an attempt of one of a job's tasks as ended.
+    /// Whether the machine lists an attempt of one of the job's tasks as ended.
     pub(crate) fn lists(&self, job: &JobId, attempt: Attempt) -> bool {
         self.ended.iter().any(|(t, a, _)| *a == attempt && t.job == *job)
     }
 
-    /// Drops starts of a job that have not been sent.
+    /// Removes the starts of a job that have not been sent.
     pub(crate) fn drop_unsent(&mut self, job: &JobId) {
         self.held.retain(|h| h.state != HeldState::Booked || h.task.job != *job);
     }
 
-    /// It has come up, and its entry says so.
+    /// Whether the machine has booted and the roster records its address.
     pub(crate) fn up(&self) -> bool {
         !self.addr.is_empty()
     }
 
-    /// It has not come up yet, as far as is known, and is wanted.
+    /// Whether the machine has not booted yet, as far as is known, and is neither being deleted nor gone.
     pub(crate) fn is_booting(&self) -> bool {
         !self.up() && !self.retiring && !self.gone
     }
 
-    /// A machine that has just come into the roster, or into a partition.
-    pub(crate) fn new(group: &str, record: &GroupRecord, addr: String, last: (u64, u64), now: u64) -> Self {
+    /// Creates the view of a machine that has just been added to the roster or to a partition.
+    pub(crate) fn new(group: &str, record: &GroupRecord, addr: String, last_report_key: (u64, u64), now: u64) -> Self {
         Self {
             partition: record.part,
             model: record.model.clone(),
@@ -185,7 +205,7 @@
             spot: record.spot,
             addr,
             group: group.to_owned(),
-            last,
+            last_report_key,
             heard: None,
             reported: None,
             token: Epoch(0),
@@ -193,18 +213,18 @@
             known_since: now,
             confirmed: false,
             confirming: false,
-            confirm_at: 0,
+            next_confirm_at: 0,
             held: Vec::new(),
             ended: Vec::new(),
-            pins: BTreeMap::new(),
-            commanding: None,
-            direct_from: 0,
+            unanswered_starts: BTreeMap::new(),
+            pending_command: None,
+            direct_commands_from: 0,
             notice: false,
             failures: BTreeMap::new(),
-            failed_at: 0,
-            probes_failed: 0,
+            last_failure_at: 0,
+            failed_probes: 0,
             probing: false,
-            probe_at: 0,
+            next_probe_at: 0,
             suspect: false,
             avoid_until: 0,
             images: Vec::new(),
@@ -222,31 +242,31 @@
             also_holds: record.also_holds.clone(),
             unaccounted: BTreeSet::new(),
             only_others_since: None,
-            missed: 0,
-            answered: None,
-            directs: BTreeMap::new(),
+            missed_answers: 0,
+            last_answered_at: None,
+            direct_starts: BTreeMap::new(),
         }
     }
 
-    /// Whether tasks are done on it whose results are not stored yet: its reports are the only record of them.
+    /// Whether tasks have completed on it whose results are not stored yet: its reports are the only record of them.
     pub(crate) fn has_unstored_results(&self, jobs: &BTreeMap<JobId, Job>) -> bool {
         let unstored = |task: &TaskId| jobs.get(&task.job).is_some_and(|job| !job.is_stored(task.index));
         self.ended.iter().any(|(task, _, done)| *done && unstored(task))
     }
 
-    /// A boot batch says that it is up.
+    /// Records that a boot batch lists the machine as up.
     pub(crate) fn come_up(&mut self, addr: &str, seen: (u64, u64)) {
         self.storing = false;
         self.addr = addr.to_owned();
-        self.last = self.last.max(seen);
+        self.last_report_key = self.last_report_key.max(seen);
     }
 
     /// The session and sequence number of its newest report.
     pub(crate) fn last(&self) -> (u64, u64) {
-        self.last
+        self.last_report_key
     }
 
-    /// May tasks be placed on it?
+    /// Whether tasks may be placed on it. `patience` is the longest time since its last report, in ms.
     pub(crate) fn usable(&self, now: u64, patience: u64) -> bool {
         self.confirmed
             && self.up()
@@ -262,7 +282,7 @@
             && self.heard.is_some_and(|t| now.saturating_sub(t) <= patience)
     }
 
-    /// Room taken by all that it holds or may hold.
+    /// The sum of the resources of all tasks that it holds or may hold.
     pub(crate) fn taken(&self) -> [f64; 3] {
         let mut sum = [0.0; 3];
         for h in &self.held {
@@ -273,22 +293,22 @@
         sum
     }
 
-    /// Starts in a direct command without an answer stay with this machine, until they are fenced.
-    pub(super) fn pin_direct(&mut self, epoch: Epoch, session: u64, now: u64) {
-        let (last_session, last_seq) = self.last;
+    /// Keeps the starts of an unanswered direct command on this machine until they are fenced.
+    pub(super) fn mark_unanswered_starts(&mut self, epoch: Epoch, session: u64, now: u64) {
+        let (last_session, last_seq) = self.last_report_key;
         for h in self.held.iter_mut().filter(|h| h.state == HeldState::Direct) {
             h.state = HeldState::Sent(last_session, last_seq);
-            let pin = Pin {
+            let start = UnansweredStart {
                 epoch,
                 session,
                 since: now,
             };
-            self.pins.insert((h.task.clone(), h.attempt), pin);
+            self.unanswered_starts.insert((h.task.clone(), h.attempt), start);
         }
     }
 
-    /// Something is to be started or stopped that has not been sent yet.
-    pub(super) fn has_errands(&self) -> bool {
+    /// Whether a start or stop has not been sent yet.
+    pub(super) fn has_unsent_commands(&self) -> bool {
         self.held.iter().any(|h| match h.state {
             HeldState::Booked => true,
             HeldState::Seen(TaskState::Saving) => false,
@@ -297,20 +317,22 @@
         })
     }
 
-    /// It holds nothing, and no late command can change that.
+    /// Whether it holds no tasks and no late command can start one.
     pub(crate) fn clean(&self) -> bool {
-        self.held.is_empty() && self.pins.is_empty() && self.commanding.is_none()
+        self.held.is_empty() && self.unanswered_starts.is_empty() && self.pending_command.is_none()
     }
 
-    pub(super) fn note_image(&mut self, image: &str, gb: f64, room: f64) {
+    /// Records that the machine has an image in its cache of `cache_gb`, and drops the images recorded longest ago
+    /// if they no longer fit.
+    pub(super) fn record_cached_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
         self.images.retain(|(i, _)| i != image);
         self.images.push((image.to_owned(), gb));
-        while self.images.len() > 1 && self.images.iter().map(|(_, gb)| gb).sum::<f64>() > room {
+        while self.images.len() > 1 && self.images.iter().map(|(_, gb)| gb).sum::<f64>() > cache_gb {
             self.images.remove(0);
         }
     }
 
-    /// It was in the roster, and up, when the tenure began.
+    /// Whether it may hold tasks from before this tenure: it was in the roster, and up, when the tenure began.
     pub(crate) fn may_hold(&self) -> bool {
         self.may_hold && !self.gone
     }
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -1,4 +1,5 @@
-//! Who answers a worker's report: the machine's owner, to which other controllers pass it on or send the worker.
+//! Routing of workers' reports. The owner of a machine answers its reports; other controllers relay them to the owner
+//! or redirect the worker to it.
 
 use super::{Guest, Machine};
 use crate::calls::{Asker, Purpose};
@@ -9,6 +10,9 @@
 use serde_json::json;
 
 impl Controller {
+    /// Handles a worker's report. `direct` is false for a report that another controller relayed.
+    ///
+    /// Answers 400 if the report cannot be parsed, and 503 if this controller may not act or does not know its epoch.
     pub(crate) fn on_report(&mut self, asker: Asker, body: &[u8], direct: bool) {
         let report = match serde_json::from_slice::<Report>(body) {
             Ok(report) => report,
@@ -23,51 +27,54 @@
             return;
         };
         if report.epoch > epoch {
-            // An answer under an older token would be dropped and hold the worker here.
+            // The worker would drop an answer under an older epoch, and would go on reporting to this controller.
             self.answer(asker, Answer::later(503, 1, "a newer epoch is not known here yet"));
             return;
         }
         let Some(partition) = self.machines.get(&report.machine).map(|m| m.partition) else {
             self.cloud.note_stranger(&report, epoch, self.now.ms);
-            if self.stop_called_off_at_once(asker, &report, epoch) {
+            if self.answer_with_stops(asker, &report, epoch) {
                 return;
             }
             let to = self.member.leader.as_ref().map(|(l, _)| l.name.clone());
             match to {
-                Some(to) if direct && to != self.me && self.reachable(&to) => self.redirect(asker, &to),
+                Some(to) if direct && to != self.me && self.reachable(&to) => self.redirect_worker(asker, &to),
                 _ => self.answer_orders(asker, epoch, Vec::new()),
             }
             return;
         };
         if self.acting(partition).is_some() {
-            self.take_own_report(asker, &report, epoch);
+            self.accept_own_report(asker, &report, epoch);
             return;
         }
         let owner = self.holding(partition).map(|h| h.owner.clone());
         match owner {
             Some(owner) if owner != self.me && direct => {
-                if !self.stop_called_off_at_once(asker, &report, epoch) {
-                    self.pass_on_report(asker, report, &owner, body);
+                if !self.answer_with_stops(asker, &report, epoch) {
+                    self.relay_report(asker, report, &owner, body);
                 }
             }
             Some(owner) if owner != self.me => {
-                // A relay that came to the wrong door: the sender knows no newer owner.
+                // A relayed report reached a controller that is not the owner: the sender does not know the new owner
+                // yet.
                 let _ = owner;
                 self.answer(asker, Answer::later(503, 1, "not the owner"));
             }
             _ => {
-                // A take-over under way: the worker keeps its tasks, and gets the new token.
-                let stops = self.stops_for_over(&report);
+                // A takeover is in progress: the worker keeps its tasks and learns the new epoch.
+                let stops = self.stops_for_finished_jobs(&report);
                 self.answer_orders(asker, epoch, stops);
             }
         }
     }
 
-    pub(super) fn redirect(&mut self, asker: Asker, to: &ControllerId) {
+    /// Answers 421 with the controller to which the worker should report.
+    pub(super) fn redirect_worker(&mut self, asker: Asker, to: &ControllerId) {
         let body = json!({ "dispatcher": to }).to_string();
         self.answer(asker, Answer::new(421, body));
     }
 
+    /// Answers a report with the epoch and commands.
     pub(crate) fn answer_orders(&mut self, asker: Asker, epoch: Epoch, commands: Vec<Command>) {
         let orders = Orders {
             epoch,
@@ -78,36 +85,42 @@
         self.answer(asker, Answer::new(200, body));
     }
 
-    /// A report whose machine another controller owns. It is passed on; a worker that is here for
-    /// longer is sent to the owner, and if it comes back from there it may stay for a lease's time.
+    /// Relays a report of a machine that another controller owns. A worker that has reported here for two report
+    /// intervals is redirected to the owner. If it comes back, it is not redirected again for the time of a worker
+    /// lease.
     ///
-    /// Passing on comes first: a worker that is here because it could not reach its owner has been
-    /// silent for a while already, and a redirection into the same cut would double that.
-    pub(super) fn pass_on_report(&mut self, asker: Asker, report: Report, owner: &ControllerId, body: &[u8]) {
+    /// The report is relayed first because a worker that reports here after failing to reach its owner has already
+    /// gone without an answer for a while. Redirecting it into the same network partition would double that time.
+    pub(super) fn relay_report(&mut self, asker: Asker, report: Report, owner: &ControllerId, body: &[u8]) {
         let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
-        let settle = 2 * self.settings.report_ms();
+        let redirect_delay = 2 * self.settings.report_ms();
         let reachable = self.reachable(owner);
-        let up = self.machines.get(&report.machine).is_some_and(Machine::up);
-        // The owner may be out of reach from here only: a third controller may do better.
-        let other = || {
+        let is_up = self.machines.get(&report.machine).is_some_and(Machine::up);
+        // The owner may be unreachable from this controller only; a third controller may still reach it.
+        let third_controller = || {
             let mut members = self.member.members.keys();
             members
                 .find(|m| **m != self.me && *m != owner && self.reachable(m))
                 .cloned()
         };
-        let to = if reachable { Some(owner.clone()) } else { other() };
+        let to = if reachable {
+            Some(owner.clone())
+        } else {
+            third_controller()
+        };
         let guest = self.guests.entry(report.machine.clone()).or_insert(Guest {
             since: now,
-            seen: now,
-            redirected: None,
+            last_seen: now,
+            redirected_at: None,
         });
-        guest.seen = now;
-        let lately = guest.redirected.is_some_and(|t| now.saturating_sub(t) < lease);
-        let may_go = !lately && (!up || !reachable || now.saturating_sub(guest.since) >= settle);
-        if let Some(to) = to.filter(|_| may_go) {
-            guest.redirected = Some(now);
-            self.redirect(asker, &to);
+        guest.last_seen = now;
+        let was_redirected_lately = guest.redirected_at.is_some_and(|t| now.saturating_sub(t) < lease);
+        let can_redirect =
+            !was_redirected_lately && (!is_up || !reachable || now.saturating_sub(guest.since) >= redirect_delay);
+        if let Some(to) = to.filter(|_| can_redirect) {
+            guest.redirected_at = Some(now);
+            self.redirect_worker(asker, &to);
             return;
         }
         let request = PeerRequest::Relay { report: body.to_vec() };
@@ -123,12 +136,14 @@
         );
     }
 
+    /// Handles the answer to a relayed report. Without one, answers with the stops that any entitled controller may
+    /// send.
     pub(crate) fn on_relayed(&mut self, asker: Asker, report: &Report, result: Option<PeerReply>) {
         match result {
             Some(PeerReply::Answer(answer)) if answer.status == 200 && self.entitled() => self.answer(asker, answer),
             _ => match self.epoch().filter(|e| self.entitled() && *e >= report.epoch) {
                 Some(epoch) => {
-                    let stops = self.stops_for_over(report);
+                    let stops = self.stops_for_finished_jobs(report);
                     self.answer_orders(asker, epoch, stops);
                 }
                 None => self.answer(asker, Answer::later(503, 1, "not entitled to act at present")),
@@ -136,26 +151,28 @@
         }
     }
 
-    /// Answers a report of a machine that is not this controller's at once, if it lists tasks that are to be stopped:
-    /// its owner may not be ready, or not know, and this answer may be the last that reaches the worker.
-    pub(super) fn stop_called_off_at_once(&mut self, asker: Asker, report: &Report, epoch: Epoch) -> bool {
-        let stops = self.stops_for_over(report);
-        let any = !stops.is_empty();
-        if any {
+    /// Immediately answers a report of a machine that this controller does not own, if the report lists tasks that
+    /// must stop. Returns whether it did. The owner may not be ready or may not know of the cancellation, and this
+    /// may be the last answer that reaches the worker.
+    pub(super) fn answer_with_stops(&mut self, asker: Asker, report: &Report, epoch: Epoch) -> bool {
+        let stops = self.stops_for_finished_jobs(report);
+        let has_stops = !stops.is_empty();
+        if has_stops {
             self.answer_orders(asker, epoch, stops);
         }
-        any
+        has_stops
     }
 
-    /// Stops for tasks of jobs that are over, or called off: right from any entitled controller.
-    pub(super) fn stops_for_over(&self, report: &Report) -> Vec<Command> {
+    /// Stop commands for the listed tasks whose jobs have ended or are being cancelled. Any entitled controller may
+    /// send them.
+    pub(super) fn stops_for_finished_jobs(&self, report: &Report) -> Vec<Command> {
         report
             .tasks
             .iter()
             .filter(|t| t.state != TaskState::Exited)
             .filter(|t| {
-                let called_off = |id: TaskId| self.over.contains_key(&id.job) || self.cancellations.calls_off(&id.job);
-                TaskId::parse(&t.task).is_some_and(called_off)
+                let must_stop = |id: TaskId| self.over.contains_key(&id.job) || self.cancellations.calls_off(&id.job);
+                TaskId::parse(&t.task).is_some_and(must_stop)
             })
             .map(|t| Command::Stop {
                 task: t.task.clone(),
@@ -165,28 +182,29 @@
             .collect()
     }
 
-    pub(super) fn take_own_report(&mut self, asker: Asker, report: &Report, epoch: Epoch) {
+    /// Applies and answers a report of a machine that this controller owns.
+    pub(super) fn accept_own_report(&mut self, asker: Asker, report: &Report, epoch: Epoch) {
         let id = report.machine.clone();
-        let taken = self.take_report(report, true);
-        if taken && matches!(asker, Asker::Request(_)) {
-            // A late copy says nothing of how its zone is now.
-            self.heard_directly(&id);
+        let is_accepted = self.accept_report(report, true);
+        if is_accepted && matches!(asker, Asker::Request(_)) {
+            // A relayed report may be a late copy, which does not show that the machine's zone is reachable now.
+            self.mark_heard_directly(&id);
         }
-        if !taken {
-            // Late, or under an older token. With the answer the worker gets the present one.
-            let stops = self.stops_for_over(report);
+        if !is_accepted {
+            // The report is late, or under an older epoch. The answer brings the worker the present epoch.
+            let stops = self.stops_for_finished_jobs(report);
             self.answer_orders(asker, epoch, stops);
             return;
         }
-        let first = self.machines.get(&id).is_some_and(|m| !m.up() && !m.storing && !m.gone);
-        if first && !report.addr.is_empty() {
-            self.note_boot(&id);
-            // It may hold tasks only once its entry says that it is up.
+        let is_first = self.machines.get(&id).is_some_and(|m| !m.up() && !m.storing && !m.gone);
+        if is_first && !report.addr.is_empty() {
+            self.record_boot_time(&id);
+            // The machine may hold tasks only once the roster records that it is up.
             self.store_first_report(asker, report);
             return;
         }
         if let Some(m) = self.machines.get_mut(&id) {
-            m.answered = Some(self.now.ms);
+            m.last_answered_at = Some(self.now.ms);
         }
         let commands = self.orders_for(&id, Some((report.session, report.seq)));
         self.answer_orders(asker, epoch, commands);
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -1,14 +1,14 @@
-//! Machines that hold tasks of several partitions.
+//! Shared machines: machines that hold tasks of several partitions.
 //!
-//! A machine may go to another partition with the tasks that run on it, so that its free room is used where
-//! work waits. From then on the new owner alone starts tasks there. The tasks that were there remain their own
-//! partition's: it counts them against its team limits and zone rules, learns by status requests to the worker
-//! what becomes of them, and alone marks them done or starts them anew. The machine's owner keeps them running,
-//! keeps their results, and stops those of jobs that are over.
+//! A machine may be handed to another partition with the tasks that run on it, so that its free resources are used
+//! where tasks are waiting. From then on only the new owner starts tasks there. The tasks that were already there
+//! still belong to their own partition: it counts them against its team limits and zone rules, learns what becomes of
+//! them by status requests to the worker, and alone marks them done or starts them again. The machine's owner keeps
+//! them running, keeps their results, and stops those of jobs that have ended.
 //!
-//! The roster names the partitions whose tasks may be on a machine ([`GroupRecord::also_holds`]), written in the
-//! transaction that hands it over, so that a new owner of such a partition accounts for the machine before it
-//! starts older tasks.
+//! The roster names the partitions whose tasks may be on a machine ([`GroupRecord::also_holds`]). This is written in
+//! the transaction that hands the machine over, so that a new owner of such a partition accounts for the machine
+//! before it starts older tasks.
 //!
 //! [`GroupRecord::also_holds`]: crate::roster::GroupRecord::also_holds
 
@@ -22,15 +22,17 @@
 use crate::settings::SHARED_MACHINES_LEVEL;
 use std::collections::BTreeSet;
 
-/// What a controller goes on knowing of a machine that changes hands.
+/// What a controller keeps knowing about a machine that is handed to another partition.
 #[derive(Debug, Default)]
 pub(crate) struct CarriedTasks {
+    /// Tasks of partitions that this controller owns.
     held: Vec<Held>,
+    /// Partitions whose tasks on the machine are not known yet.
     unaccounted: BTreeSet<Partition>,
 }
 
 impl Machine {
-    /// Takes over what was known of a machine before it changed hands.
+    /// Restores what was known about the machine before it was handed over.
     pub(crate) fn carry(&mut self, carried: CarriedTasks) {
         self.held = carried.held;
         self.unaccounted = carried.unaccounted;
@@ -38,19 +40,19 @@
 }
 
 impl Controller {
-    /// Whether every controller that is a member knows machines that hold tasks of several partitions.
+    /// Whether every member controller supports machines that hold tasks of several partitions.
     pub(crate) fn members_share_machines(&self) -> bool {
         let mut members = self.member.members.values();
         self.settings.features.shared_machines && members.all(|m| m.knows >= SHARED_MACHINES_LEVEL)
     }
 
-    /// Whether machines may change hands with their tasks: every controller of the deployment is there and knows
-    /// such machines. One that is away might come back as a version that does not.
+    /// Whether machines may be handed over with their tasks: every controller of the deployment is a member and
+    /// supports such machines. An absent controller might come back with a version that does not.
     pub(crate) fn may_share_machines(&self) -> bool {
         let members = &self.member.members;
         let names = self.settings.names();
-        let present = |name: &String| members.keys().any(|member| member.as_str() == name);
-        self.members_share_machines() && names.iter().all(present)
+        let is_present = |name: &String| members.keys().any(|member| member.as_str() == name);
+        self.members_share_machines() && names.iter().all(is_present)
     }
 
     /// Whether any machine may hold tasks of a partition that does not own it.
@@ -58,7 +60,7 @@
         self.machines.values().any(|m| !m.also_holds.is_empty())
     }
 
-    /// The partitions whose tasks are on a machine, those included whose results its worker still keeps.
+    /// The partitions whose tasks are on a machine, including those whose results its worker still keeps.
     pub(crate) fn partitions_on(&self, machine: &Machine) -> BTreeSet<Partition> {
         let held = machine
             .held
@@ -68,7 +70,7 @@
         held.chain(ended.map(|job| job.partition)).collect()
     }
 
-    /// The partitions other than the owner whose tasks may be on a machine group's machines.
+    /// The partitions other than the owner whose tasks may be on the machines of a group.
     pub(crate) fn partitions_beside_owner(&self, group: &GroupRecord) -> BTreeSet<Partition> {
         let machines = || group.m.keys().filter_map(|id| self.machines.get(id));
         let mut partitions: BTreeSet<Partition> = machines().flat_map(|m| self.partitions_on(m)).collect();
@@ -80,7 +82,7 @@
         partitions
     }
 
-    /// The roster says anew which other partitions' tasks may be on a machine.
+    /// Applies the roster's list of other partitions whose tasks may be on a machine.
     pub(crate) fn set_also_holds(&mut self, id: &MachineId, also_holds: &BTreeSet<Partition>) {
         if let Some(m) = self.machines.get_mut(id) {
             m.also_holds.clone_from(also_holds);
@@ -88,8 +90,8 @@
         }
     }
 
-    /// Takes from a machine that changes hands the tasks of partitions that this controller still owns; the others
-    /// are no concern of its any more.
+    /// Removes, from a machine that is handed over, the tasks of partitions that this controller still owns, and
+    /// returns them. The other tasks are released, as this controller is no longer responsible for them.
     pub(crate) fn take_carried_tasks(&mut self, id: &MachineId) -> CarriedTasks {
         let Some(m) = self.machines.get_mut(id) else {
             return CarriedTasks::default();
@@ -99,31 +101,32 @@
             unaccounted: std::mem::take(&mut m.unaccounted),
         };
         let (settings, tenures) = (&self.settings, &self.tenures);
-        let own = |held: &Held| {
+        let is_own = |held: &Held| {
             let partition = settings.partition_of_team(&held.team);
             partition.is_some_and(|p| tenures.contains_key(&p))
         };
-        (carried.held, m.held) = std::mem::take(&mut m.held).into_iter().partition(own);
+        (carried.held, m.held) = std::mem::take(&mut m.held).into_iter().partition(is_own);
         self.release_all(id, "it was handed to another partition");
         carried
     }
 
-    /// A partition's tenure has begun or ended here: what its tasks do on other partitions' machines is to be
-    /// found out anew, or no concern of this controller's any more.
+    /// Resets what is known about a partition's tasks on other partitions' machines, after its tenure has begun or
+    /// ended here. At a beginning the tasks have to be found again; at an end this controller is no longer
+    /// responsible for them.
     pub(super) fn reset_shared_machines(&mut self, partition: Partition) {
-        let tenured = self.tenures.contains_key(&partition);
+        let is_owned = self.tenures.contains_key(&partition);
         let mut placed: Vec<(TaskId, MachineId)> = Vec::new();
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.partition != partition) {
             let (settings, tenures) = (&self.settings, &self.tenures);
             let of_partition = |h: &Held| settings.partition_of_team(&h.team) == Some(partition);
             if tenures.contains_key(&m.partition) {
-                // The machine is this controller's, and so are the reports of what is on it.
-                let here = m.held.iter().filter(|h| tenured && of_partition(h));
-                placed.extend(here.map(|h| (h.task.clone(), id.clone())));
+                // This controller owns the machine and receives the reports on all its tasks.
+                let held_here = m.held.iter().filter(|h| is_owned && of_partition(h));
+                placed.extend(held_here.map(|h| (h.task.clone(), id.clone())));
             } else {
                 m.held.retain(|h| !of_partition(h));
             }
-            if tenured && m.also_holds.contains(&partition) {
+            if is_owned && m.also_holds.contains(&partition) {
                 m.unaccounted.insert(partition);
             } else {
                 m.unaccounted.remove(&partition);
@@ -136,28 +139,29 @@
         }
     }
 
-    /// Whether a machine may change hands as it is: all that it holds runs, no command for it is under way, and
-    /// it holds no gang's task, whose gang stops as a whole.
+    /// Whether a machine may be handed over with its tasks: all tasks that it holds are running, no command for it is
+    /// pending, and it holds no task of a gang, because a gang stops as a whole.
     ///
-    /// A pinned start that has not been seen keeps its task in a state that is not settled. One that has been seen is listed
-    /// by the worker, where a late copy has no effect, and the next owner has no ended attempt of another partition
-    /// forgotten for three workers' leases (`orders_for`). So `pins` decides nothing that these two conditions do not,
-    /// and no test can tell; it is asked all the same, for what may be told of a machine later.
+    /// An unanswered start that has not been reported leaves its task in a state that is not settled. One that has
+    /// been reported is listed by the worker, where a late copy of the command has no effect, and the next owner does
+    /// not have an ended attempt of another partition forgotten for three worker leases (`orders_for`). The check of
+    /// `unanswered_starts` therefore excludes nothing that these two conditions do not, and no test can observe it.
+    /// It protects against later changes to what is known about a machine.
     pub(crate) fn may_go_occupied(&self, machine: &Machine) -> bool {
-        let settled = |h: &Held| {
-            let runs = matches!(h.state, HeldState::Seen(TaskState::Fetching | TaskState::Running));
+        let is_settled = |h: &Held| {
+            let is_fetching_or_running = matches!(h.state, HeldState::Seen(TaskState::Fetching | TaskState::Running));
             let job = self.jobs.get(&h.task.job);
-            runs && h.stop.is_none() && job.is_some_and(|j| j.spec.shape != Shape::Gang)
+            is_fetching_or_running && h.stop.is_none() && job.is_some_and(|j| j.spec.shape != Shape::Gang)
         };
-        machine.pins.is_empty()
-            && machine.commanding.is_none()
+        machine.unanswered_starts.is_empty()
+            && machine.pending_command.is_none()
             && machine.unaccounted.is_empty()
             && machine.usable(self.now.ms, 2 * self.settings.report_ms())
-            && machine.held.iter().all(settled)
+            && machine.held.iter().all(is_settled)
     }
 
-    /// Asks workers of other partitions' machines what has become of this controller's tasks there, and hands on
-    /// machines that their partition has no use for any more.
+    /// Requests the status of this controller's tasks on other partitions' machines, and hands over machines that
+    /// their own partition no longer uses.
     pub(crate) fn tick_shared_machines(&mut self) {
         if !self.entitled() || !self.any_shared_machine() {
             return;
@@ -166,74 +170,78 @@
         self.return_shared_machines();
     }
 
+    /// Sends status requests to the workers of other partitions' machines that hold or may hold this controller's
+    /// tasks.
     fn poll_shared_machines(&mut self) {
         let now = self.now.ms;
-        let every = self.settings.report_ms() / 2;
+        let interval_ms = self.settings.report_ms() / 2;
         let acting = self.acting_partitions();
-        let foreign = |m: &Machine| !acting.contains(&m.partition) && m.up() && !m.gone;
-        let due = |m: &Machine| !m.probing && now >= m.probe_at && !(m.held.is_empty() && m.unaccounted.is_empty());
+        let is_foreign = |m: &Machine| !acting.contains(&m.partition) && m.up() && !m.gone;
+        let is_due =
+            |m: &Machine| !m.probing && now >= m.next_probe_at && !(m.held.is_empty() && m.unaccounted.is_empty());
         let machines: Vec<(MachineId, String)> = self
             .machines
             .iter_mut()
-            .filter(|(_, m)| foreign(m) && due(m))
+            .filter(|(_, m)| is_foreign(m) && is_due(m))
             .map(|(id, m)| {
                 m.probing = true;
-                m.probe_at = now + every;
+                m.next_probe_at = now + interval_ms;
                 (id.clone(), m.addr.clone())
             })
             .collect();
         for (machine, address) in machines {
             let purpose = Purpose::Probe { machine, sent: now };
             let target = Target::Worker(address);
-            self.call(target, Method::Get, "/status", String::new(), every, purpose);
+            self.call(target, Method::Get, "/status", String::new(), interval_ms, purpose);
         }
     }
 
-    /// Takes in what a worker says of this controller's tasks on another partition's machine. The machine's
-    /// other tasks are its owner's concern.
-    pub(super) fn take_shared_report(&mut self, report: &Report) {
+    /// Applies a report about this controller's tasks on another partition's machine. The machine's owner handles its
+    /// other tasks.
+    pub(super) fn accept_shared_report(&mut self, report: &Report) {
         let id = &report.machine;
         let Some(m) = self.machines.get_mut(id) else { return };
         let key = (report.session, report.seq);
-        if key <= m.last || m.gone {
+        if key <= m.last_report_key || m.gone {
             return;
         }
-        m.last = key;
+        m.last_report_key = key;
         m.reported = Some(self.now.ms);
         m.token = report.epoch;
         for partition in self.acting_partitions() {
-            // As after any take-over, a report counts once its worker has seen the token of the tenure.
+            // As after any takeover, a report counts once its worker has seen the epoch of the tenure.
             let tenure = self.acting(partition);
             if tenure.is_some_and(|tenure| report.epoch >= tenure.since) {
-                self.take_shared_tasks(partition, report);
+                self.update_shared_tasks(partition, report);
             }
         }
     }
 
-    fn take_shared_tasks(&mut self, partition: Partition, report: &Report) {
+    /// Applies what a report says about one partition's tasks.
+    fn update_shared_tasks(&mut self, partition: Partition, report: &Report) {
         let id = &report.machine;
         let mut listed: BTreeSet<(TaskId, Attempt)> = BTreeSet::new();
         for reported in &report.tasks {
             let Some(task) = TaskId::parse(&reported.task) else {
                 continue;
             };
-            if self.partition_of_job(&task) != Some(partition) {
+            if self.partition_of_task(&task) != Some(partition) {
                 continue;
             }
             listed.insert((task.clone(), reported.attempt));
             if reported.state == TaskState::Exited {
-                let ended = self.release_ended(id, &task, reported.attempt);
+                let ended = self.release_exited_attempt(id, &task, reported.attempt);
                 let why = reported.why.as_deref().unwrap_or("");
-                // An ended attempt stays in the reports for long: it fails once.
+                // An ended attempt stays in many reports. Its failure is counted only once.
                 if why != "error" || ended.is_some() {
-                    let began = ended.and_then(|held| held.running_since);
-                    self.note_end(id, &task, reported.attempt, why, began);
+                    let started_at = ended.and_then(|held| held.running_since);
+                    self.handle_task_end(id, &task, reported.attempt, why, started_at);
                 }
             } else {
-                self.see(id, task, reported.attempt, reported.state);
+                self.update_task(id, task, reported.attempt, reported.state);
             }
         }
-        self.release_unlisted(id, partition, &listed);
+        self.release_unlisted_attempts(id, partition, &listed);
         if let Some(m) = self.machines.get_mut(id)
             && m.unaccounted.remove(&partition)
         {
@@ -241,7 +249,8 @@
         }
     }
 
-    fn partition_of_job(&self, task: &TaskId) -> Option<Partition> {
+    /// The partition of a task's job. None if the job is not known.
+    fn partition_of_task(&self, task: &TaskId) -> Option<Partition> {
         if let Some(job) = self.jobs.get(&task.job) {
             return Some(job.partition);
         }
@@ -249,36 +258,41 @@
         self.settings.partition_of_team(&over.team)
     }
 
-    /// Releases an attempt that has exited, and returns what was known of it if it was still held.
-    fn release_ended(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) -> Option<Held> {
+    /// Releases an attempt that has exited. Returns what was known about it, if the machine still held it.
+    fn release_exited_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) -> Option<Held> {
         let machine = self.machines.get(id)?;
         let mut held = machine.held.iter();
         let ended = held.find(|h| h.task == *task && h.attempt == attempt)?.clone();
-        self.release(id, task, attempt);
+        self.release_attempt(id, task, attempt);
         Some(ended)
     }
 
-    /// Releases what a newer report of the machine does not list. All of it was listed before the machine
-    /// changed hands, so none is still on its way there.
-    fn release_unlisted(&mut self, id: &MachineId, partition: Partition, listed: &BTreeSet<(TaskId, Attempt)>) {
+    /// Releases a partition's attempts that a newer report of the machine does not list. All of them were listed
+    /// before the machine was handed over, so no start is still on its way.
+    fn release_unlisted_attempts(
+        &mut self,
+        id: &MachineId,
+        partition: Partition,
+        listed: &BTreeSet<(TaskId, Attempt)>,
+    ) {
         let Some(m) = self.machines.get(id) else { return };
-        let gone: Vec<(TaskId, Attempt)> = m
+        let missing: Vec<(TaskId, Attempt)> = m
             .held
             .iter()
             .filter(|h| self.settings.partition_of_team(&h.team) == Some(partition))
             .map(|h| (h.task.clone(), h.attempt))
             .filter(|attempt| !listed.contains(attempt))
             .collect();
-        for (task, attempt) in gone {
-            self.release(id, &task, attempt);
+        for (task, attempt) in missing {
+            self.release_attempt(id, &task, attempt);
         }
     }
 
-    /// Machines on which only one other partition's tasks are left go back to that partition, which can then
-    /// empty and return them; where none are left, the roster is told so.
+    /// Hands machines that hold only tasks of one other partition to that partition, which can then empty and return
+    /// them. For machines that hold no tasks of other partitions, has the roster updated.
     fn return_shared_machines(&mut self) {
         let now = self.now.ms;
-        let patience = self.settings.worker_lease_ms();
+        let wait_ms = self.settings.worker_lease_ms();
         let acting = self.acting_partitions();
         let mut returned: Vec<(MachineId, Partition)> = Vec::new();
         let mut cleared: Vec<MachineId> = Vec::new();
@@ -286,16 +300,16 @@
             if m.also_holds.is_empty() || !acting.contains(&m.partition) || !m.confirmed || m.gone {
                 continue;
             }
-            let on_it = self.partitions_on(m);
-            if on_it.iter().all(|p| *p == m.partition) {
+            let partitions = self.partitions_on(m);
+            if partitions.iter().all(|p| *p == m.partition) {
                 cleared.push(id.clone());
                 continue;
             }
             let since = m.only_others_since;
-            let long = since.is_some_and(|t| now.saturating_sub(t) > patience);
-            if let Some(to) = on_it
+            let has_waited = since.is_some_and(|t| now.saturating_sub(t) > wait_ms);
+            if let Some(to) = partitions
                 .first()
-                .filter(|_| long && on_it.len() == 1 && self.may_go_occupied(m))
+                .filter(|_| has_waited && partitions.len() == 1 && self.may_go_occupied(m))
             {
                 returned.push((id.clone(), *to));
             }
@@ -310,17 +324,17 @@
             );
             self.hand_over(&id, to);
         }
-        self.note_only_others();
+        self.update_only_others_since();
     }
 
-    /// Notes since when machines hold nothing but tasks of other partitions.
-    fn note_only_others(&mut self) {
+    /// Records since when machines have held only tasks of other partitions.
+    fn update_only_others_since(&mut self) {
         let now = self.now.ms;
         let settings = &self.settings;
         for m in self.machines.values_mut().filter(|m| !m.also_holds.is_empty()) {
             let partition = m.partition;
-            let other = |h: &Held| settings.partition_of_team(&h.team).is_some_and(|p| p != partition);
-            if !m.held.is_empty() && m.held.iter().all(other) {
+            let is_of_other_partition = |h: &Held| settings.partition_of_team(&h.team).is_some_and(|p| p != partition);
+            if !m.held.is_empty() && m.held.iter().all(is_of_other_partition) {
                 m.only_others_since.get_or_insert(now);
             } else {
                 m.only_others_since = None;
--- /dev/null
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -0,0 +1,405 @@
+//! Unresponsive machines: requests for their state, and their deletion if they are lost.
+
+use super::Machine;
+use crate::calls::Purpose;
+use crate::controller::Controller;
+use crate::ids::{Attempt, ControllerId, MachineId, Partition, TaskId};
+use crate::machine_view::{Held, HeldState};
+use crate::membership::Stage;
+use crate::messages::{Level, Method, NOT_TRIED, Target};
+use crate::protocol::{Orders, Report};
+use std::collections::BTreeMap;
+
+/// Number of consecutive missed answers (`Machine::missed_answers`) from which answers count as not reaching a machine.
+const MISSED_ANSWERS_LIMIT: u32 = 4;
+/// Seconds after which a machine of an unknown type that has not come up is given up.
+const UNKNOWN_TYPE_BOOT_LIMIT_S: f64 = 180.0;
+
+impl Controller {
+    /// Asks the unconfirmed machines of a partition that was taken over which tasks they hold.
+    pub(crate) fn confirm_machines(&mut self, partition: Partition) {
+        let Some(epoch) = self.epoch().filter(|_| self.acting(partition).is_some()) else {
+            return;
+        };
+        let now = self.now.ms;
+        let interval_ms = self.settings.report_ms() / 2;
+        let due: Vec<(MachineId, String, u64)> = self
+            .machines
+            .iter_mut()
+            .filter(|(_, m)| m.partition == partition && !m.confirmed && !m.confirming && !m.gone)
+            .filter(|(_, m)| m.addr.contains(':') && now >= m.next_confirm_at)
+            .map(|(id, m)| {
+                m.confirming = true;
+                m.next_confirm_at = now + interval_ms;
+                (id.clone(), m.addr.clone(), m.last_report_key.0.max(1))
+            })
+            .collect();
+        for (id, addr, session) in due {
+            let orders = Orders {
+                epoch,
+                session: Some(session),
+                commands: Vec::new(),
+            };
+            let body = serde_json::to_string(&orders).unwrap_or_default();
+            self.call(
+                Target::Worker(addr),
+                Method::Post,
+                "/commands",
+                body,
+                interval_ms,
+                Purpose::Confirm { machine: id, sent: now },
+            );
+        }
+    }
+
+    /// Handles the answer to a request that asks an unconfirmed machine for its tasks.
+    pub(crate) fn on_confirm(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
+        let now = self.now.ms;
+        if let Some(m) = self.machines.get_mut(&id) {
+            m.confirming = false;
+        }
+        let was_not_sent = matches!(result, Some((NOT_TRIED, _)));
+        let report = result.and_then(|(status, body)| Some((status, serde_json::from_slice::<Report>(&body).ok()?)));
+        let Some((status, report)) = report else {
+            self.count_failed_probe(&id, sent, was_not_sent);
+            return;
+        };
+        let partition = self.machines.get(&id).map(|m| m.partition);
+        if report.machine != id || partition.is_none_or(|p| self.acting(p).is_none()) {
+            return;
+        }
+        self.mark_heard_directly(&id);
+        if !self.accept_report(&report, false)
+            && status == 409
+            && let Some(m) = self.machines.get_mut(&id)
+        {
+            // The worker is in another session. It accepts the epoch once a request names that session.
+            m.last_report_key.0 = m.last_report_key.0.max(report.session);
+            m.next_confirm_at = now;
+        }
+    }
+
+    /// Marks the tenures as settled in which every machine that may hold older tasks is accounted for.
+    pub(super) fn update_settled_tenures(&mut self) {
+        let partitions: Vec<Partition> = self
+            .tenures
+            .iter()
+            .filter(|(_, t)| t.stage == Stage::Active && !t.settled)
+            .map(|(p, _)| *p)
+            .collect();
+        for p in partitions {
+            let unconfirmed = self.unconfirmed(p);
+            if unconfirmed == 0
+                && let Some(t) = self.tenures.get_mut(&p)
+            {
+                t.settled = true;
+                let ms = self.now.ms.saturating_sub(t.active_at);
+                self.log(
+                    Level::Info,
+                    format!("partition {p}: every machine is accounted for, {ms} ms after the take-over"),
+                );
+            }
+        }
+    }
+
+    /// The number of machines that may hold tasks of the partition that this controller does not know.
+    pub(crate) fn unconfirmed(&self, partition: Partition) -> usize {
+        self.machines
+            .values()
+            .filter(|m| {
+                let own = m.partition == partition && m.may_hold && !m.confirmed;
+                (own || m.unaccounted.contains(&partition)) && !m.gone
+            })
+            .count()
+    }
+
+    /// Detects unresponsive machines, and repeats the requests to those that are not confirmed.
+    pub(crate) fn tick_machines(&mut self) {
+        let now = self.now.ms;
+        self.update_settled_tenures();
+        let partitions: Vec<Partition> = self.tenures.keys().copied().collect();
+        for p in partitions {
+            let Some(active_at) = self.acting(p).map(|t| t.active_at) else {
+                continue;
+            };
+            self.confirm_machines(p);
+            self.probe_unresponsive_machines(p, active_at);
+            self.give_up_lost_machines(p, active_at);
+        }
+        let lease = self.settings.worker_lease_ms();
+        self.guests.retain(|_, g| now.saturating_sub(g.last_seen) < lease);
+    }
+
+    /// Sends status requests to machines whose report is overdue.
+    pub(super) fn probe_unresponsive_machines(&mut self, partition: Partition, active_at: u64) {
+        let now = self.now.ms;
+        let report_ms = self.settings.report_ms();
+        let due: Vec<(MachineId, String)> = self
+            .machines
+            .iter_mut()
+            .filter(|(_, m)| m.partition == partition && m.up() && !m.gone && !m.retiring && !m.probing)
+            .filter(|(_, m)| now >= m.next_probe_at)
+            .filter(|(_, m)| now.saturating_sub(m.heard.unwrap_or(0).max(active_at)) > report_ms * 3 / 2)
+            .map(|(id, m)| {
+                m.probing = true;
+                m.next_probe_at = now + report_ms / 4;
+                (id.clone(), m.addr.clone())
+            })
+            .collect();
+        for (id, addr) in due {
+            self.call(
+                Target::Worker(addr),
+                Method::Get,
+                "/status",
+                String::new(),
+                report_ms / 3,
+                Purpose::Probe { machine: id, sent: now },
+            );
+        }
+    }
+
+    /// Handles the answer to a status request.
+    pub(crate) fn on_probe(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
+        // No socket was free on this controller, which says nothing about the machine.
+        let was_not_sent = matches!(result, Some((NOT_TRIED, _)));
+        let report = match result {
+            Some((200, body)) => serde_json::from_slice::<Report>(&body).ok(),
+            _ => None,
+        };
+        let acting = self
+            .machines
+            .get(&id)
+            .is_some_and(|m| self.acting(m.partition).is_some());
+        let Some(m) = self.machines.get_mut(&id) else { return };
+        m.probing = false;
+        match report.filter(|r| r.machine == id) {
+            Some(report) if acting => {
+                self.mark_heard_directly(&id);
+                self.accept_report(&report, false);
+            }
+            Some(report) => self.accept_shared_report(&report),
+            None => self.count_failed_probe(&id, sent, was_not_sent),
+        }
+    }
+
+    /// Counts a request, sent at time `sent`, that a machine did not answer.
+    ///
+    /// The machine counts as dead only if its zone could be reached directly, without another controller as relay, at
+    /// that time. Otherwise a network fault is more likely, and its worker will report to another controller. The
+    /// zone is reachable if another machine of the zone was heard. For a zone in which the partition has no other
+    /// machine, it is enough that the controller in that zone was heard and that any workers are heard at all. Two
+    /// such unanswered requests rule out a network fault that began or ended at just that moment.
+    fn count_failed_probe(&mut self, id: &MachineId, sent: u64, was_not_sent: bool) {
+        let from = sent.saturating_sub(self.settings.report_ms() / 2);
+        let is_zone_heard = self.machines.get(id).is_some_and(|m| {
+            let others = self
+                .machines
+                .iter()
+                .filter(|(other, o)| *other != id && o.zone == m.zone);
+            others.filter_map(|(_, o)| o.heard_directly).any(|t| t >= from) || self.is_zone_reachable(m, sent)
+        });
+        let partition = self.machines.get(id).map(|m| m.partition);
+        let tenure = partition.and_then(|p| self.tenures.get(&p));
+        // A request of an earlier tenure says nothing about this one.
+        let is_of_this_tenure = tenure.is_some_and(|t| sent >= t.active_at);
+        if is_zone_heard
+            && is_of_this_tenure
+            && !was_not_sent
+            && let Some(m) = self.machines.get_mut(id)
+        {
+            m.failed_probes += 1;
+        }
+    }
+
+    /// Whether this controller has contact with a zone through the controller there (or because it runs there
+    /// itself), and with any workers at all.
+    ///
+    /// Just after a takeover few workers report here; the others are heard only by their first answers.
+    fn is_zone_reachable(&self, machine: &Machine, sent: u64) -> bool {
+        let (zone, report_ms) = (&machine.zone, self.settings.report_ms());
+        let blocks_older_tasks = !machine.confirmed && machine.may_hold;
+        let from = sent.saturating_sub(if blocks_older_tasks {
+            2 * report_ms
+        } else {
+            report_ms / 2
+        });
+        let platform = &self.settings.platform;
+        let workers = self
+            .machines
+            .values()
+            .filter_map(|m| m.heard_directly)
+            .any(|t| t >= from);
+        let is_peer_reachable = |name: &str| {
+            let peer = self.member.peers.get(&ControllerId::new(name));
+            peer.is_some_and(|p| p.reachable && p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) <= report_ms))
+        };
+        let mut peers = platform.siblings.iter().filter(|s| s.area == *zone);
+        workers && (platform.area == *zone || peers.any(|s| is_peer_reachable(&s.host_name)))
+    }
+
+    /// Finds machines that have held tasks of cancelled jobs for too long. Their deletion proves that these tasks are
+    /// gone.
+    ///
+    /// A machine that works ends such tasks within little more than a report interval. A machine that hangs may
+    /// continue to run them without its worker's lease expiring, so half of the time limit of a cancellation is left
+    /// for the cloud, with its rate limits and outages, and for a change of owner. The tasks of a machine that was
+    /// taken over and has not answered are not known. If most machines do not answer, a network fault is more likely,
+    /// and their workers' leases expire in time by themselves unless the workers hang, so these machines get three
+    /// quarters of the time limit.
+    fn find_holders_of_cancelled_tasks(
+        &self,
+        partition: Partition,
+        active_at: u64,
+        lost: &mut BTreeMap<MachineId, &str>,
+    ) {
+        let now = self.now.ms;
+        let cancel_ms = self.settings.cancel_ms();
+        let is_overdue = |since: u64, limit: u64| now.saturating_sub(since) > limit;
+        let had_time_to_answer = now.saturating_sub(active_at) > 2 * self.settings.report_ms();
+        let oldest = self.oldest_cancellation(partition);
+        let is_in_scope = |m: &Machine| m.partition == partition && m.up() && !m.gone;
+        let unconfirmed = self.unconfirmed(partition);
+        let most_are_unconfirmed =
+            unconfirmed > 1 && unconfirmed * 2 > self.machines.values().filter(|m| is_in_scope(m)).count();
+        let unknown_limit = if most_are_unconfirmed {
+            cancel_ms * 3 / 4
+        } else {
+            cancel_ms / 2
+        };
+        for (id, m) in self.machines.iter().filter(|(_, m)| is_in_scope(m) && !m.retiring) {
+            let is_overdue_task = |h: &Held| {
+                let since = self.cancelled_since(&h.task.job);
+                h.state != HeldState::Booked && since.is_some_and(|since| is_overdue(since, cancel_ms / 2))
+            };
+            let is_unknown = m.may_hold && !m.confirmed && oldest.is_some_and(|since| is_overdue(since, unknown_limit));
+            if had_time_to_answer && (is_unknown || m.held.iter().any(is_overdue_task)) {
+                lost.insert(id.clone(), "tasks of a cancelled job may still be on it");
+            }
+        }
+    }
+
+    /// Gives up machines that have died, that hang, or that might run a task of a job that has ended: they are
+    /// deleted.
+    pub(super) fn give_up_lost_machines(&mut self, partition: Partition, active_at: u64) {
+        let limits = self.response_limits(partition, active_at);
+        let mut lost: BTreeMap<MachineId, &str> = BTreeMap::new();
+        let is_in_scope = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.gone && !m.retiring;
+        for (id, m) in self.machines.iter().filter(is_in_scope) {
+            if let Some(why) = self.loss_reason(m, &limits) {
+                lost.insert(id.clone(), why);
+            }
+            if self.may_receive_start_of_finished_job(m) {
+                lost.insert(id.clone(), "a start of a job that is over may still reach it");
+            }
+        }
+        self.find_holders_of_cancelled_tasks(partition, active_at, &mut lost);
+        for (id, why) in lost {
+            self.log(Level::Info, format!("{id}: {why}: giving it up"));
+            if let Some(m) = self.machines.get_mut(&id) {
+                m.retiring = true;
+            }
+        }
+    }
+
+    /// The limits that apply to a partition's machines at present.
+    fn response_limits(&self, partition: Partition, active_at: u64) -> ResponseLimits {
+        let unresponsive_ms = self.settings.silent_ms();
+        let mut limits = ResponseLimits {
+            now: self.now.ms,
+            active_at,
+            limit_ms: unresponsive_ms,
+            few_miss_answers: true,
+        };
+        let is_in_scope = |m: &&Machine| m.partition == partition && m.up() && !m.gone;
+        let up: Vec<&Machine> = self.machines.values().filter(is_in_scope).collect();
+        let unresponsive = up
+            .iter()
+            .filter(|m| limits.is_unheard_for(m, unresponsive_ms / 2))
+            .count();
+        // When most machines stop reporting at once, the fault is more likely on this controller's side of the
+        // network.
+        if unresponsive > 1 && unresponsive * 2 > up.len() {
+            limits.limit_ms = self.settings.worker_lease_ms() + unresponsive_ms;
+        }
+        // Reports may arrive from a worker that no answer reaches. Either its epoch stays old, so that the machine
+        // would never be accounted for, or it loses every start. Only its deletion resolves this. If more than a few
+        // machines are affected, the fault is more likely on this controller's side.
+        let missing_answers = up.iter().filter(|m| m.missed_answers >= MISSED_ANSWERS_LIMIT).count();
+        limits.few_miss_answers = missing_answers <= 1 || missing_answers * 8 <= up.len();
+        limits
+    }
+
+    /// Why a machine counts as lost. None if it does not.
+    fn loss_reason(&self, m: &Machine, limits: &ResponseLimits) -> Option<&'static str> {
+        if !m.up() {
+            let is_late = m.heard.is_none() && limits.is_unheard_for(m, self.boot_limit_ms(m));
+            return is_late.then_some("never came up");
+        }
+        let report_ms = self.settings.report_ms();
+        let epoch_limit_ms = self.settings.worker_lease_ms() + self.settings.silent_ms();
+        let tenure_ms = limits.now.saturating_sub(limits.active_at.max(m.known_since));
+        if !m.confirmed && !m.storing && tenure_ms > epoch_limit_ms {
+            return Some("has not taken the token");
+        }
+        if m.missed_answers >= MISSED_ANSWERS_LIMIT && limits.few_miss_answers {
+            return Some("answers do not reach it");
+        }
+        // After a preemption notice from the cloud, a machine that stops reporting counts as gone.
+        let is_reclaimed = m.notice && limits.is_unheard_for(m, 2 * report_ms);
+        // An unconfirmed machine of a takeover blocks the older tasks of its whole partition, and requests have been
+        // sent to it since the takeover began, so it gets less time.
+        let blocks_older_tasks = !m.confirmed && m.may_hold;
+        let dead_ms = if blocks_older_tasks {
+            report_ms
+        } else {
+            report_ms * 12 / 5
+        };
+        let is_dead = limits.is_unheard_for(m, dead_ms) && m.failed_probes >= 2;
+        (is_reclaimed || is_dead || limits.is_unheard_for(m, limits.limit_ms)).then_some("silent")
+    }
+
+    /// Time after which a machine that has not come up is given up.
+    fn boot_limit_ms(&self, m: &Machine) -> u64 {
+        let machine_type = self.types.iter().find(|t| t.name == m.model);
+        let give_up_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_LIMIT_S, |t| {
+            self.cloud.boot_times.give_up_after_s(t, m.known_since)
+        });
+        // After booting, its first reports still have to arrive.
+        (give_up_s * 1000.0) as u64 + 2 * self.settings.report_ms()
+    }
+
+    /// Whether a start of a job that has ended may still be executed late on a machine. That must not happen, so the
+    /// machine is deleted first. While the worker lists the attempt, in whatever state, a late copy of the start has
+    /// no effect.
+    fn may_receive_start_of_finished_job(&self, m: &Machine) -> bool {
+        let limit_ms = self.settings.cancel_ms() / 3;
+        let listed = |task: &TaskId, attempt: Attempt| {
+            let seen = |h: &Held| matches!(h.state, HeldState::Seen(_)) && h.task == *task && h.attempt == attempt;
+            m.held.iter().any(seen) || m.ended.iter().any(|(t, a, _)| t == task && *a == attempt)
+        };
+        m.unanswered_starts.iter().any(|((task, attempt), start)| {
+            !self.jobs.contains_key(&task.job)
+                && !listed(task, *attempt)
+                && self.now.ms.saturating_sub(start.since) > limit_ms
+        })
+    }
+}
+
+/// Limits by which a partition's machines are found to be unresponsive. Times are in ms.
+struct ResponseLimits {
+    now: u64,
+    /// Since when this controller has owned the partition. Missing reports before that say nothing.
+    active_at: u64,
+    /// The longest time for which a machine may go without reporting.
+    limit_ms: u64,
+    /// At most a few machines miss answers.
+    few_miss_answers: bool,
+}
+
+impl ResponseLimits {
+    /// Whether a machine has not been heard for longer than `limit_ms`.
+    fn is_unheard_for(&self, m: &Machine, limit_ms: u64) -> bool {
+        let since = m.heard.unwrap_or(m.known_since).max(self.active_at);
+        self.now.saturating_sub(since) > limit_ms
+    }
+}
