--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -84,11 +84,11 @@
     /// Books the start of a task on a machine. The task counts as held from now on; the command is sent with the
     /// answer to the next report or in a direct command.
     pub(crate) fn book_start(&mut self, machine: &MachineId, task: TaskId) {
-        let job_details = self
+        let demand = self
             .jobs
             .get(&task.job)
             .map(|j| (Self::size(&j.spec), j.spec.team.clone(), j.partition));
-        let Some((size, team, partition)) = job_details else {
+        let Some((size, team, partition)) = demand else {
             return;
         };
         let Some(attempt) = self.next_attempt(&task.job, partition) else {
