--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -88,9 +88,7 @@
             .jobs
             .get(&task.job)
             .map(|j| (Self::size(&j.spec), j.spec.team.clone(), j.partition));
-        let Some((size, team, partition)) = demand else {
-            return;
-        };
+        let Some((size, team, partition)) = demand else { return };
         let Some(attempt) = self.next_attempt(&task.job, partition) else {
             return;
         };
