--- a/crates/tidelatch-core/src/failures.rs
+++ b/crates/tidelatch-core/src/failures.rs
@@ -147,7 +147,7 @@
         }
         self.log(
             Level::Info,
-            format!("{job}: fails on several machines: retried with one task at a time"),
+            format!("{job}: fails on several machines: retrying it one task at a time"),
         );
     }
 
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -194,11 +194,11 @@
         let replacement_ms = 2 * self.settings.batch_retry_ms();
         let missing_for_ms = gang.missing_since.map_or(0, |t| now.saturating_sub(t));
         if gang.has_ended {
-            GangDecision::Abort("a task of it has ended")
+            GangDecision::Abort("one of its tasks has ended")
         } else if gang.has_run && (missing || observation.has_lost_machine) {
-            GangDecision::Abort("a task of it is gone")
+            GangDecision::Abort("one of its tasks or its machine is gone")
         } else if missing && (missing_for_ms > replacement_ms || now.saturating_sub(gang.since) > wait / 2) {
-            GangDecision::Abort("it is not complete")
+            GangDecision::Abort("tasks have been missing for too long")
         } else if observation.is_stopping || (observation.has_notice && job.spec.checkpoint_s > 0.0) {
             GangDecision::StopWithGrace
         } else {
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -224,7 +224,7 @@
             self.log(
                 Level::Info,
                 format!(
-                    "{id}: session {session} began, {} tasks of the last one are gone",
+                    "{id}: session {session} began, {} tasks of the previous session are gone",
                     held.len()
                 ),
             );
@@ -277,7 +277,7 @@
             m.record_cached_image(&image, gb, cache_gb);
         }
         if has_started {
-            self.log(Level::Debug, format!("{id}: {task} runs"));
+            self.log(Level::Debug, format!("{id}: {task} is running"));
         }
         if let Some(since) = running_since {
             self.record_running_replica(&task.job, id, since);
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -96,7 +96,7 @@
                 let ms = self.now.ms.saturating_sub(t.active_at);
                 self.log(
                     Level::Info,
-                    format!("partition {p}: every machine is accounted for, {ms} ms after the take-over"),
+                    format!("partition {p}: every machine is accounted for, {ms} ms after the takeover"),
                 );
             }
         }
@@ -289,7 +289,7 @@
                 lost.insert(id.clone(), why);
             }
             if self.may_receive_start_of_finished_job(m) {
-                lost.insert(id.clone(), "a start of a job that is over may still reach it");
+                lost.insert(id.clone(), "a start of a finished job may still reach it");
             }
         }
         self.find_holders_of_cancelled_tasks(partition, active_at, &mut lost);
@@ -339,7 +339,7 @@
         let epoch_limit_ms = self.settings.worker_lease_ms() + self.settings.silent_ms();
         let tenure_ms = limits.now.saturating_sub(limits.active_at.max(m.known_since));
         if !m.confirmed && !m.storing && tenure_ms > epoch_limit_ms {
-            return Some("has not taken the token");
+            return Some("has not accepted the epoch");
         }
         if m.missed_answers >= MISSED_ANSWERS_LIMIT && limits.few_miss_answers {
             return Some("answers do not reach it");
