--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -20,7 +20,7 @@
 use crate::messages::Level;
 
 impl Controller {
-    /// Discards what is known about a partition's machines and jobs. Called at the start of a tenure.
+    /// Discards what is known about a partition's machines and jobs. Called when a tenure starts or ends.
     pub(crate) fn reset_partition(&mut self, partition: Partition) {
         let now = self.now.ms;
         let (settings, tenures) = (&self.settings, &self.tenures);
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -144,7 +144,7 @@
             return;
         };
         let now = self.now.ms;
-        let max_silence = 2 * self.settings.report_ms();
+        let max_unheard_ms = 2 * self.settings.report_ms();
         for id in std::mem::take(&mut self.poked) {
             let Some(m) = self.machines.get(&id) else { continue };
             let can_command = m.confirmed
@@ -153,7 +153,7 @@
                 && m.pending_command.is_none()
                 && !m.deleting
                 && now >= m.direct_commands_from
-                && m.heard.is_some_and(|t| now.saturating_sub(t) <= max_silence);
+                && m.heard.is_some_and(|t| now.saturating_sub(t) <= max_unheard_ms);
             if !can_command || self.acting(m.partition).is_none() {
                 continue;
             }
--- a/crates/tidelatch-core/src/machine_view/machine.rs
+++ b/crates/tidelatch-core/src/machine_view/machine.rs
@@ -81,10 +81,14 @@
 /// A machine of the roster. Times are in ms.
 #[derive(Debug, Clone)]
 pub(crate) struct Machine {
+    /// The partition that owns it.
     pub(crate) partition: Partition,
+    /// The name of its machine type.
     pub(crate) model: String,
     pub(crate) zone: String,
+    /// It is a spot machine, which the cloud may take back after a notice.
     pub(crate) spot: bool,
+    /// Its worker's address; empty until the roster records that it is up.
     pub(crate) addr: String,
     /// The machine group whose record lists it.
     pub(crate) group: String,
@@ -102,8 +106,11 @@
     pub(crate) known_since: u64,
     /// Its tasks are known: it has reported under an epoch of the present tenure.
     pub(crate) confirmed: bool,
+    /// A confirmation request is pending.
     pub(super) confirming: bool,
+    /// No confirmation request is sent before this time.
     pub(super) next_confirm_at: u64,
+    /// The tasks that it holds or may hold.
     pub(crate) held: Vec<Held>,
     /// Attempts that its last report lists as ended, and whether each completed its task.
     pub(super) ended: Vec<(TaskId, Attempt, bool)>,
@@ -119,10 +126,13 @@
     pub(crate) notice: bool,
     /// Jobs whose tasks have failed on it, and whether each job is known to succeed on other machines.
     pub(crate) failures: BTreeMap<JobId, bool>,
+    /// When a task last failed on it.
     pub(crate) last_failure_at: u64,
     /// Status or confirmation requests without an answer since the machine was last heard.
     pub(super) failed_probes: u32,
+    /// A status request is pending.
     pub(super) probing: bool,
+    /// No status request is sent before this time.
     pub(super) next_probe_at: u64,
     /// It is faulty: it is not used any more.
     pub(crate) suspect: bool,
@@ -130,6 +140,7 @@
     pub(crate) avoid_until: u64,
     /// Images in its cache with their sizes in GB, the one recorded longest ago first.
     pub(crate) images: Vec<(String, f64)>,
+    /// Since when it has held no tasks.
     pub(crate) idle_since: Option<u64>,
     /// Being handed to another partition.
     pub(crate) moving: Option<Partition>,
@@ -143,6 +154,7 @@
     pub(crate) reserved: bool,
     /// It is being emptied and will then be returned to the cloud.
     pub(crate) draining: bool,
+    /// A request to the cloud to delete it is pending.
     pub(crate) deleting: bool,
     /// The cloud has confirmed its deletion.
     pub(crate) gone: bool,
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -94,7 +94,7 @@
     pub(super) fn relay_report(&mut self, asker: Asker, report: Report, owner: &ControllerId, body: &[u8]) {
         let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
-        let redirect_delay = 2 * self.settings.report_ms();
+        let redirect_delay_ms = 2 * self.settings.report_ms();
         let reachable = self.reachable(owner);
         let is_up = self.machines.get(&report.machine).is_some_and(Machine::up);
         // The owner may be unreachable from this controller only; a third controller may still reach it.
@@ -117,7 +117,7 @@
         guest.last_seen = now;
         let was_redirected_lately = guest.redirected_at.is_some_and(|t| now.saturating_sub(t) < lease);
         let can_redirect =
-            !was_redirected_lately && (!is_up || !reachable || now.saturating_sub(guest.since) >= redirect_delay);
+            !was_redirected_lately && (!is_up || !reachable || now.saturating_sub(guest.since) >= redirect_delay_ms);
         if let Some(to) = to.filter(|_| can_redirect) {
             guest.redirected_at = Some(now);
             self.redirect_worker(asker, &to);
