--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -120,7 +120,7 @@
                     observation.is_stopping |= h.stop.is_some_and(|s| s.grace_s > 0.0);
                     observation.is_stopping |= h.state == HeldState::Seen(TaskState::Saving);
                     observation.has_lost_machine |= m.retiring || m.gone;
-                    observation.has_notice |= m.notice;
+                    observation.has_notice |= m.has_preemption_notice;
                 }
             }
         }
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -40,7 +40,7 @@
         let now = self.now.ms;
         let report_ms = self.settings.report_ms();
         let epoch = self.epoch();
-        let sharing = self.members_share_machines();
+        let sharing = self.all_members_support_shared_machines();
         let mut commands = self.forget_commands(id);
         let Some(m) = self.machines.get_mut(id) else {
             return commands;
@@ -57,7 +57,7 @@
                 HeldState::Booked if is_wanted && accepts_starts && h.stop.is_none() => {
                     h.state = match answered_report {
                         Some((session, seq)) => HeldState::Sent(session, seq),
-                        None => HeldState::Direct,
+                        None => HeldState::AwaitingAnswer,
                     };
                     if answered_report.is_none()
                         && let Some(epoch) = epoch
@@ -76,7 +76,7 @@
                     // The same attempt is sent again. The copy that arrives second has no effect.
                     commands.extend(accepts_starts.then(|| start_command(h)));
                 }
-                HeldState::Sent(..) | HeldState::Direct => {}
+                HeldState::Sent(..) | HeldState::AwaitingAnswer => {}
             }
         }
         for (task, attempt) in dropped {
@@ -225,7 +225,7 @@
         match (result.map(|(status, _)| status), report) {
             (Some(200), Some(report)) => {
                 m.heard_directly = Some(now);
-                for h in m.held.iter_mut().filter(|h| h.state == HeldState::Direct) {
+                for h in m.held.iter_mut().filter(|h| h.state == HeldState::AwaitingAnswer) {
                     h.state = HeldState::Sent(report.session, report.seq);
                 }
                 self.accept_report(&report, false);
@@ -242,7 +242,7 @@
                 let not_started: Vec<(TaskId, Attempt)> = m
                     .held
                     .iter()
-                    .filter(|h| h.state == HeldState::Direct)
+                    .filter(|h| h.state == HeldState::AwaitingAnswer)
                     .map(|h| (h.task.clone(), h.attempt))
                     .collect();
                 for (task, attempt) in not_started {
--- a/crates/tidelatch-core/src/machine_view/machine.rs
+++ b/crates/tidelatch-core/src/machine_view/machine.rs
@@ -12,7 +12,7 @@
     /// Booked, not sent yet: goes out with the answer to the next report or in a direct command.
     Booked,
     /// Sent in a direct command that has not been answered yet.
-    Direct,
+    AwaitingAnswer,
     /// Sent with the answer to this report, or executed by the direct command that was answered with this report
     /// (session, sequence number).
     Sent(u64, u64),
@@ -123,7 +123,7 @@
     /// No direct commands are sent before this time, because the last one got no answer or was not executed.
     pub(super) direct_commands_from: u64,
     /// The cloud has given notice that it takes the machine back.
-    pub(crate) notice: bool,
+    pub(crate) has_preemption_notice: bool,
     /// Jobs whose tasks have failed on it, and whether each job is known to succeed on other machines.
     pub(crate) failures: BTreeMap<JobId, bool>,
     /// When a task last failed on it.
@@ -231,7 +231,7 @@
             unanswered_starts: BTreeMap::new(),
             pending_command: None,
             direct_commands_from: 0,
-            notice: false,
+            has_preemption_notice: false,
             failures: BTreeMap::new(),
             last_failure_at: 0,
             failed_probes: 0,
@@ -282,7 +282,7 @@
     pub(crate) fn usable(&self, now: u64, patience: u64) -> bool {
         self.confirmed
             && self.up()
-            && !self.notice
+            && !self.has_preemption_notice
             && !self.suspect
             && !self.retiring
             && !self.draining
@@ -308,7 +308,7 @@
     /// Keeps the starts of an unanswered direct command on this machine until they are fenced.
     pub(super) fn mark_unanswered_starts(&mut self, epoch: Epoch, session: u64, now: u64) {
         let (last_session, last_seq) = self.last_report_key;
-        for h in self.held.iter_mut().filter(|h| h.state == HeldState::Direct) {
+        for h in self.held.iter_mut().filter(|h| h.state == HeldState::AwaitingAnswer) {
             h.state = HeldState::Sent(last_session, last_seq);
             let start = UnansweredStart {
                 epoch,
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -101,7 +101,7 @@
         m.last_report_key = (report.session, report.seq);
         m.reported = Some(now);
         m.token = report.epoch;
-        m.notice = report.notice_s.is_some();
+        m.has_preemption_notice = report.notice_s.is_some();
         m.unanswered_starts
             .retain(|_, start| start.epoch >= report.epoch && start.session >= report.session);
         if is_new_session {
@@ -184,7 +184,7 @@
             .held
             .iter()
             .filter(|h| match h.state {
-                HeldState::Booked | HeldState::Direct => false,
+                HeldState::Booked | HeldState::AwaitingAnswer => false,
                 HeldState::Sent(session, seq) => (session, seq) < key,
                 HeldState::Seen(_) => true,
             })
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -24,7 +24,7 @@
 
 /// What a controller keeps knowing about a machine that is handed to another partition.
 #[derive(Debug, Default)]
-pub(crate) struct CarriedTasks {
+pub(crate) struct RetainedTasks {
     /// Tasks of partitions that this controller owns.
     held: Vec<Held>,
     /// Partitions whose tasks on the machine are not known yet.
@@ -33,7 +33,7 @@
 
 impl Machine {
     /// Restores what was known about the machine before it was handed over.
-    pub(crate) fn carry(&mut self, carried: CarriedTasks) {
+    pub(crate) fn carry(&mut self, carried: RetainedTasks) {
         self.held = carried.held;
         self.unaccounted = carried.unaccounted;
     }
@@ -41,7 +41,7 @@
 
 impl Controller {
     /// Whether every member controller supports machines that hold tasks of several partitions.
-    pub(crate) fn members_share_machines(&self) -> bool {
+    pub(crate) fn all_members_support_shared_machines(&self) -> bool {
         let mut members = self.member.members.values();
         self.settings.features.shared_machines && members.all(|m| m.knows >= SHARED_MACHINES_LEVEL)
     }
@@ -52,7 +52,7 @@
         let members = &self.member.members;
         let names = self.settings.names();
         let is_present = |name: &String| members.keys().any(|member| member.as_str() == name);
-        self.members_share_machines() && names.iter().all(is_present)
+        self.all_members_support_shared_machines() && names.iter().all(is_present)
     }
 
     /// Whether any machine may hold tasks of a partition that does not own it.
@@ -92,11 +92,11 @@
 
     /// Removes, from a machine that is handed over, the tasks of partitions that this controller still owns, and
     /// returns them. The other tasks are released, as this controller is no longer responsible for them.
-    pub(crate) fn take_carried_tasks(&mut self, id: &MachineId) -> CarriedTasks {
+    pub(crate) fn take_carried_tasks(&mut self, id: &MachineId) -> RetainedTasks {
         let Some(m) = self.machines.get_mut(id) else {
-            return CarriedTasks::default();
+            return RetainedTasks::default();
         };
-        let mut carried = CarriedTasks {
+        let mut carried = RetainedTasks {
             held: Vec::new(),
             unaccounted: std::mem::take(&mut m.unaccounted),
         };
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -345,7 +345,7 @@
             return Some("answers do not reach it");
         }
         // After a preemption notice from the cloud, a machine that stops reporting counts as gone.
-        let is_reclaimed = m.notice && limits.is_unheard_for(m, 2 * report_ms);
+        let is_reclaimed = m.has_preemption_notice && limits.is_unheard_for(m, 2 * report_ms);
         // An unconfirmed machine of a takeover blocks the older tasks of its whole partition, and requests have been
         // sent to it since the takeover began, so it gets less time.
         let blocks_older_tasks = !m.confirmed && m.may_hold;
