--- a/crates/tidelatch-core/src/calls.rs
+++ b/crates/tidelatch-core/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that are under way: why each was made, and who waits for its outcome.
+//! Calls in progress: the purpose of each, and the requesters that wait for its result.
 
 use crate::disruption::DrainWrite;
 use crate::ids::{ControllerId, Epoch, JobId, MachineId, Partition, Stamp};
@@ -6,117 +6,101 @@
 use crate::protocol::Rental;
 use crate::roster::{BootBatch, GroupRecord};
 
-/// Whether a refusal of a change says that its lease has ended, rather than that it is malformed.
+/// Whether the state service refused a transaction because its lease has ended, and not because it is malformed.
 pub(crate) fn is_lost_lease(body: &[u8]) -> bool {
     String::from_utf8_lossy(body).contains("lease")
 }
 
-/// Who waits for an answer: a connection, or a peer that passed the question on.
+/// The requester that waits for an answer, with the number of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Asker {
+    /// A user, worker or health check, over HTTP.
     Request(u64),
+    /// Another controller that forwarded a request.
     Peer(u64),
 }
 
-/// Why a call was made.
+/// Purpose of a call, with what is needed to handle its result. Times named `sent` are milliseconds.
 #[derive(Debug, Clone)]
 pub(crate) enum Purpose {
-    LeaseNew {
-        sent: u64,
-    },
-    LeaseExtend {
-        sent: u64,
-        permit: u64,
-    },
-    MemberWrite {
-        ack: u64,
-    },
-    LeaderTake,
+    /// Obtains a new lease.
+    NewLease { sent: u64 },
+    /// Extends the lease.
+    ExtendLease { sent: u64, lease_id: u64 },
+    /// Writes this controller's member record.
+    MemberWrite { ack: u64 },
+    /// Writes the leader's key.
+    LeaderWrite,
+    /// Writes a new epoch.
     EpochWrite,
-    List {
-        cursor: String,
-        first_ledger: u64,
-    },
-    Watch {
-        number: u64,
-    },
-    Bits {
-        partition: Partition,
-        since: u64,
-    },
-    /// Records of a partition that this controller may have to take over.
-    ReadAhead {
-        partition: Partition,
-        attempt: u64,
-    },
-    /// What has changed since such records were read.
-    BitsSince {
-        partition: Partition,
-        since: u64,
-    },
+    /// Reads a page of the shared keys.
+    ListSharedKeys { cursor: String, first_revision: u64 },
+    /// Waits for changes of the shared keys.
+    WatchSharedKeys { number: u64 },
+    /// Reads a page of the stored bitmaps of a partition that this controller takes over.
+    DoneBits { partition: Partition, since: u64 },
+    /// Reads a page of records of a partition that this controller may have to take over.
+    ReadAhead { partition: Partition, attempt: u64 },
+    /// Reads the changes since such records were read.
+    DoneBitsChanges { partition: Partition, since: u64 },
+    /// A call about a job.
     Job(JobPurpose),
+    /// Reads the machine types from the cloud.
     Types,
+    /// Stores the machine types.
     TypesWrite,
-    Rent {
-        rental: Rental,
-        split: Vec<Partition>,
-    },
-    /// New machine groups of the leader's.
+    /// Rents machines from the cloud.
+    Rent { rental: Rental, split: Vec<Partition> },
+    /// Stores new machine groups, as the leader.
     NewGroups,
-    /// A machine group that changes, with what comes of it.
+    /// Changes a machine group, possibly into several groups.
     MachineGroup {
         group: String,
         stamp: Stamp,
         changes: Vec<(String, Option<GroupRecord>)>,
     },
-    /// Machines that have come up, and the first reports that wait for that to be stored.
+    /// Stores that machines have booted. Their first reports are answered once this is stored.
     BootBatch {
         batch: BootBatch,
         askers: Vec<(Asker, MachineId, (u64, u64))>,
     },
-    Delete {
-        machines: Vec<MachineId>,
-    },
+    /// Deletes machines in the cloud.
+    Delete { machines: Vec<MachineId> },
+    /// Lists the rented machines in the cloud.
     Hosts,
-    /// A change of a drain's keys by the leader.
-    Drain {
-        write: DrainWrite,
-    },
-    Confirm {
-        machine: MachineId,
-        sent: u64,
-    },
-    Probe {
-        machine: MachineId,
-        sent: u64,
-    },
+    /// Changes the keys of a drain, as the leader.
+    Drain { write: DrainWrite },
+    /// Confirms a machine by an empty list of commands, which tells its worker the new epoch.
+    Confirm { machine: MachineId, sent: u64 },
+    /// Asks a worker for its status, outside its reports.
+    Probe { machine: MachineId, sent: u64 },
+    /// Sends commands to a worker directly, not as the answer to its report.
     Direct {
         machine: MachineId,
         number: u64,
         epoch: Epoch,
         session: u64,
     },
+    /// Sends a heartbeat to another controller.
     Heartbeat {
         to: ControllerId,
         sent: u64,
-        /// The span of cancellations that it told of.
+        /// The range of cancellation numbers that the heartbeat carried.
         told: (u64, u64),
     },
+    /// Forwards a worker's report to the machine's owner.
     Relay {
         asker: Asker,
         report: Box<crate::protocol::Report>,
     },
-    ForwardStatus {
-        asker: Asker,
-        job: JobId,
-    },
-    ForwardWithdraw {
-        asker: Asker,
-    },
-    /// A submission that this controller cannot store.
+    /// Forwards a status request to the job's owner.
+    ForwardStatus { asker: Asker, job: JobId },
+    /// Forwards a cancellation to the job's owner.
+    ForwardWithdraw { asker: Asker },
+    /// Forwards a submission that this controller cannot store.
     ForwardSubmission {
         asker: Asker,
-        /// None: it names no job.
+        /// The job's id; `None` if the submission names none.
         job: Option<JobId>,
     },
 }
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -1,4 +1,4 @@
-//! The state machine: takes inputs, keeps the table of calls that are under way, and hands replies on.
+//! The controller's state machine: handles inputs, keeps the table of calls in progress, and dispatches their replies.
 
 use crate::admission::Admission;
 use crate::calls::{Asker, Purpose, is_lost_lease};
@@ -17,30 +17,37 @@
 use crate::rate_limit::TokenBucket;
 use crate::roster::Roster;
 use crate::settings::Settings;
-use crate::write_limits::Limits;
+use crate::write_limits::WriteLimits;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tidelatch_failure_detector::Channel;
 
-/// One controller: its view of the cluster, the jobs and the machines.
+/// One controller, with its view of the cluster, the jobs and the machines. Times are in milliseconds unless stated
+/// otherwise.
 pub struct Controller {
     pub(crate) settings: Settings,
+    /// Name of this controller.
     pub(crate) me: ControllerId,
+    /// Time of the input that is being handled.
     pub(crate) now: Now,
+    /// Outputs of the input that is being handled.
     pub(crate) out: Vec<Output>,
-    next_call: u64,
-    /// When the last input came.
-    stepped: u64,
-    /// Calls below this number were sent before this controller last stood still: what they brought has lain in
-    /// its buffers, and others may have told users of newer things meanwhile.
-    stale_below: u64,
-    /// The reply that is looked at is one of those.
+    next_call_id: u64,
+    /// When the last input arrived.
+    last_input_ms: u64,
+    /// Calls below this number were sent before this process was last paused. Their replies waited in its buffers,
+    /// and other controllers may have reported newer state to users meanwhile.
+    first_fresh_call: u64,
+    /// The reply that is being handled belongs to such a call.
     pub(crate) stale: bool,
-    pending: BTreeMap<u64, Purpose>,
+    /// Purposes of the calls in progress, by call number.
+    pending_calls: BTreeMap<u64, Purpose>,
     pub(crate) member: Membership,
     pub(crate) tenures: BTreeMap<Partition, Tenure>,
     pub(crate) types: Vec<MachineType>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
+    /// Jobs that have ended.
     pub(crate) over: BTreeMap<JobId, EndedJob>,
+    /// The ended jobs, in the order in which they ended.
     pub(crate) over_order: VecDeque<JobId>,
     pub(crate) status_reads: StatusReads,
     pub(crate) machines: BTreeMap<MachineId, Machine>,
@@ -48,43 +55,48 @@
     pub(crate) roster: Roster,
     pub(crate) state_reads: TokenBucket,
     pub(crate) state_writes: TokenBucket,
-    pub(crate) limits: Limits,
+    pub(crate) limits: WriteLimits,
     pub(crate) admission: Admission,
+    /// When the next placement batch is due; `None`: none is needed.
     pub(crate) batch_due: Option<u64>,
     pub(crate) estimates: EstimateCorrections,
-    /// Jobs that a slice of the search left out, with what they would need, until when.
+    /// Jobs that the placement search skips for now, each with the capacity that it needs and the time until which it
+    /// is skipped.
     pub(crate) resting: BTreeMap<JobId, (Option<UnplacedTasks>, u64)>,
-    /// By team, room under its limit that is kept for one task of production work that found no machine.
+    /// By team, the part of its limit that is reserved for one production task that found no machine.
     pub(crate) kept_room: BTreeMap<usize, Amounts>,
-    /// Jobs within their teams' guarantees, as of the last batch.
+    /// Jobs within their teams' guarantees, as of the last placement batch.
     pub(crate) guaranteed: BTreeSet<JobId>,
-    /// When all machines are next looked at.
-    machines_due: u64,
+    /// When all machines are next examined.
+    next_machine_tick_ms: u64,
     pub(crate) flush_due: u64,
     pub(crate) consolidate_due: u64,
+    /// When each partition was last consolidated onto fewer machines.
     pub(crate) consolidated: BTreeMap<Partition, u64>,
-    /// When replicas of a partition were last moved to make room for others.
+    /// When replicas of each partition were last moved to make room for others.
     pub(crate) swapped: BTreeMap<Partition, u64>,
-    /// Machines that have something to do at once.
+    /// Machines to which commands are to be sent at once.
     pub(crate) poked: BTreeSet<MachineId>,
+    /// Number of direct command calls sent so far.
     pub(crate) commands_sent: u64,
+    /// Workers that report to this controller although another controller owns their machines.
     pub(crate) guests: BTreeMap<MachineId, Guest>,
     pub(crate) cancellations: Cancellations,
-    /// None: the settings do not ask for it.
+    /// Failure detection; `None` if the settings do not enable it.
     pub(crate) detection: Option<FailureDetection>,
-    /// None: the settings do not ask for it.
+    /// Disruption control; `None` if the settings do not enable it.
     pub(crate) disruption: Option<Disruption>,
-    /// How often a machine was looked at for a task.
+    /// Number of pairs of a task and a machine that the placement search has evaluated.
     pub(crate) evaluated: u64,
 }
 
 impl Controller {
-    /// A controller that has just started. `incarnation` must differ from that of every earlier life.
+    /// Creates a controller that has just started. `incarnation` must differ from every earlier one of this controller.
     pub fn new(settings: Settings, incarnation: Incarnation, now: Now) -> Self {
-        let nodes = f64::from(settings.partitions());
+        let controllers = f64::from(settings.partitions());
         let state = &settings.platform.facts.state;
-        let state_reads = TokenBucket::new(state.rps / nodes, state.rps / nodes);
-        let state_writes = TokenBucket::new(state.write_rps / nodes, state.write_rps / nodes);
+        let state_reads = TokenBucket::new(state.rps / controllers, state.rps / controllers);
+        let state_writes = TokenBucket::new(state.write_rps / controllers, state.write_rps / controllers);
         let cloud = Cloud::new(&settings);
         let me = ControllerId::new(settings.platform.host_name.clone());
         let detection = FailureDetection::new(&settings, incarnation, now.ms);
@@ -93,11 +105,11 @@
             me,
             now,
             out: Vec::new(),
-            next_call: 1,
-            stepped: now.ms,
-            stale_below: 0,
+            next_call_id: 1,
+            last_input_ms: now.ms,
+            first_fresh_call: 0,
             stale: false,
-            pending: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             member: Membership::new(incarnation, now.ms + settings.lease_ms()),
             tenures: BTreeMap::new(),
             types: Vec::new(),
@@ -110,7 +122,7 @@
             roster: Roster::default(),
             state_reads,
             state_writes,
-            limits: Limits {
+            limits: WriteLimits {
                 value: settings.value_bytes(),
                 ops: settings.txn_ops(),
             },
@@ -120,7 +132,7 @@
             resting: BTreeMap::new(),
             kept_room: BTreeMap::new(),
             guaranteed: BTreeSet::new(),
-            machines_due: 0,
+            next_machine_tick_ms: 0,
             flush_due: 0,
             consolidate_due: 0,
             consolidated: BTreeMap::new(),
@@ -136,30 +148,30 @@
         }
     }
 
-    /// Takes one input and returns what is to be done.
+    /// Handles one input and returns the resulting outputs.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Output> {
-        let paused_ms = now.ms.saturating_sub(self.stepped);
-        self.stepped = now.ms;
+        let paused_ms = now.ms.saturating_sub(self.last_input_ms);
+        self.last_input_ms = now.ms;
         self.now = now;
         if paused_ms > self.settings.report_ms() / 4 {
-            self.stale_below = self.next_call;
-            self.note_pause(paused_ms);
+            self.first_fresh_call = self.next_call_id;
+            self.record_pause(paused_ms);
         }
         self.stale = match &input {
-            Input::Reply { call, .. } | Input::PeerReply { call, .. } => *call < self.stale_below,
+            Input::Reply { call, .. } | Input::PeerReply { call, .. } => *call < self.first_fresh_call,
             _ => false,
         };
         match input {
             Input::Tick => self.tick(),
             Input::Request { id, method, path, body } => self.on_request(id, method, &path, &body),
             Input::Reply { call, result } => {
-                if let Some(purpose) = self.pending.remove(&call) {
+                if let Some(purpose) = self.pending_calls.remove(&call) {
                     self.on_reply(purpose, result);
                 }
             }
             Input::PeerRequest { id, request } => self.on_peer_request(id, request),
             Input::PeerReply { call, result } => {
-                if let Some(purpose) = self.pending.remove(&call) {
+                if let Some(purpose) = self.pending_calls.remove(&call) {
                     self.on_peer_reply(purpose, result);
                 }
             }
@@ -169,20 +181,20 @@
         std::mem::take(&mut self.out)
     }
 
-    /// How often this controller has looked at a machine for a task: the search's cost.
+    /// Number of pairs of a task and a machine that the placement search has evaluated, as a measure of its cost.
     pub fn evaluations(&self) -> u64 {
         self.evaluated
     }
 
     fn tick(&mut self) {
         self.tick_membership();
-        self.tick_tenures();
+        self.advance_takeovers();
         self.tick_cancellations();
         self.tick_jobs();
-        // Looking through all machines with each tick would cost a controller of a thousand a good part of
-        // its processor, and nothing there is due by less than this.
-        if self.now.ms >= self.machines_due {
-            self.machines_due = self.now.ms + self.settings.report_ms() / 16;
+        // Examining all machines with each tick would take a large part of the processor time of a controller with
+        // a thousand machines, and none of this work needs a shorter interval.
+        if self.now.ms >= self.next_machine_tick_ms {
+            self.next_machine_tick_ms = self.now.ms + self.settings.report_ms() / 16;
             self.tick_machines();
             self.finish_vacating();
             self.tick_shared_machines();
@@ -195,6 +207,7 @@
         self.tick_capacity();
     }
 
+    /// Logs a line for the operators.
     pub(crate) fn log(&mut self, level: Level, text: impl Into<String>) {
         self.out.push(Output::Log {
             level,
@@ -202,6 +215,7 @@
         });
     }
 
+    /// Answers a requester.
     pub(crate) fn answer(&mut self, to: Asker, answer: Answer) {
         self.out.push(match to {
             Asker::Request(id) => Output::Answer { id, answer },
@@ -212,6 +226,7 @@
         });
     }
 
+    /// Sends a call to a service or a worker and records its purpose until the reply arrives.
     pub(crate) fn call(
         &mut self,
         target: Target,
@@ -221,9 +236,9 @@
         timeout_ms: u64,
         purpose: Purpose,
     ) {
-        let id = self.next_call;
-        self.next_call += 1;
-        self.pending.insert(id, purpose);
+        let id = self.next_call_id;
+        self.next_call_id += 1;
+        self.pending_calls.insert(id, purpose);
         self.out.push(Output::Call {
             id,
             target,
@@ -234,15 +249,16 @@
         });
     }
 
-    /// Number of the next call to any service or peer.
-    pub(crate) fn next_call_number(&self) -> u64 {
-        self.next_call
+    /// Number that the next call to a service, worker or peer will have.
+    pub(crate) fn peek_next_call_id(&self) -> u64 {
+        self.next_call_id
     }
 
+    /// Sends a request to another controller and records its purpose until the reply arrives.
     pub(crate) fn ask(&mut self, to: ControllerId, request: PeerRequest, timeout_ms: u64, purpose: Purpose) {
-        let id = self.next_call;
-        self.next_call += 1;
-        self.pending.insert(id, purpose);
+        let id = self.next_call_id;
+        self.next_call_id += 1;
+        self.pending_calls.insert(id, purpose);
         self.out.push(Output::Ask {
             id,
             to,
@@ -251,44 +267,46 @@
         });
     }
 
+    /// Dispatches a request of a user, a worker or a health check.
     fn on_request(&mut self, id: u64, method: Method, path: &str, body: &[u8]) {
-        let asker = Asker::Request(id);
+        let requester = Asker::Request(id);
         let path = path.split('?').next().unwrap_or(path);
         match (method, path) {
             (Method::Get, "/up") => {
-                let answer = if self.takes_requests() {
+                let answer = if self.accepts_requests() {
                     Answer::new(200, "{}")
                 } else {
                     Answer::later(503, 1, "not ready")
                 };
-                self.answer(asker, answer);
+                self.answer(requester, answer);
             }
-            (Method::Post, "/agent/beat") => self.on_report(asker, body, true),
-            (Method::Post, "/submissions") => self.on_submission(asker, body, true),
+            (Method::Post, "/agent/beat") => self.on_report(requester, body, true),
+            (Method::Post, "/submissions") => self.on_submission(requester, body, true),
             _ => {
                 let rest = path.strip_prefix("/submissions/");
                 match (method, rest) {
-                    (Method::Get, Some(id)) if !id.contains('/') => self.on_status(asker, id, true),
+                    (Method::Get, Some(id)) if !id.contains('/') => self.on_status(requester, id, true),
                     (Method::Post, Some(rest)) => match rest.strip_suffix("/withdraw") {
-                        Some(id) if !id.contains('/') => self.on_withdraw(asker, id, true),
-                        _ => self.answer(asker, Answer::new(404, r#"{"error":"no such path"}"#)),
+                        Some(id) if !id.contains('/') => self.on_withdraw(requester, id, true),
+                        _ => self.answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
                     },
                     _ if ["/up", "/agent/beat", "/submissions"].contains(&path) || rest.is_some() => {
-                        self.answer(asker, Answer::new(405, r#"{"error":"method not allowed"}"#));
+                        self.answer(requester, Answer::new(405, r#"{"error":"method not allowed"}"#));
                     }
-                    _ => self.answer(asker, Answer::new(404, r#"{"error":"no such path"}"#)),
+                    _ => self.answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
                 }
             }
         }
     }
 
+    /// Dispatches a request of another controller.
     fn on_peer_request(&mut self, id: u64, request: PeerRequest) {
-        let asker = Asker::Peer(id);
+        let requester = Asker::Peer(id);
         match request {
-            PeerRequest::Relay { report } => self.on_report(asker, &report, false),
-            PeerRequest::Forward { job, withdraw: true } => self.on_withdraw(asker, &job, false),
-            PeerRequest::Forward { job, withdraw: false } => self.on_status(asker, &job, false),
-            PeerRequest::Submit { submission } => self.on_submission(asker, &submission, false),
+            PeerRequest::Relay { report } => self.on_report(requester, &report, false),
+            PeerRequest::Forward { job, withdraw: true } => self.on_withdraw(requester, &job, false),
+            PeerRequest::Forward { job, withdraw: false } => self.on_status(requester, &job, false),
+            PeerRequest::Submit { submission } => self.on_submission(requester, &submission, false),
             PeerRequest::Heartbeat {
                 name,
                 entitled,
@@ -300,7 +318,7 @@
                 permits,
             } => {
                 let from = ControllerId::new(name);
-                self.on_liveness(&from, Channel::Scheduled, liveness);
+                self.on_peer_heartbeat(&from, Channel::Scheduled, liveness);
                 self.take_cancellations(&from, &told);
                 let granted = permits.and_then(|listing| self.on_permit_listing(&from, &listing));
                 self.on_hello(id, from, (entitled, wants_grant, relies), digests, granted);
@@ -308,16 +326,16 @@
         }
     }
 
-    /// What the state service says of its limits when it refuses a change.
+    /// Adapts the write limits when the state service refuses a transaction.
     ///
-    /// They may fall without notice. 429 slows all that is written, at once, to the rate that will hold; what
-    /// must go first (leases, the epoch, acceptances) may use the budget's last part. 400 says that a change
-    /// was too large: what can be cut is cut smaller from then on.
-    fn note_refusal(&mut self, purpose: &Purpose, result: Option<&(u16, Vec<u8>)>) {
+    /// Its limits may drop without notice. After status 429, all writes slow down at once to the announced future
+    /// rate; the most important ones (leases, the epoch, job acceptances) may use the last part of the budget.
+    /// Status 400 means that a transaction was too large: transactions that can be split are smaller from then on.
+    fn apply_write_refusal(&mut self, purpose: &Purpose, result: Option<&(u16, Vec<u8>)>) {
         let Some((status, body)) = result else { return };
-        let (what, cut) = match purpose {
+        let (what, can_split) = match purpose {
             Purpose::MemberWrite { .. } => ("this controller's key", false),
-            Purpose::LeaderTake => ("the leader's key", false),
+            Purpose::LeaderWrite => ("the leader's key", false),
             Purpose::EpochWrite => ("the epoch", false),
             Purpose::TypesWrite => ("the machine types", false),
             Purpose::Job(JobPurpose::Accept { .. }) => ("an acceptance", false),
@@ -339,7 +357,7 @@
             );
         }
         if *status == 400 && !is_lost_lease(body) {
-            if cut {
+            if can_split {
                 self.limits.halve();
             }
             let text = String::from_utf8_lossy(body).into_owned();
@@ -353,18 +371,19 @@
         }
     }
 
+    /// Dispatches the reply to a call, or its timeout (`None`), by the call's purpose.
     fn on_reply(&mut self, purpose: Purpose, result: Option<(u16, Vec<u8>)>) {
-        self.note_refusal(&purpose, result.as_ref());
+        self.apply_write_refusal(&purpose, result.as_ref());
         match purpose {
-            Purpose::LeaseNew { sent } => self.on_lease_new(sent, result),
-            Purpose::LeaseExtend { sent, permit } => self.on_lease_extend(sent, permit, result),
+            Purpose::NewLease { sent } => self.on_new_lease(sent, result),
+            Purpose::ExtendLease { sent, lease_id } => self.on_lease_extension(sent, lease_id, result),
             Purpose::MemberWrite { ack } => self.on_member_write(ack, result),
-            Purpose::LeaderTake => self.on_leader_take(result),
+            Purpose::LeaderWrite => self.on_leader_write(result),
             Purpose::EpochWrite => self.on_epoch_write(result),
-            Purpose::List { cursor, first_ledger } => self.on_list(cursor, first_ledger, result),
-            Purpose::Watch { number } => self.on_watch(number, result),
-            Purpose::Bits { partition, since } => self.on_bits(partition, since, result),
-            Purpose::BitsSince { partition, since } => self.on_bits_since(partition, since, result),
+            Purpose::ListSharedKeys { cursor, first_revision } => self.on_shared_keys(cursor, first_revision, result),
+            Purpose::WatchSharedKeys { number } => self.on_watch(number, result),
+            Purpose::DoneBits { partition, since } => self.on_done_bits(partition, since, result),
+            Purpose::DoneBitsChanges { partition, since } => self.on_done_bits_changes(partition, since, result),
             Purpose::ReadAhead { partition, attempt } => self.on_read_ahead(partition, attempt, result),
             Purpose::Job(purpose) => self.on_job_reply(purpose, result),
             Purpose::Types => self.on_types(result),
@@ -392,6 +411,7 @@
         }
     }
 
+    /// Dispatches another controller's reply, or its timeout (`None`), by the request's purpose.
     fn on_peer_reply(&mut self, purpose: Purpose, result: Option<PeerReply>) {
         match (purpose, result) {
             (
@@ -408,18 +428,18 @@
                 }),
             ) => {
                 if self.stale {
-                    // How the peer stood before this process stood still says nothing of how it stands now.
+                    // The reply shows the peer's state before this process was paused, not its present state.
                     self.ask_peer_again(&to);
                 } else {
-                    self.note_peer(&to, true, entitled);
+                    self.record_peer_contact(&to, true, entitled);
                     self.note_reliance(&to, relies);
-                    self.on_liveness(&to, Channel::Answer, liveness);
+                    self.on_peer_heartbeat(&to, Channel::Answer, liveness);
                 }
-                // What a grant's giver knows is taken in before the grant counts.
+                // The cancellations that the giver of a grant knows are applied before the grant counts.
                 self.take_cancellations(&to, &news);
                 self.note_taken(&to, news.life, told);
                 if granted {
-                    self.note_grant(&to, sent, news.unread);
+                    self.record_grant(&to, sent, news.unread);
                 }
                 if let Some(grants) = permits {
                     self.on_permit_grants(&to, sent, &grants);
@@ -429,10 +449,10 @@
                     self.greet(true);
                 }
             }
-            (Purpose::Heartbeat { to, .. }, _) => self.note_peer(&to, false, false),
+            (Purpose::Heartbeat { to, .. }, _) => self.record_peer_contact(&to, false, false),
             (Purpose::Relay { asker, report }, result) => self.on_relayed(asker, &report, result),
             (Purpose::ForwardStatus { asker, job }, result) => match result {
-                // The job's end may have come by the watch since its owner answered.
+                // The watch may have delivered the end of the job since its owner answered.
                 _ if self.over.contains_key(&job) => self.tell_over(asker, &job),
                 Some(PeerReply::Answer(answer)) if answer.status == 200 && !self.stale => self.answer(asker, answer),
                 _ => self.read_status(asker, job),
@@ -449,7 +469,7 @@
         }
     }
 
-    /// A job's demand on a machine, as a vector.
+    /// Resources that one task of a job needs: processors, accelerators and GB of memory.
     pub(crate) fn size(spec: &JobSpec) -> [f64; 3] {
         [spec.cpus, spec.gpus, spec.memory_gb]
     }
--- a/crates/tidelatch-core/src/failure_detection.rs
+++ b/crates/tidelatch-core/src/failure_detection.rs
@@ -1,9 +1,9 @@
-//! Controllers that watch each other: the failure detector, and what its suspicions permit.
+//! Failure detection between controllers, and the reactions to a suspicion.
 //!
-//! A suspicion entitles to nothing. Who owns a partition is decided in the state service alone, with or without the
-//! detector ([`crate::membership`]). What a suspicion leads to is reversible and writes nothing: other controllers are
-//! asked whether they hear the suspected one, the leader gives it no machines, and whoever would take over from it
-//! reads ahead and connects to its workers ([`preparation`]).
+//! A suspicion gives no controller any right to act. Only the state service decides who owns a partition, with or
+//! without the detector ([`crate::membership`]). Every reaction to a suspicion is reversible and writes nothing to the
+//! state service: other controllers are asked to probe the suspected one, the leader gives it no machines, and the
+//! controller that would take over from it reads its records ahead and connects to its workers ([`preparation`]).
 
 mod events;
 mod preparation;
@@ -19,115 +19,117 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tidelatch_failure_detector::{Channel, Event, FailureDetector, Heartbeat, Life, MemberId, MemberState};
 
-/// The failure detector of this controller, and the probes that are under way.
+/// The failure detector of this controller, and the probes in progress.
 pub(crate) struct FailureDetection {
     detector: FailureDetector,
-    prepares: bool,
+    /// Prepares takeovers from suspected controllers.
+    prepares_takeovers: bool,
     preparation: Preparation,
-    /// Controllers to be asked for a probe, each with its target.
+    /// Controllers that the next heartbeat asks for a probe, each with the target of the probe.
     probes_to_request: BTreeMap<ControllerId, ControllerId>,
-    /// Controllers that are to be contacted at once.
+    /// Controllers to send a heartbeat to with the next tick, without waiting for the interval to pass.
     contacts_due: BTreeSet<ControllerId>,
-    /// Targets that others have asked this controller to probe, with those who wait for the outcome.
-    probing_for: BTreeMap<ControllerId, BTreeSet<ControllerId>>,
+    /// Targets that other controllers have asked this one to probe, each with the requesters.
+    probe_requesters: BTreeMap<ControllerId, BTreeSet<ControllerId>>,
 }
 
-fn member(controller: &ControllerId) -> MemberId {
+fn member_id(controller: &ControllerId) -> MemberId {
     MemberId::new(controller.as_str())
 }
 
-fn controller(member: &MemberId) -> ControllerId {
+fn controller_id(member: &MemberId) -> ControllerId {
     ControllerId::new(member.as_str())
 }
 
 impl FailureDetection {
-    /// The detector, if the settings ask for it and are in order.
+    /// Creates the detector; `None` if the settings do not enable it or are invalid.
     pub(crate) fn new(settings: &Settings, incarnation: Incarnation, now_ms: u64) -> Option<Self> {
-        let chosen = settings.operator.failure_detection.as_ref()?;
+        let options = settings.operator.failure_detection.as_ref()?;
         let siblings = settings.platform.siblings.iter();
         let detector = FailureDetector::new(
             MemberId::new(settings.platform.host_name.as_str()),
             Life(incarnation.0),
             siblings.map(|sibling| MemberId::new(sibling.host_name.as_str())),
             settings.detection_timing(),
-            chosen.policy(),
+            options.policy(),
             now_ms,
         );
         Some(Self {
             detector: detector.ok()?,
-            prepares: chosen.prepare,
+            prepares_takeovers: options.prepare,
             preparation: Preparation::default(),
             probes_to_request: BTreeMap::new(),
             contacts_due: BTreeSet::new(),
-            probing_for: BTreeMap::new(),
+            probe_requesters: BTreeMap::new(),
         })
     }
 
     fn suspects(&self, name: &ControllerId) -> bool {
-        matches!(self.detector.state(&member(name)), Some(MemberState::Suspected(_)))
+        matches!(self.detector.state(&member_id(name)), Some(MemberState::Suspected(_)))
     }
 
-    /// The heartbeat for another controller, with the probe that it is asked for.
+    /// Builds the heartbeat for another controller, including the probe that is requested from it.
     fn heartbeat(&mut self, to: &ControllerId, now_ms: u64) -> Heartbeat {
         self.contacts_due.remove(to);
         let probe = self.probes_to_request.remove(to);
-        self.detector.heartbeat(now_ms, probe.as_ref().map(member))
+        self.detector.heartbeat(now_ms, probe.as_ref().map(member_id))
     }
 
-    /// Another controller asks for a probe.
-    fn take_probe_request(&mut self, from: &ControllerId, target: &MemberId) {
-        let known = self.detector.state(target).is_some() && *target != member(from);
-        if known {
-            let target = controller(target);
+    /// Records another controller's request to probe `target`.
+    fn accept_probe_request(&mut self, from: &ControllerId, target: &MemberId) {
+        let is_valid_target = self.detector.state(target).is_some() && *target != member_id(from);
+        if is_valid_target {
+            let target = controller_id(target);
             self.contacts_due.insert(target.clone());
-            self.probing_for.entry(target).or_default().insert(from.clone());
+            self.probe_requesters.entry(target).or_default().insert(from.clone());
         }
     }
 
-    /// A controller was heard: those who asked for a probe of it are told with the next heartbeats, at once.
-    fn report_probe(&mut self, heard: &ControllerId) {
-        let waiting = self.probing_for.remove(heard).unwrap_or_default();
-        self.contacts_due.extend(waiting);
+    /// After a heartbeat from a probed controller, schedules an early heartbeat to each requester of the probe,
+    /// which reports the outcome.
+    fn schedule_probe_reports(&mut self, target: &ControllerId) {
+        let requesters = self.probe_requesters.remove(target).unwrap_or_default();
+        self.contacts_due.extend(requesters);
     }
 }
 
 impl Controller {
-    /// Whether a controller is suspected now. This decides about no right.
+    /// Whether a controller is suspected now. A suspicion gives no right to act.
     pub(crate) fn suspects(&self, name: &ControllerId) -> bool {
         self.detection.as_ref().is_some_and(|d| d.suspects(name))
     }
 
-    /// The heartbeat to be sent to another controller, if the detector is on.
+    /// Builds the detector's heartbeat for another controller; `None` if the detector is disabled.
     pub(crate) fn liveness_for(&mut self, to: &ControllerId) -> Option<Heartbeat> {
         let now_ms = self.now.ms;
         Some(self.detection.as_mut()?.heartbeat(to, now_ms))
     }
 
-    /// Whether another controller is to be contacted out of its turn, for a probe.
+    /// Whether a probe requires a heartbeat to another controller before the interval has passed.
     pub(crate) fn contact_due(&self, to: &ControllerId) -> bool {
         let due = |d: &FailureDetection| d.contacts_due.contains(to) || d.probes_to_request.contains_key(to);
         self.detection.as_ref().is_some_and(due)
     }
 
-    /// Another controller's heartbeat has arrived.
-    pub(crate) fn on_liveness(&mut self, from: &ControllerId, channel: Channel, heartbeat: Option<Heartbeat>) {
+    /// Passes another controller's heartbeat, or its plain message, to the detector.
+    pub(crate) fn on_peer_heartbeat(&mut self, from: &ControllerId, channel: Channel, heartbeat: Option<Heartbeat>) {
         let now_ms = self.now.ms;
         let Some(detection) = self.detection.as_mut() else {
             return;
         };
         let Some(mut heartbeat) = heartbeat else {
-            // Its version has no detector, or it is turned off there.
-            let events = detection.detector.on_contact(now_ms, &member(from), channel);
+            // The sender's version has no detector, or the detector is disabled there.
+            let events = detection.detector.on_contact(now_ms, &member_id(from), channel);
             self.handle_detector_events(events);
             return;
         };
-        // Replies carry no name: they come from whoever was asked.
-        heartbeat.from = member(from);
+        // Replies carry no sender name: they come from the controller that the request was sent to.
+        heartbeat.from = member_id(from);
         match detection.detector.on_heartbeat(now_ms, channel, &heartbeat) {
             Ok(events) => {
-                detection.report_probe(from);
+                detection.schedule_probe_reports(from);
                 if let Some(target) = &heartbeat.probe {
-                    detection.take_probe_request(from, target);
+                    detection.accept_probe_request(from, target);
                 }
                 self.handle_detector_events(events);
             }
@@ -138,13 +140,14 @@
         }
     }
 
-    /// This controller has begun another life.
-    pub(crate) fn detect_as(&mut self, incarnation: Incarnation) {
+    /// Tells the detector this controller's new incarnation.
+    pub(crate) fn set_detector_incarnation(&mut self, incarnation: Incarnation) {
         if let Some(detection) = &mut self.detection {
             detection.detector.begin_life(Life(incarnation.0));
         }
     }
 
+    /// Advances the detector and the preparations of takeovers.
     pub(crate) fn tick_failure_detection(&mut self) {
         let now_ms = self.now.ms;
         let Some(detection) = self.detection.as_mut() else {
@@ -153,7 +156,7 @@
         let registrations = Registrations::of(&self.member);
         let events = detection.detector.tick(now_ms, &registrations);
         self.handle_detector_events(events);
-        self.tick_preparation();
+        self.continue_preparations();
     }
 
     fn handle_detector_events(&mut self, events: Vec<Event>) {
--- a/crates/tidelatch-core/src/failure_detection/events.rs
+++ b/crates/tidelatch-core/src/failure_detection/events.rs
@@ -1,16 +1,16 @@
-//! What the detector has found: said to the operators, and passed on.
+//! Handling of the detector's events: log lines, probe requests and updates of the takeover preparations.
 
-use super::controller;
+use super::controller_id;
 use crate::controller::Controller;
 use crate::messages::Level;
 use tidelatch_failure_detector::{Cleared, Event, MemberId, SuspicionLevel, Verdict};
 
-/// A level as people read it.
-fn phi(level: SuspicionLevel) -> f64 {
+/// The phi value of a suspicion level, which is stored in thousandths.
+fn suspicion_phi(level: SuspicionLevel) -> f64 {
     f64::from(level.0) / 1000.0
 }
 
-fn reason(by: Cleared) -> &'static str {
+fn describe_clearing(by: Cleared) -> &'static str {
     match by {
         Cleared::Heard => "it was heard",
         Cleared::Refuted => "another controller passed on its refutation",
@@ -18,7 +18,7 @@
     }
 }
 
-fn evidence(verdict: Verdict) -> String {
+fn describe_verdict(verdict: Verdict) -> String {
     match verdict {
         Verdict::RegistrationEnded => "its lease in the state service has ended".to_owned(),
         Verdict::Superseded(life) => format!("life {} is registered in its place", life.0),
@@ -26,16 +26,16 @@
     }
 }
 
-/// The line for an event, and its weight; none: the event asks for something instead.
-fn line(event: &Event) -> Option<(Level, String)> {
-    let said = match event {
+/// The log level and text for an event; `None` for an event that requests an action instead.
+fn log_line(event: &Event) -> Option<(Level, String)> {
+    let level_and_text = match event {
         Event::ProbeWanted { .. } => return None,
         Event::Suspected {
             member,
             suspicion,
             silent_ms,
         } => {
-            let level = phi(suspicion.level);
+            let level = suspicion_phi(suspicion.level);
             let text =
                 format!("suspects {member}: not heard for {silent_ms} ms (phi {level:.1}), and nobody else hears it");
             (Level::Info, text)
@@ -45,7 +45,7 @@
             by,
             suspected_for_ms,
         } => {
-            let by = reason(*by);
+            let by = describe_clearing(*by);
             let text = format!("{member} is no longer suspected, after {suspected_for_ms} ms: {by}");
             (Level::Info, text)
         }
@@ -55,7 +55,7 @@
             verdict,
             suspected_for_ms,
         } => {
-            let evidence = evidence(*verdict);
+            let evidence = describe_verdict(*verdict);
             let text = format!("{member} is confirmed as gone, after {suspected_for_ms} ms of suspicion: {evidence}");
             (Level::Info, text)
         }
@@ -67,13 +67,13 @@
             Level::Info,
             format!("suspected by {suspected_by}: refuted ({refutation})"),
         ),
-        own => return own_health(own),
+        own_event => return own_health_log_line(own_event),
     };
-    Some(said)
+    Some(level_and_text)
 }
 
-/// The line for what the detector finds of this controller itself, or of messages.
-fn own_health(event: &Event) -> Option<(Level, String)> {
+/// The log level and text for an event about this controller's own health or about an ignored message.
+fn own_health_log_line(event: &Event) -> Option<(Level, String)> {
     match event {
         Event::Impaired { paused_ms: 0 } => {
             let text = "hears almost no controller any more: holds itself to be at fault, and suspects later";
@@ -92,7 +92,7 @@
     }
 }
 
-/// Whether an event changes who is suspected or gone, and with it what is to be prepared.
+/// Whether an event changes which controllers are suspected or gone, and so which takeovers to prepare.
 fn changes_suspicion(event: &Event) -> bool {
     matches!(
         event,
@@ -102,17 +102,18 @@
 
 impl Controller {
     pub(super) fn handle_detector_event(&mut self, event: &Event) {
-        if let Some((level, text)) = line(event) {
+        if let Some((level, text)) = log_line(event) {
             self.log(level, text);
         }
         if let Event::ProbeWanted { target, through } = event {
             self.request_probes(target, through);
         }
         if changes_suspicion(event) {
-            self.plan_preparation();
+            self.update_preparations();
         }
     }
 
+    /// Asks the controllers `through` to probe `target`, with the next heartbeats to them.
     fn request_probes(&mut self, target: &MemberId, through: &[MemberId]) {
         let Some(detection) = self.detection.as_mut() else {
             return;
@@ -120,7 +121,7 @@
         for helper in through {
             detection
                 .probes_to_request
-                .insert(controller(helper), controller(target));
+                .insert(controller_id(helper), controller_id(target));
         }
         let helpers: Vec<&str> = through.iter().map(MemberId::as_str).collect();
         let helpers = helpers.join(", ");
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -1,9 +1,9 @@
-//! What whoever would take over from a suspected controller does ahead: it reads the stored bitmaps of its partitions
-//! and connects to its workers.
+//! Preparation of a takeover: the controller that would take over from a suspected one reads the stored bitmaps of its
+//! partitions ahead and connects to its workers.
 //!
-//! Nothing is written, and nothing that was read decides anything before the partition is owned by the stored epoch.
-//! Then the changes since the reading are read on top of it, so that the records are as fresh as if all had been read
-//! only then. A suspicion that is cleared drops it all.
+//! Nothing is written, and the records that were read have no effect until the stored epoch makes this controller the
+//! partition's owner. It then reads the changes since the first read and applies them, so the records are as fresh as
+//! if all had been read at that time. When a suspicion is cleared, its preparations are dropped.
 
 use crate::calls::Purpose;
 use crate::controller::Controller;
@@ -14,54 +14,55 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Part of the state service's requests that reading ahead leaves to all else.
-const READS_LEFT_TO_OTHERS: f64 = 0.5;
-/// Connections that are opened with each tick: more at once would keep the processor from what is due.
+/// Share of the request rate limit for the state service that reading ahead leaves to other requests.
+const READ_SHARE_RESERVED_FOR_OTHERS: f64 = 0.5;
+/// Connections opened per tick. More at once would delay the controller's other work.
 const CONNECTIONS_PER_TICK: usize = 8;
 
-/// How far the reading of a partition's records has come.
+/// Progress of reading a partition's records ahead.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Reading {
-    /// The next page begins after this key.
+enum ReadProgress {
+    /// The next page is to be requested; it begins after this key.
     Due(String),
-    /// A page is under way.
-    UnderWay,
+    /// A page has been requested.
+    InProgress,
     /// All pages have been read.
     Complete,
 }
 
-/// What was prepared for one partition.
+/// Preparation of the takeover of one partition.
 #[derive(Debug)]
 struct PreparedPartition {
-    /// Tells the answers to this reading from those to earlier ones.
+    /// Number of this read, by which replies to earlier reads are recognized and ignored.
     attempt: u64,
-    reading: Reading,
-    /// Revision before which nothing was read: changes after it are read at the take-over.
+    reading: ReadProgress,
+    /// Revision of the first page. The changes after it are read at the takeover.
     revision: u64,
     records: BTreeMap<String, Value>,
     /// Addresses of workers that are still to be connected to.
     addresses: Vec<String>,
+    /// Number of workers to which a connection was requested.
     connections: usize,
-    /// It has been said that all is prepared.
-    announced: bool,
+    /// The completion of the preparation has been logged.
+    is_completion_logged: bool,
 }
 
 impl PreparedPartition {
-    /// Whether there is nothing left to read or to connect to, for the first time.
+    /// Whether the preparation is complete. Returns true only once.
     fn is_newly_complete(&mut self) -> bool {
-        let complete = self.reading == Reading::Complete && self.addresses.is_empty();
-        complete && !std::mem::replace(&mut self.announced, true)
+        let complete = self.reading == ReadProgress::Complete && self.addresses.is_empty();
+        complete && !std::mem::replace(&mut self.is_completion_logged, true)
     }
 }
 
-/// What was prepared for the partitions of suspected controllers.
+/// Preparations for the takeover of suspected controllers' partitions.
 #[derive(Debug, Default)]
 pub(crate) struct Preparation {
     partitions: BTreeMap<Partition, PreparedPartition>,
     attempts: u64,
 }
 
-/// Records that were read ahead, and the revision from which on changes are to be read.
+/// Records that were read ahead, and the revision after which changes are still to be read.
 #[derive(Debug)]
 pub(crate) struct RecordsReadAhead {
     pub(crate) revision: u64,
@@ -69,8 +70,8 @@
 }
 
 impl Controller {
-    /// The partitions that this controller would take over if all suspected ones were gone.
-    fn partitions_at_stake(&self) -> BTreeSet<Partition> {
+    /// The partitions that this controller would take over if all suspected controllers were gone.
+    fn partitions_to_prepare(&self) -> BTreeSet<Partition> {
         let Some((epoch, _)) = &self.member.epoch else {
             return BTreeSet::new();
         };
@@ -79,28 +80,29 @@
         let names = self.settings.names();
         let next = next_epoch(&names, &members, Some(epoch), self.settings.partitions());
         let planned = next.map_or(Vec::new(), |next| next.parts);
-        let mine = |owner: &ControllerId| *owner == self.me;
-        // A live owner may have to give a partition back to its home controller: that is no loss to prepare for.
-        let at_risk = |owner: &ControllerId| !mine(owner) && !members.contains_key(owner);
+        let is_own = |owner: &ControllerId| *owner == self.me;
+        // Handing a partition back from a live owner to its home controller needs no preparation.
+        let at_risk = |owner: &ControllerId| !is_own(owner) && !members.contains_key(owner);
         (0..)
             .map(Partition)
             .zip(epoch.parts.iter().zip(&planned))
-            .filter(|(_, (now, then))| at_risk(&now.owner) && mine(&then.owner))
+            .filter(|(_, (current, planned))| at_risk(&current.owner) && is_own(&planned.owner))
             .map(|(partition, _)| partition)
             .collect()
     }
 
-    /// Suspicions or the epoch have changed: begins what is at stake now, and drops what is not any more.
-    pub(crate) fn plan_preparation(&mut self) {
-        if !self.detection.as_ref().is_some_and(|d| d.prepares) {
+    /// After a change of the suspicions or of the epoch, starts the preparations that are needed now and drops those
+    /// that are no longer needed.
+    pub(crate) fn update_preparations(&mut self) {
+        if !self.detection.as_ref().is_some_and(|d| d.prepares_takeovers) {
             return;
         }
-        let at_stake = self.partitions_at_stake();
-        let addresses: BTreeMap<Partition, Vec<String>> = at_stake
+        let to_prepare = self.partitions_to_prepare();
+        let addresses: BTreeMap<Partition, Vec<String>> = to_prepare
             .iter()
             .map(|partition| (*partition, self.worker_addresses(*partition)))
             .collect();
-        let beginning: BTreeSet<Partition> = self
+        let being_taken_over: BTreeSet<Partition> = self
             .tenures
             .iter()
             .filter(|(_, tenure)| tenure.stage != Stage::Active)
@@ -112,7 +114,7 @@
         let preparation = &mut detection.preparation;
         let mut dropped = Vec::new();
         preparation.partitions.retain(|partition, _| {
-            let kept = at_stake.contains(partition) || beginning.contains(partition);
+            let kept = to_prepare.contains(partition) || being_taken_over.contains(partition);
             if !kept {
                 dropped.push(*partition);
             }
@@ -127,12 +129,12 @@
             begun.push(partition);
             let prepared = PreparedPartition {
                 attempt: preparation.attempts,
-                reading: Reading::Due(String::new()),
+                reading: ReadProgress::Due(String::new()),
                 revision: 0,
                 records: BTreeMap::new(),
                 addresses,
                 connections: 0,
-                announced: false,
+                is_completion_logged: false,
             };
             preparation.partitions.insert(partition, prepared);
         }
@@ -147,47 +149,53 @@
         }
     }
 
+    /// Addresses of the partition's machines that are not gone.
     fn worker_addresses(&self, partition: Partition) -> Vec<String> {
         let machines = self.machines.values().filter(|m| m.partition == partition && !m.gone);
         let addresses = machines.map(|m| m.addr.clone());
         addresses.filter(|address| address.contains(':')).collect()
     }
 
-    /// Goes on with preparations, within what others leave of the budgets.
-    pub(super) fn tick_preparation(&mut self) {
+    /// Continues the preparations: opens connections and requests pages, within the limits on connections per tick and
+    /// on the request rate.
+    pub(super) fn continue_preparations(&mut self) {
         let Some(detection) = self.detection.as_mut() else {
             return;
         };
-        let mut connect = Vec::new();
-        let mut read = Vec::new();
+        let mut addresses_to_connect = Vec::new();
+        let mut reads = Vec::new();
         for (partition, prepared) in &mut detection.preparation.partitions {
-            let room = CONNECTIONS_PER_TICK.saturating_sub(connect.len());
-            let from = prepared.addresses.len().saturating_sub(room);
+            let connections_left = CONNECTIONS_PER_TICK.saturating_sub(addresses_to_connect.len());
+            let from = prepared.addresses.len().saturating_sub(connections_left);
             let addresses = prepared.addresses.split_off(from);
             prepared.connections += addresses.len();
-            connect.extend(addresses);
-            if let Reading::Due(cursor) = &prepared.reading
-                && self.state_reads.take(self.now.ms, 1.0, READS_LEFT_TO_OTHERS)
+            addresses_to_connect.extend(addresses);
+            if let ReadProgress::Due(cursor) = &prepared.reading
+                && self.state_reads.take(self.now.ms, 1.0, READ_SHARE_RESERVED_FOR_OTHERS)
             {
-                read.push((*partition, prepared.attempt, cursor.clone()));
-                prepared.reading = Reading::UnderWay;
+                reads.push((*partition, prepared.attempt, cursor.clone()));
+                prepared.reading = ReadProgress::InProgress;
             }
         }
-        let connections = connect.into_iter().map(|address| Output::Connect { address });
+        let connections = addresses_to_connect
+            .into_iter()
+            .map(|address| Output::Connect { address });
         self.out.extend(connections);
-        for (partition, attempt, cursor) in read {
+        for (partition, attempt, cursor) in reads {
             self.read_ahead(partition, attempt, &cursor);
         }
-        self.announce_prepared();
+        self.log_completed_preparations();
     }
 
+    /// Requests a page of a partition's records.
     fn read_ahead(&mut self, partition: Partition, attempt: u64, cursor: &str) {
-        let path = Self::bits_path(partition, cursor);
+        let path = Self::done_bits_path(partition, cursor);
         let timeout = self.settings.lease_ms() / 4;
         let purpose = Purpose::ReadAhead { partition, attempt };
         self.call(Target::State, Method::Get, path, String::new(), timeout, purpose);
     }
 
+    /// Handles a page of records that are read ahead.
     pub(crate) fn on_read_ahead(&mut self, partition: Partition, attempt: u64, result: Option<(u16, Vec<u8>)>) {
         let Some(detection) = self.detection.as_mut() else {
             return;
@@ -201,10 +209,10 @@
             _ => None,
         };
         let Some(page) = page else {
-            // From the beginning: pages of different readings do not fit together.
+            // Start again: pages of different reads cannot be combined.
             prepared.records.clear();
             prepared.revision = 0;
-            prepared.reading = Reading::Due(String::new());
+            prepared.reading = ReadProgress::Due(String::new());
             return;
         };
         if prepared.revision == 0 {
@@ -214,13 +222,14 @@
         let records = page.items.into_iter().map(|item| (item.k, item.value));
         prepared.records.extend(records);
         prepared.reading = match last {
-            Some(last) if page.more => Reading::Due(last),
-            _ => Reading::Complete,
+            Some(last) if page.more => ReadProgress::Due(last),
+            _ => ReadProgress::Complete,
         };
-        self.announce_prepared();
+        self.log_completed_preparations();
     }
 
-    fn announce_prepared(&mut self) {
+    /// Logs each preparation that has just been completed.
+    fn log_completed_preparations(&mut self) {
         let Some(detection) = self.detection.as_mut() else {
             return;
         };
@@ -238,10 +247,10 @@
         }
     }
 
-    /// The records that were read ahead for a partition, for its new owner.
-    pub(crate) fn take_prepared(&mut self, partition: Partition) -> Option<RecordsReadAhead> {
+    /// Removes and returns the records that were read ahead for a partition; `None` if they are incomplete.
+    pub(crate) fn take_records_read_ahead(&mut self, partition: Partition) -> Option<RecordsReadAhead> {
         let prepared = self.detection.as_mut()?.preparation.partitions.remove(&partition)?;
-        (prepared.reading == Reading::Complete).then_some(RecordsReadAhead {
+        (prepared.reading == ReadProgress::Complete).then_some(RecordsReadAhead {
             revision: prepared.revision,
             records: prepared.records,
         })
@@ -249,7 +258,7 @@
 }
 
 impl RecordsReadAhead {
-    /// Brings the records up to date.
+    /// Applies the changes since the records were read, and returns the current keys and values.
     pub(crate) fn apply(mut self, changes: Changes) -> Vec<(String, Value)> {
         for change in changes.news {
             if let Some(key) = change.write {
--- a/crates/tidelatch-core/src/failure_detection/registrations.rs
+++ b/crates/tidelatch-core/src/failure_detection/registrations.rs
@@ -1,13 +1,14 @@
-//! The detector's arbiter: members' keys in the state service, as the watch has told of them.
+//! The detector's arbiter: the member records in the state service, as delivered by the watch.
 
 use crate::ids::ControllerId;
 use crate::membership::Membership;
 use tidelatch_failure_detector::{Arbiter, Life, MemberId, Registration};
 
-/// What this controller has read of members' keys, and the grants that it has given.
+/// The member records that this controller has read, and the grants that it has given.
 ///
-/// A key goes with its controller's lease, and a life that has lost its lease never registers again: it comes back as
-/// another one. So a key that was seen to be gone stays gone, however long ago the answer was written.
+/// A member record is deleted when its controller's lease ends, and an incarnation that has lost its lease never
+/// registers again: the controller returns as a new incarnation. So a record that was seen to be deleted stays
+/// deleted, however old the reply that showed it is.
 pub(super) struct Registrations<'a> {
     membership: &'a Membership,
 }
@@ -20,7 +21,7 @@
 
 impl Arbiter for Registrations<'_> {
     fn registration(&self, member: &MemberId) -> Registration {
-        let observed_ms = self.membership.viewed_at;
+        let observed_ms = self.membership.last_view_ms;
         if !self.membership.has_read_members() {
             return Registration::Unreachable;
         }
@@ -33,9 +34,9 @@
         }
     }
 
-    /// Acting beyond its lease takes the grants of *all* other controllers: once this one's has ended, the set is
-    /// incomplete.
+    /// A controller may act beyond its lease only with unexpired grants of *all* other controllers. Once this
+    /// controller's grant has expired, the set is incomplete.
     fn granted_until_ms(&self, _member: &MemberId) -> u64 {
-        self.membership.grants_given_until()
+        self.membership.given_grants_until_ms()
     }
 }
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -1,14 +1,15 @@
-//! Who may act: the lease, the epoch, the leader, and which controller owns which partition.
+//! Cluster membership: the controller's lease, the epoch, the leader, and the owner of each partition.
 //!
-//! All that is shared lies under one prefix, `t/`, and is followed by one watch. Its changes come in
-//! the order of their revisions, so that whoever has seen an epoch has seen every acceptance and
-//! every roster entry that was written before it. Each such write carries the epoch's revision as a
-//! condition: none of an older epoch can land after it.
+//! All shared keys in the state service have the prefix `t/`, and each controller follows them with one
+//! watch. The watch delivers changes in the order of their revisions, so a controller that has seen an
+//! epoch has also seen every job acceptance and every roster entry that was written before it. Each of
+//! these writes is conditional on the epoch's revision, so the state service rejects a write that was
+//! made under an older epoch.
 
 mod entitlement;
 mod epoch;
 mod leadership;
-mod lease_trouble;
+mod lease_failures;
 mod records;
 mod registration;
 mod shared;
@@ -16,8 +17,8 @@
 
 pub use epoch::next_epoch;
 pub use records::{
-    BOOT_BATCH_PREFIX, EpochRecord, JOB_PREFIX, LeaderRecord, MemberRecord, PartitionOwner, ROSTER_PREFIX, SHARED,
-    STEP_PREFIX, TYPES_KEY,
+    BOOT_BATCH_PREFIX, EpochRecord, JOB_PREFIX, LeaderRecord, MemberRecord, PartitionOwner, ROSTER_PREFIX,
+    SHARED_PREFIX, STEP_PREFIX, TYPES_KEY,
 };
 pub(crate) use tenure::{Stage, Tenure};
 
@@ -25,138 +26,149 @@
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Incarnation, Stamp};
 use crate::messages::{Method, Target};
-use lease_trouble::LeaseTrouble;
+use lease_failures::LeaseFailures;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A peer's grant not to change the membership.
+/// A peer's promise not to change the membership until the grant expires.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Grant {
-    /// When it ends, on this clock.
-    until: u64,
-    /// Its giver has not read the store in its life.
-    unread: bool,
+    /// When the grant expires, on this controller's monotonic clock.
+    valid_until_ms: u64,
+    /// The peer that gave the grant has not read the state service since it started.
+    giver_has_not_read_store: bool,
 }
 
-/// How a peer stands.
+/// What this controller knows about a peer from its heartbeats.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Peer {
+pub(crate) struct PeerStatus {
+    /// When the peer's last heartbeat or answer arrived, in milliseconds.
     pub(crate) heard: Option<u64>,
+    /// The last heartbeat to the peer was answered.
     pub(crate) reachable: bool,
+    /// The peer was entitled to act when it was last heard from.
     pub(crate) entitled: bool,
+    /// When the last scheduled heartbeat was sent to the peer, in milliseconds; 0: send one with the next tick.
     pub(crate) asked: u64,
+    /// A heartbeat to the peer awaits its answer.
     pub(crate) asking: bool,
-    /// The question that is out asks for a grant.
+    /// The heartbeat that awaits its answer requests a grant.
     pub(crate) asked_grant: bool,
 }
 
-/// A controller's standing and its view of the others.
+/// This controller's lease and registration, and its view of the other members.
 #[derive(Debug)]
 pub(crate) struct Membership {
+    /// Incarnation of this controller.
     pub(crate) inc: Incarnation,
-    permit: Option<u64>,
-    leasing: bool,
-    extending: bool,
-    extended_at: u64,
-    entitled_until: u64,
-    /// When the last extension that was granted, or the lease itself, was asked for.
-    lease_since: u64,
-    /// What went wrong since then.
-    trouble: LeaseTrouble,
-    written: Option<MemberRecord>,
-    writing: bool,
-    /// Revision of this controller's own key, as far as known: a late copy of an earlier life's write
-    /// of it fails by that.
-    own_stamp: Stamp,
-    write_from: u64,
-    listed: bool,
-    listing: bool,
-    watching: bool,
-    /// Number of the watch that counts: an older one may hang for long after a cut has ended.
+    lease_id: Option<u64>,
+    is_requesting_lease: bool,
+    is_extending_lease: bool,
+    last_extension_ms: u64,
+    entitled_until_ms: u64,
+    /// When the last successful extension, or the lease itself, was requested.
+    lease_requested_ms: u64,
+    /// Failed lease requests and pauses of this process since then.
+    lease_failures: LeaseFailures,
+    written_record: Option<MemberRecord>,
+    is_writing_record: bool,
+    /// Last known revision of this controller's own key. Writes of the key are conditional on it, so a
+    /// delayed duplicate of a write by an earlier incarnation fails.
+    own_revision: Stamp,
+    next_record_write_ms: u64,
+    has_listed_keys: bool,
+    is_listing_keys: bool,
+    is_watching: bool,
+    /// Number of the current watch. Replies to older ones are ignored: an older watch may hang long after
+    /// a network partition has ended.
     watch_number: u64,
     watch_failures: u32,
-    extend_failed: bool,
-    /// The last call about a lease failed: the state service does not serve this controller.
-    unserved: bool,
-    /// Peers' grants not to change the membership.
-    grants: BTreeMap<ControllerId, Grant>,
-    /// This controller's own grants: it neither takes the lead nor raises an epoch before.
-    grants_given_until: u64,
-    /// A process that has just started may have forgotten grants: it leads only once every peer
-    /// has said that it relies on none, or the longest would be over.
-    fresh_until: u64,
-    cleared: BTreeSet<ControllerId>,
-    retry_at: u64,
+    has_extension_failed: bool,
+    /// The last request to obtain or extend the lease failed: the state service does not serve this controller.
+    has_lease_call_failed: bool,
+    /// Grants from peers, each a promise not to change the membership.
+    received_grants: BTreeMap<ControllerId, Grant>,
+    /// When the last grant that this controller has given expires. It neither becomes leader nor raises
+    /// the epoch before that.
+    given_grants_until_ms: u64,
+    /// When the longest grant that an earlier incarnation of this process may have given expires. Until
+    /// then this controller becomes leader only if every peer has said that it relies on no grant.
+    forgotten_grants_until_ms: u64,
+    peers_relying_on_no_grant: BTreeSet<ControllerId>,
+    retry_ms: u64,
+    /// Revision of the state service up to which the shared keys are known.
     pub(crate) ledger: u64,
-    /// When the shared keys were last read, or their watch last answered.
-    pub(crate) viewed_at: u64,
+    /// When the shared keys were last listed, or their watch last answered.
+    pub(crate) last_view_ms: u64,
     pub(crate) members: BTreeMap<ControllerId, MemberRecord>,
     pub(crate) leader: Option<(LeaderRecord, Stamp)>,
-    taking: bool,
-    pub(crate) leader_since: u64,
+    is_taking_leadership: bool,
+    pub(crate) leader_since_ms: u64,
     pub(crate) epoch: Option<(EpochRecord, Stamp)>,
-    epoch_writing: bool,
-    /// After a try to lead or to raise the epoch: no other before this, or before the watch has come
-    /// to this revision. A controller whose watch hangs must not burn the budget of changes.
-    settle: (u64, u64),
-    pub(crate) peers: BTreeMap<ControllerId, Peer>,
-    was_entitled: bool,
+    is_writing_epoch: bool,
+    /// After an attempt to become leader or to raise the epoch, the next attempt waits until this time or
+    /// until the watch has reached this revision. Without the wait, a controller whose watch hangs would
+    /// use up its budget of writes.
+    next_membership_change: (u64, u64),
+    pub(crate) peers: BTreeMap<ControllerId, PeerStatus>,
+    has_been_entitled: bool,
 }
 
 impl Membership {
-    /// Whether the members' keys have been read in this life of the process.
+    /// Whether the members' keys have been read since this process started.
     pub(crate) fn has_read_members(&self) -> bool {
-        self.listed && self.viewed_at > 0
+        self.has_listed_keys && self.last_view_ms > 0
     }
 
-    /// When the last grant ends that this controller has given.
-    pub(crate) fn grants_given_until(&self) -> u64 {
-        self.grants_given_until
+    /// When the last grant that this controller has given expires.
+    pub(crate) fn given_grants_until_ms(&self) -> u64 {
+        self.given_grants_until_ms
     }
 
-    pub(crate) fn new(inc: Incarnation, fresh_until: u64) -> Self {
+    pub(crate) fn new(inc: Incarnation, forgotten_grants_until_ms: u64) -> Self {
         Self {
             inc,
-            permit: None,
-            leasing: false,
-            extending: false,
-            extended_at: 0,
-            entitled_until: 0,
-            lease_since: 0,
-            trouble: LeaseTrouble::default(),
-            written: None,
-            writing: false,
-            own_stamp: Stamp(0),
-            write_from: 0,
-            listed: false,
-            listing: false,
-            watching: false,
+            lease_id: None,
+            is_requesting_lease: false,
+            is_extending_lease: false,
+            last_extension_ms: 0,
+            entitled_until_ms: 0,
+            lease_requested_ms: 0,
+            lease_failures: LeaseFailures::default(),
+            written_record: None,
+            is_writing_record: false,
+            own_revision: Stamp(0),
+            next_record_write_ms: 0,
+            has_listed_keys: false,
+            is_listing_keys: false,
+            is_watching: false,
             watch_number: 0,
             watch_failures: 0,
-            extend_failed: false,
-            unserved: false,
-            grants: BTreeMap::new(),
-            grants_given_until: 0,
-            fresh_until,
-            cleared: BTreeSet::new(),
-            retry_at: 0,
+            has_extension_failed: false,
+            has_lease_call_failed: false,
+            received_grants: BTreeMap::new(),
+            given_grants_until_ms: 0,
+            forgotten_grants_until_ms,
+            peers_relying_on_no_grant: BTreeSet::new(),
+            retry_ms: 0,
             ledger: 0,
-            viewed_at: 0,
+            last_view_ms: 0,
             members: BTreeMap::new(),
             leader: None,
-            taking: false,
-            leader_since: 0,
+            is_taking_leadership: false,
+            leader_since_ms: 0,
             epoch: None,
-            epoch_writing: false,
-            settle: (0, 0),
+            is_writing_epoch: false,
+            next_membership_change: (0, 0),
             peers: BTreeMap::new(),
-            was_entitled: false,
+            has_been_entitled: false,
         }
     }
 }
 
 impl Controller {
-    /// Sends a transaction; `writes` is what it costs of the budget of changes.
+    /// Sends a transaction to the state service. It uses one read and, for each change, one write of the
+    /// rate limits, even when none is left.
     pub(crate) fn txn(&mut self, conditions: Vec<Value>, changes: Vec<Value>, purpose: Purpose) {
         self.state_reads.force(self.now.ms, 1.0);
         self.state_writes.force(self.now.ms, changes.len() as f64);
@@ -168,9 +180,9 @@
     pub(crate) fn tick_membership(&mut self) {
         let now = self.now.ms;
         let quarter = self.settings.lease_ms() / 4;
-        match self.member.permit {
-            None if !self.member.leasing && now >= self.member.retry_at => {
-                self.member.leasing = true;
+        match self.member.lease_id {
+            None if !self.member.is_requesting_lease && now >= self.member.retry_ms => {
+                self.member.is_requesting_lease = true;
                 let body = json!({ "ttlMs": self.settings.lease_ms() }).to_string();
                 self.state_reads.force(now, 1.0);
                 self.call(
@@ -179,34 +191,34 @@
                     "/leases",
                     body,
                     quarter,
-                    Purpose::LeaseNew { sent: now },
+                    Purpose::NewLease { sent: now },
                 );
             }
-            Some(permit) if !self.member.extending && now >= self.member.extended_at + quarter => {
-                self.member.extending = true;
-                self.member.extended_at = now;
+            Some(lease_id) if !self.member.is_extending_lease && now >= self.member.last_extension_ms + quarter => {
+                self.member.is_extending_lease = true;
+                self.member.last_extension_ms = now;
                 self.state_reads.force(now, 1.0);
                 self.call(
                     Target::State,
                     Method::Post,
-                    format!("/leases/{permit}/extend"),
+                    format!("/leases/{lease_id}/extend"),
                     "{}".into(),
                     quarter,
-                    Purpose::LeaseExtend { sent: now, permit },
+                    Purpose::ExtendLease { sent: now, lease_id },
                 );
             }
             _ => {}
         }
-        if !self.member.listed && !self.member.listing && now >= self.member.retry_at {
-            self.list(String::new(), 0);
+        if !self.member.has_listed_keys && !self.member.is_listing_keys && now >= self.member.retry_ms {
+            self.list_shared_keys(String::new(), 0);
         }
-        if self.member.listed && !self.member.watching && now >= self.member.retry_at {
-            self.watch();
+        if self.member.has_listed_keys && !self.member.is_watching && now >= self.member.retry_ms {
+            self.watch_shared_keys();
         }
-        self.log_lapse();
-        self.write_member();
-        self.seek_leadership();
-        self.lead_epoch();
+        self.log_entitlement_loss();
+        self.write_member_record();
+        self.take_leadership();
+        self.raise_epoch();
         self.tick_failure_detection();
         self.say_hello();
     }
--- a/crates/tidelatch-core/src/membership/entitlement.rs
+++ b/crates/tidelatch-core/src/membership/entitlement.rs
@@ -1,27 +1,27 @@
-//! Whether this controller may act: its lease, and the grants of its peers.
+//! Entitlement: whether this controller may act, by its lease or by the grants of its peers.
 
-use super::lease_trouble::LeaseFailure;
-use super::{Grant, Peer};
+use super::lease_failures::LeaseFailure;
+use super::{Grant, PeerStatus};
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Incarnation};
 use crate::messages::Level;
 use crate::protocol::Granted;
 
 impl Controller {
-    /// Whether this controller may act now: inside its lease, or under the grants of all peers.
+    /// Whether this controller may act now, within its lease or under unexpired grants of all peers.
     pub fn entitled(&self) -> bool {
-        self.entitled_at(self.now.ms)
+        self.is_entitled_at(self.now.ms)
     }
 
-    /// How long this controller may act yet.
+    /// Milliseconds until this controller's entitlement to act expires.
     pub(crate) fn entitlement_left_ms(&self) -> u64 {
-        let until = self.member.entitled_until.max(self.granted_until());
+        let until = self.member.entitled_until_ms.max(self.all_grants_until_ms());
         until.saturating_sub(self.now.ms)
     }
 
-    /// A peer within reach that was entitled to act when it was last heard: of several, one after the other.
+    /// A reachable peer that was entitled to act when it was last heard from. Successive calls rotate among several.
     pub(crate) fn entitled_peer(&self) -> Option<ControllerId> {
-        let entitled = |(name, peer): &(&ControllerId, &Peer)| peer.entitled && self.reachable(name);
+        let entitled = |(name, peer): &(&ControllerId, &PeerStatus)| peer.entitled && self.reachable(name);
         let peers: Vec<&ControllerId> = self
             .member
             .peers
@@ -29,184 +29,211 @@
             .filter(entitled)
             .map(|(name, _)| name)
             .collect();
-        let turn = self.next_call_number() as usize % peers.len().max(1);
-        peers.get(turn).map(|name| (*name).clone())
+        let next = self.peek_next_call_id() as usize % peers.len().max(1);
+        peers.get(next).map(|name| (*name).clone())
     }
 
-    pub(super) fn entitled_at(&self, now: u64) -> bool {
-        self.member.permit.is_some() && now < self.member.entitled_until.max(self.granted_until())
+    pub(super) fn is_entitled_at(&self, now: u64) -> bool {
+        self.member.lease_id.is_some() && now < self.member.entitled_until_ms.max(self.all_grants_until_ms())
     }
 
-    /// The time up to which every peer has granted to leave the membership as it is.
+    /// Time until which every peer has promised not to change the membership; 0: a grant is missing.
     ///
-    /// One of them at least has to come from a life that has read the store: those that have ended since then
-    /// may have told users of cancellations that nobody else knows.
-    pub(super) fn granted_until(&self) -> u64 {
+    /// At least one of the grants must come from an incarnation that has read the state service: incarnations
+    /// that have ended since then may have confirmed cancellations to users that no other controller knows of.
+    pub(super) fn all_grants_until_ms(&self) -> u64 {
         let siblings = &self.settings.platform.siblings;
-        let grant = |name: &str| self.member.grants.get(&ControllerId::new(name)).copied();
+        let grant = |name: &str| self.member.received_grants.get(&ControllerId::new(name)).copied();
         let grants: Option<Vec<Grant>> = siblings.iter().map(|s| grant(&s.host_name)).collect();
         let grants = grants.unwrap_or_default();
-        let read = grants.iter().filter(|g| !g.unread).map(|g| g.until).max();
-        let all = grants.iter().map(|g| g.until).min();
+        let read = grants
+            .iter()
+            .filter(|g| !g.giver_has_not_read_store)
+            .map(|g| g.valid_until_ms)
+            .max();
+        let all = grants.iter().map(|g| g.valid_until_ms).min();
         all.zip(read).map_or(0, |(all, read)| all.min(read))
     }
 
-    /// Whether the peers should be asked for grants: only they can say whether this is an outage.
+    /// Whether to request grants from the peers. Only the peers can tell an outage of the state service from
+    /// a failure that affects this controller alone.
     pub(crate) fn wants_grants(&self) -> bool {
-        self.member.extend_failed && self.entitled()
+        self.member.has_extension_failed && self.entitled()
     }
 
-    /// Gives a grant, if this controller is not served either. One that is served refuses: whoever
-    /// asked is then alone, and steps down at the end of its lease.
+    /// Gives a grant if the state service does not serve this controller either. A controller that is served
+    /// refuses: the failure then affects only the requester, which steps down when its lease expires.
     pub(crate) fn give_grant(&mut self) -> bool {
-        if !self.member.unserved {
+        if !self.member.has_lease_call_failed {
             return false;
         }
         let until = self.now.ms + self.settings.lease_ms();
-        self.member.grants_given_until = self.member.grants_given_until.max(until);
+        self.member.given_grants_until_ms = self.member.given_grants_until_ms.max(until);
         true
     }
 
-    /// A peer has answered a request for its grant that was sent at `sent`.
+    /// Records a peer's grant; the request for it was sent at `sent`.
     ///
-    /// It counts from the sending, and only if it comes while this controller is still entitled: so
-    /// there is no moment between its lease and the grants in which others could have moved on.
-    pub(crate) fn note_grant(&mut self, from: &ControllerId, sent: u64, unread: bool) {
+    /// The grant's validity starts when the request was sent, and the grant counts only if it arrives while
+    /// this controller is still entitled. So there is no gap between the lease and the grants in which other
+    /// controllers could have changed the membership.
+    pub(crate) fn record_grant(&mut self, from: &ControllerId, sent: u64, giver_has_not_read_store: bool) {
         if self.entitled() {
-            let until = sent + self.settings.entitlement_ms();
-            if self.now.ms >= self.member.entitled_until.saturating_sub(self.settings.lease_ms() / 4) {
+            let valid_until_ms = sent + self.settings.entitlement_ms();
+            if self.now.ms
+                >= self
+                    .member
+                    .entitled_until_ms
+                    .saturating_sub(self.settings.lease_ms() / 4)
+            {
                 self.log(Level::Debug, format!("{from} grants to leave the membership as it is"));
             }
-            self.member.grants.insert(from.clone(), Grant { until, unread });
+            self.member.received_grants.insert(
+                from.clone(),
+                Grant {
+                    valid_until_ms,
+                    giver_has_not_read_store,
+                },
+            );
         }
     }
 
-    /// Whether this controller relies, or may come to rely, on a grant of a peer's.
+    /// Whether this controller holds an unexpired grant of a peer, or has an unanswered request for one.
     pub(crate) fn relies_on(&self, peer: &ControllerId) -> bool {
-        let given = self.member.grants.get(peer).is_some_and(|g| self.now.ms < g.until);
+        let given = self
+            .member
+            .received_grants
+            .get(peer)
+            .is_some_and(|g| self.now.ms < g.valid_until_ms);
         given || self.member.peers.get(peer).is_some_and(|p| p.asked_grant)
     }
 
+    /// Records whether a peer relies on a grant that this controller, or an earlier incarnation of it, gave.
     pub(crate) fn note_reliance(&mut self, peer: &ControllerId, relies: bool) {
         if relies {
-            self.member.cleared.remove(peer);
+            self.member.peers_relying_on_no_grant.remove(peer);
         } else {
-            self.member.cleared.insert(peer.clone());
+            self.member.peers_relying_on_no_grant.insert(peer.clone());
         }
     }
 
-    /// Healthy in the balancer's eyes. A node that alone lost the state service should leave; in a
-    /// general outage all stay, since each removal costs a pause that doubles.
-    pub(crate) fn takes_requests(&self) -> bool {
+    /// Whether the load balancer's health check succeeds. A controller that alone cannot reach the state
+    /// service should be removed. In a general outage all controllers stay, because the load balancer
+    /// doubles the pause after each removal.
+    pub(crate) fn accepts_requests(&self) -> bool {
         if self.entitled() {
             return self.member.ledger > 0;
         }
         let recently = 2 * self.settings.report_ms();
-        let heard = |p: &&Peer| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recently);
+        let heard = |p: &&PeerStatus| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recently);
         let mut peers = self.member.peers.values().filter(heard).peekable();
-        // Whoever hears neither the state service nor any peer is cut off from them: the cut is here.
+        // A controller that reaches neither the state service nor any peer has lost its own network connection.
         let alone = peers.peek().is_none() && !self.settings.platform.siblings.is_empty();
-        self.member.was_entitled && self.member.permit.is_some() && !alone && !peers.any(|p| p.entitled)
+        self.member.has_been_entitled && self.member.lease_id.is_some() && !alone && !peers.any(|p| p.entitled)
     }
 
-    pub(crate) fn on_lease_new(&mut self, sent: u64, result: Option<(u16, Vec<u8>)>) {
-        self.member.leasing = false;
-        let failure = LeaseFailure::of(result.as_ref());
+    /// Handles the reply to a request for a new lease, which was sent at `sent`.
+    pub(crate) fn on_new_lease(&mut self, sent: u64, result: Option<(u16, Vec<u8>)>) {
+        self.member.is_requesting_lease = false;
+        let failure = LeaseFailure::from_result(result.as_ref());
         let granted = match result {
             Some((200, body)) => serde_json::from_slice::<Granted>(&body).ok(),
             _ => None,
         };
         match granted {
-            Some(g) => {
-                self.member.unserved = false;
-                self.member.permit = Some(g.permit);
-                self.member.extended_at = sent;
-                self.member.entitled_until = sent + self.settings.entitlement_ms();
-                self.member.lease_since = sent;
-                self.clear_lease_trouble();
+            Some(granted) => {
+                self.member.has_lease_call_failed = false;
+                self.member.lease_id = Some(granted.permit);
+                self.member.last_extension_ms = sent;
+                self.member.entitled_until_ms = sent + self.settings.entitlement_ms();
+                self.member.lease_requested_ms = sent;
+                self.clear_lease_failures();
                 self.note_served(sent);
-                self.member.written = None;
-                self.member.was_entitled = true;
+                self.member.written_record = None;
+                self.member.has_been_entitled = true;
                 let inc = self.member.inc;
                 self.log(Level::Info, format!("lease taken, life {inc}"));
                 self.tick_membership();
             }
             None => {
-                self.member.unserved = true;
-                self.note_lease_failure(failure);
+                self.member.has_lease_call_failed = true;
+                self.record_lease_failure(failure);
                 self.back_off();
             }
         }
     }
 
-    pub(crate) fn on_lease_extend(&mut self, sent: u64, permit: u64, result: Option<(u16, Vec<u8>)>) {
-        self.member.extending = false;
-        if self.member.permit != Some(permit) {
+    /// Handles the reply to a request to extend the lease, which was sent at `sent`.
+    pub(crate) fn on_lease_extension(&mut self, sent: u64, lease_id: u64, result: Option<(u16, Vec<u8>)>) {
+        self.member.is_extending_lease = false;
+        if self.member.lease_id != Some(lease_id) {
             return;
         }
-        let failure = LeaseFailure::of(result.as_ref());
+        let failure = LeaseFailure::from_result(result.as_ref());
         match result {
             Some((200, _)) => {
                 let until = sent + self.settings.entitlement_ms();
-                self.member.unserved = false;
-                // An answer that lay in this process's buffers may be about a lease that is over by now.
+                self.member.has_lease_call_failed = false;
+                // A reply that waited in this process's buffers may be about a lease that has expired by now.
                 if !self.entitled() && self.now.ms < until {
-                    let history = self.lease_history();
+                    let history = self.describe_lease_history();
                     self.log(
                         Level::Info,
                         format!("lease extended again after a gap: acting again; {history}"),
                     );
                 }
                 if self.now.ms < until {
-                    self.clear_lease_trouble();
+                    self.clear_lease_failures();
                 }
-                self.member.lease_since = self.member.lease_since.max(sent);
-                self.member.entitled_until = self.member.entitled_until.max(until);
+                self.member.lease_requested_ms = self.member.lease_requested_ms.max(sent);
+                self.member.entitled_until_ms = self.member.entitled_until_ms.max(until);
                 self.note_served(sent);
-                if std::mem::take(&mut self.member.extend_failed) && self.member.listed {
-                    // The way is open again: a watch that went out before may never answer.
-                    self.watch();
+                if std::mem::take(&mut self.member.has_extension_failed) && self.member.has_listed_keys {
+                    // The connection works again, but a watch that was sent before may never be answered.
+                    self.watch_shared_keys();
                 }
             }
-            Some((404, _)) => self.lose_lease(),
+            Some((404, _)) => self.handle_lost_lease(),
             _ => {
-                self.member.extend_failed = true;
-                self.member.unserved = true;
-                // Try again soon: an extension that failed is worth more than a quiet line.
-                let soon = self.settings.report_ms() / 4;
-                self.member.extended_at = (self.now.ms + soon).saturating_sub(self.settings.lease_ms() / 4);
-                self.note_lease_failure(failure);
+                self.member.has_extension_failed = true;
+                self.member.has_lease_call_failed = true;
+                // Retry soon: keeping the lease matters more than saving requests.
+                let retry_delay_ms = self.settings.report_ms() / 4;
+                self.member.last_extension_ms =
+                    (self.now.ms + retry_delay_ms).saturating_sub(self.settings.lease_ms() / 4);
+                self.record_lease_failure(failure);
             }
         }
     }
 
-    /// The lease has ended: all that was owned belongs to others from now on. The controller comes
-    /// back as a new life, so that nothing of the old one counts for it.
-    pub(super) fn lose_lease(&mut self) {
-        let history = self.lease_history();
+    /// Handles the loss of the lease: other controllers may own all of this controller's partitions from
+    /// now on. The controller joins again as a new incarnation, so that no record of the old one applies to it.
+    pub(super) fn handle_lost_lease(&mut self) {
+        let history = self.describe_lease_history();
         self.log(
             Level::Error,
             format!("lease lost: stepping down from all partitions and joining anew; {history}"),
         );
-        self.clear_lease_trouble();
-        self.member.permit = None;
-        self.member.entitled_until = 0;
-        self.member.grants.clear();
-        self.member.unserved = false;
+        self.clear_lease_failures();
+        self.member.lease_id = None;
+        self.member.entitled_until_ms = 0;
+        self.member.received_grants.clear();
+        self.member.has_lease_call_failed = false;
         self.member.inc = Incarnation(self.member.inc.0 + 1);
-        self.detect_as(self.member.inc);
+        self.set_detector_incarnation(self.member.inc);
         self.forget_wishes();
-        self.member.written = None;
-        self.member.retry_at = self.now.ms;
-        // The lease was lost behind some cut: so may be the watch.
-        self.member.watching = false;
-        self.member.extend_failed = false;
+        self.member.written_record = None;
+        self.member.retry_ms = self.now.ms;
+        // The network failure that cost the lease may also have broken the watch.
+        self.member.is_watching = false;
+        self.member.has_extension_failed = false;
         for partition in std::mem::take(&mut self.tenures).into_keys() {
             self.reset_partition(partition);
         }
     }
 
-    pub(crate) fn note_peer(&mut self, name: &ControllerId, reachable: bool, entitled: bool) {
+    /// Records the outcome of a heartbeat to a peer.
+    pub(crate) fn record_peer_contact(&mut self, name: &ControllerId, reachable: bool, entitled: bool) {
         let now = self.now.ms;
         let peer = self.member.peers.entry(name.clone()).or_default();
         peer.asking = false;
@@ -218,7 +245,7 @@
         }
     }
 
-    /// An answer of a peer came too late to say how it stands: it is asked again with the next tick.
+    /// A peer's answer came too late to tell its present state: sends it another heartbeat with the next tick.
     pub(crate) fn ask_peer_again(&mut self, name: &ControllerId) {
         let peer = self.member.peers.entry(name.clone()).or_default();
         peer.asking = false;
@@ -226,6 +253,7 @@
         peer.asked = 0;
     }
 
+    /// Whether the last heartbeat to a peer was answered and the peer was heard from within two report intervals.
     pub(crate) fn reachable(&self, name: &ControllerId) -> bool {
         let recently = 2 * self.settings.report_ms();
         self.member
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -1,4 +1,4 @@
-//! The epoch: who owns each partition, as the leader decides and stores it.
+//! The epoch: the leader assigns an owner to each partition and stores the assignment.
 
 use super::records::{EPOCH_KEY, EpochRecord, LeaderRecord, MemberRecord, PartitionOwner};
 use crate::calls::Purpose;
@@ -9,19 +9,20 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// The earlier owners that a partition's new owner waits for: a live one, and those that it was itself still waiting
-/// for, must be heard from (or be gone) before the new one acts.
-fn predecessors(
+/// The earlier owners that a partition's new owner must wait for: the previous owner, and those that the previous
+/// owner was still waiting for, as far as they are members. Each must acknowledge the new epoch or lose its
+/// membership before the new owner acts.
+fn owners_to_wait_for(
     before: Option<&PartitionOwner>,
     members: &BTreeMap<ControllerId, MemberRecord>,
     (owner, inc): (&ControllerId, Incarnation),
 ) -> Vec<LeaderRecord> {
     let mut wait = Vec::new();
-    if let Some(h) = before {
-        wait.extend(h.wait.iter().cloned());
+    if let Some(previous) = before {
+        wait.extend(previous.wait.iter().cloned());
         wait.push(LeaderRecord {
-            name: h.owner.clone(),
-            inc: h.inc,
+            name: previous.owner.clone(),
+            inc: previous.inc,
         });
     }
     wait.retain(|w| members.get(&w.name).is_some_and(|m| m.inc == w.inc));
@@ -29,8 +30,8 @@
     wait
 }
 
-/// Chooses owners afresh: each partition goes to its home controller while that lives, else stays
-/// where it is, else goes to the live controller with the fewest. `None`: nothing changes.
+/// Computes the next epoch. Each partition goes to its home controller if that is a member, else stays with its
+/// present owner if that is a member, else goes to the member with the fewest partitions. `None`: no owner changes.
 pub fn next_epoch(
     names: &[String],
     members: &BTreeMap<ControllerId, MemberRecord>,
@@ -78,7 +79,7 @@
             Some(h) if h.owner == owner && h.inc == inc => parts.push(h.clone()),
             _ => {
                 changed = true;
-                let wait = predecessors(before, members, (&owner, inc));
+                let wait = owners_to_wait_for(before, members, (&owner, inc));
                 parts.push(PartitionOwner {
                     owner,
                     inc,
@@ -92,23 +93,30 @@
 }
 
 impl Controller {
+    /// The latest known epoch.
     pub(crate) fn epoch(&self) -> Option<Epoch> {
         self.member.epoch.as_ref().map(|(e, _)| e.n)
     }
 
+    /// The transaction condition that the stored epoch is still the one that this controller knows.
     pub(crate) fn epoch_condition(&self) -> Value {
         let stamp = self.member.epoch.as_ref().map_or(Stamp(0), |(_, s)| *s);
         json!({ "k": EPOCH_KEY, "stamp": stamp })
     }
 
-    pub(super) fn lead_epoch(&mut self) {
-        if !self.is_leader() || self.member.epoch_writing || !self.member.watching || !self.may_change_membership() {
+    /// As the leader, raises the epoch if the members require other partition owners.
+    pub(super) fn raise_epoch(&mut self) {
+        if !self.is_leader()
+            || self.member.is_writing_epoch
+            || !self.member.is_watching
+            || !self.may_change_membership()
+        {
             return;
         }
         let names = self.settings.names();
-        // At the very first start the others get a moment to come up.
+        // When the cluster starts for the first time, the leader waits a quarter of the lease for the others to join.
         let first = self.member.epoch.is_none();
-        let waited = self.now.ms.saturating_sub(self.member.leader_since) >= self.settings.lease_ms() / 4;
+        let waited = self.now.ms.saturating_sub(self.member.leader_since_ms) >= self.settings.lease_ms() / 4;
         if first && !waited && self.member.members.len() < names.len() {
             return;
         }
@@ -117,7 +125,7 @@
         let Some(next) = next_epoch(&names, &members, old, self.settings.partitions()) else {
             return;
         };
-        self.member.epoch_writing = true;
+        self.member.is_writing_epoch = true;
         let conditions = vec![self.leader_condition(), self.epoch_condition()];
         let change = json!({ "write": EPOCH_KEY, "value": next });
         self.log(
@@ -127,8 +135,9 @@
         self.txn(conditions, vec![change], Purpose::EpochWrite);
     }
 
-    /// The members that may own partitions: while a machine may hold tasks of a partition that does not own it,
-    /// only those that know such machines, for others would start those tasks a second time.
+    /// The members that may own partitions. While a machine may hold tasks of a partition that does not own the
+    /// machine, these are only the members whose version supports such machines: others would start those tasks a
+    /// second time.
     pub(crate) fn members_for_partitions(&self) -> BTreeMap<ControllerId, MemberRecord> {
         let mut members = self.member.members.clone();
         if self.any_shared_machine() {
@@ -137,9 +146,10 @@
         members
     }
 
+    /// Handles the reply to the write of a new epoch.
     pub(crate) fn on_epoch_write(&mut self, result: Option<(u16, Vec<u8>)>) {
-        self.member.epoch_writing = false;
-        self.settle(&result);
+        self.member.is_writing_epoch = false;
+        self.await_change_outcome(&result);
         if let Some((status, _)) = result
             && status != 200
         {
--- a/crates/tidelatch-core/src/membership/leadership.rs
+++ b/crates/tidelatch-core/src/membership/leadership.rs
@@ -1,4 +1,4 @@
-//! Taking the lead: the leader's key, and when this controller may change the membership at all.
+//! Leader election through the leader's key, and the conditions under which this controller may change the membership.
 
 use super::records::{LEADER_KEY, LeaderRecord};
 use crate::calls::Purpose;
@@ -9,19 +9,22 @@
 use serde_json::{Value, json};
 
 impl Controller {
-    /// Whether this controller's grants, forgotten ones included, let it change the membership.
+    /// Whether this controller may change the membership: all grants that it gave, including those that an earlier
+    /// incarnation may have given, have expired or are not relied on, and no earlier attempt is pending.
     pub(super) fn may_change_membership(&self) -> bool {
         let now = self.now.ms;
-        let (until, revision) = self.member.settle;
+        let (until, revision) = self.member.next_membership_change;
         if now < until && self.member.ledger < revision {
             return false;
         }
         let siblings = &self.settings.platform.siblings;
-        let clear = |name: &str| self.member.cleared.contains(&ControllerId::new(name));
-        let fresh = now < self.member.fresh_until && !siblings.iter().all(|s| clear(&s.host_name));
-        now >= self.member.grants_given_until && !fresh
+        let relies_on_none = |name: &str| self.member.peers_relying_on_no_grant.contains(&ControllerId::new(name));
+        let may_have_forgotten_grants =
+            now < self.member.forgotten_grants_until_ms && !siblings.iter().all(|s| relies_on_none(&s.host_name));
+        now >= self.member.given_grants_until_ms && !may_have_forgotten_grants
     }
 
+    /// Whether this controller is the leader and entitled to act.
     pub(crate) fn is_leader(&self) -> bool {
         self.entitled()
             && self
@@ -31,53 +34,61 @@
                 .is_some_and(|(l, _)| l.name == self.me && l.inc == self.member.inc)
     }
 
+    /// The transaction condition that the stored leader is still the one that this controller knows.
     pub(crate) fn leader_condition(&self) -> Value {
         let stamp = self.member.leader.as_ref().map_or(Stamp(0), |(_, s)| *s);
         json!({ "k": LEADER_KEY, "stamp": stamp })
     }
 
-    pub(super) fn seek_leadership(&mut self) {
-        let Some(permit) = self.member.permit else { return };
-        if self.member.taking || !self.entitled() || !self.member.watching || !self.may_change_membership() {
+    /// Tries to become leader if there is none, or if an earlier incarnation of this controller was the leader.
+    pub(super) fn take_leadership(&mut self) {
+        let Some(lease_id) = self.member.lease_id else { return };
+        if self.member.is_taking_leadership
+            || !self.entitled()
+            || !self.member.is_watching
+            || !self.may_change_membership()
+        {
             return;
         }
-        // Whoever leads must itself be a member that the others see.
+        // A leader must be registered as a member, so that the other controllers see it.
         if self.member.members.get(&self.me).map(|m| m.inc) != Some(self.member.inc) {
             return;
         }
         let stamp = match &self.member.leader {
             None => Stamp(0),
-            // The process that held this key under this name has ended: this one runs in its place.
-            Some((l, stamp)) if l.name == self.me && l.inc != self.member.inc => *stamp,
+            // The stored leader is an earlier incarnation of this controller and has ended.
+            Some((leader, stamp)) if leader.name == self.me && leader.inc != self.member.inc => *stamp,
             Some(_) => return,
         };
-        self.member.taking = true;
+        self.member.is_taking_leadership = true;
         let record = LeaderRecord {
             name: self.me.clone(),
             inc: self.member.inc,
         };
         self.txn(
             vec![json!({ "k": LEADER_KEY, "stamp": stamp })],
-            vec![json!({ "write": LEADER_KEY, "value": record, "permit": permit })],
-            Purpose::LeaderTake,
+            vec![json!({ "write": LEADER_KEY, "value": record, "permit": lease_id })],
+            Purpose::LeaderWrite,
         );
     }
 
-    pub(crate) fn on_leader_take(&mut self, result: Option<(u16, Vec<u8>)>) {
-        self.member.taking = false;
-        self.settle(&result);
+    /// Handles the reply to the write of the leader's key.
+    pub(crate) fn on_leader_write(&mut self, result: Option<(u16, Vec<u8>)>) {
+        self.member.is_taking_leadership = false;
+        self.await_change_outcome(&result);
         if let Some((200, _)) = result {
             self.log(Level::Info, "taken the lead");
-            self.member.leader_since = self.now.ms;
+            self.member.leader_since_ms = self.now.ms;
         }
     }
 
-    /// Waits for the watch to tell what has come of a try, for a quarter of the lease at most.
-    pub(super) fn settle(&mut self, result: &Option<(u16, Vec<u8>)>) {
+    /// Delays the next attempt to change the membership until the watch has shown the outcome of this one, for at
+    /// most a quarter of the lease.
+    pub(super) fn await_change_outcome(&mut self, result: &Option<(u16, Vec<u8>)>) {
         let answer = result
             .as_ref()
             .and_then(|(_, body)| serde_json::from_slice::<TxnAnswer>(body).ok());
         let revision = answer.map_or(u64::MAX, |a| a.ledger);
-        self.member.settle = (self.now.ms + self.settings.lease_ms() / 4, revision);
+        self.member.next_membership_change = (self.now.ms + self.settings.lease_ms() / 4, revision);
     }
 }
--- a/crates/tidelatch-core/src/membership/records.rs
+++ b/crates/tidelatch-core/src/membership/records.rs
@@ -1,62 +1,66 @@
-//! The shared keys of the state service, and what is stored of members, the leader and the epoch.
+//! The shared keys in the state service, and the stored records of members, the leader and the epoch.
 
 use crate::ids::{ControllerId, Epoch, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// Prefix of all that every controller follows.
-pub const SHARED: &str = "t/";
+/// Prefix of the shared keys, which every controller watches.
+pub const SHARED_PREFIX: &str = "t/";
+/// Key of the epoch record.
 pub(super) const EPOCH_KEY: &str = "t/c/epoch";
+/// Key of the leader record.
 pub(super) const LEADER_KEY: &str = "t/c/leader";
+/// Prefix of the member records.
 pub(super) const MEMBER_PREFIX: &str = "t/c/member/";
-/// Key of the machine types as last seen.
+/// Key of the machine types that the cloud last listed.
 pub const TYPES_KEY: &str = "t/y";
 /// Prefix of job records.
 pub const JOB_PREFIX: &str = "t/j/";
 /// Prefix of the roster's machine groups.
 pub const ROSTER_PREFIX: &str = "t/m/";
-/// Prefix of the keys by which the steps exclude each other in which a machine group is taken apart. The version before
-/// gangs passes over them.
+/// Prefix of the keys that ensure mutual exclusion between the steps of splitting up a machine group. The version
+/// before gangs ignores them.
 pub const STEP_PREFIX: &str = "t/s/";
-/// Prefix of the roster's boot batches: machines that have come up.
+/// Prefix of the roster's boot batches: machines that have booted.
 pub const BOOT_BATCH_PREFIX: &str = "t/u/";
 
-/// A controller's own key, which lives as long as its lease.
+/// A controller's member record. The state service deletes it when the controller's lease ends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The life of the controller.
+    /// The incarnation of the controller.
     pub inc: Incarnation,
-    /// The newest epoch that it has taken note of.
+    /// The newest epoch that the controller has applied.
     pub ack: u64,
-    /// What its program knows: nothing is stored or asked between controllers that one of them does not
-    /// know. Absent: the version before gangs.
-    #[serde(default, skip_serializing_if = "is_nothing")]
+    /// Feature level of the controller's version. Controllers store and send each other only what every member's
+    /// version supports. Absent: the version before gangs.
+    #[serde(default, skip_serializing_if = "is_zero")]
     pub knows: u32,
 }
 
-fn is_nothing(level: &u32) -> bool {
+fn is_zero(level: &u32) -> bool {
     *level == 0
 }
 
-/// The leader's key, which lives as long as its lease.
+/// The leader record. The state service deletes it when the leader's lease ends. Also names an earlier owner of a
+/// partition.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Its name.
+    /// Name of the controller.
     pub name: ControllerId,
-    /// Its life.
+    /// Its incarnation.
     pub inc: Incarnation,
 }
 
 /// Who owns a partition.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionOwner {
-    /// The owner.
+    /// Name of the owner.
     pub owner: ControllerId,
-    /// Its life.
+    /// Its incarnation.
     pub inc: Incarnation,
-    /// The epoch with which it began.
+    /// The epoch in which it became the owner.
     pub since: Epoch,
-    /// Earlier owners that were alive when they lost the partition. The owner does nothing for it
-    /// before each of them has acknowledged `since` or its lease has ended.
+    /// Earlier owners that were members when they lost the partition. The owner does not act for the partition
+    /// until each of them has acknowledged the epoch `since` or lost its lease.
     #[serde(default)]
     pub wait: Vec<LeaderRecord>,
 }
@@ -64,8 +68,8 @@
 /// The epoch and the owners of all partitions under it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// The epoch: the fencing token.
+    /// Number of the epoch, which serves as the fencing token.
     pub n: Epoch,
-    /// Owners, by partition.
+    /// Owners, indexed by partition number.
     pub parts: Vec<PartitionOwner>,
 }
--- a/crates/tidelatch-core/src/membership/registration.rs
+++ b/crates/tidelatch-core/src/membership/registration.rs
@@ -1,4 +1,4 @@
-//! This controller's own key among the members.
+//! This controller's own member record.
 
 use super::records::{MEMBER_PREFIX, MemberRecord};
 use crate::calls::{Purpose, is_lost_lease};
@@ -8,9 +8,14 @@
 use serde_json::json;
 
 impl Controller {
-    pub(super) fn write_member(&mut self) {
-        let Some(permit) = self.member.permit else { return };
-        if self.member.writing || !self.entitled() || !self.member.listed || self.now.ms < self.member.write_from {
+    /// Writes this controller's member record if the stored one differs.
+    pub(super) fn write_member_record(&mut self) {
+        let Some(lease_id) = self.member.lease_id else { return };
+        if self.member.is_writing_record
+            || !self.entitled()
+            || !self.member.has_listed_keys
+            || self.now.ms < self.member.next_record_write_ms
+        {
             return;
         }
         let record = MemberRecord {
@@ -18,32 +23,33 @@
             ack: self.epoch().map_or(0, |e| e.0),
             knows: self.settings.level(),
         };
-        if self.member.written.as_ref() == Some(&record) {
+        if self.member.written_record.as_ref() == Some(&record) {
             return;
         }
-        self.member.writing = true;
+        self.member.is_writing_record = true;
         let key = format!("{MEMBER_PREFIX}{}", self.me);
         let ack = record.ack;
         self.txn(
-            vec![json!({ "k": key, "stamp": self.member.own_stamp })],
-            vec![json!({ "write": key, "value": record, "permit": permit })],
+            vec![json!({ "k": key, "stamp": self.member.own_revision })],
+            vec![json!({ "write": key, "value": record, "permit": lease_id })],
             Purpose::MemberWrite { ack },
         );
-        self.member.written = Some(record);
+        self.member.written_record = Some(record);
     }
 
+    /// Handles the reply to the write of this controller's member record.
     pub(crate) fn on_member_write(&mut self, _ack: u64, result: Option<(u16, Vec<u8>)>) {
-        self.member.writing = false;
+        self.member.is_writing_record = false;
         match result {
             Some((200, body)) => {
-                let stamp = serde_json::from_slice::<TxnAnswer>(&body).map_or(0, |a| a.ledger);
-                self.member.own_stamp = self.member.own_stamp.max(Stamp(stamp));
+                let revision = serde_json::from_slice::<TxnAnswer>(&body).map_or(0, |a| a.ledger);
+                self.member.own_revision = self.member.own_revision.max(Stamp(revision));
             }
-            Some((400, body)) if is_lost_lease(&body) => self.lose_lease(),
+            Some((400, body)) if is_lost_lease(&body) => self.handle_lost_lease(),
             _ => {
-                // The watch tells what stands there now.
-                self.member.written = None;
-                self.member.write_from = self.now.ms + self.settings.report_ms() / 16;
+                // The outcome is unknown: the watch delivers the record that is stored now.
+                self.member.written_record = None;
+                self.member.next_record_write_ms = self.now.ms + self.settings.report_ms() / 16;
             }
         }
     }
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -1,8 +1,8 @@
-//! What all controllers follow: reading the shared keys, and the watch that tells of their changes.
+//! The shared keys, which all controllers follow: listing them, and the watch that delivers their changes.
 
 use super::records::{
     BOOT_BATCH_PREFIX, EPOCH_KEY, EpochRecord, JOB_PREFIX, LEADER_KEY, MEMBER_PREFIX, MemberRecord, ROSTER_PREFIX,
-    SHARED, STEP_PREFIX, TYPES_KEY,
+    SHARED_PREFIX, STEP_PREFIX, TYPES_KEY,
 };
 use crate::calls::Purpose;
 use crate::controller::Controller;
@@ -13,10 +13,11 @@
 use serde_json::Value;
 
 impl Controller {
-    pub(super) fn list(&mut self, cursor: String, first_ledger: u64) {
-        self.member.listing = true;
+    /// Requests a page of the shared keys, after the key `cursor`. `first_revision` is the revision of the first page.
+    pub(super) fn list_shared_keys(&mut self, cursor: String, first_revision: u64) {
+        self.member.is_listing_keys = true;
         self.state_reads.force(self.now.ms, 1.0);
-        let mut path = format!("/store?prefix={SHARED}&most=500");
+        let mut path = format!("/store?prefix={SHARED_PREFIX}&most=500");
         if !cursor.is_empty() {
             path.push_str(&format!("&since={cursor}"));
         }
@@ -27,12 +28,13 @@
             path,
             String::new(),
             timeout,
-            Purpose::List { cursor, first_ledger },
+            Purpose::ListSharedKeys { cursor, first_revision },
         );
     }
 
-    pub(super) fn watch(&mut self) {
-        self.member.watching = true;
+    /// Requests the next changes of the shared keys as a long poll, whose wait is as long as the lease.
+    pub(super) fn watch_shared_keys(&mut self) {
+        self.member.is_watching = true;
         self.member.watch_number += 1;
         let number = self.member.watch_number;
         self.state_reads.force(self.now.ms, 1.0);
@@ -40,20 +42,24 @@
         self.call(
             Target::State,
             Method::Get,
-            format!("/changes?prefix={SHARED}&since={}&waitMs={wait}", self.member.ledger),
+            format!(
+                "/changes?prefix={SHARED_PREFIX}&since={}&waitMs={wait}",
+                self.member.ledger
+            ),
             String::new(),
             wait + wait / 4,
-            Purpose::Watch { number },
+            Purpose::WatchSharedKeys { number },
         );
     }
 
-    /// How long to leave the state service alone after it failed to answer.
+    /// Delays the next request to the state service after one has failed.
     pub(super) fn back_off(&mut self) {
-        self.member.retry_at = self.now.ms + self.settings.report_ms() / 8;
+        self.member.retry_ms = self.now.ms + self.settings.report_ms() / 8;
     }
 
-    pub(crate) fn on_list(&mut self, cursor: String, first_ledger: u64, result: Option<(u16, Vec<u8>)>) {
-        self.member.listing = false;
+    /// Handles a page of the shared keys.
+    pub(crate) fn on_shared_keys(&mut self, cursor: String, first_revision: u64, result: Option<(u16, Vec<u8>)>) {
+        self.member.is_listing_keys = false;
         let page = match result {
             Some((200, body)) => serde_json::from_slice::<Items>(&body).ok(),
             _ => None,
@@ -63,83 +69,89 @@
             return;
         };
         if cursor.is_empty() {
-            // What is listed anew replaces what was known: keys that are gone must not stay.
+            // A new listing replaces everything that was known, so that deleted keys do not remain.
             self.member.members.clear();
-            self.member.own_stamp = Stamp(0);
+            self.member.own_revision = Stamp(0);
             self.member.leader = None;
             self.roster_listing_begins();
             self.drain_listing_begins();
         }
-        let ledger = if first_ledger == 0 { page.ledger } else { first_ledger };
+        let listing_revision = if first_revision == 0 {
+            page.ledger
+        } else {
+            first_revision
+        };
         let last = page.items.last().map(|i| i.k.clone());
         for item in page.items {
-            self.apply(&item.k, Some(item.value), item.stamp);
+            self.apply_shared_key(&item.k, Some(item.value), item.stamp);
         }
         match last {
-            Some(last) if page.more => self.list(last, ledger),
+            Some(last) if page.more => self.list_shared_keys(last, listing_revision),
             _ => {
-                self.member.listed = true;
-                self.member.ledger = ledger;
-                self.note_view();
-                self.roster_listed(ledger);
+                self.member.has_listed_keys = true;
+                self.member.ledger = listing_revision;
+                self.record_view_time();
+                self.roster_listed(listing_revision);
                 self.drains_listed();
-                self.note_epoch();
+                self.apply_epoch();
                 self.tick_membership();
             }
         }
     }
 
+    /// Handles the reply to a watch: applies the changes and sends the next watch.
     pub(crate) fn on_watch(&mut self, number: u64, result: Option<(u16, Vec<u8>)>) {
         if number != self.member.watch_number {
             return;
         }
-        self.member.watching = false;
+        self.member.is_watching = false;
         match result {
             Some((200, body)) => match serde_json::from_slice::<Changes>(&body) {
                 Ok(changes) => {
                     self.member.watch_failures = 0;
                     for change in changes.news {
                         if let Some(key) = change.write {
-                            self.apply(&key, Some(change.value), change.stamp);
+                            self.apply_shared_key(&key, Some(change.value), change.stamp);
                         } else if let Some(key) = change.delete {
-                            self.apply(&key, None, change.stamp);
+                            self.apply_shared_key(&key, None, change.stamp);
                         }
                     }
                     self.member.ledger = self.member.ledger.max(changes.ledger);
-                    self.note_view();
-                    self.watch();
-                    self.note_epoch();
+                    self.record_view_time();
+                    self.watch_shared_keys();
+                    self.apply_epoch();
                     self.tick_membership();
-                    self.tick_tenures();
+                    self.advance_takeovers();
                 }
                 Err(_) => self.back_off(),
             },
+            // The state service no longer has the changes since the requested revision.
             Some((410, _)) => {
-                self.member.listed = false;
+                self.member.has_listed_keys = false;
                 self.tick_membership();
             }
             _ => {
-                // An answer has no size limit: one that is too long for this controller would be so
-                // again. The keys themselves come in pages.
+                // The size of a reply is not limited, and one that is too large for this controller would be too
+                // large again. So after the second failure the keys are listed anew, in pages.
                 self.member.watch_failures += 1;
                 if self.member.watch_failures >= 2 {
                     self.member.watch_failures = 0;
-                    self.member.listed = false;
+                    self.member.has_listed_keys = false;
                 }
                 self.back_off();
             }
         }
     }
 
-    /// The shared keys are known as they are now, unless the answer has lain in this process's buffers.
-    fn note_view(&mut self) {
+    /// Records that the shared keys are up to date, unless the reply waited in this process's buffers.
+    fn record_view_time(&mut self) {
         if !self.stale {
-            self.member.viewed_at = self.now.ms;
+            self.member.last_view_ms = self.now.ms;
         }
     }
 
-    /// One shared key has a new value, or is gone.
-    pub(super) fn apply(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
+    /// Applies the new value of a shared key, or its deletion (`None`).
+    pub(super) fn apply_shared_key(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             if let Some(id) = JobId::parse(id) {
                 self.apply_job(id, value, stamp);
@@ -155,17 +167,20 @@
         } else if let Some(name) = key.strip_prefix(MEMBER_PREFIX) {
             let name = ControllerId::new(name);
             if name == self.me {
-                self.member.own_stamp = match value {
-                    Some(_) => self.member.own_stamp.max(stamp),
-                    // Gone at this revision; a later one is this controller's own write.
-                    None if stamp >= self.member.own_stamp => Stamp(0),
-                    None => self.member.own_stamp,
+                self.member.own_revision = match value {
+                    Some(_) => self.member.own_revision.max(stamp),
+                    // Deleted at this revision. A greater known revision comes from this controller's own later write.
+                    None if stamp >= self.member.own_revision => Stamp(0),
+                    None => self.member.own_revision,
                 };
             }
             let record = value.and_then(|v| serde_json::from_value::<MemberRecord>(v).ok());
-            // A late copy of an earlier life's write may have replaced this life's key.
-            if name == self.me && record.as_ref().map(|r| r.inc) != Some(self.member.inc) && !self.member.writing {
-                self.member.written = None;
+            // A delayed duplicate of an earlier incarnation's write may have replaced the present record.
+            if name == self.me
+                && record.as_ref().map(|r| r.inc) != Some(self.member.inc)
+                && !self.member.is_writing_record
+            {
+                self.member.written_record = None;
             }
             match record {
                 Some(record) => {
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -1,4 +1,4 @@
-//! Partitions in this controller's hands: taking them over and giving them up.
+//! The partitions that this controller owns: taking them over and giving them up.
 
 use super::PartitionOwner;
 use crate::calls::Purpose;
@@ -10,43 +10,48 @@
 use crate::protocol::{Changes, Items};
 use serde_json::Value;
 
-/// How far a take-over has come.
+/// Stage of the takeover of a partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// An earlier owner may still act.
+    /// An earlier owner may still act for the partition.
     Waiting,
-    /// The stored bitmaps are being read.
+    /// The stored bitmaps of completed tasks are being read.
     Loading,
-    /// The owner acts.
+    /// This controller acts for the partition.
     Active,
 }
 
-/// One partition in this controller's hands.
+/// One partition that this controller owns or is taking over.
 #[derive(Debug)]
 pub(crate) struct Tenure {
+    /// The epoch in which this controller became the owner.
     pub(crate) since: Epoch,
     pub(crate) stage: Stage,
+    /// When this controller began to act for the partition, in milliseconds.
     pub(crate) active_at: u64,
     pub(crate) next_attempt: u64,
+    /// A read of the stored bitmaps is in progress.
     pub(crate) loading: bool,
     pub(crate) settled: bool,
+    /// Keys and values of the bitmaps that have been read so far.
     bits: Vec<(String, Value)>,
-    /// Records that were read before the take-over, until the changes since then are known.
+    /// Records that were read before the takeover, kept until the changes since then have been read.
     read_ahead: Option<RecordsReadAhead>,
 }
 
 impl Controller {
-    /// Whether this controller acts for a partition at some time after its last step.
+    /// Whether this controller acts for a partition at the time `now`, which is at or after its last step.
     pub fn acts_at(&self, now: u64, partition: Partition) -> bool {
         let active = |t: &Tenure| t.stage == Stage::Active;
-        self.entitled_at(now) && self.tenures.get(&partition).is_some_and(active)
+        self.is_entitled_at(now) && self.tenures.get(&partition).is_some_and(active)
     }
 
+    /// The owner of a partition in the latest known epoch.
     pub(crate) fn holding(&self, partition: Partition) -> Option<&PartitionOwner> {
         self.member.epoch.as_ref()?.0.parts.get(partition.0 as usize)
     }
 
-    /// The tenure over a partition if this controller acts for it now.
+    /// The partition's ownership record if this controller acts for the partition now.
     pub(crate) fn acting(&self, partition: Partition) -> Option<&Tenure> {
         if !self.entitled() {
             return None;
@@ -54,23 +59,24 @@
         self.tenures.get(&partition).filter(|t| t.stage == Stage::Active)
     }
 
-    /// The partitions that this controller has taken over.
+    /// The partitions whose takeover by this controller is complete.
     pub(crate) fn acting_partitions(&self) -> Vec<Partition> {
         let active = self.tenures.iter().filter(|(_, t)| t.stage == Stage::Active);
         active.map(|(p, _)| *p).collect()
     }
 
-    /// Takes note of the epoch: gives up what is no longer owned, begins what is.
-    pub(super) fn note_epoch(&mut self) {
+    /// Applies the latest epoch: gives up partitions that this controller no longer owns, and starts the takeover
+    /// of those that it owns now.
+    pub(super) fn apply_epoch(&mut self) {
         let Some((epoch, _)) = self.member.epoch.clone() else {
             return;
         };
         let inc = self.member.inc;
         for (i, holding) in epoch.parts.iter().enumerate() {
             let partition = Partition(i as u32);
-            let mine = holding.owner == self.me && holding.inc == inc;
-            let known = self.tenures.get(&partition).map(|t| t.since);
-            if !mine {
+            let is_own = holding.owner == self.me && holding.inc == inc;
+            let owned_since = self.tenures.get(&partition).map(|t| t.since);
+            if !is_own {
                 if self.tenures.remove(&partition).is_some() {
                     self.reset_partition(partition);
                     let to = &holding.owner;
@@ -79,7 +85,7 @@
                         format!("epoch {}: partition {partition} goes to {to}", epoch.n),
                     );
                 }
-            } else if known != Some(holding.since) {
+            } else if owned_since != Some(holding.since) {
                 self.log(
                     Level::Info,
                     format!("epoch {}: taking over partition {partition}", epoch.n),
@@ -101,10 +107,11 @@
             }
         }
         self.drop_superseded_permits();
-        self.plan_preparation();
+        self.update_preparations();
     }
 
-    pub(crate) fn tick_tenures(&mut self) {
+    /// Advances each takeover: starts loading once all earlier owners have acknowledged the epoch or are gone.
+    pub(crate) fn advance_takeovers(&mut self) {
         let partitions: Vec<Partition> = self.tenures.keys().copied().collect();
         for partition in partitions {
             let Some(holding) = self.holding(partition).cloned() else {
@@ -114,30 +121,30 @@
                 continue;
             };
             if tenure.stage == Stage::Waiting {
-                let cleared = holding.wait.iter().all(|w| {
+                let has_no_predecessor = holding.wait.iter().all(|w| {
                     self.member
                         .members
                         .get(&w.name)
                         .is_none_or(|m| m.inc != w.inc || m.ack >= holding.since.0)
                 });
-                if cleared && let Some(t) = self.tenures.get_mut(&partition) {
+                if has_no_predecessor && let Some(t) = self.tenures.get_mut(&partition) {
                     t.stage = Stage::Loading;
                 }
             }
-            let load = self
+            let needs_loading = self
                 .tenures
                 .get(&partition)
                 .is_some_and(|t| t.stage == Stage::Loading && !t.loading);
-            if load && self.entitled() && self.now.ms >= self.member.retry_at {
-                self.begin_loading(partition);
+            if needs_loading && self.entitled() && self.now.ms >= self.member.retry_ms {
+                self.load_records(partition);
             }
         }
     }
 
-    /// Loads the stored bitmaps of a partition: what has changed since they were read ahead, or all of them.
-    fn begin_loading(&mut self, partition: Partition) {
-        let Some(read_ahead) = self.take_prepared(partition) else {
-            self.load_bits(partition, String::new());
+    /// Loads the stored bitmaps of a partition: only the changes since they were read ahead, or else all of them.
+    fn load_records(&mut self, partition: Partition) {
+        let Some(read_ahead) = self.take_records_read_ahead(partition) else {
+            self.load_done_bits(partition, String::new());
             return;
         };
         let Some(t) = self.tenures.get_mut(&partition) else {
@@ -146,19 +153,19 @@
         let since = t.since.0;
         let path = format!(
             "/changes?prefix={}&since={}&waitMs=0",
-            Self::bits_prefix(partition),
+            Self::done_bits_prefix(partition),
             read_ahead.revision
         );
         t.loading = true;
         t.read_ahead = Some(read_ahead);
         self.state_reads.force(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
-        let purpose = Purpose::BitsSince { partition, since };
+        let purpose = Purpose::DoneBitsChanges { partition, since };
         self.call(Target::State, Method::Get, path, String::new(), timeout, purpose);
     }
 
-    /// The changes since the bitmaps were read ahead have come. If not, all are read now.
-    pub(crate) fn on_bits_since(&mut self, partition: Partition, since: u64, result: Option<(u16, Vec<u8>)>) {
+    /// Handles the changes since the bitmaps were read ahead. If the read failed, reads all bitmaps.
+    pub(crate) fn on_done_bits_changes(&mut self, partition: Partition, since: u64, result: Option<(u16, Vec<u8>)>) {
         let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since.0 == since) else {
             return;
         };
@@ -170,26 +177,28 @@
         match (t.read_ahead.take(), changes) {
             (Some(read_ahead), Some(changes)) => {
                 let bits = read_ahead.apply(changes);
-                self.begin_acting(partition, bits);
+                self.activate_partition(partition, bits);
             }
-            _ => self.load_bits(partition, String::new()),
+            _ => self.load_done_bits(partition, String::new()),
         }
     }
 
-    fn bits_prefix(partition: Partition) -> String {
+    /// Key prefix of a partition's stored bitmaps.
+    fn done_bits_prefix(partition: Partition) -> String {
         format!("d/{partition}/")
     }
 
-    /// Path of a page of a partition's stored bitmaps, after a key.
-    pub(crate) fn bits_path(partition: Partition, after: &str) -> String {
-        let mut path = format!("/store?prefix={}&most=200", Self::bits_prefix(partition));
+    /// Path of the request for a page of a partition's stored bitmaps that begins after the key `after`.
+    pub(crate) fn done_bits_path(partition: Partition, after: &str) -> String {
+        let mut path = format!("/store?prefix={}&most=200", Self::done_bits_prefix(partition));
         if !after.is_empty() {
             path.push_str(&format!("&since={after}"));
         }
         path
     }
 
-    pub(super) fn load_bits(&mut self, partition: Partition, cursor: String) {
+    /// Requests a page of a partition's stored bitmaps; an empty cursor requests the first page.
+    pub(super) fn load_done_bits(&mut self, partition: Partition, cursor: String) {
         let Some(t) = self.tenures.get_mut(&partition) else {
             return;
         };
@@ -198,7 +207,7 @@
         if cursor.is_empty() {
             t.bits.clear();
         }
-        let path = Self::bits_path(partition, &cursor);
+        let path = Self::done_bits_path(partition, &cursor);
         self.state_reads.force(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
         self.call(
@@ -207,11 +216,12 @@
             path,
             String::new(),
             timeout,
-            Purpose::Bits { partition, since },
+            Purpose::DoneBits { partition, since },
         );
     }
 
-    pub(crate) fn on_bits(&mut self, partition: Partition, since: u64, result: Option<(u16, Vec<u8>)>) {
+    /// Handles a page of a partition's stored bitmaps.
+    pub(crate) fn on_done_bits(&mut self, partition: Partition, since: u64, result: Option<(u16, Vec<u8>)>) {
         let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since.0 == since) else {
             return;
         };
@@ -229,15 +239,15 @@
         if page.more
             && let Some(last) = last
         {
-            self.load_bits(partition, last);
+            self.load_done_bits(partition, last);
             return;
         }
         let bits = std::mem::take(&mut t.bits);
-        self.begin_acting(partition, bits);
+        self.activate_partition(partition, bits);
     }
 
-    /// The stored bitmaps are known: this controller acts for the partition from now on.
-    fn begin_acting(&mut self, partition: Partition, bits: Vec<(String, Value)>) {
+    /// Restores the jobs' progress from the stored bitmaps; this controller acts for the partition from now on.
+    fn activate_partition(&mut self, partition: Partition, bits: Vec<(String, Value)>) {
         let now = self.now.ms;
         let Some(t) = self.tenures.get_mut(&partition) else {
             return;
--- a/crates/tidelatch-core/src/write_limits.rs
+++ b/crates/tidelatch-core/src/write_limits.rs
@@ -1,22 +1,22 @@
-//! Limits on the size of one change of the state service.
+//! Size limits of one transaction of the state service.
 
-/// What a change of the state service may hold: the tighter of what holds and what will, until it says that
-/// this was still too much.
+/// Size limits of one transaction: the lower of the present and the announced future limits of the state service.
+/// They are halved when the state service still refuses a transaction as too large.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Limits {
-    /// Bytes in a value.
+pub(crate) struct WriteLimits {
+    /// Maximum size of a value in bytes.
     pub(crate) value: usize,
-    /// Puts and deletes in a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub(crate) ops: usize,
 }
 
-impl Limits {
-    /// Below these there would be nothing left to cut.
-    const LEAST: Self = Self { value: 512, ops: 2 };
+impl WriteLimits {
+    /// Limits below which a transaction cannot be split any further.
+    const MINIMUM: Self = Self { value: 512, ops: 2 };
 
-    /// Cuts both limits in half, as far as the least of them.
+    /// Halves both limits, but not below the minimum.
     pub(crate) fn halve(&mut self) {
-        self.value = (self.value / 2).max(Self::LEAST.value.min(self.value));
-        self.ops = (self.ops / 2).max(Self::LEAST.ops);
+        self.value = (self.value / 2).max(Self::MINIMUM.value.min(self.value));
+        self.ops = (self.ops / 2).max(Self::MINIMUM.ops);
     }
 }
