--- a/crates/tidelatch-core/src/messages.rs
+++ b/crates/tidelatch-core/src/messages.rs
@@ -1,4 +1,4 @@
-//! The typed messages of a controller: its inputs and outputs, and what controllers ask and answer one another.
+//! The typed messages of a controller: its inputs and outputs, and the requests and replies between controllers.
 
 use crate::cancellations::CancellationNotice;
 use crate::capacity::room_for;
@@ -6,56 +6,56 @@
 use tidelatch_disruption::{Permit, PermitMessage};
 use tidelatch_failure_detector::Heartbeat;
 
-/// Status of a call that was never sent: no connection came about, so nothing can have been executed.
+/// Status of a call that was never sent because no connection was established: nothing can have been executed.
 pub const NOT_SENT: u16 = 0;
 
-/// Status of a call for which no socket was free: nothing was tried, so it says nothing of the other side.
+/// Status of a call for which no socket was free: nothing was sent, so it tells nothing about the other side.
 pub const NOT_TRIED: u16 = 1;
 
 /// The time of an input.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Now {
-    /// Steady milliseconds since some moment before the process began to act.
+    /// Monotonic time in milliseconds, from an arbitrary origin before the controller started.
     pub ms: u64,
-    /// Milliseconds of the time of day.
+    /// Wall-clock time in milliseconds.
     pub wall_ms: u64,
 }
 
 /// HTTP method of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
-    /// Read.
+    /// Reads.
     Get,
-    /// Change.
+    /// Changes something.
     Post,
-    /// Remove.
+    /// Deletes.
     Delete,
 }
 
-/// Where a call goes.
+/// Destination of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Target {
-    /// State service.
+    /// The state service.
     State,
-    /// Cloud.
+    /// The cloud provider's API.
     Cloud,
-    /// A worker, by its address.
+    /// The worker with this address.
     Worker(String),
 }
 
-/// What a caller is told.
+/// Answer to an HTTP request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// When to come back.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u32>,
     /// JSON body.
     pub body: String,
 }
 
 impl Answer {
-    /// An answer with a body.
+    /// Creates an answer with a JSON body.
     pub fn new(status: u16, body: impl Into<String>) -> Self {
         Self {
             status,
@@ -63,7 +63,7 @@
             body: body.into(),
         }
     }
-    /// Not now; come back later.
+    /// Creates an answer with an error message that asks the client to retry after some seconds.
     pub fn later(status: u16, seconds: u32, why: &str) -> Self {
         Self {
             status,
@@ -73,68 +73,68 @@
     }
 }
 
-/// Machines that a partition would like to have.
+/// Machines of one kind that a partition requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineRequest {
     /// Machine type.
     pub model: String,
-    /// Zone; empty: any.
+    /// Zone; empty means any.
     pub zone: String,
-    /// Spot machines.
+    /// Whether spot machines are requested.
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
-    /// Production work.
+    /// Whether they are for production work.
     pub urgent: bool,
-    /// Another zone would do as well.
+    /// Whether machines in another zone are acceptable.
     pub any_zone: bool,
 }
 
-/// Tasks that wait for room: what the leader needs to know to lend them what is idle elsewhere.
+/// Queued tasks with the same requirements. The leader assigns them idle capacity of other partitions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingTasks {
-    /// Machine types that would do; empty: any.
+    /// Acceptable machine types; empty means any.
     pub models: Vec<String>,
-    /// Zones that would do; empty: any.
+    /// Acceptable zones; empty means any.
     pub zones: Vec<String>,
-    /// May use spot machines.
+    /// Whether they may run on spot machines.
     pub spot: bool,
-    /// Production work.
+    /// Whether they are production work.
     pub urgent: bool,
-    /// What each task takes.
+    /// Resources that each task needs: processors, accelerators and GB of memory.
     pub size: [f64; 3],
-    /// How many.
+    /// Number of tasks.
     pub count: u32,
 }
 
 impl WaitingTasks {
-    /// Whether a machine would do.
+    /// Whether the tasks may run on a machine.
     pub fn takes(&self, machine: &IdleMachine) -> bool {
         self.allows(&machine.model, &machine.zone, machine.spot)
     }
 
-    /// Whether a kind of machine would do.
+    /// Whether the tasks may run on machines of this type and zone, spot or not.
     pub fn allows(&self, model: &String, zone: &String, spot: bool) -> bool {
-        let among = |list: &[String], name: &String| list.is_empty() || list.contains(name);
-        (self.spot || !spot) && among(&self.models, model) && among(&self.zones, zone)
+        let allows_name = |list: &[String], name: &String| list.is_empty() || list.contains(name);
+        (self.spot || !spot) && allows_name(&self.models, model) && allows_name(&self.zones, zone)
     }
 
-    /// How many of the tasks fit into some room.
-    pub fn fits(&self, room: &[f64; 3]) -> u32 {
-        room_for(&self.size, room)
+    /// Number of tasks of this size that fit into the free resources. May exceed `count`.
+    pub fn fits(&self, free: &[f64; 3]) -> u32 {
+        room_for(&self.size, free)
     }
 }
 
-/// A machine that runs tasks and has room that its partition has no use for.
+/// A machine that runs tasks and has free resources that its partition does not need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpareRoom {
     /// The machine.
     pub machine: IdleMachine,
-    /// Processors, accelerators and memory that are free on it.
+    /// Free processors, accelerators and GB of memory.
     pub free: [f64; 3],
 }
 
-/// A machine with nothing on it.
+/// An idle machine, or one that can be vacated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IdleMachine {
     /// The machine.
@@ -143,137 +143,137 @@
     pub model: String,
     /// Zone.
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot machine.
     pub spot: bool,
 }
 
-/// What a partition's owner tells the leader.
+/// Summary of a partition's demand and spare capacity, which its owner sends to the leader.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Digest {
     /// The partition.
     pub partition: Partition,
-    /// Revision of the store that it was made from.
+    /// Revision of the state service that the digest reflects.
     pub ledger: u64,
     /// Queued and running demand, in accelerators (or processors where none are used).
     pub demand: f64,
-    /// Machines wanted.
+    /// Requested machines.
     pub needs: Vec<MachineRequest>,
-    /// Tasks that wait, even for what will be free in time.
+    /// Queued tasks, including those for which capacity will become free soon enough.
     pub wants: Vec<WaitingTasks>,
-    /// Machines with nothing on them.
+    /// Machines that run no tasks.
     pub idle: Vec<IdleMachine>,
-    /// Machines with nothing but work that yields to production, the least loss first.
+    /// Machines whose tasks can all be preempted for production work, the least lost work first.
     pub yielding: Vec<IdleMachine>,
-    /// Machines in use with room that nothing of the partition's waits for.
+    /// Machines in use with free resources that no queued task of the partition needs.
     pub spare_room: Vec<SpareRoom>,
 }
 
-/// The leader hands a machine to another partition.
+/// Order of the leader to move a machine to another partition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Move {
     /// The machine.
     pub machine: MachineId,
-    /// Its new partition.
+    /// The partition that it moves to.
     pub to: Partition,
-    /// What is on it is stopped first.
+    /// The tasks on the machine are stopped first.
     pub vacate: bool,
-    /// It goes with the tasks that run on it.
+    /// The machine moves together with the tasks that run on it.
     pub occupied: bool,
 }
 
-/// What a controller says of the permits to interrupt tasks that it wants, and has used, from another one.
+/// The permits to interrupt tasks that a controller requests from another one, and those that it has used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermitListing {
-    /// The life of who asks.
+    /// The requester's incarnation.
     pub life: u64,
-    /// What it wants and has used.
+    /// The requested and the used permits.
     pub message: PermitMessage,
 }
 
-/// What a controller permits in answer to a listing.
+/// The permits that a controller grants in reply to a listing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermitGrants {
-    /// Number of the listing.
+    /// Sequence number of the listing.
     pub sequence: u64,
-    /// What it permits.
+    /// The granted permits.
     pub permits: Vec<Permit>,
 }
 
-/// What one controller asks another.
+/// A request from one controller to another.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PeerRequest {
-    /// A worker's report for the machine's owner.
+    /// Forwards a worker's report to the machine's owner.
     Relay {
-        /// The report as it came.
+        /// The report, as received.
         report: Vec<u8>,
     },
-    /// A user's question or withdrawal for a job's owner.
+    /// Forwards a user's status request or cancellation to the job's owner.
     Forward {
-        /// The job.
+        /// The job's id.
         job: String,
-        /// Withdraw, or else ask for its state.
+        /// True: cancel the job; false: return its status.
         withdraw: bool,
     },
-    /// A user's submission that the sender cannot store.
+    /// Forwards a user's submission that the sender cannot store.
     Submit {
-        /// The submission as it came.
+        /// The submission, as received.
         submission: Vec<u8>,
     },
-    /// How the sender stands.
+    /// A heartbeat with the sender's state.
     Heartbeat {
-        /// The sender.
+        /// The sender's name.
         name: String,
-        /// It holds its lease.
+        /// The sender is entitled to act.
         entitled: bool,
-        /// It asks for a grant to leave the membership as it is.
+        /// The sender requests a grant, a promise not to change the membership.
         wants_grant: bool,
-        /// It relies, or may come to rely, on a grant of the other.
+        /// The sender relies, or may come to rely, on a grant of the receiver.
         relies: bool,
-        /// Its partitions.
+        /// Digests of the sender's partitions.
         digests: Vec<Digest>,
-        /// Cancellations that the other may not know of.
+        /// Cancellations that the receiver may not know of.
         told: CancellationNotice,
-        /// For the other's failure detector; none: the sender does not take part.
+        /// Heartbeat for the receiver's failure detector; `None`: the sender runs no detector.
         liveness: Option<Heartbeat>,
-        /// Permits that it wants and has used; none: it has nothing to say of any.
+        /// Permits that the sender requests and has used; `None`: there are none to report.
         permits: Option<Box<PermitListing>>,
     },
 }
 
-/// What one controller answers another.
+/// A reply from one controller to another.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PeerReply {
-    /// To a relay or a forward.
+    /// Reply to a forwarded report, request or submission.
     Answer(Answer),
-    /// To a hello.
+    /// Reply to a heartbeat.
     Heartbeat {
-        /// The answerer holds its lease.
+        /// The replying controller is entitled to act.
         entitled: bool,
-        /// The answerer grants to leave the membership as it is for a controller's lease.
+        /// The replying controller promises not to change the membership for the duration of a controller's lease.
         granted: bool,
-        /// It relies, or may come to rely, on a grant of the other.
+        /// The replying controller relies, or may come to rely, on a grant of the requester.
         relies: bool,
-        /// Machines to hand over (from the leader only).
+        /// Machines to move to other partitions (from the leader only).
         moves: Vec<Move>,
-        /// Kinds of machine that the cloud refused lately (from the leader only).
+        /// Kinds of machine that the cloud refused recently (from the leader only).
         refused: Vec<MachineRequest>,
-        /// Cancellations that the asker may not know of.
+        /// Cancellations that the requester may not know of.
         told: CancellationNotice,
-        /// For the asker's failure detector; none: the answerer does not take part.
+        /// Heartbeat for the requester's failure detector; `None`: the replying controller runs no detector.
         liveness: Option<Heartbeat>,
-        /// What it permits; none: it was asked for nothing.
+        /// Granted permits; `None`: none were requested.
         permits: Option<Box<PermitGrants>>,
     },
 }
 
-/// What happens to a controller.
+/// An input of the controller's state machine.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time has passed.
+    /// A timer tick.
     Tick,
-    /// A request of a user, worker or health check.
+    /// An HTTP request of a user, worker or health check.
     Request {
-        /// Number for the answer.
+        /// Number of the request, which its answer repeats.
         id: u64,
         /// Method.
         method: Method,
@@ -282,93 +282,93 @@
         /// Body.
         body: Vec<u8>,
     },
-    /// A call ended: status and body, or no answer.
+    /// The result of a call to a service or worker.
     Reply {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// What came back: status (or [`NOT_SENT`]) and body.
+        /// Status (or [`NOT_SENT`] or [`NOT_TRIED`]) and body; `None`: there was no reply before the timeout.
         result: Option<(u16, Vec<u8>)>,
     },
-    /// A peer asks.
+    /// A request from another controller.
     PeerRequest {
-        /// Number for the answer.
+        /// Number of the request, which its reply repeats.
         id: u64,
-        /// The question.
+        /// The request.
         request: PeerRequest,
     },
-    /// A peer answered, or did not.
+    /// The result of a request to another controller.
     PeerReply {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// The answer.
+        /// The reply; `None`: there was none before the timeout.
         result: Option<PeerReply>,
     },
 }
 
-/// Weight of a log line.
+/// Level of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Level {
-    /// Something that an operator should look at.
+    /// A problem that an operator should look into.
     Error,
-    /// A decision that explains what follows.
+    /// A decision or change of state that explains later behaviour.
     Info,
-    /// Detail.
+    /// A detail for debugging.
     Debug,
 }
 
-/// What a controller wants done.
+/// An output of the controller's state machine, for the caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Answer a request.
+    /// Answers an HTTP request.
     Answer {
-        /// The request.
+        /// Number of the request.
         id: u64,
         /// The answer.
         answer: Answer,
     },
-    /// Make a call; its end comes back as [`Input::Reply`].
+    /// Makes a call to a service or worker; its result comes back as [`Input::Reply`].
     Call {
-        /// The call.
+        /// Number of the call.
         id: u64,
-        /// Where.
+        /// Destination.
         target: Target,
         /// Method.
         method: Method,
         /// Path and query.
         path: String,
-        /// JSON body, or nothing.
+        /// JSON body; may be empty.
         body: String,
-        /// Time after which it has no answer.
+        /// Timeout in milliseconds.
         timeout_ms: u64,
     },
-    /// Ask a peer; its end comes back as [`Input::PeerReply`].
+    /// Sends a request to another controller; its result comes back as [`Input::PeerReply`].
     Ask {
-        /// The call.
+        /// Number of the call.
         id: u64,
-        /// Whom.
+        /// The receiver.
         to: ControllerId,
-        /// What.
+        /// The request.
         request: PeerRequest,
-        /// Time after which it has no answer.
+        /// Timeout in milliseconds.
         timeout_ms: u64,
     },
-    /// Answer a peer.
+    /// Replies to a request of another controller.
     Tell {
-        /// The request.
+        /// Number of the request.
         id: u64,
-        /// The answer.
+        /// The reply.
         reply: PeerReply,
     },
-    /// Open a connection to a worker ahead of calls to it, if there is room for it.
+    /// Opens a connection to a worker ahead of calls to it, if a socket is free.
     Connect {
         /// The worker's address.
         address: String,
     },
-    /// Say something to the operators.
+    /// Writes a log line for the operators.
     Log {
-        /// Weight.
+        /// Level of the line.
         level: Level,
-        /// Text.
+        /// Text of the line.
         text: String,
     },
 }
