--- a/crates/tidelatch-core/src/ids.rs
+++ b/crates/tidelatch-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each a type of its own so that one cannot stand in for another.
+//! Identifiers. Each has its own type, so that the compiler rejects one in place of another.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -10,7 +10,7 @@
         #[serde(transparent)]
         pub struct $name(String);
         impl $name {
-            /// Wraps a name as it came from outside.
+            /// Wraps a name without checking it.
             pub fn new(text: impl Into<String>) -> Self {
                 Self(text.into())
             }
@@ -44,48 +44,48 @@
 }
 
 name_type!(
-    /// A job, under the id that its user chose.
+    /// Id of a job, chosen by its user.
     JobId
 );
 name_type!(
-    /// A rented machine, under the name that the cloud gave it.
+    /// Name of a rented machine, assigned by the cloud.
     MachineId
 );
 name_type!(
-    /// One process position of the service.
+    /// Name of a controller. It stays the same when the controller's process is replaced.
     ControllerId
 );
 name_type!(
-    /// A team with a guarantee and a limit.
+    /// Name of a team, which has guaranteed capacity and a limit.
     TeamId
 );
 number_type!(
-    /// The fencing token: raised by each change of membership.
+    /// Number of an epoch, the fencing token. Each change of the partitions' owners raises it.
     Epoch
 );
 number_type!(
-    /// One try at running a task; never used twice for the same task.
+    /// Number of an attempt to run a task, never used twice for the same task.
     Attempt
 );
 number_type!(
-    /// Revision at which a stored key was last changed; 0: it does not exist.
+    /// Revision of the state service at which a key was last changed; 0: the key does not exist.
     Stamp
 );
 number_type!(
-    /// One life of a controller process, or of its lease.
+    /// Incarnation of a controller. It changes when the process restarts and when the lease is lost.
     Incarnation
 );
 
 impl JobId {
-    /// Accepts the one form that job ids have: `job-` and up to 40 digits.
+    /// Parses a job id: `job-` followed by 1 to 40 digits. Returns `None` for anything else.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("job-")?;
-        let well_formed = (1..=40).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
-        well_formed.then(|| Self(text.to_owned()))
+        let is_well_formed = (1..=40).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
+        is_well_formed.then(|| Self(text.to_owned()))
     }
 }
 
-/// A task: a job's id and the task's number in it.
+/// Id of a task: its job's id and its number within the job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job it belongs to.
@@ -95,7 +95,7 @@
 }
 
 impl TaskId {
-    /// Reads the form `job-000412/3`.
+    /// Parses the form `job-000412/3`. Returns `None` for anything else.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.split_once('/')?;
         Some(Self {
@@ -111,7 +111,7 @@
     }
 }
 
-/// A set of teams with the machines lent to them: what one controller owns at a time.
+/// Number of a partition: a set of teams with the machines assigned to them. One controller at a time owns it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Partition(pub u32);
--- a/crates/tidelatch-core/src/lib.rs
+++ b/crates/tidelatch-core/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of the tidelatch cluster scheduler.
+//! The decision logic of the tidelatch cluster scheduler, as a deterministic state machine.
 //!
 //! Nothing here reads a clock, opens a socket, starts a thread or draws a random number. A
-//! [`Controller`] takes an [`Input`] with the time at which it came, and returns what is to be sent,
-//! stored and answered. The daemon puts sockets and timers round it; tests put stand-ins there.
+//! [`Controller`] takes an [`Input`] with the time of its arrival and returns the [`Output`]s: messages to
+//! send, data to store and answers. The daemon connects it to sockets and timers, and tests connect it to
+//! simulated services.
 
 #![warn(clippy::too_many_lines)]
 
--- a/crates/tidelatch-core/src/rate_limit.rs
+++ b/crates/tidelatch-core/src/rate_limit.rs
@@ -1,55 +1,59 @@
-//! Rate limits of the requests to the state service and the cloud.
+//! Rate limits for requests to the state service and the cloud.
 
-/// A budget of requests: so many a second, with bursts of one second's worth.
+/// A token bucket with `rate` tokens per second and a capacity of `burst` tokens, usually one second's worth.
 #[derive(Debug, Clone)]
 pub(crate) struct TokenBucket {
     rate: f64,
     burst: f64,
-    level: f64,
-    at: u64,
+    tokens: f64,
+    refilled_ms: u64,
 }
 
 impl TokenBucket {
+    /// Creates a full bucket.
     pub(crate) fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
             burst,
-            level: burst,
-            at: 0,
+            tokens: burst,
+            refilled_ms: 0,
         }
     }
-    fn fill(&mut self, now: u64) {
-        let passed = now.saturating_sub(self.at) as f64 / 1000.0;
-        self.at = now;
-        self.level = (self.level + passed * self.rate).min(self.burst);
+    /// Adds the tokens for the time since the last refill. Times are in milliseconds.
+    fn refill(&mut self, now: u64) {
+        let elapsed_s = now.saturating_sub(self.refilled_ms) as f64 / 1000.0;
+        self.refilled_ms = now;
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.burst);
     }
-    /// Takes `n` if at least `reserve` (a part of the burst) would be left.
+    /// Takes `n` tokens if at least the fraction `reserve` of the capacity would be left. Returns whether it did.
     pub(crate) fn take(&mut self, now: u64, n: f64, reserve: f64) -> bool {
-        self.fill(now);
-        if self.level - n < self.burst * reserve {
+        self.refill(now);
+        if self.tokens - n < self.burst * reserve {
             return false;
         }
-        self.level -= n;
+        self.tokens -= n;
         true
     }
-    /// Whole units that may be taken now while at least `reserve` (a part of the burst) is left; 0 when none.
+    /// Number of whole tokens that can be taken now while at least the fraction `reserve` of the capacity is left.
     pub(crate) fn spare(&mut self, now: u64, reserve: f64) -> usize {
-        self.fill(now);
-        (self.level - self.burst * reserve).max(0.0).floor() as usize
+        self.refill(now);
+        (self.tokens - self.burst * reserve).max(0.0).floor() as usize
     }
-    /// Takes `n` whatever is left: for what must go out.
+    /// Takes `n` tokens for a request that must be sent, even if fewer are left.
     pub(crate) fn force(&mut self, now: u64, n: f64) {
-        self.fill(now);
-        self.level -= n;
+        self.refill(now);
+        self.tokens -= n;
     }
-    /// There is nothing left for now.
+    /// Removes all tokens.
     pub(crate) fn empty(&mut self, now: u64) {
-        self.fill(now);
-        self.level = self.level.min(0.0);
+        self.refill(now);
+        self.tokens = self.tokens.min(0.0);
     }
+    /// Tokens per second.
     pub(crate) fn rate(&self) -> f64 {
         self.rate
     }
+    /// Changes the rate and the capacity.
     pub(crate) fn set_rate(&mut self, rate: f64, burst: f64) {
         self.rate = rate;
         self.burst = burst;
