--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -334,17 +334,17 @@
     fn apply_write_refusal(&mut self, purpose: &Purpose, result: Option<&(u16, Vec<u8>)>) {
         let Some((status, body)) = result else { return };
         let (what, can_split) = match purpose {
-            Purpose::MemberWrite { .. } => ("this controller's key", false),
-            Purpose::LeaderWrite => ("the leader's key", false),
+            Purpose::MemberWrite { .. } => ("this controller's member record", false),
+            Purpose::LeaderWrite => ("the leader record", false),
             Purpose::EpochWrite => ("the epoch", false),
             Purpose::TypesWrite => ("the machine types", false),
-            Purpose::Job(JobPurpose::Accept { .. }) => ("an acceptance", false),
+            Purpose::Job(JobPurpose::Accept { .. }) => ("a job acceptance", false),
             Purpose::Job(JobPurpose::End { .. }) => ("a job's end", true),
-            Purpose::Job(JobPurpose::Flush { .. }) => ("done bits", true),
-            Purpose::Job(JobPurpose::Sweep { .. }) => ("a clearing away", true),
+            Purpose::Job(JobPurpose::Flush { .. }) => ("bitmaps of completed tasks", true),
+            Purpose::Job(JobPurpose::Sweep { .. }) => ("a deletion of bitmaps of ended jobs", true),
             Purpose::NewGroups | Purpose::MachineGroup { .. } => ("a machine group", true),
             Purpose::BootBatch { .. } => ("a boot batch", true),
-            Purpose::Drain { .. } => ("a drain", true),
+            Purpose::Drain { .. } => ("a drain record", true),
             _ => return,
         };
         if *status == 429 {
@@ -353,7 +353,7 @@
             self.state_writes.empty(self.now.ms);
             self.log(
                 Level::Debug,
-                format!("too many changes at present ({what}): going slower"),
+                format!("the state service limits the write rate ({what}): slowing down writes"),
             );
         }
         if *status == 400 && !is_lost_lease(body) {
@@ -364,7 +364,7 @@
             self.log(
                 Level::Error,
                 format!(
-                    "the state service refuses {what}: {text}; from now on at most {} bytes in a value, {} changes",
+                    "the state service refused {what}: {text}; new limits: {} bytes per value, {} changes",
                     self.limits.value, self.limits.ops
                 ),
             );
--- a/crates/tidelatch-core/src/failure_detection.rs
+++ b/crates/tidelatch-core/src/failure_detection.rs
@@ -135,7 +135,7 @@
             }
             Err(rejection) => self.log(
                 Level::Debug,
-                format!("heartbeat of {from} counts as no evidence: {rejection}"),
+                format!("heartbeat from {from} counts as no evidence: {rejection}"),
             ),
         }
     }
--- a/crates/tidelatch-core/src/failure_detection/events.rs
+++ b/crates/tidelatch-core/src/failure_detection/events.rs
@@ -12,16 +12,16 @@
 
 fn describe_clearing(by: Cleared) -> &'static str {
     match by {
-        Cleared::Heard => "it was heard",
-        Cleared::Refuted => "another controller passed on its refutation",
-        Cleared::NewLife => "it has begun a new life",
+        Cleared::Heard => "a heartbeat from it arrived",
+        Cleared::Refuted => "another controller forwarded its refutation",
+        Cleared::NewLife => "it has a new incarnation",
     }
 }
 
 fn describe_verdict(verdict: Verdict) -> String {
     match verdict {
         Verdict::RegistrationEnded => "its lease in the state service has ended".to_owned(),
-        Verdict::Superseded(life) => format!("life {} is registered in its place", life.0),
+        Verdict::Superseded(life) => format!("incarnation {} is registered in its place", life.0),
         Verdict::Released => "it has released its registration".to_owned(),
     }
 }
@@ -36,8 +36,9 @@
             silent_ms,
         } => {
             let level = suspicion_phi(suspicion.level);
-            let text =
-                format!("suspects {member}: not heard for {silent_ms} ms (phi {level:.1}), and nobody else hears it");
+            let text = format!(
+                "suspects {member}: no heartbeat for {silent_ms} ms (phi {level:.1}), and no other controller hears it"
+            );
             (Level::Info, text)
         }
         Event::Cleared {
@@ -76,16 +77,19 @@
 fn own_health_log_line(event: &Event) -> Option<(Level, String)> {
     match event {
         Event::Impaired { paused_ms: 0 } => {
-            let text = "hears almost no controller any more: holds itself to be at fault, and suspects later";
+            let text = "almost no heartbeats arrive: this controller is probably at fault and delays suspecting others";
             Some((Level::Info, text.to_owned()))
         }
         Event::Impaired { paused_ms } => {
-            let text = format!("did not run for {paused_ms} ms: suspects others later");
+            let text = format!("this process did not run for {paused_ms} ms: delays suspecting others");
             Some((Level::Debug, text))
         }
-        Event::Recovered => Some((Level::Debug, "trusts its own observations again".to_owned())),
+        Event::Recovered => Some((
+            Level::Debug,
+            "own observations are reliable again: no longer delays suspecting others".to_owned(),
+        )),
         Event::ClaimIgnored { from, about, reason } => {
-            let text = format!("what {from} tells of {about} counts as no evidence: {reason}");
+            let text = format!("claim from {from} about {about} counts as no evidence: {reason}");
             Some((Level::Debug, text))
         }
         _ => None,
@@ -127,7 +131,7 @@
         let helpers = helpers.join(", ");
         self.log(
             Level::Debug,
-            format!("{target} is silent: asking {helpers} to probe it"),
+            format!("{target} is unresponsive: asking {helpers} to probe it"),
         );
     }
 }
--- a/crates/tidelatch-core/src/membership/entitlement.rs
+++ b/crates/tidelatch-core/src/membership/entitlement.rs
@@ -86,7 +86,10 @@
                     .entitled_until_ms
                     .saturating_sub(self.settings.lease_ms() / 4)
             {
-                self.log(Level::Debug, format!("{from} grants to leave the membership as it is"));
+                self.log(
+                    Level::Debug,
+                    format!("grant received: {from} promises not to change the membership"),
+                );
             }
             self.member.received_grants.insert(
                 from.clone(),
@@ -179,7 +182,7 @@
                     let history = self.describe_lease_history();
                     self.log(
                         Level::Info,
-                        format!("lease extended again after a gap: acting again; {history}"),
+                        format!("lease extended after a gap: entitled to act again; {history}"),
                     );
                 }
                 if self.now.ms < until {
@@ -212,7 +215,7 @@
         let history = self.describe_lease_history();
         self.log(
             Level::Error,
-            format!("lease lost: stepping down from all partitions and joining anew; {history}"),
+            format!("lease lost: giving up all partitions and rejoining as a new incarnation; {history}"),
         );
         self.clear_lease_failures();
         self.member.lease_id = None;
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -153,7 +153,7 @@
         if let Some((status, _)) = result
             && status != 200
         {
-            self.log(Level::Debug, format!("epoch not raised: {status}"));
+            self.log(Level::Debug, format!("write of the new epoch failed: status {status}"));
         }
     }
 }
--- a/crates/tidelatch-core/src/membership/leadership.rs
+++ b/crates/tidelatch-core/src/membership/leadership.rs
@@ -77,7 +77,7 @@
         self.member.is_taking_leadership = false;
         self.await_change_outcome(&result);
         if let Some((200, _)) = result {
-            self.log(Level::Info, "taken the lead");
+            self.log(Level::Info, "became leader");
             self.member.leader_since_ms = self.now.ms;
         }
     }
--- a/crates/tidelatch-core/src/membership/lease_failures.rs
+++ b/crates/tidelatch-core/src/membership/lease_failures.rs
@@ -89,7 +89,7 @@
         if self.member.lease_failures.record(failure) {
             let what = match self.member.lease_id {
                 Some(_) => "lease not extended",
-                None => "no lease yet",
+                None => "lease not obtained",
             };
             let peers = self.describe_peers();
             self.log(Level::Info, format!("{what}: {failure}; {peers}"));
@@ -115,7 +115,7 @@
     pub(super) fn describe_lease_history(&self) -> String {
         let ms = self.now.ms.saturating_sub(self.member.lease_requested_ms);
         format!(
-            "{ms} ms since the last extension was asked for; {}",
+            "{ms} ms since the last successful extension was requested; {}",
             self.member.lease_failures
         )
     }
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -187,7 +187,7 @@
                     self.member.members.insert(name, record);
                 }
                 None => {
-                    self.log(Level::Info, format!("controller {name} has left"));
+                    self.log(Level::Info, format!("controller {name} has left the membership"));
                     self.member.members.remove(&name);
                 }
             }
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -82,7 +82,7 @@
                     let to = &holding.owner;
                     self.log(
                         Level::Info,
-                        format!("epoch {}: partition {partition} goes to {to}", epoch.n),
+                        format!("epoch {}: partition {partition} is now owned by {to}", epoch.n),
                     );
                 }
             } else if owned_since != Some(holding.since) {
