--- a/crates/tidelatch-core/src/calls.rs
+++ b/crates/tidelatch-core/src/calls.rs
@@ -37,11 +37,12 @@
     ListSharedKeys { cursor: String, first_revision: u64 },
     /// Waits for changes of the shared keys.
     WatchSharedKeys { number: u64 },
-    /// Reads a page of the stored bitmaps of a partition that this controller takes over.
+    /// Reads a page of the stored bitmaps of a partition that this controller takes over. `since` is the number of the
+    /// epoch in which it became the owner.
     DoneBits { partition: Partition, since: u64 },
     /// Reads a page of records of a partition that this controller may have to take over.
     ReadAhead { partition: Partition, attempt: u64 },
-    /// Reads the changes since such records were read.
+    /// Reads the changes since such records were read, at the takeover. `since` as in `DoneBits`.
     DoneBitsChanges { partition: Partition, since: u64 },
     /// A call about a job.
     Job(JobPurpose),
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -422,7 +422,7 @@
                     relies,
                     moves,
                     refused,
-                    told: news,
+                    told: cancellations,
                     liveness,
                     permits,
                 }),
@@ -436,10 +436,10 @@
                     self.on_peer_heartbeat(&to, Channel::Answer, liveness);
                 }
                 // The cancellations that the giver of a grant knows are applied before the grant counts.
-                self.take_cancellations(&to, &news);
-                self.note_taken(&to, news.life, told);
+                self.take_cancellations(&to, &cancellations);
+                self.note_taken(&to, cancellations.life, told);
                 if granted {
-                    self.record_grant(&to, sent, news.unread);
+                    self.record_grant(&to, sent, cancellations.unread);
                 }
                 if let Some(grants) = permits {
                     self.on_permit_grants(&to, sent, &grants);
--- a/crates/tidelatch-core/src/failure_detection/events.rs
+++ b/crates/tidelatch-core/src/failure_detection/events.rs
@@ -122,16 +122,16 @@
         let Some(detection) = self.detection.as_mut() else {
             return;
         };
-        for helper in through {
+        for prober in through {
             detection
                 .probes_to_request
-                .insert(controller_id(helper), controller_id(target));
+                .insert(controller_id(prober), controller_id(target));
         }
-        let helpers: Vec<&str> = through.iter().map(MemberId::as_str).collect();
-        let helpers = helpers.join(", ");
+        let probers: Vec<&str> = through.iter().map(MemberId::as_str).collect();
+        let probers = probers.join(", ");
         self.log(
             Level::Debug,
-            format!("{target} is unresponsive: asking {helpers} to probe it"),
+            format!("{target} is unresponsive: asking {probers} to probe it"),
         );
     }
 }
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -114,19 +114,19 @@
         let preparation = &mut detection.preparation;
         let mut dropped = Vec::new();
         preparation.partitions.retain(|partition, _| {
-            let kept = to_prepare.contains(partition) || being_taken_over.contains(partition);
-            if !kept {
+            let is_needed = to_prepare.contains(partition) || being_taken_over.contains(partition);
+            if !is_needed {
                 dropped.push(*partition);
             }
-            kept
+            is_needed
         });
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         for (partition, addresses) in addresses {
             if preparation.partitions.contains_key(&partition) {
                 continue;
             }
             preparation.attempts += 1;
-            begun.push(partition);
+            started.push(partition);
             let prepared = PreparedPartition {
                 attempt: preparation.attempts,
                 reading: ReadProgress::Due(String::new()),
@@ -144,7 +144,7 @@
                 format!("partition {partition}: preparation to take over dropped"),
             );
         }
-        for partition in begun {
+        for partition in started {
             self.log(Level::Info, format!("partition {partition}: preparing to take over"));
         }
     }
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -61,15 +61,19 @@
 pub(crate) struct Membership {
     /// Incarnation of this controller.
     pub(crate) inc: Incarnation,
+    /// Lease of this controller in the state service, if it has one.
     lease_id: Option<u64>,
     is_requesting_lease: bool,
     is_extending_lease: bool,
+    /// When the last extension was sent. After a failure it is set back, so that the next one is sent early.
     last_extension_ms: u64,
+    /// When the entitlement by the lease ends; grants of peers may prolong it.
     entitled_until_ms: u64,
     /// When the last successful extension, or the lease itself, was requested.
     lease_requested_ms: u64,
     /// Failed lease requests and pauses of this process since then.
     lease_failures: LeaseFailures,
+    /// The member record that this controller last sent; `None`: it must be written again.
     written_record: Option<MemberRecord>,
     is_writing_record: bool,
     /// Last known revision of this controller's own key. Writes of the key are conditional on it, so a
@@ -82,6 +86,7 @@
     /// Number of the current watch. Replies to older ones are ignored: an older watch may hang long after
     /// a network partition has ended.
     watch_number: u64,
+    /// Failures of the watch since its last success or since the last fallback to a new listing.
     watch_failures: u32,
     has_extension_failed: bool,
     /// The last request to obtain or extend the lease failed: the state service does not serve this controller.
@@ -94,7 +99,9 @@
     /// When the longest grant that an earlier incarnation of this process may have given expires. Until
     /// then this controller becomes leader only if every peer has said that it relies on no grant.
     forgotten_grants_until_ms: u64,
+    /// Peers whose last heartbeat or answer said that they rely on no grant of this controller.
     peers_relying_on_no_grant: BTreeSet<ControllerId>,
+    /// No new lease, listing or watch is requested before this time, after a failed request.
     retry_ms: u64,
     /// Revision of the state service up to which the shared keys are known.
     pub(crate) ledger: u64,
@@ -108,9 +115,10 @@
     is_writing_epoch: bool,
     /// After an attempt to become leader or to raise the epoch, the next attempt waits until this time or
     /// until the watch has reached this revision. Without the wait, a controller whose watch hangs would
-    /// use up its budget of writes.
+    /// use up its budget of writes. Time in milliseconds, and revision.
     next_membership_change: (u64, u64),
     pub(crate) peers: BTreeMap<ControllerId, PeerStatus>,
+    /// This controller has held a lease since the process started.
     has_been_entitled: bool,
 }
 
@@ -125,6 +133,7 @@
         self.given_grants_until_ms
     }
 
+    /// Creates the state of a controller that has just started.
     pub(crate) fn new(inc: Incarnation, forgotten_grants_until_ms: u64) -> Self {
         Self {
             inc,
@@ -177,6 +186,7 @@
         self.call(Target::State, Method::Post, "/txn", body, timeout, purpose);
     }
 
+    /// Obtains or extends the lease, follows the shared keys, and advances registration, leadership and heartbeats.
     pub(crate) fn tick_membership(&mut self) {
         let now = self.now.ms;
         let quarter = self.settings.lease_ms() / 4;
--- a/crates/tidelatch-core/src/membership/entitlement.rs
+++ b/crates/tidelatch-core/src/membership/entitlement.rs
@@ -103,12 +103,12 @@
 
     /// Whether this controller holds an unexpired grant of a peer, or has an unanswered request for one.
     pub(crate) fn relies_on(&self, peer: &ControllerId) -> bool {
-        let given = self
+        let holds_grant = self
             .member
             .received_grants
             .get(peer)
             .is_some_and(|g| self.now.ms < g.valid_until_ms);
-        given || self.member.peers.get(peer).is_some_and(|p| p.asked_grant)
+        holds_grant || self.member.peers.get(peer).is_some_and(|p| p.asked_grant)
     }
 
     /// Records whether a peer relies on a grant that this controller, or an earlier incarnation of it, gave.
@@ -127,12 +127,12 @@
         if self.entitled() {
             return self.member.ledger > 0;
         }
-        let recently = 2 * self.settings.report_ms();
-        let heard = |p: &&PeerStatus| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recently);
+        let recent_ms = 2 * self.settings.report_ms();
+        let heard = |p: &&PeerStatus| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms);
         let mut peers = self.member.peers.values().filter(heard).peekable();
         // A controller that reaches neither the state service nor any peer has lost its own network connection.
-        let alone = peers.peek().is_none() && !self.settings.platform.siblings.is_empty();
-        self.member.has_been_entitled && self.member.lease_id.is_some() && !alone && !peers.any(|p| p.entitled)
+        let is_isolated = peers.peek().is_none() && !self.settings.platform.siblings.is_empty();
+        self.member.has_been_entitled && self.member.lease_id.is_some() && !is_isolated && !peers.any(|p| p.entitled)
     }
 
     /// Handles the reply to a request for a new lease, which was sent at `sent`.
@@ -258,10 +258,10 @@
 
     /// Whether the last heartbeat to a peer was answered and the peer was heard from within two report intervals.
     pub(crate) fn reachable(&self, name: &ControllerId) -> bool {
-        let recently = 2 * self.settings.report_ms();
+        let recent_ms = 2 * self.settings.report_ms();
         self.member
             .peers
             .get(name)
-            .is_some_and(|p| p.reachable && p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recently))
+            .is_some_and(|p| p.reachable && p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms))
     }
 }
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -13,12 +13,12 @@
 /// owner was still waiting for, as far as they are members. Each must acknowledge the new epoch or lose its
 /// membership before the new owner acts.
 fn owners_to_wait_for(
-    before: Option<&PartitionOwner>,
+    previous_owner: Option<&PartitionOwner>,
     members: &BTreeMap<ControllerId, MemberRecord>,
     (owner, inc): (&ControllerId, Incarnation),
 ) -> Vec<LeaderRecord> {
     let mut wait = Vec::new();
-    if let Some(previous) = before {
+    if let Some(previous) = previous_owner {
         wait.extend(previous.wait.iter().cloned());
         wait.push(LeaderRecord {
             name: previous.owner.clone(),
@@ -74,12 +74,12 @@
         };
         let owner = ControllerId::new(owner);
         let inc = members.get(&owner)?.inc;
-        let before = old.and_then(|e| e.parts.get(p));
-        match before {
+        let previous_owner = old.and_then(|e| e.parts.get(p));
+        match previous_owner {
             Some(h) if h.owner == owner && h.inc == inc => parts.push(h.clone()),
             _ => {
                 changed = true;
-                let wait = owners_to_wait_for(before, members, (&owner, inc));
+                let wait = owners_to_wait_for(previous_owner, members, (&owner, inc));
                 parts.push(PartitionOwner {
                     owner,
                     inc,
@@ -115,9 +115,9 @@
         }
         let names = self.settings.names();
         // When the cluster starts for the first time, the leader waits a quarter of the lease for the others to join.
-        let first = self.member.epoch.is_none();
-        let waited = self.now.ms.saturating_sub(self.member.leader_since_ms) >= self.settings.lease_ms() / 4;
-        if first && !waited && self.member.members.len() < names.len() {
+        let is_first_epoch = self.member.epoch.is_none();
+        let has_waited = self.now.ms.saturating_sub(self.member.leader_since_ms) >= self.settings.lease_ms() / 4;
+        if is_first_epoch && !has_waited && self.member.members.len() < names.len() {
             return;
         }
         let old = self.member.epoch.as_ref().map(|(e, _)| e);
--- a/crates/tidelatch-core/src/membership/lease_failures.rs
+++ b/crates/tidelatch-core/src/membership/lease_failures.rs
@@ -53,14 +53,14 @@
 impl LeaseFailures {
     /// Counts a failure. Returns true for the first one.
     fn record(&mut self, failure: LeaseFailure) -> bool {
-        let first = self.refused + self.unanswered + self.not_connected == 0;
+        let is_first = self.refused + self.unanswered + self.not_connected == 0;
         let counter = match failure {
             LeaseFailure::Refused(_) => &mut self.refused,
             LeaseFailure::Unanswered => &mut self.unanswered,
             LeaseFailure::NotConnected => &mut self.not_connected,
         };
         *counter += 1;
-        first
+        is_first
     }
 }
 
@@ -122,11 +122,11 @@
 
     /// Describes which other controllers are reachable and entitled to act, for the log.
     fn describe_peers(&self) -> String {
-        let recently = 2 * self.settings.report_ms();
+        let recent_ms = 2 * self.settings.report_ms();
         let descriptions = self.settings.platform.siblings.iter().map(|sibling| {
             let name = ControllerId::new(sibling.host_name.clone());
             let peer = self.member.peers.get(&name);
-            let heard = peer.filter(|p| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recently));
+            let heard = peer.filter(|p| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms));
             match heard {
                 Some(p) if p.entitled => format!("{name} is entitled"),
                 Some(_) => format!("{name} is not entitled"),
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -72,20 +72,20 @@
             return;
         };
         let inc = self.member.inc;
-        for (i, holding) in epoch.parts.iter().enumerate() {
+        for (i, assignment) in epoch.parts.iter().enumerate() {
             let partition = Partition(i as u32);
-            let is_own = holding.owner == self.me && holding.inc == inc;
+            let is_own = assignment.owner == self.me && assignment.inc == inc;
             let owned_since = self.tenures.get(&partition).map(|t| t.since);
             if !is_own {
                 if self.tenures.remove(&partition).is_some() {
                     self.reset_partition(partition);
-                    let to = &holding.owner;
+                    let to = &assignment.owner;
                     self.log(
                         Level::Info,
                         format!("epoch {}: partition {partition} is now owned by {to}", epoch.n),
                     );
                 }
-            } else if owned_since != Some(holding.since) {
+            } else if owned_since != Some(assignment.since) {
                 self.log(
                     Level::Info,
                     format!("epoch {}: taking over partition {partition}", epoch.n),
@@ -93,7 +93,7 @@
                 self.tenures.insert(
                     partition,
                     Tenure {
-                        since: holding.since,
+                        since: assignment.since,
                         stage: Stage::Waiting,
                         active_at: 0,
                         next_attempt: 0,
@@ -114,18 +114,18 @@
     pub(crate) fn advance_takeovers(&mut self) {
         let partitions: Vec<Partition> = self.tenures.keys().copied().collect();
         for partition in partitions {
-            let Some(holding) = self.holding(partition).cloned() else {
+            let Some(assignment) = self.holding(partition).cloned() else {
                 continue;
             };
             let Some(tenure) = self.tenures.get(&partition) else {
                 continue;
             };
             if tenure.stage == Stage::Waiting {
-                let has_no_predecessor = holding.wait.iter().all(|w| {
+                let has_no_predecessor = assignment.wait.iter().all(|w| {
                     self.member
                         .members
                         .get(&w.name)
-                        .is_none_or(|m| m.inc != w.inc || m.ack >= holding.since.0)
+                        .is_none_or(|m| m.inc != w.inc || m.ack >= assignment.since.0)
                 });
                 if has_no_predecessor && let Some(t) = self.tenures.get_mut(&partition) {
                     t.stage = Stage::Loading;
