--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -364,7 +364,7 @@
             self.log(
                 Level::Error,
                 format!(
-                    "the state service refused {what}: {text}; new limits: {} bytes per value, {} changes",
+                    "the state service refused {what}: {text}; limits now: {} bytes per value, {} changes",
                     self.limits.value, self.limits.ops
                 ),
             );
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -29,9 +29,11 @@
     pub(crate) stage: Stage,
     /// When this controller began to act for the partition, in milliseconds.
     pub(crate) active_at: u64,
+    /// Number of attempts started in this epoch of ownership; forms the low bits of each attempt number.
     pub(crate) next_attempt: u64,
     /// A read of the stored bitmaps is in progress.
     pub(crate) loading: bool,
+    /// Every machine that may hold tasks started before the takeover is accounted for.
     pub(crate) settled: bool,
     /// Keys and values of the bitmaps that have been read so far.
     bits: Vec<(String, Value)>,
@@ -121,13 +123,13 @@
                 continue;
             };
             if tenure.stage == Stage::Waiting {
-                let has_no_predecessor = assignment.wait.iter().all(|w| {
+                let may_load = assignment.wait.iter().all(|w| {
                     self.member
                         .members
                         .get(&w.name)
                         .is_none_or(|m| m.inc != w.inc || m.ack >= assignment.since.0)
                 });
-                if has_no_predecessor && let Some(t) = self.tenures.get_mut(&partition) {
+                if may_load && let Some(t) = self.tenures.get_mut(&partition) {
                     t.stage = Stage::Loading;
                 }
             }
