--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -1,8 +1,9 @@
-//! Renting, lending and returning machines.
+//! Capacity management: renting machines, handing them over between partitions, and returning them.
 //!
-//! Every owner says what its queues would need beyond the machines it has, and which of its machines
-//! are idle. The leader lends idle machines to those who need them, rents the rest, and shares both
-//! out. An owner returns what stays idle and deletes what is lost.
+//! Each partition owner sends the leader a digest of the machines that its queues need beyond the ones it
+//! has, and of its idle machines. The leader hands idle machines over to the partitions that need them and
+//! rents the remainder from the cloud. An owner returns machines that stay idle and deletes machines that
+//! are lost.
 
 mod boot_times;
 mod digests;
@@ -14,8 +15,8 @@
 
 pub use boot_times::{BootTimes, BootingMachine};
 pub(crate) use planning::room_for;
-use planning::wants;
-pub use planning::{Coming, Kind, Lane, UnplacedTasks, absorb, plan};
+use planning::summarize_waiting_tasks;
+pub use planning::{Lane, MachineKind, PendingMachine, UnplacedTasks, absorb, plan};
 
 use crate::calls::Purpose;
 use crate::controller::Controller;
@@ -24,73 +25,89 @@
 use crate::messages::{Digest, IdleMachine, Method, Move, Target};
 use crate::protocol::{MachineTypes, Rental, Report};
 use crate::rate_limit::TokenBucket;
-use crate::roster::Rented;
+use crate::roster::RentedMachine;
 use crate::settings::Settings;
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// Most machines in one rental.
-const RENTAL: usize = 50;
-/// Most machines that a digest offers to vacate.
-const YIELDING: usize = 4;
+/// Maximum number of machines in one rental request.
+const MAX_MACHINES_PER_RENTAL: usize = 50;
+/// Maximum number of preemptible machines that a digest offers.
+const MAX_PREEMPTIBLE_MACHINES_PER_DIGEST: usize = 4;
 
-/// A machine that reports but is in nobody's roster.
+/// A machine that sends reports but is not in the roster.
 #[derive(Debug, Clone)]
-struct Stranger {
-    kind: Kind,
-    since: u64,
-    seen: u64,
-    /// Its first report here.
-    first: (u64, u64),
-    /// A later report carried the present token: it has taken an answer, so it lives. Late copies of a
-    /// deleted machine's reports carry the token of their time.
-    lives: bool,
+struct UnregisteredMachine {
+    kind: MachineKind,
+    /// When this controller first received a report from it, in milliseconds.
+    first_seen_at: u64,
+    /// When this controller last received a report from it, in milliseconds.
+    last_seen_at: u64,
+    /// Session and sequence number of the first report received here.
+    first_report: (u64, u64),
+    /// A report after the first one carried the current epoch, so the worker has received an answer and is
+    /// running. Delayed copies of a deleted machine's reports carry the epoch of the time when they were sent.
+    is_alive: bool,
 }
 
-/// A machine that the leader has asked an owner to hand over.
+/// A hand-over that the leader has requested from a machine's owner and that has not arrived yet.
 #[derive(Debug, Clone)]
-struct Lent {
+struct PendingHandOver {
     machine: IdleMachine,
     to: Partition,
-    at: u64,
+    requested_at: u64,
 }
 
-/// The cloud as this controller sees it, and what is under way there.
+/// Capacity state of this controller: cloud requests in flight, the leader's allocation state and machine types.
 #[derive(Debug)]
 pub(crate) struct Cloud {
+    /// Tasks that found no machine in the last placement batches.
     pub(crate) wishes: Vec<UnplacedTasks>,
+    /// Keys in the state service that are no longer needed and are to be deleted.
     pub(crate) stale_keys: Vec<String>,
+    /// A write of the machine types to the state service is in flight.
     pub(crate) types_writing: bool,
-    types_at: u64,
-    types_asked: u64,
-    types_written: u64,
-    budget: TokenBucket,
-    /// Kinds of which the cloud had no more, and when: one request at a time is enough for those.
-    scarce: BTreeMap<Kind, u64>,
-    /// Kinds refused by the cloud, until when.
-    refused: BTreeMap<Kind, u64>,
+    types_received_at: u64,
+    /// When the machine types were last requested, in milliseconds; 0: never.
+    types_requested_at: u64,
+    /// When the machine types were last written to the state service, in milliseconds; 0: never.
+    types_written_at: u64,
+    /// This controller's share of the cloud's request rate.
+    request_budget: TokenBucket,
+    /// Kinds that the cloud ran out of, and when. Only one request at a time is sent for these.
+    exhausted_at: BTreeMap<MachineKind, u64>,
+    /// Kinds that the cloud has refused, and until when they are not requested again.
+    refused_until: BTreeMap<MachineKind, u64>,
+    /// The last digest of each partition and when it was received. Used by the leader.
     digests: BTreeMap<Partition, (Digest, u64)>,
-    renting: u32,
+    rentals_in_flight: u32,
+    /// Rentals requested so far; numbers the request ids.
     rental_count: u64,
-    /// Rentals that got no clear answer: the same request is sent again.
-    retry: Vec<(Rental, Vec<Partition>)>,
-    /// Rented, and not in the roster yet.
-    pub(crate) unlisted: Vec<Rented>,
-    /// The revision that a partition's digest must know before it counts.
-    pub(crate) fresh_from: BTreeMap<Partition, u64>,
-    lent: Vec<Lent>,
-    moves: BTreeMap<ControllerId, Vec<Move>>,
-    strangers: BTreeMap<MachineId, Stranger>,
-    /// How long machines took to boot lately.
+    /// Rentals without a definite answer. The same request is sent again, with the partitions that its machines are
+    /// for.
+    rentals_to_retry: Vec<(Rental, Vec<Partition>)>,
+    /// Machines that were rented and are not in the roster yet.
+    pub(crate) pending_registration: Vec<RentedMachine>,
+    /// The state service revision that a partition's digest must have been computed from, at least, to be used.
+    pub(crate) min_digest_revision: BTreeMap<Partition, u64>,
+    pending_hand_overs: Vec<PendingHandOver>,
+    /// Moves to send to each controller with its next heartbeat.
+    moves_to_send: BTreeMap<ControllerId, Vec<Move>>,
+    unregistered: BTreeMap<MachineId, UnregisteredMachine>,
+    /// Recent boot times by machine type.
     pub(crate) boot_times: BootTimes,
-    deleted: BTreeMap<MachineId, u64>,
-    deleting: bool,
-    due: u64,
-    hosts_at: u64,
-    /// Last machine of the page of the cloud's list that came last; empty: the next one is the first.
-    hosts_since: String,
-    /// Where the page that was asked for last began.
-    hosts_asked: String,
+    /// Deleted machines, and when their deletion was noted.
+    deleted_at: BTreeMap<MachineId, u64>,
+    deletion_in_flight: bool,
+    /// When the next round of capacity management is due, in milliseconds.
+    next_round_at: u64,
+    /// When a page of the cloud's machine list was last requested, in milliseconds.
+    list_requested_at: u64,
+    /// Cursor of the next page of the cloud's machine list: the last machine of the page received last. Empty: the next
+    /// page is the first.
+    next_list_cursor: String,
+    /// Cursor of the page that was requested last.
+    requested_list_cursor: String,
 }
 
 impl Cloud {
@@ -100,156 +117,166 @@
             wishes: Vec::new(),
             stale_keys: Vec::new(),
             types_writing: false,
-            types_at: 0,
-            types_asked: 0,
-            types_written: 0,
-            budget: TokenBucket::new(rate, rate.max(1.0)),
-            scarce: BTreeMap::new(),
-            refused: BTreeMap::new(),
+            types_received_at: 0,
+            types_requested_at: 0,
+            types_written_at: 0,
+            request_budget: TokenBucket::new(rate, rate.max(1.0)),
+            exhausted_at: BTreeMap::new(),
+            refused_until: BTreeMap::new(),
             digests: BTreeMap::new(),
-            renting: 0,
+            rentals_in_flight: 0,
             rental_count: 0,
-            retry: Vec::new(),
-            unlisted: Vec::new(),
-            fresh_from: BTreeMap::new(),
-            lent: Vec::new(),
-            moves: BTreeMap::new(),
-            strangers: BTreeMap::new(),
+            rentals_to_retry: Vec::new(),
+            pending_registration: Vec::new(),
+            min_digest_revision: BTreeMap::new(),
+            pending_hand_overs: Vec::new(),
+            moves_to_send: BTreeMap::new(),
+            unregistered: BTreeMap::new(),
             boot_times: BootTimes::default(),
-            deleted: BTreeMap::new(),
-            deleting: false,
-            due: 0,
-            hosts_at: 0,
-            hosts_since: String::new(),
-            hosts_asked: String::new(),
+            deleted_at: BTreeMap::new(),
+            deletion_in_flight: false,
+            next_round_at: 0,
+            list_requested_at: 0,
+            next_list_cursor: String::new(),
+            requested_list_cursor: String::new(),
         }
     }
 
-    /// Whether the cloud has refused a kind lately.
-    pub(crate) fn is_refused(&self, kind: &Kind, now: u64) -> bool {
-        self.refused.get(kind).is_some_and(|t| now < *t)
+    /// Whether the cloud has recently refused to rent a kind of machine.
+    pub(crate) fn is_refused(&self, kind: &MachineKind, now: u64) -> bool {
+        self.refused_until.get(kind).is_some_and(|t| now < *t)
     }
 
-    /// A machine is known to be gone: that it is still listed, or reports late, means nothing.
+    /// Records that a machine is known to be gone. After that it is ignored in the cloud's list and in late reports.
     pub(crate) fn note_deleted(&mut self, id: MachineId, now: u64) {
-        self.deleted.insert(id, now);
+        self.deleted_at.insert(id, now);
     }
 
-    /// A report came from a machine that is not in the roster.
+    /// Records a report from a machine that is not in the roster.
     pub(crate) fn note_stranger(&mut self, report: &Report, epoch: Epoch, now: u64) {
-        if self.deleted.contains_key(&report.machine) {
+        if self.deleted_at.contains_key(&report.machine) {
             return;
         }
         let key = (report.session, report.seq);
-        let stranger = self
-            .strangers
+        let machine = self
+            .unregistered
             .entry(report.machine.clone())
-            .or_insert_with(|| Stranger {
+            .or_insert_with(|| UnregisteredMachine {
                 kind: (report.model.clone(), report.zone.clone(), report.spot),
-                since: now,
-                seen: now,
-                first: key,
-                lives: false,
+                first_seen_at: now,
+                last_seen_at: now,
+                first_report: key,
+                is_alive: false,
             });
-        stranger.seen = now;
-        stranger.lives |= report.epoch == epoch && key > stranger.first;
+        machine.last_seen_at = now;
+        machine.is_alive |= report.epoch == epoch && key > machine.first_report;
     }
 }
 
 impl Controller {
-    /// The leader, whose cloud calls are more, gets most of the budget.
-    fn cloud_budget(&mut self, reserve: f64) -> bool {
+    /// Takes one cloud request from this controller's budget if at least `reserve` (a fraction of the burst) is left
+    /// after it. The leader makes most of the cloud requests and gets the largest part of the budget.
+    fn take_cloud_budget(&mut self, reserve: f64) -> bool {
         let rps = self.settings.platform.facts.cloud.rps;
         let others = f64::from(self.settings.partitions().saturating_sub(1));
-        let part = if others == 0.0 {
+        let fraction = if others == 0.0 {
             0.9
         } else if self.is_leader() {
             0.6
         } else {
             0.35 / others
         };
-        self.cloud.budget.set_rate(rps * part, (rps * part * 2.0).max(1.0));
-        self.cloud.budget.take(self.now.ms, 1.0, reserve)
+        self.cloud
+            .request_budget
+            .set_rate(rps * fraction, (rps * fraction * 2.0).max(1.0));
+        self.cloud.request_budget.take(self.now.ms, 1.0, reserve)
     }
 
-    fn cloud_call(&mut self, method: Method, path: impl Into<String>, body: String, purpose: Purpose) {
+    /// Sends a request to the cloud.
+    fn send_cloud_request(&mut self, method: Method, path: impl Into<String>, body: String, purpose: Purpose) {
         let timeout = 2 * self.settings.report_ms();
         self.call(Target::Cloud, method, path, body, timeout, purpose);
     }
 
+    /// Runs a round of capacity management, if one is due and this controller may act.
     pub(crate) fn tick_capacity(&mut self) {
         let now = self.now.ms;
-        self.want_types();
-        if now < self.cloud.due || !self.entitled() {
+        self.request_machine_types();
+        if now < self.cloud.next_round_at || !self.entitled() {
             return;
         }
-        self.cloud.due = now + self.settings.report_ms() / 5;
+        self.cloud.next_round_at = now + self.settings.report_ms() / 5;
         self.judge_machines();
-        self.retire();
-        self.send_deletes();
-        let keep = 4 * self.settings.worker_lease_ms();
-        self.cloud.deleted.retain(|_, t| now.saturating_sub(*t) < keep);
+        self.mark_retiring_machines();
+        self.send_deletions();
+        let keep_ms = 4 * self.settings.worker_lease_ms();
+        self.cloud.deleted_at.retain(|_, t| now.saturating_sub(*t) < keep_ms);
         if self.is_leader() {
             for digest in self.own_digests() {
                 self.cloud.digests.insert(digest.partition, (digest, now));
             }
-            self.share_out();
+            self.allocate_machines();
             let me = self.me.clone();
-            let moves = self.cloud.moves.remove(&me).unwrap_or_default();
-            self.carry_out(moves);
-            self.adopt_strangers();
-            self.write_roster();
+            let moves = self.cloud.moves_to_send.remove(&me).unwrap_or_default();
+            self.execute_moves(moves);
+            self.adopt_unregistered_machines();
+            self.send_new_groups();
             self.lead_drains();
-            self.list_hosts();
+            self.request_machine_list();
         } else {
             self.cloud.digests.clear();
-            self.cloud.unlisted.clear();
-            self.forget_new_groups();
+            self.cloud.pending_registration.clear();
+            self.drop_unsent_groups();
             self.forget_beginning();
-            self.cloud.retry.clear();
-            self.cloud.strangers.clear();
+            self.cloud.rentals_to_retry.clear();
+            self.cloud.unregistered.clear();
         }
     }
 
-    fn want_types(&mut self) {
+    /// Requests the machine types from the cloud: each report interval until they are known; after that only the
+    /// leader does, every two worker leases.
+    fn request_machine_types(&mut self) {
         let now = self.now.ms;
-        let lead = self.is_leader();
-        let every = if self.types.is_empty() {
+        let is_leader = self.is_leader();
+        let interval_ms = if self.types.is_empty() {
             self.settings.report_ms()
-        } else if lead {
+        } else if is_leader {
             2 * self.settings.worker_lease_ms()
         } else {
             return;
         };
-        if self.cloud.types_asked != 0 && now < self.cloud.types_asked + every {
+        if self.cloud.types_requested_at != 0 && now < self.cloud.types_requested_at + interval_ms {
             return;
         }
-        if !self.cloud_budget(0.0) {
+        if !self.take_cloud_budget(0.0) {
             return;
         }
-        self.cloud.types_asked = now.max(1);
-        self.cloud_call(Method::Get, "/machine_types", String::new(), Purpose::Types);
+        self.cloud.types_requested_at = now.max(1);
+        self.send_cloud_request(Method::Get, "/machine_types", String::new(), Purpose::Types);
     }
 
+    /// Handles the cloud's answer to a request for the machine types.
     pub(crate) fn on_types(&mut self, result: Option<(u16, Vec<u8>)>) {
         let Some((200, body)) = result else { return };
         let Ok(types) = serde_json::from_slice::<MachineTypes>(&body) else {
             return;
         };
         let now = self.now.ms;
-        self.cloud.types_at = now;
-        let first = self.types.is_empty();
+        self.cloud.types_received_at = now;
+        let is_first = self.types.is_empty();
         self.types = types.types.clone();
-        if first {
+        if is_first {
             self.want_batch();
         }
-        // Stored, so that a controller that starts while the cloud is down knows them.
-        let due = self.cloud.types_written == 0 || now > self.cloud.types_written + 4 * self.settings.worker_lease_ms();
-        // They are asked for anew by everybody; stored, they only bridge an outage of the cloud.
+        // The types are stored so that a controller that starts while the cloud is down knows them.
+        let due =
+            self.cloud.types_written_at == 0 || now > self.cloud.types_written_at + 4 * self.settings.worker_lease_ms();
+        // Types that are too large to store are skipped: every controller requests them from the cloud anyway, and the
+        // stored copy only bridges an outage of the cloud.
         let fits = crate::jobs::bytes_of(&types) <= self.settings.value_bytes();
         if self.is_leader() && due && fits && !self.cloud.types_writing {
             self.cloud.types_writing = true;
-            self.cloud.types_written = now.max(1);
+            self.cloud.types_written_at = now.max(1);
             let condition = self.leader_condition();
             self.txn(
                 vec![condition],
@@ -259,7 +286,7 @@
         }
     }
 
-    /// Time within which guaranteed work should start, by the objectives.
+    /// Seconds within which guaranteed work should start: the shortest of the guarantee objectives.
     pub(crate) fn guarantee_s(&self) -> f64 {
         let objectives = &self.settings.platform.facts.objectives;
         objectives
--- a/crates/tidelatch-core/src/capacity/boot_times.rs
+++ b/crates/tidelatch-core/src/capacity/boot_times.rs
@@ -1,46 +1,46 @@
-//! Boot times by machine type, and the machines that are late by them.
+//! Recent boot times by machine type, and detection of machines that boot late.
 //!
-//! A machine that has not come up when most of its type would have is *late*: it may never come up. Its
-//! room then no longer counts as room to come, so that a replacement is rented. During a period in which
-//! all machines boot slowly, a replacement would be as slow: only a part of the late machines is replaced
-//! at a time, and the boot times that are observed raise the limit.
+//! A machine that has not come up when most machines of its type would have is *late*: it may never come up.
+//! Its capacity then no longer counts as expected capacity, so that a replacement is rented. While all
+//! machines boot slowly, a replacement would be as slow, so only a fraction of the late machines is replaced
+//! at a time, and the observed boot times raise the limit.
 
 use crate::ids::MachineId;
 use crate::protocol::MachineType;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Boot times that are kept for each type.
-const RECENT_BOOTS: usize = 16;
-/// The fastest and the slowest usual boot, as ratios to the nominal boot time.
-const USUAL_BOOTS: (f64, f64) = (0.6, 1.5);
+/// Number of recent boot times kept for each machine type.
+const MAX_BOOT_TIMES_PER_TYPE: usize = 16;
+/// The fastest and the slowest usual boot time, as multiples of the type's nominal boot time.
+const USUAL_BOOT_TIME_MULTIPLES: (f64, f64) = (0.6, 1.5);
 /// The quantile of recent boot times after which a machine is late.
 const LATE_QUANTILE: f64 = 0.9;
-/// Part of the booting machines of a type that is replaced at a time without evidence of others that were
-/// faster, one machine at least: as many again whenever replacements have become late as well.
-const REPLACED_PART: f64 = 0.25;
-/// Multiples of the limit for late machines after which one is deleted: if a machine rented later has come
-/// up before it, and if none has.
-const GIVE_UP_OVERTAKEN: f64 = 2.0;
-const GIVE_UP: f64 = 3.0;
+/// Fraction of a type's booting machines that is replaced at a time, at least one machine, while no machine that was
+/// rented later has come up. Each time the replacements have become late as well, as many again are replaced.
+const REPLACED_FRACTION: f64 = 0.25;
+/// Multiple of the lateness limit after which a machine is deleted if a machine rented later has come up first.
+const GIVE_UP_MULTIPLE_IF_OVERTAKEN: f64 = 2.0;
+/// Multiple of the lateness limit after which a machine is deleted if no machine rented later has come up.
+const GIVE_UP_MULTIPLE: f64 = 3.0;
 
 /// A machine that has not come up yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BootingMachine {
-    /// Name.
+    /// Machine name.
     pub id: MachineId,
-    /// Type.
+    /// Machine type.
     pub model: String,
     /// When it was rented, in milliseconds.
     pub since: u64,
 }
 
-/// The boots of one machine type.
+/// Observed boots of one machine type.
 #[derive(Debug, Clone, Default)]
 struct TypeBoots {
     /// Boot times in seconds, the latest last.
-    recent: VecDeque<f64>,
-    /// When the machine was rented that was rented last among those that have come up.
-    newest_up: u64,
+    recent_s: VecDeque<f64>,
+    /// The latest rental time, in milliseconds, among the machines that have come up.
+    newest_rented_at: u64,
 }
 
 /// Recent boot times of all machine types.
@@ -50,44 +50,44 @@
 }
 
 impl BootTimes {
-    /// Notes that a machine has come up that was rented at `since`.
+    /// Records the boot of a machine that was rented at `since` and has come up at `now`, both in milliseconds.
     pub fn note(&mut self, machine_type: &MachineType, since: u64, now: u64) {
         let boots = self.by_type.entry(machine_type.name.clone()).or_default();
-        boots.newest_up = boots.newest_up.max(since);
-        boots.recent.push_back(now.saturating_sub(since) as f64 / 1000.0);
-        if boots.recent.len() > RECENT_BOOTS {
-            boots.recent.pop_front();
+        boots.newest_rented_at = boots.newest_rented_at.max(since);
+        boots.recent_s.push_back(now.saturating_sub(since) as f64 / 1000.0);
+        if boots.recent_s.len() > MAX_BOOT_TIMES_PER_TYPE {
+            boots.recent_s.pop_front();
         }
     }
 
-    /// Seconds after which a machine of a type is late.
+    /// Seconds from the rental after which a machine of a type counts as late.
     ///
-    /// Until enough boots have been observed, usual ones take the place of the missing ones. Boots that
-    /// are faster than usual don't lower the limit: such times end without notice.
+    /// Until enough boots have been observed, evenly spread usual boot times stand in for the missing ones. Boots
+    /// that are faster than usual don't lower the limit, because a period of fast boots ends without notice.
     pub fn late_after_s(&self, machine_type: &MachineType) -> f64 {
-        let mut boots = usual_boots(machine_type);
+        let mut boots = usual_boot_times_s(machine_type);
         if let Some(observed) = self.by_type.get(&machine_type.name) {
-            boots.drain(..observed.recent.len().min(RECENT_BOOTS));
-            boots.extend(&observed.recent);
+            boots.drain(..observed.recent_s.len().min(MAX_BOOT_TIMES_PER_TYPE));
+            boots.extend(&observed.recent_s);
         }
         boots.sort_by(f64::total_cmp);
         let rank = (LATE_QUANTILE * boots.len() as f64).ceil() as usize;
         let observed_s = boots.get(rank.saturating_sub(1)).copied().unwrap_or_default();
-        observed_s.max(USUAL_BOOTS.1 * machine_type.boot_s)
+        observed_s.max(USUAL_BOOT_TIME_MULTIPLES.1 * machine_type.boot_s)
     }
 
-    /// Seconds after which a machine of a type that was rented at `since` is deleted.
+    /// Seconds from the rental after which a machine that was rented at `since` (in milliseconds) is deleted.
     pub fn give_up_after_s(&self, machine_type: &MachineType, since: u64) -> f64 {
-        let limits = if self.is_overtaken(&machine_type.name, since) {
-            GIVE_UP_OVERTAKEN
+        let multiple = if self.is_overtaken(&machine_type.name, since) {
+            GIVE_UP_MULTIPLE_IF_OVERTAKEN
         } else {
-            GIVE_UP
+            GIVE_UP_MULTIPLE
         };
-        limits * self.late_after_s(machine_type)
+        multiple * self.late_after_s(machine_type)
     }
 
-    /// The late machines whose room does not count as room to come; `grace_ms` is the time from the end of
-    /// a boot until the machine is heard.
+    /// The late machines whose capacity does not count as expected capacity, so that replacements are rented.
+    /// `grace_ms` is the time allowed from the end of a boot until the machine's first report arrives.
     pub fn discounted(
         &self,
         booting: &[BootingMachine],
@@ -95,11 +95,12 @@
         now: u64,
         grace_ms: u64,
     ) -> BTreeSet<MachineId> {
-        let mut discounted = BTreeSet::new();
+        let mut to_replace = BTreeSet::new();
         for machine_type in types {
-            let of_type: Vec<&BootingMachine> = booting.iter().filter(|m| m.model == machine_type.name).collect();
+            let booting_of_type: Vec<&BootingMachine> =
+                booting.iter().filter(|m| m.model == machine_type.name).collect();
             let limit_ms = (self.late_after_s(machine_type) * 1000.0) as u64 + grace_ms;
-            let late = of_type
+            let late = booting_of_type
                 .iter()
                 .copied()
                 .filter(|m| now.saturating_sub(m.since) > limit_ms);
@@ -107,25 +108,28 @@
                 late.partition(|m| self.is_overtaken(&machine_type.name, m.since));
             others.sort_by_key(|m| m.since);
             let oldest_ms = others.first().map_or(0, |m| now.saturating_sub(m.since));
-            let rounds = (oldest_ms / limit_ms.max(1)) as usize;
-            let most = rounds * ((REPLACED_PART * of_type.len() as f64) as usize).max(1);
-            let chosen = overtaken.into_iter().chain(others.into_iter().take(most));
-            discounted.extend(chosen.map(|m| m.id.clone()));
+            let replacement_rounds = (oldest_ms / limit_ms.max(1)) as usize;
+            let max_replaced =
+                replacement_rounds * ((REPLACED_FRACTION * booting_of_type.len() as f64) as usize).max(1);
+            let replaced = overtaken.into_iter().chain(others.into_iter().take(max_replaced));
+            to_replace.extend(replaced.map(|m| m.id.clone()));
         }
-        discounted
+        to_replace
     }
 
     /// Whether a machine of the type that was rented later than `since` has come up.
     fn is_overtaken(&self, model: &str, since: u64) -> bool {
-        self.by_type.get(model).is_some_and(|boots| boots.newest_up > since)
+        self.by_type
+            .get(model)
+            .is_some_and(|boots| boots.newest_rented_at > since)
     }
 }
 
-/// As many boot times as are kept, spread evenly over the usual range.
-fn usual_boots(machine_type: &MachineType) -> Vec<f64> {
-    let (fastest, slowest) = USUAL_BOOTS;
-    let step = (slowest - fastest) / (RECENT_BOOTS - 1) as f64;
-    (0..RECENT_BOOTS)
+/// A full set of boot times in seconds, spread evenly over the usual range of a machine type.
+fn usual_boot_times_s(machine_type: &MachineType) -> Vec<f64> {
+    let (fastest, slowest) = USUAL_BOOT_TIME_MULTIPLES;
+    let step = (slowest - fastest) / (MAX_BOOT_TIMES_PER_TYPE - 1) as f64;
+    (0..MAX_BOOT_TIMES_PER_TYPE)
         .map(|n| machine_type.boot_s * (fastest + step * n as f64))
         .collect()
 }
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -1,7 +1,11 @@
-//! Digests: what a partition's owner reports that the partition needs and has to spare.
+//! Digests: summaries of the machines that a partition needs and of those it can give up, which its owner sends to
+//! the leader.
 
 use super::spare_room::largest_of_each_kind;
-use super::{BootingMachine, Kind, Lane, UnplacedTasks, YIELDING, absorb, plan, wants};
+use super::{
+    BootingMachine, Lane, MAX_PREEMPTIBLE_MACHINES_PER_DIGEST, MachineKind, UnplacedTasks, absorb, plan,
+    summarize_waiting_tasks,
+};
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
 use crate::machine_view::Machine;
@@ -12,38 +16,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Controller {
-    /// What would be lost, in seconds of work, if a machine were vacated for production work; none if
-    /// something on it does not yield.
-    pub(super) fn yielding(&self, m: &Machine) -> Option<f64> {
+    /// Seconds of work that would be lost if a machine were vacated for production work. None if the machine runs
+    /// a task that must not be preempted.
+    pub(super) fn preemption_loss_s(&self, m: &Machine) -> Option<f64> {
         if m.spot || m.held.is_empty() || !m.usable(self.now.ms, 2 * self.settings.report_ms()) {
             return None;
         }
-        let mut loss = 0.0;
+        let mut loss_s = 0.0;
         for h in &m.held {
             let job = self.jobs.get(&h.task.job)?;
-            // A gang yields as a whole only, and its other tasks are on other machines.
+            // A gang can only be preempted as a whole, and its other tasks are on other machines.
             if job.spec.priority >= Priority::Prod || h.stop.is_some() || job.spec.shape == Shape::Gang {
                 return None;
             }
             let ran_s = h
                 .running_since
                 .map_or(0.0, |t| self.now.ms.saturating_sub(t) as f64 / 1000.0);
-            loss += if job.spec.checkpoint_s > 0.0 {
+            // A task with checkpoints saves its work when it is stopped: it loses at most the time that saving takes.
+            loss_s += if job.spec.checkpoint_s > 0.0 {
                 ran_s.min(job.spec.save_s)
             } else {
                 ran_s
             };
         }
-        Some(loss)
+        Some(loss_s)
     }
 
-    /// A machine as the planning sees it: none for those that take no more tasks.
-    pub(super) fn lane(&self, m: &Machine) -> Option<Lane> {
+    /// The timeline of free capacity on a machine, for planning. None for a machine that takes no more tasks.
+    pub(super) fn machine_timeline(&self, m: &Machine) -> Option<Lane> {
         let now = self.now.ms;
         let t = self.types.iter().find(|t| t.name == m.model)?;
-        let up = m.usable(now, 3 * self.settings.report_ms());
-        let booting = m.is_booting() && m.moving.is_none() && !m.cordoned;
-        if m.reserved || (!up && !booting) {
+        let is_usable = m.usable(now, 3 * self.settings.report_ms());
+        let is_booting = m.is_booting() && m.moving.is_none() && !m.cordoned;
+        if m.reserved || (!is_usable && !is_booting) {
             return None;
         }
         let mut free = [t.cpus, t.gpus, t.memory_gb];
@@ -57,14 +62,15 @@
                     return None;
                 }
                 let ran_s = h.running_since.map_or(0.0, |t| now.saturating_sub(t) as f64 / 1000.0);
-                // Whoever has run for longer than expected is expected to need a part of that again.
+                // A task that has run for longer than estimated is expected to need 0.3 times its run time so far
+                // again.
                 let left_s = (self.estimates.run_s(&job.spec) - ran_s).max(0.3 * ran_s);
                 Some((if h.stop.is_some() { 0.0 } else { left_s }, h.size))
             })
             .collect();
         busy.sort_by(|a, b| a.0.total_cmp(&b.0));
         let age_s = now.saturating_sub(m.known_since) as f64 / 1000.0;
-        let ready_s = if booting {
+        let ready_s = if is_booting {
             (t.boot_s - age_s).max(0.1 * t.boot_s)
         } else {
             0.0
@@ -79,7 +85,7 @@
         })
     }
 
-    /// The machines of a partition that are so late that others are to be rented in their place.
+    /// The booting machines of a partition that are so late that replacements are rented for them.
     fn late_machines(&self, partition: Partition) -> BTreeSet<MachineId> {
         let booting: Vec<BootingMachine> = self
             .machines
@@ -97,93 +103,103 @@
             .discounted(&booting, &self.types, self.now.ms, grace_ms)
     }
 
-    /// What this controller's partitions need and have to spare.
+    /// Digests of the partitions that this controller is active for.
     pub(super) fn own_digests(&self) -> Vec<Digest> {
-        let acting = self.tenures.iter().filter(|(_, t)| t.stage == Stage::Active);
-        acting.map(|(p, _)| self.digest(*p)).collect()
+        let active = self.tenures.iter().filter(|(_, t)| t.stage == Stage::Active);
+        active.map(|(p, _)| self.digest(*p)).collect()
     }
 
+    /// Computes a partition's digest: demand, machines needed, waiting tasks, and machines on offer.
     fn digest(&self, partition: Partition) -> Digest {
         let now = self.now.ms;
         let mut supply = self.supply(partition);
         let own = |w: &&UnplacedTasks| w.partition == partition;
-        let mut wishes: Vec<UnplacedTasks> = self.cloud.wishes.iter().filter(own).cloned().collect();
-        let wants = wants(&wishes, &self.settings.platform.facts.zones);
-        let waiting: f64 = wishes.iter().map(|w| f64::from(w.count) * demand_of(&w.size)).sum();
-        let refused = |kind: &Kind| self.cloud.is_refused(kind, now);
+        let mut unplaced: Vec<UnplacedTasks> = self.cloud.wishes.iter().filter(own).cloned().collect();
+        let wants = summarize_waiting_tasks(&unplaced, &self.settings.platform.facts.zones);
+        let waiting_demand: f64 = unplaced.iter().map(|w| f64::from(w.count) * task_demand(&w.size)).sum();
+        let refused = |kind: &MachineKind| self.cloud.is_refused(kind, now);
         absorb(
-            &mut wishes,
-            &mut supply.lanes,
+            &mut unplaced,
+            &mut supply.timelines,
             &self.types,
             &refused,
             self.guarantee_s(),
         );
-        let mut needs = plan(&wishes, Vec::new(), &self.types, &refused, &supply.in_zones);
+        let mut needs = plan(&unplaced, Vec::new(), &self.types, &refused, &supply.machines_per_zone);
         needs.extend(self.replacements_wanted(partition));
-        supply.yielding.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let unwanted = |room: &SpareRoom| {
+        supply.preemptible.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let has_no_local_use = |room: &SpareRoom| {
             !wants
                 .iter()
                 .any(|want| want.takes(&room.machine) && want.fits(&room.free) > 0)
         };
-        supply.spare_room.retain(unwanted);
+        supply.spare_room.retain(has_no_local_use);
         Digest {
             partition,
             ledger: self.member.ledger,
-            demand: supply.running + waiting,
+            demand: supply.running_demand + waiting_demand,
             needs,
             wants,
             idle: supply.idle,
-            yielding: supply.yielding.into_iter().map(|(_, i)| i).take(YIELDING).collect(),
+            yielding: supply
+                .preemptible
+                .into_iter()
+                .map(|(_, i)| i)
+                .take(MAX_PREEMPTIBLE_MACHINES_PER_DIGEST)
+                .collect(),
             spare_room: largest_of_each_kind(supply.spare_room),
         }
     }
 
+    /// Collects what a partition's machines run and what capacity they can offer.
     fn supply(&self, partition: Partition) -> Supply {
         let late = self.late_machines(partition);
         let mut supply = Supply::default();
         let own = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.gone;
         for (id, m) in self.machines.iter().filter(own) {
-            *supply.in_zones.entry(m.zone.clone()).or_default() += 1;
-            supply.running += m.held.iter().map(|h| demand_of(&h.size)).sum::<f64>();
-            if let Some(lane) = self.lane(m).filter(|_| !late.contains(id)) {
-                supply.lanes.push(lane);
+            *supply.machines_per_zone.entry(m.zone.clone()).or_default() += 1;
+            supply.running_demand += m.held.iter().map(|h| task_demand(&h.size)).sum::<f64>();
+            if let Some(timeline) = self.machine_timeline(m).filter(|_| !late.contains(id)) {
+                supply.timelines.push(timeline);
             }
-            if let Some(loss) = self.yielding(m) {
-                supply.yielding.push((loss, idle_machine(id, m)));
+            if let Some(loss_s) = self.preemption_loss_s(m) {
+                supply.preemptible.push((loss_s, idle_machine(id, m)));
             }
             supply.spare_room.extend(self.spare_room(id, m));
-            if self.is_spare(m) {
+            if self.can_be_handed_over(m) {
                 supply.idle.push(idle_machine(id, m));
             }
         }
         supply
     }
 
-    /// Whether a machine has been idle for long enough to be lent.
-    fn is_spare(&self, m: &Machine) -> bool {
+    /// Whether a machine has been idle for more than one report interval, so that it can go to another partition.
+    fn can_be_handed_over(&self, m: &Machine) -> bool {
         let report_ms = self.settings.report_ms();
         let idle_ms = m.idle_since.map_or(0, |t| self.now.ms.saturating_sub(t));
         idle_ms > report_ms && !m.reserved && m.usable(self.now.ms, 2 * report_ms)
     }
 }
 
-/// What a partition's machines hold and could take.
+/// What a partition's machines run and what capacity they can offer.
 #[derive(Default)]
 struct Supply {
-    lanes: Vec<Lane>,
+    /// Timelines of free capacity of the machines that take tasks, without late ones.
+    timelines: Vec<Lane>,
+    /// Machines that run nothing.
     idle: Vec<IdleMachine>,
-    /// Machines that could be vacated, with the seconds of work lost by that.
-    yielding: Vec<(f64, IdleMachine)>,
+    /// Machines that can be vacated for production work, each with the seconds of work that would be lost.
+    preemptible: Vec<(f64, IdleMachine)>,
+    /// Machines in use with free capacity that can be handed over with their tasks.
     spare_room: Vec<SpareRoom>,
-    /// Machines in each zone.
-    in_zones: BTreeMap<String, u32>,
-    /// Demand of what runs.
-    running: f64,
+    /// Number of machines in each zone.
+    machines_per_zone: BTreeMap<String, u32>,
+    /// Demand of the tasks that the machines hold.
+    running_demand: f64,
 }
 
-/// Share of demand of a task: accelerators, or processors in hundreds where they are more.
-fn demand_of(size: &Amounts) -> f64 {
+/// A task's contribution to a partition's demand: its accelerators, or its processors divided by 100 if that is more.
+fn task_demand(size: &Amounts) -> f64 {
     size[1].max(size[0] / 100.0)
 }
 
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -1,285 +1,319 @@
-//! Machines that change hands: what the leader chooses to hand over, and how their owners do it.
+//! Handing machines over between partitions: how the leader chooses them and how their owners carry it out.
 
-use super::{Kind, Lent, room_for};
+use super::{MachineKind, PendingHandOver, room_for};
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
 use crate::messages::{Digest, IdleMachine, Level, MachineRequest, Move, SpareRoom, WaitingTasks};
 use std::collections::BTreeMap;
 
-/// How a machine changes hands.
+/// The state in which a machine is handed over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum How {
-    /// Nothing is on it.
+pub(super) enum HandOverMode {
+    /// No task is on the machine.
     Empty,
-    /// What is on it is stopped first.
+    /// The tasks on the machine are stopped first.
     Vacated,
-    /// With the tasks that run on it.
+    /// The tasks on the machine keep running.
     Occupied,
 }
 
-/// A machine that the leader has chosen to change hands.
+/// A machine that the leader has chosen to hand over from one partition to another.
 #[derive(Debug)]
 pub(super) struct HandOver {
     pub(super) from: Partition,
     pub(super) machine: IdleMachine,
     pub(super) to: Partition,
-    pub(super) how: How,
+    pub(super) mode: HandOverMode,
 }
 
-/// The machines that partitions offer to others, each with its present partition.
+/// Machines that partitions offer to other partitions, each with its current partition.
 struct Offers {
-    /// With nothing on them.
+    /// Machines that run nothing.
     idle: Vec<(Partition, IdleMachine)>,
-    /// To be vacated for production work.
-    yielding: Vec<(Partition, IdleMachine)>,
-    /// In use, with room for more.
+    /// Machines that can be vacated for production work.
+    preemptible: Vec<(Partition, IdleMachine)>,
+    /// Machines in use that have free capacity.
     spare_room: Vec<(Partition, SpareRoom)>,
 }
 
-/// Machines to be rented: for each kind, the partitions that they are for, and whether they are for
+/// Machines to rent: for each kind one entry per machine, with the partition that it is for and whether it is for
 /// production work.
-type Rentals = BTreeMap<Kind, Vec<(Partition, bool)>>;
+type Rentals = BTreeMap<MachineKind, Vec<(Partition, bool)>>;
 
-/// Digests in the order in which they are served: urgent ones first, then whoever has most demand to its
-/// name, for where kinds run out.
-fn by_demand(digests: &[Digest]) -> Vec<&Digest> {
-    let urgent = |d: &Digest| d.wants.iter().any(|n| n.urgent);
+/// Sorts digests into the order in which they are served: those with urgent waiting tasks first, then by descending
+/// demand. The order matters when the cloud runs out of a kind of machine.
+fn sort_by_demand(digests: &[Digest]) -> Vec<&Digest> {
+    let is_urgent = |d: &Digest| d.wants.iter().any(|tasks| tasks.urgent);
     let mut order: Vec<&Digest> = digests.iter().collect();
-    order.sort_by(|a, b| urgent(b).cmp(&urgent(a)).then(b.demand.total_cmp(&a.demand)));
+    order.sort_by(|a, b| is_urgent(b).cmp(&is_urgent(a)).then(b.demand.total_cmp(&a.demand)));
     order
 }
 
-/// Whether a machine is of the kind that is needed.
-fn serves(machine: &IdleMachine, need: &MachineRequest) -> bool {
-    machine.model == need.model && (need.any_zone || machine.zone == need.zone) && (need.spot || !machine.spot)
+/// Whether a machine is of the kind that a request asks for.
+fn satisfies(machine: &IdleMachine, request: &MachineRequest) -> bool {
+    machine.model == request.model
+        && (request.any_zone || machine.zone == request.zone)
+        && (request.spot || !machine.spot)
 }
 
-/// Serves needs for machines, and returns what is to be rented for them.
-fn serve_needs(
+/// Matches requests for machines against machines that are arriving, adds moves of preemptible machines to `moves`, and
+/// returns the machines to rent.
+fn match_machine_requests(
     order: &[&Digest],
     mut arriving: Vec<(Partition, IdleMachine)>,
-    yielding: &mut Vec<(Partition, IdleMachine)>,
+    preemptible: &mut Vec<(Partition, IdleMachine)>,
     moves: &mut Vec<HandOver>,
 ) -> Rentals {
     let mut rentals = Rentals::new();
     for digest in order {
         let to = digest.partition;
-        let needs = digest.needs.iter();
-        for need in needs.flat_map(|need| std::iter::repeat_n(need, need.count as usize)) {
-            // What was lent is there sooner than what would be rented.
-            let lent = arriving.iter().position(|(p, i)| *p == to && serves(i, need));
-            if let Some(at) = lent {
+        let requests = digest.needs.iter();
+        for request in requests.flat_map(|request| std::iter::repeat_n(request, request.count as usize)) {
+            // A machine that is being handed over arrives sooner than a rented one would.
+            let arriving_at = arriving.iter().position(|(p, i)| *p == to && satisfies(i, request));
+            if let Some(at) = arriving_at {
                 arriving.swap_remove(at);
                 continue;
             }
-            // Production work gets machines that others can do without, and they what is rented.
-            let found = yielding.iter().position(|(p, i)| *p != to && serves(i, need));
-            if let Some(at) = found.filter(|_| need.urgent) {
-                let (from, machine) = yielding.remove(at);
+            // Production work gets a preemptible machine of another partition, whose tasks can then run on the machine
+            // that is rented all the same.
+            let found = preemptible.iter().position(|(p, i)| *p != to && satisfies(i, request));
+            if let Some(at) = found.filter(|_| request.urgent) {
+                let (from, machine) = preemptible.remove(at);
                 moves.push(HandOver {
                     from,
                     machine,
                     to,
-                    how: How::Vacated,
+                    mode: HandOverMode::Vacated,
                 });
             }
-            let kind = (need.model.clone(), need.zone.clone(), need.spot);
-            rentals.entry(kind).or_default().push((to, need.urgent));
+            let kind = (request.model.clone(), request.zone.clone(), request.spot);
+            rentals.entry(kind).or_default().push((to, request.urgent));
         }
     }
     rentals
 }
 
 impl Controller {
-    /// The leader's round: lends what is idle, then rents.
-    pub(super) fn share_out(&mut self) {
+    /// Allocates machines to partitions: hands over machines that others can give up, then rents what is still missing.
+    /// Run by the leader in each round.
+    pub(super) fn allocate_machines(&mut self) {
         let now = self.now.ms;
-        self.cloud.refused.retain(|_, t| now < *t);
-        self.settle_lent();
-        let digests = self.fresh_digests();
-        let mut offers = self.machines_on_offer(&digests);
-        let order = by_demand(&digests);
-        let mut moves = self.serve_wants(&order, &mut offers);
-        let mut arriving = self.on_the_way();
+        self.cloud.refused_until.retain(|_, t| now < *t);
+        self.prune_pending_hand_overs();
+        let digests = self.usable_digests();
+        let mut offers = self.collect_offers(&digests);
+        let order = sort_by_demand(&digests);
+        let mut moves = self.match_waiting_tasks(&order, &mut offers);
+        let mut arriving = self.arriving_machines();
         arriving.extend(moves.iter().map(|m| (m.to, m.machine.clone())));
-        let rentals = serve_needs(&order, arriving, &mut offers.yielding, &mut moves);
+        let rentals = match_machine_requests(&order, arriving, &mut offers.preemptible, &mut moves);
         self.request_moves(moves);
         self.send_rentals(rentals);
     }
 
-    /// What was lent has arrived once the watch says so; until then it counts for whom it goes to.
-    fn settle_lent(&mut self) {
+    /// Drops pending hand-overs that have arrived, according to the watch, or that have timed out. Until then the
+    /// machine counts as capacity of the partition that it goes to.
+    fn prune_pending_hand_overs(&mut self) {
         let now = self.now.ms;
-        let patience = 4 * self.settings.report_ms();
-        let ledger = self.member.ledger;
-        let mut lent = std::mem::take(&mut self.cloud.lent);
-        lent.retain(|l| {
-            let here = self.machines.get(&l.machine.machine).map(|m| m.partition);
-            if here == Some(l.to) {
-                let from = self.cloud.fresh_from.entry(l.to).or_default();
-                *from = (*from).max(ledger);
+        let timeout_ms = 4 * self.settings.report_ms();
+        let revision = self.member.ledger;
+        let mut pending = std::mem::take(&mut self.cloud.pending_hand_overs);
+        pending.retain(|l| {
+            let current = self.machines.get(&l.machine.machine).map(|m| m.partition);
+            if current == Some(l.to) {
+                let min_revision = self.cloud.min_digest_revision.entry(l.to).or_default();
+                *min_revision = (*min_revision).max(revision);
             }
-            here.is_some() && here != Some(l.to) && now.saturating_sub(l.at) < patience
+            current.is_some() && current != Some(l.to) && now.saturating_sub(l.requested_at) < timeout_ms
         });
-        self.cloud.lent = lent;
+        self.cloud.pending_hand_overs = pending;
     }
 
-    /// The digests that came lately, from owners that know what has become of earlier rounds.
-    fn fresh_digests(&self) -> Vec<Digest> {
-        let recent = 2 * self.settings.report_ms();
-        let fresh = |(d, at): &&(Digest, u64)| {
-            self.now.ms.saturating_sub(*at) < recent
-                && d.ledger >= self.cloud.fresh_from.get(&d.partition).copied().unwrap_or(0)
+    /// The digests received within two report intervals from owners that know the results of earlier rounds.
+    fn usable_digests(&self) -> Vec<Digest> {
+        let max_age_ms = 2 * self.settings.report_ms();
+        let is_fresh = |(d, at): &&(Digest, u64)| {
+            self.now.ms.saturating_sub(*at) < max_age_ms
+                && d.ledger >= self.cloud.min_digest_revision.get(&d.partition).copied().unwrap_or(0)
         };
-        // A suspected owner gets nothing and is asked for nothing: neither may come about.
-        let trusted = |d: &Digest| {
+        // A suspected owner is given no machines and asked for none, because it may be unable to act on either.
+        let is_trusted = |d: &Digest| {
             let owner = self.holding(d.partition).map(|h| &h.owner);
             owner.is_none_or(|owner| !self.suspects(owner))
         };
-        let digests = self.cloud.digests.values().filter(fresh);
-        digests.map(|(d, _)| d).filter(|d| trusted(d)).cloned().collect()
+        let digests = self.cloud.digests.values().filter(is_fresh);
+        digests.map(|(d, _)| d).filter(|d| is_trusted(d)).cloned().collect()
     }
 
-    /// The machines that were lent and have not arrived, each with the partition that it goes to.
-    fn on_the_way(&self) -> Vec<(Partition, IdleMachine)> {
-        self.cloud.lent.iter().map(|l| (l.to, l.machine.clone())).collect()
+    /// The machines whose hand-over is pending, each with the partition that it goes to.
+    fn arriving_machines(&self) -> Vec<(Partition, IdleMachine)> {
+        self.cloud
+            .pending_hand_overs
+            .iter()
+            .map(|l| (l.to, l.machine.clone()))
+            .collect()
     }
 
-    /// The machines that digests offer and that are not on their way already.
-    fn machines_on_offer(&self, digests: &[Digest]) -> Offers {
-        let moving = |i: &IdleMachine| self.cloud.lent.iter().any(|l| l.machine.machine == i.machine);
+    /// Collects the machines that digests offer, except those whose hand-over is pending.
+    fn collect_offers(&self, digests: &[Digest]) -> Offers {
+        let is_moving = |i: &IdleMachine| {
+            self.cloud
+                .pending_hand_overs
+                .iter()
+                .any(|l| l.machine.machine == i.machine)
+        };
         let mut idle = Vec::new();
-        let mut yielding = Vec::new();
+        let mut preemptible = Vec::new();
         for digest in digests {
             let from = |i: &IdleMachine| (digest.partition, i.clone());
-            let wanted = |i: &IdleMachine| digest.wants.iter().any(|w| w.takes(i));
-            let spare = digest.idle.iter().filter(|i| !wanted(i) && !moving(i));
-            idle.extend(spare.map(from));
-            yielding.extend(digest.yielding.iter().filter(|i| !moving(i)).map(from));
+            let is_needed = |i: &IdleMachine| digest.wants.iter().any(|tasks| tasks.takes(i));
+            let available = digest.idle.iter().filter(|i| !is_needed(i) && !is_moving(i));
+            idle.extend(available.map(from));
+            preemptible.extend(digest.yielding.iter().filter(|i| !is_moving(i)).map(from));
         }
         Offers {
             idle,
-            yielding,
+            preemptible,
             spare_room: self.spare_room_offered(digests),
         }
     }
 
-    /// What waits gets what is idle elsewhere, even where room of its own will be free in time.
-    fn serve_wants(&self, order: &[&Digest], offers: &mut Offers) -> Vec<HandOver> {
-        let mut coming = self.on_the_way();
+    /// Chooses machines of other partitions for waiting tasks, even if capacity of their own partition will be free in
+    /// time.
+    fn match_waiting_tasks(&self, order: &[&Digest], offers: &mut Offers) -> Vec<HandOver> {
+        let mut arriving = self.arriving_machines();
         let mut moves = Vec::new();
         for digest in order {
             let to = digest.partition;
-            for want in &digest.wants {
-                let left = self.take_coming(to, want, &mut coming);
-                let left = self.lend_idle(to, want, left, &mut offers.idle, &mut moves);
+            for tasks in &digest.wants {
+                let left = self.assign_arriving_machines(to, tasks, &mut arriving);
+                let left = self.assign_idle_machines(to, tasks, left, &mut offers.idle, &mut moves);
                 if left > 0 {
-                    moves.extend(self.take_spare_room(to, want, &mut offers.spare_room));
+                    moves.extend(self.choose_spare_room(to, tasks, &mut offers.spare_room));
                 }
             }
         }
         moves
     }
 
-    /// Counts machines on their way to a partition for tasks that wait there, and returns how many of these
-    /// are left.
-    fn take_coming(&self, to: Partition, want: &WaitingTasks, coming: &mut Vec<(Partition, IdleMachine)>) -> u32 {
-        let mut left = want.count;
+    /// Assigns machines that are arriving in a partition to tasks that wait there, and returns how many tasks are left.
+    fn assign_arriving_machines(
+        &self,
+        to: Partition,
+        tasks: &WaitingTasks,
+        arriving: &mut Vec<(Partition, IdleMachine)>,
+    ) -> u32 {
+        let mut left = tasks.count;
         while left > 0 {
-            let serves = |(p, i): &(Partition, IdleMachine)| *p == to && self.tasks_that_fit(want, i).is_some();
-            let Some(at) = coming.iter().position(serves) else {
+            let is_suitable = |(p, i): &(Partition, IdleMachine)| *p == to && self.tasks_that_fit(tasks, i).is_some();
+            let Some(at) = arriving.iter().position(is_suitable) else {
                 break;
             };
-            let (_, machine) = coming.swap_remove(at);
-            left = left.saturating_sub(self.tasks_that_fit(want, &machine).unwrap_or(1));
+            let (_, machine) = arriving.swap_remove(at);
+            left = left.saturating_sub(self.tasks_that_fit(tasks, &machine).unwrap_or(1));
         }
         left
     }
 
-    /// Chooses idle machines of other partitions for tasks that wait, and returns how many of these are left.
-    fn lend_idle(
+    /// Adds moves of other partitions' idle machines for waiting tasks, and returns how many tasks are left.
+    fn assign_idle_machines(
         &self,
         to: Partition,
-        want: &WaitingTasks,
+        tasks: &WaitingTasks,
         mut left: u32,
         idle: &mut Vec<(Partition, IdleMachine)>,
         moves: &mut Vec<HandOver>,
     ) -> u32 {
         while left > 0 {
-            let serves = |(p, i): &(Partition, IdleMachine)| *p != to && self.tasks_that_fit(want, i).is_some();
-            let Some(at) = idle.iter().position(serves) else {
+            let is_suitable = |(p, i): &(Partition, IdleMachine)| *p != to && self.tasks_that_fit(tasks, i).is_some();
+            let Some(at) = idle.iter().position(is_suitable) else {
                 break;
             };
             let (from, machine) = idle.swap_remove(at);
-            left = left.saturating_sub(self.tasks_that_fit(want, &machine).unwrap_or(1));
+            left = left.saturating_sub(self.tasks_that_fit(tasks, &machine).unwrap_or(1));
             moves.push(HandOver {
                 from,
                 machine,
                 to,
-                how: How::Empty,
+                mode: HandOverMode::Empty,
             });
         }
         left
     }
 
-    /// How many of the tasks that wait an empty machine has room for; none if it would not do.
-    fn tasks_that_fit(&self, want: &WaitingTasks, machine: &IdleMachine) -> Option<u32> {
-        if !want.takes(machine) {
+    /// How many of the waiting tasks fit on a machine while it is empty; none if they may not or cannot run on it.
+    fn tasks_that_fit(&self, tasks: &WaitingTasks, machine: &IdleMachine) -> Option<u32> {
+        if !tasks.takes(machine) {
             return None;
         }
         let model = self.types.iter().find(|t| t.name == machine.model)?;
-        let room = [model.cpus, model.gpus, model.memory_gb];
-        Some(room_for(&want.size, &room)).filter(|n| *n > 0)
+        let capacity = [model.cpus, model.gpus, model.memory_gb];
+        Some(room_for(&tasks.size, &capacity)).filter(|n| *n > 0)
     }
 
-    /// Has the owners of machines asked, with the next greeting, to hand them over.
+    /// Queues requests to the owners of machines to hand them over. They are sent with the next heartbeat.
     fn request_moves(&mut self, moves: Vec<HandOver>) {
         let now = self.now.ms;
-        for HandOver { from, machine, to, how } in moves {
+        for HandOver {
+            from,
+            machine,
+            to,
+            mode,
+        } in moves
+        {
             let Some(owner) = self.holding(from).map(|h| h.owner.clone()) else {
                 continue;
             };
-            self.cloud.moves.entry(owner).or_default().push(Move {
+            self.cloud.moves_to_send.entry(owner).or_default().push(Move {
                 machine: machine.machine.clone(),
                 to,
-                vacate: how == How::Vacated,
-                occupied: how == How::Occupied,
+                vacate: mode == HandOverMode::Vacated,
+                occupied: mode == HandOverMode::Occupied,
+            });
+            self.cloud.pending_hand_overs.push(PendingHandOver {
+                machine,
+                to,
+                requested_at: now,
             });
-            self.cloud.lent.push(Lent { machine, to, at: now });
         }
     }
 
-    /// Hands over machines as the leader asks, if they are still empty, or still yield.
-    pub(super) fn carry_out(&mut self, moves: Vec<Move>) {
-        for mv in moves {
+    /// Starts the hand-overs that the leader has requested, for machines that are still empty, may go with their
+    /// tasks, or are still preemptible.
+    pub(super) fn execute_moves(&mut self, moves: Vec<Move>) {
+        for request in moves {
             let now = self.now.ms;
-            let patience = 2 * self.settings.report_ms();
-            let Some(m) = self.machines.get(&mv.machine) else {
+            let max_report_age_ms = 2 * self.settings.report_ms();
+            let Some(m) = self.machines.get(&request.machine) else {
                 continue;
             };
-            if m.partition == mv.to || !m.usable(now, patience) || self.acting(m.partition).is_none() {
+            if m.partition == request.to || !m.usable(now, max_report_age_ms) || self.acting(m.partition).is_none() {
                 continue;
             }
             if m.clean() {
-                self.log(Level::Info, format!("{} goes to partition {}", mv.machine, mv.to));
-                self.hand_over(&mv.machine, mv.to);
-            } else if mv.occupied && self.may_share_machines() && self.may_go_occupied(m) {
+                self.log(
+                    Level::Info,
+                    format!("{} goes to partition {}", request.machine, request.to),
+                );
+                self.hand_over(&request.machine, request.to);
+            } else if request.occupied && self.may_share_machines() && self.may_go_occupied(m) {
                 let tasks = m.held.len();
                 self.log(
                     Level::Info,
                     format!(
                         "{} goes to partition {} with the {tasks} tasks on it",
-                        mv.machine, mv.to
+                        request.machine, request.to
                     ),
                 );
-                self.hand_over(&mv.machine, mv.to);
-            } else if mv.vacate && self.yielding(m).is_some() {
-                self.vacate(&mv.machine, mv.to);
+                self.hand_over(&request.machine, request.to);
+            } else if request.vacate && self.preemption_loss_s(m).is_some() {
+                self.vacate(&request.machine, request.to);
             }
         }
     }
 
-    /// Stops what is on a machine, to hand it over once that is gone.
+    /// Stops the tasks on a machine, which is handed over once they are gone.
     fn vacate(&mut self, id: &MachineId, to: Partition) {
         let now = self.now.ms;
         let Some(m) = self.machines.get_mut(id) else { return };
@@ -301,20 +335,21 @@
         }
     }
 
-    /// Hands over what has been vacated; gives up what does not become empty.
+    /// Hands over the machines that have become empty, and cancels the vacating of those that have not become empty
+    /// within two report intervals.
     pub(crate) fn finish_vacating(&mut self) {
         if !self.entitled() {
             return;
         }
         let now = self.now.ms;
-        let patience = 2 * self.settings.report_ms();
+        let timeout_ms = 2 * self.settings.report_ms();
         let mut ready = Vec::new();
         for (id, m) in &mut self.machines {
             let Some((to, since)) = m.vacating else { continue };
             if m.clean() {
                 m.vacating = None;
                 ready.push((id.clone(), to));
-            } else if now.saturating_sub(since) > patience {
+            } else if now.saturating_sub(since) > timeout_ms {
                 m.vacating = None;
             }
         }
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -1,4 +1,5 @@
-//! The messages between controllers: heartbeats with lease grants, digests, and machines to hand over.
+//! Heartbeats between controllers. They carry requests for grants, digests, cancellations, liveness information and
+//! permits; the replies carry grants, machines to hand over, and the kinds of machine that the cloud refuses.
 
 use crate::calls::Purpose;
 use crate::controller::Controller;
@@ -6,14 +7,16 @@
 use crate::messages::{Digest, MachineRequest, Move, PeerReply, PeerRequest, PermitGrants};
 
 impl Controller {
+    /// Sends heartbeats to the peers for which one is due.
     pub(crate) fn say_hello(&mut self) {
         self.greet(false);
     }
 
-    /// Greets the peers whose turn it is; with `at_once` all that lack a cancellation.
+    /// Sends heartbeats to the peers for which one is due or a failure detector probe is wanted; with `at_once` also to
+    /// all peers that have not been told of a cancellation yet.
     pub(crate) fn greet(&mut self, at_once: bool) {
         let now = self.now.ms;
-        let every = self.settings.heartbeat_ms();
+        let interval_ms = self.settings.heartbeat_ms();
         let leader = self.member.leader.as_ref().map(|(l, _)| l.name.clone());
         let wants_grant = self.wants_grants();
         let names: Vec<String> = self
@@ -26,9 +29,9 @@
         for name in names {
             let to = ControllerId::new(name);
             let urgent = (at_once && self.lacks_cancellations(&to)) || self.contact_due(&to);
-            let (told, span, _) = self.tell_cancellations(&to);
+            let (told, told_span, _) = self.tell_cancellations(&to);
             let peer = self.member.peers.entry(to.clone()).or_default();
-            let due = peer.asked == 0 || now >= peer.asked + every;
+            let due = peer.asked == 0 || now >= peer.asked + interval_ms;
             if peer.asking || !(due || urgent) {
                 continue;
             }
@@ -37,7 +40,7 @@
                 peer.asked = now.max(1);
             }
             peer.asked_grant = wants_grant;
-            // Digests cost a look at every machine: one that goes out of its turn does without.
+            // Computing digests looks at every machine, so a heartbeat sent out of turn carries none.
             let digests = if due && leader.as_ref() == Some(&to) && self.entitled() {
                 self.own_digests()
             } else {
@@ -59,43 +62,45 @@
             let purpose = Purpose::Heartbeat {
                 to: to.clone(),
                 sent: now,
-                told: span,
+                told: told_span,
             };
             self.ask(to, request, timeout, purpose);
         }
     }
 
+    /// Handles a peer's heartbeat and replies to it. `peer_flags` says whether the peer is entitled to act, wants a
+    /// grant, and relies on a grant of this controller.
     pub(crate) fn on_hello(
         &mut self,
         id: u64,
         from: ControllerId,
-        stands: (bool, bool, bool),
+        peer_flags: (bool, bool, bool),
         digests: Vec<Digest>,
         permits: Option<Box<PermitGrants>>,
     ) {
         let now = self.now.ms;
-        let (entitled, wants_grant, relies) = stands;
-        let (told, _, whole) = self.tell_cancellations(&from);
-        let granted = wants_grant && whole && self.give_grant();
+        let (entitled, wants_grant, relies) = peer_flags;
+        let (told, _, is_complete) = self.tell_cancellations(&from);
+        let granted = wants_grant && is_complete && self.give_grant();
         self.note_reliance(&from, relies || granted);
-        let lead = self.is_leader();
+        let is_leader = self.is_leader();
         if let Some(peer) = self.member.peers.get_mut(&from) {
             peer.entitled = entitled;
             peer.heard = Some(now);
         }
         let mut moves = Vec::new();
         let mut refused = Vec::new();
-        if lead {
+        if is_leader {
             for digest in digests {
-                // Only the owner speaks for a partition.
+                // Digests of a partition are accepted only from its owner.
                 if self.holding(digest.partition).is_some_and(|h| h.owner == from) {
                     self.cloud.digests.insert(digest.partition, (digest, now));
                 }
             }
-            moves = self.cloud.moves.remove(&from).unwrap_or_default();
+            moves = self.cloud.moves_to_send.remove(&from).unwrap_or_default();
             refused = self
                 .cloud
-                .refused
+                .refused_until
                 .iter()
                 .filter(|(_, t)| now < **t)
                 .map(|((model, zone, spot), _)| MachineRequest {
@@ -126,16 +131,17 @@
         });
     }
 
+    /// Handles the machines to hand over and the refused kinds in the leader's reply to a heartbeat.
     pub(crate) fn on_moves(&mut self, from: &ControllerId, moves: Vec<Move>, refused: Vec<MachineRequest>) {
-        let leads = self.member.leader.as_ref().is_some_and(|(l, _)| l.name == *from);
-        if !leads || self.is_leader() {
+        let is_from_leader = self.member.leader.as_ref().is_some_and(|(l, _)| l.name == *from);
+        if !is_from_leader || self.is_leader() {
             return;
         }
         let until = self.now.ms + self.settings.report_ms();
-        self.cloud.refused = refused
+        self.cloud.refused_until = refused
             .into_iter()
             .map(|n| ((n.model, n.zone, n.spot), until))
             .collect();
-        self.carry_out(moves);
+        self.execute_moves(moves);
     }
 }
--- a/crates/tidelatch-core/src/capacity/planning.rs
+++ b/crates/tidelatch-core/src/capacity/planning.rs
@@ -1,4 +1,5 @@
-//! What machines would do for what waits: pure functions over wishes and lanes.
+//! Capacity planning: which waiting tasks can wait for existing machines, and which machines to request for the others.
+//! All functions here are pure.
 
 use crate::ids::Partition;
 use crate::messages::{MachineRequest, WaitingTasks};
@@ -7,48 +8,48 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Kind of machine: type, zone, spot.
-pub type Kind = (String, String, bool);
+/// A kind of machine: its type, its zone, and whether it is a spot machine.
+pub type MachineKind = (String, String, bool);
 
-/// Tasks of one job that found no machine.
+/// Tasks of one job for which placement found no machine.
 #[derive(Debug, Clone)]
 pub struct UnplacedTasks {
     /// The job's partition.
     pub partition: Partition,
-    /// What each takes.
+    /// Processors, accelerators and memory (GB) that each task takes.
     pub size: Amounts,
-    /// Allowed types.
+    /// Allowed machine types; none: any.
     pub models: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone; none: any.
     pub zone: Option<String>,
-    /// All in one zone.
+    /// All tasks of the job must run in one zone.
     pub one_zone: bool,
-    /// Most in one zone.
+    /// Maximum number of the job's tasks in one zone; none: no limit.
     pub most_per_zone: Option<u32>,
-    /// Tasks now in each zone.
+    /// Number of the job's tasks in each zone.
     pub in_zone: BTreeMap<String, u32>,
-    /// May use spot machines.
+    /// The tasks may run on spot machines.
     pub spot: bool,
-    /// A service.
+    /// The job is a service.
     pub service: bool,
-    /// Production work.
+    /// The job is production work.
     pub urgent: bool,
-    /// Seconds until it has to be started to be in time.
+    /// Seconds until the tasks have to start to meet their deadline.
     pub slack_s: f64,
-    /// Within its team's guarantee, together with the team's earlier jobs.
+    /// The job is within its team's guarantee, together with the team's earlier jobs.
     pub guaranteed: bool,
     /// Seconds from submission to deadline; 0: none.
     pub deadline_s: f64,
-    /// Estimated run time; 0 for services.
+    /// Estimated run time in seconds; 0 for services.
     pub run_s: f64,
-    /// Size of the image.
+    /// Size of the image in GB.
     pub image_gb: f64,
-    /// How many.
+    /// Number of tasks.
     pub count: u32,
 }
 
 impl UnplacedTasks {
-    /// A wish for none yet, in a job's terms.
+    /// An entry with the requirements of a job and a count of 0.
     pub fn new(partition: Partition, terms: &JobTerms, urgent: bool, slack_s: f64) -> Self {
         Self {
             partition,
@@ -70,16 +71,16 @@
         }
     }
 
-    /// The same as the leader sees it.
-    fn want(&self, zones: &[String]) -> WaitingTasks {
-        let open = |z: &&String| {
+    /// The summary of the tasks that the leader gets in a digest. `zones` are all zones of the deployment.
+    fn to_waiting_tasks(&self, zones: &[String]) -> WaitingTasks {
+        let is_allowed = |z: &&String| {
             self.zone.as_ref().is_none_or(|x| x == *z)
                 && (!self.one_zone || self.in_zone.iter().all(|(x, n)| *n == 0 || x == *z))
                 && self
                     .most_per_zone
                     .is_none_or(|most| self.in_zone.get(*z).copied().unwrap_or(0) < most)
         };
-        let allowed: Vec<String> = zones.iter().filter(open).cloned().collect();
+        let allowed: Vec<String> = zones.iter().filter(is_allowed).cloned().collect();
         WaitingTasks {
             models: self.models.clone().unwrap_or_default(),
             zones: if allowed.len() == zones.len() {
@@ -94,6 +95,7 @@
         }
     }
 
+    /// Whether the next task may run on a kind of machine.
     fn allows(&self, model: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.models.as_ref().is_none_or(|m| m.iter().any(|x| x == model))
@@ -105,41 +107,41 @@
     }
 }
 
-/// A machine that is on its way, or that would be rented.
+/// A machine that is expected, or that would be rented.
 #[derive(Debug, Clone)]
-pub struct Coming {
-    /// Type.
+pub struct PendingMachine {
+    /// Machine type.
     pub model: String,
     /// Zone.
     pub zone: String,
-    /// Spot machine.
+    /// It is a spot machine.
     pub spot: bool,
-    /// Room left.
+    /// Processors, accelerators and memory (GB) that are not assigned yet.
     pub free: Amounts,
 }
 
-/// A machine that is there or on its way, with the times at which room becomes free on it.
+/// A machine that is running or booting, with the times at which capacity on it becomes free.
 #[derive(Debug, Clone)]
 pub struct Lane {
-    /// Type.
+    /// Machine type.
     pub model: String,
     /// Zone.
     pub zone: String,
-    /// Spot machine.
+    /// It is a spot machine.
     pub spot: bool,
-    /// Room now (or once it has booted).
+    /// Processors, accelerators and memory (GB) that are free now, or once it has booted.
     pub free: Amounts,
-    /// Seconds until it has booted; 0: it is up.
+    /// Seconds until it is expected to have booted; 0: it is running.
     pub ready_s: f64,
-    /// What is on it: seconds until it is expected to end, and its size. Services are left out, for
-    /// their room does not become free.
+    /// The tasks on it, sorted by end: seconds until each is expected to end, and its size. Services are left out,
+    /// because their capacity does not become free.
     pub busy: Vec<(f64, Amounts)>,
 }
 
 impl Lane {
-    /// The earliest time at which a task of some size could start, and how many of the tasks now on
-    /// the machine must have ended by then.
-    fn earliest(&self, size: &Amounts) -> Option<(f64, usize)> {
+    /// The earliest time (in seconds from now) at which a task of a size could start, and how many of the tasks on the
+    /// machine must have ended by then. None if it could never start.
+    fn earliest_start(&self, size: &Amounts) -> Option<(f64, usize)> {
         let mut free = self.free;
         if room_for(size, &free) > 0 {
             return Some((self.ready_s, 0));
@@ -153,140 +155,149 @@
         None
     }
 
-    fn take(&mut self, size: &Amounts, start: f64, ended: usize, run_s: f64) {
+    /// Reserves capacity for a task that starts at `start_s`, once the first `ended` tasks have ended.
+    fn reserve(&mut self, size: &Amounts, start_s: f64, ended: usize, run_s: f64) {
         for (_, size) in self.busy.drain(..ended) {
             self.free.iter_mut().zip(size).for_each(|(f, s)| *f += s);
         }
         self.free.iter_mut().zip(size).for_each(|(f, s)| *f -= s);
-        let end = start + run_s;
-        let at = self.busy.partition_point(|(t, _)| *t <= end);
-        self.busy.insert(at, (end, *size));
+        let end_s = start_s + run_s;
+        let at = self.busy.partition_point(|(t, _)| *t <= end_s);
+        self.busy.insert(at, (end_s, *size));
     }
 }
 
-/// Takes off the wishes what machines that are there or on their way will do in time. What is left
-/// needs machines of its own.
+/// Assigns unplaced tasks to machines that are running or booting and can start them in time, and subtracts them from
+/// `unplaced`. The tasks that are left need more machines.
 ///
-/// A task may wait for room as long as it will still be in time, and in any case as long as a machine
+/// A task may wait for capacity as long as it will still be in time, and in any case as long as a machine
 /// rented now would take to boot. Services and guaranteed work wait no longer than `patience_s`.
 ///
-/// Where the cloud refuses every kind that would do, tasks wait for room for half of their slack: what
-/// is left after that asks for machines that other partitions might lend or vacate.
+/// If the cloud refuses every kind of machine that a task could use, the task waits for capacity for half of its
+/// slack. For the tasks that are left after that, machines are requested that other partitions might hand over or
+/// vacate.
 pub fn absorb(
-    wishes: &mut [UnplacedTasks],
-    lanes: &mut [Lane],
+    unplaced: &mut [UnplacedTasks],
+    timelines: &mut [Lane],
     types: &[MachineType],
-    refused: &dyn Fn(&Kind) -> bool,
+    refused: &dyn Fn(&MachineKind) -> bool,
     patience_s: f64,
 ) {
     let boot_s = types.iter().map(|t| t.boot_s).fold(f64::MAX, f64::min);
     if boot_s == f64::MAX {
         return;
     }
-    wishes.sort_by(|a, b| b.urgent.cmp(&a.urgent).then(a.slack_s.total_cmp(&b.slack_s)));
-    for wish in wishes {
-        // What a machine rented now could not finish in time either need not cost one.
-        let hopeless = wish.slack_s < boot_s;
-        let late = wish.slack_s + 0.5 * wish.deadline_s - 0.5 * wish.run_s;
-        let none = all_refused(wish, types, refused);
-        let limit = if hopeless {
-            late.max(0.5 * boot_s)
-        } else if none {
-            (0.5 * wish.slack_s).max(0.5 * boot_s)
+    unplaced.sort_by(|a, b| b.urgent.cmp(&a.urgent).then(a.slack_s.total_cmp(&b.slack_s)));
+    for tasks in unplaced {
+        // No machine is rented for tasks that a machine rented now could not finish in time either.
+        let is_too_late_to_rent = tasks.slack_s < boot_s;
+        let late_start_s = tasks.slack_s + 0.5 * tasks.deadline_s - 0.5 * tasks.run_s;
+        let is_cloud_exhausted = all_kinds_refused(tasks, types, refused);
+        let limit_s = if is_too_late_to_rent {
+            late_start_s.max(0.5 * boot_s)
+        } else if is_cloud_exhausted {
+            (0.5 * tasks.slack_s).max(0.5 * boot_s)
         } else {
             boot_s
         };
-        let limit = if wish.guaranteed && !none {
-            limit.min(patience_s)
+        let limit_s = if tasks.guaranteed && !is_cloud_exhausted {
+            limit_s.min(patience_s)
         } else {
-            limit
+            limit_s
         };
-        let limit = if wish.service { 0.0 } else { limit };
-        // Room that is free, or will be once its machine has booted, is always taken: a machine rented
-        // now would be no faster. Only the lane that was taken changes, so the lanes are looked at once
-        // for each wish and not for each task: with hundreds of both, that was most of the processor time.
-        let mut open: BinaryHeap<Reverse<Opening>> = lanes
+        let limit_s = if tasks.service { 0.0 } else { limit_s };
+        // Capacity that is free now, or will be once its machine has booted, is always used: a machine rented
+        // now would be no faster. Only the timeline that was used changes, so all timelines are examined once
+        // per job and not once per task: with hundreds of both, the latter took most of the processor time.
+        let mut candidates: BinaryHeap<Reverse<StartOption>> = timelines
             .iter()
             .enumerate()
-            .filter(|(_, l)| wish.allows(&l.model, &l.zone, l.spot))
-            .filter_map(|(lane, l)| Opening::of(l, lane, &wish.size, limit))
+            .filter(|(_, l)| tasks.allows(&l.model, &l.zone, l.spot))
+            .filter_map(|(at, l)| StartOption::of(l, at, &tasks.size, limit_s))
             .map(Reverse)
             .collect();
-        while wish.count > 0 {
-            let Some(Reverse(Opening {
+        while tasks.count > 0 {
+            let Some(Reverse(StartOption {
                 start_s,
                 ended,
-                lane: at,
-            })) = open.pop()
+                timeline: at,
+            })) = candidates.pop()
             else {
                 break;
             };
-            let Some(lane) = lanes.get_mut(at) else { break };
-            // What is allowed only shrinks, as zones fill up.
-            if !wish.allows(&lane.model, &lane.zone, lane.spot) {
+            let Some(timeline) = timelines.get_mut(at) else { break };
+            // The set of allowed machines only shrinks, as zones reach their limits.
+            if !tasks.allows(&timeline.model, &timeline.zone, timeline.spot) {
                 continue;
             }
             let fetch_s = types
                 .iter()
-                .find(|t| t.name == lane.model)
-                .map_or(0.0, |t| wish.image_gb / t.fetch_gb_per_s.max(1e-3));
-            let run_s = if wish.service { f64::MAX } else { wish.run_s + fetch_s };
-            lane.take(&wish.size, start_s, ended, run_s);
-            open.extend(Opening::of(lane, at, &wish.size, limit).map(Reverse));
-            *wish.in_zone.entry(lane.zone.clone()).or_default() += 1;
-            wish.count -= 1;
+                .find(|t| t.name == timeline.model)
+                .map_or(0.0, |t| tasks.image_gb / t.fetch_gb_per_s.max(1e-3));
+            let run_s = if tasks.service { f64::MAX } else { tasks.run_s + fetch_s };
+            timeline.reserve(&tasks.size, start_s, ended, run_s);
+            candidates.extend(StartOption::of(timeline, at, &tasks.size, limit_s).map(Reverse));
+            *tasks.in_zone.entry(timeline.zone.clone()).or_default() += 1;
+            tasks.count -= 1;
         }
     }
 }
 
-/// Whether the cloud refuses every kind of machine that would do.
-fn all_refused(wish: &UnplacedTasks, types: &[MachineType], refused: &dyn Fn(&Kind) -> bool) -> bool {
-    let fits = |t: &&MachineType| room_for(&wish.size, &[t.cpus, t.gpus, t.memory_gb]) > 0;
-    let to_be_had = |t: &MachineType| {
+/// Whether the cloud refuses every kind of machine that the tasks could use.
+fn all_kinds_refused(tasks: &UnplacedTasks, types: &[MachineType], refused: &dyn Fn(&MachineKind) -> bool) -> bool {
+    let is_large_enough = |t: &&MachineType| room_for(&tasks.size, &[t.cpus, t.gpus, t.memory_gb]) > 0;
+    let is_available = |t: &MachineType| {
         t.zones.iter().any(|zone| {
             let kind = |spot| (t.name.clone(), zone.clone(), spot);
             [true, false]
                 .into_iter()
-                .any(|spot| wish.allows(&t.name, zone, spot) && !refused(&kind(spot)))
+                .any(|spot| tasks.allows(&t.name, zone, spot) && !refused(&kind(spot)))
         })
     };
-    !types.iter().filter(fits).any(to_be_had)
+    !types.iter().filter(is_large_enough).any(is_available)
 }
 
-/// Where and when a task could start.
+/// A machine on which a task could start, and when. Ordered by start time, then by index.
 #[derive(Debug, PartialEq)]
-struct Opening {
+struct StartOption {
+    /// Seconds from now.
     start_s: f64,
-    lane: usize,
-    /// Tasks now on the machine that must have ended by then.
+    /// Index of the machine's timeline.
+    timeline: usize,
+    /// Number of tasks on the machine that must have ended by then.
     ended: usize,
 }
 
-impl Opening {
-    fn of(lane: &Lane, at: usize, size: &Amounts, limit: f64) -> Option<Self> {
-        let (start_s, ended) = lane.earliest(size)?;
-        (ended == 0 || start_s <= limit).then_some(Self {
+impl StartOption {
+    /// The earliest start of a task on a machine. None if the task would have to wait there for others to end for
+    /// longer than `limit_s`.
+    fn of(timeline: &Lane, at: usize, size: &Amounts, limit_s: f64) -> Option<Self> {
+        let (start_s, ended) = timeline.earliest_start(size)?;
+        (ended == 0 || start_s <= limit_s).then_some(Self {
             start_s,
-            lane: at,
+            timeline: at,
             ended,
         })
     }
 }
 
-impl Eq for Opening {}
+impl Eq for StartOption {}
 
-impl Ord for Opening {
+impl Ord for StartOption {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.start_s.total_cmp(&other.start_s).then(self.lane.cmp(&other.lane))
+        self.start_s
+            .total_cmp(&other.start_s)
+            .then(self.timeline.cmp(&other.timeline))
     }
 }
 
-impl PartialOrd for Opening {
+impl PartialOrd for StartOption {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
+/// How many tasks of a size fit into free capacity; `u32::MAX` for tasks that take nothing.
 pub(crate) fn room_for(size: &Amounts, free: &Amounts) -> u32 {
     size.iter()
         .zip(free)
@@ -296,176 +307,192 @@
         .unwrap_or(u32::MAX)
 }
 
-/// Machines of one kind that are to be rented.
-struct Need {
+/// Machines to request of one kind.
+struct Demand {
     count: u32,
+    /// They are for production work.
     urgent: bool,
+    /// A machine in another zone could be used as well.
     any_zone: bool,
 }
 
-/// A kind that would do for a task, and what it costs.
-struct Offer {
-    /// Price of a task on a full machine.
+/// A kind of machine that a task could use, and its cost.
+struct Candidate {
+    /// Price per task on a full machine.
     cost: f64,
-    /// How many machines and tasks of the job its zone has already.
-    crowd: u32,
-    kind: Kind,
+    /// Load of its zone: the partition's machines and, with a higher weight, the job's tasks there.
+    zone_load: u32,
+    kind: MachineKind,
+    /// Processors, accelerators and memory (GB) of an empty machine.
     total: Amounts,
 }
 
-impl Offer {
-    /// Cheaper than another one, or as cheap in an emptier zone.
+impl Candidate {
+    /// Whether it is cheaper than another one, or equally cheap in a less loaded zone.
     fn is_better_than(&self, other: &Self) -> bool {
-        self.cost < other.cost - COST_SLACK || (self.cost < other.cost + COST_SLACK && self.crowd < other.crowd)
+        self.cost < other.cost - COST_TOLERANCE
+            || (self.cost < other.cost + COST_TOLERANCE && self.zone_load < other.zone_load)
     }
 }
 
-/// Costs that differ by less are the same.
-const COST_SLACK: f64 = 1e-9;
-/// A task of the job in a zone weighs as much as this many machines there.
-const TASK_CROWD: u32 = 8;
+/// Costs that differ by less count as equal.
+const COST_TOLERANCE: f64 = 1e-9;
+/// Weight of one of the job's tasks in a zone's load, in machines.
+const ZONE_LOAD_PER_TASK: u32 = 8;
 
-/// The kind that costs least for a task. Where the cloud refuses all that would do, the cheapest is named all the
-/// same: another partition may have one to lend or to vacate.
-fn best_offer(
-    wish: &UnplacedTasks,
+/// The kind of machine that costs least for a task. If the cloud refuses all kinds that the task could use, the
+/// cheapest one is returned anyway: another partition may have such a machine to hand over or to vacate.
+fn cheapest_candidate(
+    tasks: &UnplacedTasks,
     types: &[MachineType],
-    refused: &dyn Fn(&Kind) -> bool,
-    in_zones: &BTreeMap<String, u32>,
-) -> Option<Offer> {
-    let mut best: Option<Offer> = None;
-    let mut best_refused: Option<Offer> = None;
-    for offer in types.iter().flat_map(|t| offers_of_type(wish, t, in_zones)) {
-        let best = if refused(&offer.kind) {
+    refused: &dyn Fn(&MachineKind) -> bool,
+    machines_per_zone: &BTreeMap<String, u32>,
+) -> Option<Candidate> {
+    let mut best: Option<Candidate> = None;
+    let mut best_refused: Option<Candidate> = None;
+    for candidate in types
+        .iter()
+        .flat_map(|t| candidates_of_type(tasks, t, machines_per_zone))
+    {
+        let best = if refused(&candidate.kind) {
             &mut best_refused
         } else {
             &mut best
         };
-        if best.as_ref().is_none_or(|best| offer.is_better_than(best)) {
-            *best = Some(offer);
+        if best.as_ref().is_none_or(|best| candidate.is_better_than(best)) {
+            *best = Some(candidate);
         }
     }
     best.or(best_refused)
 }
 
-/// What a machine type offers to a task, by zone and for spot machines first.
-fn offers_of_type(wish: &UnplacedTasks, t: &MachineType, in_zones: &BTreeMap<String, u32>) -> Vec<Offer> {
+/// The kinds of one machine type that a task could use: by zone, each with the spot machine first.
+fn candidates_of_type(
+    tasks: &UnplacedTasks,
+    t: &MachineType,
+    machines_per_zone: &BTreeMap<String, u32>,
+) -> Vec<Candidate> {
     let total = [t.cpus, t.gpus, t.memory_gb];
-    // Full machines are assumed: what this job leaves free, the next one takes.
-    let fit = room_for(&wish.size, &total);
+    // The cost assumes full machines: other jobs use the capacity that this one leaves free.
+    let fit = room_for(&tasks.size, &total);
     if fit == 0 {
         return Vec::new();
     }
-    // Time spent fetching is paid for too.
-    let fetch_s = wish.image_gb / t.fetch_gb_per_s.max(1e-3);
-    let overhead = if wish.run_s > 0.0 {
-        1.0 + fetch_s / wish.run_s
+    // The time that a machine spends fetching the image is paid for too.
+    let fetch_s = tasks.image_gb / t.fetch_gb_per_s.max(1e-3);
+    let fetch_factor = if tasks.run_s > 0.0 {
+        1.0 + fetch_s / tasks.run_s
     } else {
         1.0
     };
     let count = |zones: &BTreeMap<String, u32>, zone: &str| zones.get(zone).copied().unwrap_or(0);
     let kinds = t.zones.iter().flat_map(|zone| [(zone, true), (zone, false)]);
-    let allowed = kinds.filter(|(zone, spot)| wish.allows(&t.name, zone, *spot));
-    let offer = |(zone, spot): (&String, bool)| Offer {
-        cost: if spot { t.spot_price } else { t.price } / f64::from(fit) * overhead,
-        crowd: count(in_zones, zone) + TASK_CROWD * count(&wish.in_zone, zone),
+    let allowed = kinds.filter(|(zone, spot)| tasks.allows(&t.name, zone, *spot));
+    let candidate = |(zone, spot): (&String, bool)| Candidate {
+        cost: if spot { t.spot_price } else { t.price } / f64::from(fit) * fetch_factor,
+        zone_load: count(machines_per_zone, zone) + ZONE_LOAD_PER_TASK * count(&tasks.in_zone, zone),
         kind: (t.name.clone(), zone.clone(), spot),
         total,
     };
-    allowed.map(offer).collect()
+    allowed.map(candidate).collect()
 }
 
-/// Places tasks on machines that are coming, until one finds no room.
-fn fill_coming(wish: &mut UnplacedTasks, coming: &mut [Coming], from: &mut usize) {
-    while wish.count > 0 {
-        let found = coming
+/// Assigns tasks to expected machines, from index `from` on, until a task fits on none of them. Advances `from` past
+/// the machines on which the tasks don't fit.
+fn assign_to_pending(tasks: &mut UnplacedTasks, pending: &mut [PendingMachine], from: &mut usize) {
+    while tasks.count > 0 {
+        let found = pending
             .iter()
             .skip(*from)
-            .position(|c| wish.allows(&c.model, &c.zone, c.spot) && room_for(&wish.size, &c.free) > 0);
-        *from += found.unwrap_or(coming.len());
-        let Some(c) = coming.get_mut(*from) else {
-            *from = coming.len();
+            .position(|c| tasks.allows(&c.model, &c.zone, c.spot) && room_for(&tasks.size, &c.free) > 0);
+        *from += found.unwrap_or(pending.len());
+        let Some(c) = pending.get_mut(*from) else {
+            *from = pending.len();
             return;
         };
-        c.free.iter_mut().zip(wish.size).for_each(|(f, s)| *f -= s);
-        *wish.in_zone.entry(c.zone.clone()).or_default() += 1;
-        wish.count -= 1;
+        c.free.iter_mut().zip(tasks.size).for_each(|(f, s)| *f -= s);
+        *tasks.in_zone.entry(c.zone.clone()).or_default() += 1;
+        tasks.count -= 1;
     }
 }
 
-/// The machines to rent for what finds no room on those that are coming: for each task the kind that
-/// costs least for it, counting how many of its like fit on one.
+/// Plans the machines to request for tasks that don't fit on expected machines: for each task the kind with the lowest
+/// cost per task on a full machine.
+///
+/// `machines_per_zone` is the number of the partition's machines in each zone.
 pub fn plan(
-    wishes: &[UnplacedTasks],
-    mut coming: Vec<Coming>,
+    unplaced: &[UnplacedTasks],
+    mut pending: Vec<PendingMachine>,
     types: &[MachineType],
-    refused: &dyn Fn(&Kind) -> bool,
-    in_zones: &BTreeMap<String, u32>,
+    refused: &dyn Fn(&MachineKind) -> bool,
+    machines_per_zone: &BTreeMap<String, u32>,
 ) -> Vec<MachineRequest> {
-    let mut needs: BTreeMap<Kind, Need> = BTreeMap::new();
-    let mut in_zones = in_zones.clone();
-    let mut order: Vec<&UnplacedTasks> = wishes.iter().collect();
+    let mut demands: BTreeMap<MachineKind, Demand> = BTreeMap::new();
+    let mut machines_per_zone = machines_per_zone.clone();
+    let mut order: Vec<&UnplacedTasks> = unplaced.iter().collect();
     order.sort_by(|a, b| b.urgent.cmp(&a.urgent).then(a.slack_s.total_cmp(&b.slack_s)));
-    for wish in order {
-        let mut wish = wish.clone();
-        // What has no room for one task of a job has none for the next: room and zones only fill up.
-        let mut from = 0;
+    for tasks in order {
+        let mut tasks = tasks.clone();
+        // A machine on which one task of a job doesn't fit is skipped for the next ones: its free capacity and the
+        // allowed zones only shrink.
+        let mut first_candidate = 0;
         loop {
-            fill_coming(&mut wish, &mut coming, &mut from);
-            if wish.count == 0 {
+            assign_to_pending(&mut tasks, &mut pending, &mut first_candidate);
+            if tasks.count == 0 {
                 break;
             }
-            let Some(offer) = best_offer(&wish, types, refused, &in_zones) else {
+            let Some(candidate) = cheapest_candidate(&tasks, types, refused, &machines_per_zone) else {
                 break;
             };
-            let need = needs.entry(offer.kind.clone()).or_insert(Need {
+            let demand = demands.entry(candidate.kind.clone()).or_insert(Demand {
                 count: 0,
                 urgent: false,
                 any_zone: true,
             });
-            need.count += 1;
-            need.urgent |= wish.urgent;
-            need.any_zone &= wish.zone.is_none() && !wish.one_zone && wish.in_zone.values().all(|n| *n == 0);
-            *in_zones.entry(offer.kind.1.clone()).or_default() += 1;
-            coming.push(Coming {
-                model: offer.kind.0,
-                zone: offer.kind.1,
-                spot: offer.kind.2,
-                free: offer.total,
+            demand.count += 1;
+            demand.urgent |= tasks.urgent;
+            demand.any_zone &= tasks.zone.is_none() && !tasks.one_zone && tasks.in_zone.values().all(|n| *n == 0);
+            *machines_per_zone.entry(candidate.kind.1.clone()).or_default() += 1;
+            pending.push(PendingMachine {
+                model: candidate.kind.0,
+                zone: candidate.kind.1,
+                spot: candidate.kind.2,
+                free: candidate.total,
             });
         }
     }
-    let request = |((model, zone, spot), need): (Kind, Need)| MachineRequest {
+    let request = |((model, zone, spot), demand): (MachineKind, Demand)| MachineRequest {
         model,
         zone,
         spot,
-        count: need.count,
-        urgent: need.urgent,
-        any_zone: need.any_zone,
+        count: demand.count,
+        urgent: demand.urgent,
+        any_zone: demand.any_zone,
     };
-    needs.into_iter().map(request).collect()
+    demands.into_iter().map(request).collect()
 }
 
-/// Most kinds of waiting tasks in a digest.
-const WANTS: usize = 40;
+/// Maximum number of entries for waiting tasks in a digest.
+const MAX_WAITING_ENTRIES_PER_DIGEST: usize = 40;
 
-/// Puts together what waits in the same terms, production work and the most first.
-pub(super) fn wants(wishes: &[UnplacedTasks], zones: &[String]) -> Vec<WaitingTasks> {
-    let mut wants: Vec<WaitingTasks> = Vec::new();
-    for wish in wishes.iter().filter(|w| w.count > 0) {
-        let want = wish.want(zones);
-        let same = |w: &&mut WaitingTasks| {
-            w.size == want.size
-                && w.zones == want.zones
-                && w.models == want.models
-                && (w.spot, w.urgent) == (want.spot, want.urgent)
+/// Merges waiting tasks with the same requirements, and sorts the result by production work first, then by descending
+/// count.
+pub(super) fn summarize_waiting_tasks(unplaced: &[UnplacedTasks], zones: &[String]) -> Vec<WaitingTasks> {
+    let mut summary: Vec<WaitingTasks> = Vec::new();
+    for tasks in unplaced.iter().filter(|w| w.count > 0) {
+        let waiting = tasks.to_waiting_tasks(zones);
+        let has_same_requirements = |w: &&mut WaitingTasks| {
+            w.size == waiting.size
+                && w.zones == waiting.zones
+                && w.models == waiting.models
+                && (w.spot, w.urgent) == (waiting.spot, waiting.urgent)
         };
-        match wants.iter_mut().find(same) {
-            Some(w) => w.count += want.count,
-            None => wants.push(want),
+        match summary.iter_mut().find(has_same_requirements) {
+            Some(w) => w.count += waiting.count,
+            None => summary.push(waiting),
         }
     }
-    wants.sort_by(|a, b| b.urgent.cmp(&a.urgent).then(b.count.cmp(&a.count)));
-    wants.truncate(WANTS);
-    wants
+    summary.sort_by(|a, b| b.urgent.cmp(&a.urgent).then(b.count.cmp(&a.count)));
+    summary.truncate(MAX_WAITING_ENTRIES_PER_DIGEST);
+    summary
 }
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -1,69 +1,83 @@
-//! Renting, returning, and finding what stands in no roster.
+//! Renting and returning machines, and finding machines that are paid for but not in the roster.
 
-use super::{Kind, RENTAL};
+use super::{MAX_MACHINES_PER_RENTAL, MachineKind};
 use crate::calls::Purpose;
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
 use crate::messages::{Level, Method};
 use crate::protocol::{MachineList, MachineNames, Rental};
-use crate::roster::Rented;
+use crate::roster::RentedMachine;
 use std::collections::BTreeMap;
 
 impl Controller {
-    pub(super) fn send_rentals(&mut self, wanted: BTreeMap<Kind, Vec<(Partition, bool)>>) {
-        if let Some((rental, split)) = self.cloud.retry.pop() {
-            if self.cloud_budget(0.0) {
-                self.rent(rental, split);
+    /// Sends rental requests for the wanted machines, kinds with the most production work first. A rental without a
+    /// definite answer is retried before anything else is rented.
+    pub(super) fn send_rentals(&mut self, wanted: BTreeMap<MachineKind, Vec<(Partition, bool)>>) {
+        if let Some((rental, partitions)) = self.cloud.rentals_to_retry.pop() {
+            if self.take_cloud_budget(0.0) {
+                self.rent(rental, partitions);
             } else {
-                self.cloud.retry.push((rental, split));
+                self.cloud.rentals_to_retry.push((rental, partitions));
             }
             return;
         }
-        if self.cloud.renting > 0 || !self.cloud.unlisted.is_empty() {
+        if self.cloud.rentals_in_flight > 0 || !self.cloud.pending_registration.is_empty() {
             return;
         }
-        let Some((_, leader_stamp)) = self.member.leader.clone() else {
+        let Some((_, leader_revision)) = self.member.leader.clone() else {
             return;
         };
         let now = self.now.ms;
-        let mut kinds: Vec<(Kind, Vec<(Partition, bool)>)> = wanted.into_iter().collect();
-        kinds.sort_by_key(|(_, w)| std::cmp::Reverse(w.iter().filter(|(_, urgent)| *urgent).count()));
-        for (kind, parts) in kinds {
-            if self.cloud.refused.contains_key(&kind) || !self.cloud_budget(0.0) {
+        let mut kinds: Vec<(MachineKind, Vec<(Partition, bool)>)> = wanted.into_iter().collect();
+        kinds.sort_by_key(|(_, machines)| std::cmp::Reverse(machines.iter().filter(|(_, urgent)| *urgent).count()));
+        for (kind, machines) in kinds {
+            if self.cloud.refused_until.contains_key(&kind) || !self.take_cloud_budget(0.0) {
                 continue;
             }
-            for (n, chunk) in parts.chunks(RENTAL).enumerate() {
-                let scarce = self.cloud.scarce.get(&kind);
-                let scarce = scarce.is_some_and(|t| now.saturating_sub(*t) < 8 * self.settings.worker_lease_ms());
-                if n > 0 && (scarce || !self.cloud_budget(0.0)) {
+            for (n, chunk) in machines.chunks(MAX_MACHINES_PER_RENTAL).enumerate() {
+                let exhausted_at = self.cloud.exhausted_at.get(&kind);
+                let is_exhausted =
+                    exhausted_at.is_some_and(|t| now.saturating_sub(*t) < 8 * self.settings.worker_lease_ms());
+                if n > 0 && (is_exhausted || !self.take_cloud_budget(0.0)) {
                     break;
                 }
-                let split: Vec<Partition> = chunk.iter().map(|(p, _)| *p).collect();
+                let partitions: Vec<Partition> = chunk.iter().map(|(p, _)| *p).collect();
                 self.cloud.rental_count += 1;
-                // The revision at which this leader took its key is nobody else's.
+                // The revision at which this leader wrote the leader key is unique to it, so the request id is unique
+                // too.
                 let rental = Rental {
-                    request: format!("r-{leader_stamp}-{}", self.cloud.rental_count),
+                    request: format!("r-{leader_revision}-{}", self.cloud.rental_count),
                     model: kind.0.clone(),
                     zone: kind.1.clone(),
                     spot: kind.2,
-                    count: split.len() as u32,
+                    count: partitions.len() as u32,
                 };
-                self.rent(rental, split);
+                self.rent(rental, partitions);
             }
         }
     }
 
-    pub(super) fn rent(&mut self, rental: Rental, split: Vec<Partition>) {
-        self.cloud.renting += 1;
+    /// Sends one rental request. `partitions` holds, for each machine, the partition that it is for.
+    pub(super) fn rent(&mut self, rental: Rental, partitions: Vec<Partition>) {
+        self.cloud.rentals_in_flight += 1;
         let body = serde_json::to_string(&rental).unwrap_or_default();
-        self.cloud_call(Method::Post, "/hosts", body, Purpose::Rent { rental, split });
+        self.send_cloud_request(
+            Method::Post,
+            "/hosts",
+            body,
+            Purpose::Rent {
+                rental,
+                split: partitions,
+            },
+        );
     }
 
-    pub(crate) fn on_rent(&mut self, rental: Rental, split: Vec<Partition>, result: Option<(u16, Vec<u8>)>) {
-        self.cloud.renting = self.cloud.renting.saturating_sub(1);
+    /// Handles the cloud's answer to a rental request.
+    pub(crate) fn on_rent(&mut self, rental: Rental, partitions: Vec<Partition>, result: Option<(u16, Vec<u8>)>) {
+        self.cloud.rentals_in_flight = self.cloud.rentals_in_flight.saturating_sub(1);
         let now = self.now.ms;
         let kind = (rental.model.clone(), rental.zone.clone(), rental.spot);
-        let pause = self.settings.worker_lease_ms();
+        let pause_ms = self.settings.worker_lease_ms();
         match result {
             Some((200, body)) => {
                 let names = serde_json::from_slice::<MachineNames>(&body).map_or(Vec::new(), |n| n.machines);
@@ -78,89 +92,91 @@
                         if rental.spot { " (spot)" } else { "" }
                     ),
                 );
-                if names.len() < split.len() {
-                    self.cloud.refused.insert(kind.clone(), now + pause);
-                    self.cloud.scarce.insert(kind.clone(), now);
+                if names.len() < partitions.len() {
+                    self.cloud.refused_until.insert(kind.clone(), now + pause_ms);
+                    self.cloud.exhausted_at.insert(kind.clone(), now);
                 }
-                for (name, p) in names.into_iter().zip(split) {
-                    self.cloud.unlisted.push(Rented {
+                for (name, partition) in names.into_iter().zip(partitions) {
+                    self.cloud.pending_registration.push(RentedMachine {
                         machine: name,
-                        partition: p,
+                        partition,
                         kind: kind.clone(),
-                        found: false,
+                        is_adopted: false,
                     });
                 }
-                self.write_roster();
+                self.send_new_groups();
             }
             Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
                 self.log(
                     Level::Info,
                     format!("the cloud has no {} in {} (spot: {})", kind.0, kind.1, kind.2),
                 );
-                self.cloud.scarce.insert(kind.clone(), now);
-                self.cloud.refused.insert(kind, now + pause);
+                self.cloud.exhausted_at.insert(kind.clone(), now);
+                self.cloud.refused_until.insert(kind, now + pause_ms);
             }
             Some((400, body)) => {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 self.log(Level::Error, format!("the cloud refused a rental as malformed: {text}"));
-                self.cloud.refused.insert(kind, now + pause);
+                self.cloud.refused_until.insert(kind, now + pause_ms);
             }
-            // 429, an outage, or no answer: the same request again, which rents nothing twice.
-            _ => self.cloud.retry.push((rental, split)),
+            // 429, an outage, or no answer: the same request is sent again. Its id makes it idempotent.
+            _ => self.cloud.rentals_to_retry.push((rental, partitions)),
         }
     }
 
-    /// Machines that report but are in nobody's roster: rentals that were carried out late.
-    pub(super) fn adopt_strangers(&mut self) {
+    /// Adds machines to the roster that send reports but are not in it. They come from rentals that the cloud carried
+    /// out late.
+    pub(super) fn adopt_unregistered_machines(&mut self) {
         let now = self.now.ms;
-        let patience = 2 * self.settings.report_ms();
-        let known: Vec<MachineId> = self
+        let min_age_ms = 2 * self.settings.report_ms();
+        let registered: Vec<MachineId> = self
             .cloud
-            .strangers
+            .unregistered
             .keys()
             .filter(|id| self.machines.contains_key(*id))
             .cloned()
             .collect();
-        for id in known {
-            self.cloud.strangers.remove(&id);
+        for id in registered {
+            self.cloud.unregistered.remove(&id);
         }
         self.cloud
-            .strangers
-            .retain(|_, s| now.saturating_sub(s.seen) < 2 * patience);
-        if self.cloud.renting > 0 || !self.cloud.unlisted.is_empty() {
+            .unregistered
+            .retain(|_, m| now.saturating_sub(m.last_seen_at) < 2 * min_age_ms);
+        if self.cloud.rentals_in_flight > 0 || !self.cloud.pending_registration.is_empty() {
             return;
         }
-        let due: Vec<(MachineId, Kind)> = self
+        let to_adopt: Vec<(MachineId, MachineKind)> = self
             .cloud
-            .strangers
+            .unregistered
             .iter()
-            .filter(|(_, s)| s.lives && now.saturating_sub(s.since) > patience)
-            .map(|(id, s)| (id.clone(), s.kind.clone()))
+            .filter(|(_, m)| m.is_alive && now.saturating_sub(m.first_seen_at) > min_age_ms)
+            .map(|(id, m)| (id.clone(), m.kind.clone()))
             .collect();
-        for (id, kind) in due {
-            let to = self
+        for (id, kind) in to_adopt {
+            let partition = self
                 .cloud
                 .digests
                 .iter()
                 .max_by(|a, b| a.1.0.demand.total_cmp(&b.1.0.demand))
                 .map_or(Partition(0), |(p, _)| *p);
             self.log(Level::Info, format!("{id} reports but is in no roster: taking it in"));
-            self.cloud.strangers.remove(&id);
-            self.cloud.unlisted.push(Rented {
+            self.cloud.unregistered.remove(&id);
+            self.cloud.pending_registration.push(RentedMachine {
                 machine: id,
-                partition: to,
+                partition,
                 kind,
-                found: true,
+                is_adopted: true,
             });
         }
     }
 
-    /// Marks machines to be returned: idle ones, and faulty ones once they are empty.
-    pub(super) fn retire(&mut self) {
+    /// Marks the empty machines that are to be returned to the cloud: those that have been idle for too long, and those
+    /// that are faulty or drained.
+    pub(super) fn mark_retiring_machines(&mut self) {
         let now = self.now.ms;
         let acting = self.acting_partitions();
         let idle_per_boot = self.settings.operator.idle_per_boot;
-        let mut log = Vec::new();
+        let mut log_lines = Vec::new();
         let jobs = &self.jobs;
         for (id, m) in &mut self.machines {
             if !acting.contains(&m.partition) || m.retiring || m.gone || m.moving.is_some() || !m.up() {
@@ -172,19 +188,19 @@
             if m.has_unstored_results(jobs) {
                 continue;
             }
-            let boot = self.types.iter().find(|t| t.name == m.model).map_or(60.0, |t| t.boot_s);
-            // A spot machine that goes may have to be made up for by an ordinary one: the dearer that is,
-            // the longer it is kept.
+            let boot_s = self.types.iter().find(|t| t.name == m.model).map_or(60.0, |t| t.boot_s);
+            // If a spot machine is returned, an on-demand machine may have to replace it. The more that one costs by
+            // comparison, the longer the spot machine is kept.
             let t = self.types.iter().find(|t| t.name == m.model);
-            let dearer = match t {
+            let price_ratio = match t {
                 Some(t) if m.spot => (t.price / t.spot_price.max(1e-9)).clamp(1.0, 5.0),
                 _ => 1.0,
             };
-            let limit = (boot * idle_per_boot * dearer * 1000.0) as u64;
-            let idle = m.idle_since.is_some_and(|t| now.saturating_sub(t) > limit);
-            if idle || m.suspect || m.draining {
+            let idle_limit_ms = (boot_s * idle_per_boot * price_ratio * 1000.0) as u64;
+            let is_idle_too_long = m.idle_since.is_some_and(|t| now.saturating_sub(t) > idle_limit_ms);
+            if is_idle_too_long || m.suspect || m.draining {
                 m.retiring = true;
-                log.push(format!(
+                log_lines.push(format!(
                     "{id}: {}: returning it",
                     if m.suspect {
                         "faulty"
@@ -196,13 +212,14 @@
                 ));
             }
         }
-        for text in log {
+        for text in log_lines {
             self.log(Level::Info, text);
         }
     }
 
-    pub(super) fn send_deletes(&mut self) {
-        if self.cloud.deleting {
+    /// Sends a deletion request for the machines that are marked to be returned, at most 100 at a time.
+    pub(super) fn send_deletions(&mut self) {
+        if self.cloud.deletion_in_flight {
             return;
         }
         let names: Vec<MachineId> = self
@@ -212,7 +229,7 @@
             .map(|(id, _)| id.clone())
             .take(100)
             .collect();
-        if names.is_empty() || !self.cloud_budget(0.0) {
+        if names.is_empty() || !self.take_cloud_budget(0.0) {
             return;
         }
         for id in &names {
@@ -223,79 +240,90 @@
         self.delete(names);
     }
 
+    /// Sends a deletion request for the given machines.
     pub(super) fn delete(&mut self, machines: Vec<MachineId>) {
-        self.cloud.deleting = true;
+        self.cloud.deletion_in_flight = true;
         let body = serde_json::to_string(&MachineNames {
             machines: machines.clone(),
         })
         .unwrap_or_default();
-        self.cloud_call(Method::Post, "/hosts/delete", body, Purpose::Delete { machines });
+        self.send_cloud_request(Method::Post, "/hosts/delete", body, Purpose::Delete { machines });
     }
 
+    /// Handles the cloud's answer to a deletion request.
     pub(crate) fn on_delete(&mut self, machines: Vec<MachineId>, result: Option<(u16, Vec<u8>)>) {
-        self.cloud.deleting = false;
-        let done = matches!(result, Some((200, _)));
+        self.cloud.deletion_in_flight = false;
+        let is_deleted = matches!(result, Some((200, _)));
         for id in machines {
             let Some(m) = self.machines.get_mut(&id) else { continue };
             m.deleting = false;
-            if done {
-                // The answer says that the machine and all that was on it are gone.
+            if is_deleted {
+                // The answer confirms that the machine and all tasks on it are gone.
                 m.gone = true;
-                self.cloud.deleted.insert(id.clone(), self.now.ms);
+                self.cloud.deleted_at.insert(id.clone(), self.now.ms);
                 self.release_all(&id, "the cloud has deleted it");
-                // Several that go at about the same time cost one change.
-                let soon = self.now.ms + self.settings.report_ms() / 2;
-                self.group_due(&id, soon);
+                // The delay lets several machines that are deleted at about the same time share one roster write.
+                let write_at = self.now.ms + self.settings.report_ms() / 2;
+                self.group_due(&id, write_at);
             }
         }
     }
 
-    /// Looks for machines that are paid for but in no roster.
-    pub(super) fn list_hosts(&mut self) {
+    /// Requests the next page of the cloud's machine list, to find machines that are paid for but not in the roster.
+    pub(super) fn request_machine_list(&mut self) {
         let now = self.now.ms;
-        let every = (self.settings.platform.facts.cloud.list_lag_s * 2000.0) as u64 + self.settings.report_ms();
-        // The pages of one list follow each other; a page is 500 machines at most.
-        let between = self.cloud.hosts_since.is_empty();
-        if (between && now < self.cloud.hosts_at + every) || !self.cloud_budget(0.3) {
+        let interval_ms = (self.settings.platform.facts.cloud.list_lag_s * 2000.0) as u64 + self.settings.report_ms();
+        // The pages of one listing are requested one after the other without that pause; a page holds at most 500
+        // machines.
+        let is_listing_complete = self.cloud.next_list_cursor.is_empty();
+        if (is_listing_complete && now < self.cloud.list_requested_at + interval_ms) || !self.take_cloud_budget(0.3) {
             return;
         }
-        self.cloud.hosts_at = now;
-        self.cloud.hosts_asked = std::mem::take(&mut self.cloud.hosts_since);
-        let path = format!("/hosts?since={}&most=500", self.cloud.hosts_asked);
-        self.cloud_call(Method::Get, path, String::new(), Purpose::Hosts);
+        self.cloud.list_requested_at = now;
+        self.cloud.requested_list_cursor = std::mem::take(&mut self.cloud.next_list_cursor);
+        let path = format!("/hosts?since={}&most=500", self.cloud.requested_list_cursor);
+        self.send_cloud_request(Method::Get, path, String::new(), Purpose::Hosts);
     }
 
+    /// Handles a page of the cloud's machine list: deletes the machines that are not in the roster.
     pub(crate) fn on_hosts(&mut self, result: Option<(u16, Vec<u8>)>) {
         let Some((200, body)) = result else { return };
         let Ok(list) = serde_json::from_slice::<MachineList>(&body) else {
             return;
         };
-        // Guard: machines beyond the first page would be paid for without end.
-        let last = list.machines.last().map(|m| m.id.as_str().to_owned());
-        self.cloud.hosts_since = last
-            .filter(|l| list.more && *l > self.cloud.hosts_asked)
+        // Without the further pages, machines beyond the first one would never be found and would be paid for
+        // indefinitely.
+        let last_id = list.machines.last().map(|m| m.id.as_str().to_owned());
+        self.cloud.next_list_cursor = last_id
+            .filter(|l| list.more && *l > self.cloud.requested_list_cursor)
             .unwrap_or_default();
-        if !self.is_leader() || self.cloud.renting > 0 || !self.cloud.unlisted.is_empty() || self.cloud.deleting {
+        if !self.is_leader()
+            || self.cloud.rentals_in_flight > 0
+            || !self.cloud.pending_registration.is_empty()
+            || self.cloud.deletion_in_flight
+        {
             return;
         }
-        let old = 4.0 * self.settings.platform.facts.cloud.list_lag_s;
-        let strays: Vec<MachineId> = list
+        let min_age_s = 4.0 * self.settings.platform.facts.cloud.list_lag_s;
+        let unregistered: Vec<MachineId> = list
             .machines
             .into_iter()
-            .filter(|m| m.age_s > old && !self.machines.contains_key(&m.id) && !self.cloud.deleted.contains_key(&m.id))
+            .filter(|m| {
+                m.age_s > min_age_s && !self.machines.contains_key(&m.id) && !self.cloud.deleted_at.contains_key(&m.id)
+            })
             .map(|m| m.id)
             .take(100)
             .collect();
-        if strays.is_empty() || !self.cloud_budget(0.0) {
+        if unregistered.is_empty() || !self.take_cloud_budget(0.0) {
             return;
         }
         self.log(
             Level::Info,
-            format!("{} machines are in no roster: returning them", strays.len()),
+            format!("{} machines are in no roster: returning them", unregistered.len()),
         );
-        for id in &strays {
-            self.cloud.deleted.insert(id.clone(), self.now.ms);
+        for id in &unregistered {
+            self.cloud.deleted_at.insert(id.clone(), self.now.ms);
         }
-        self.delete(strays);
+        self.delete(unregistered);
     }
 }
--- a/crates/tidelatch-core/src/capacity/spare_room.rs
+++ b/crates/tidelatch-core/src/capacity/spare_room.rs
@@ -1,7 +1,8 @@
-//! Machines in use with room for what waits elsewhere, which change hands with their tasks.
+//! Machines in use with free capacity for tasks that wait in another partition, to which they are handed over with
+//! their tasks.
 
-use super::hand_over::{HandOver, How};
-use super::{Kind, Lent};
+use super::hand_over::{HandOver, HandOverMode};
+use super::{MachineKind, PendingHandOver};
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
 use crate::machine_view::Machine;
@@ -10,17 +11,17 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Most machines of one kind that a digest offers for their spare room.
+/// Maximum number of machines of one kind that a digest offers for their spare room.
 const SPARE_ROOM_PER_KIND: usize = 2;
 
-/// The machines with the most free room of each kind.
+/// The offers with the most free accelerators, then processors, of each kind of machine.
 pub(super) fn largest_of_each_kind(mut offers: Vec<SpareRoom>) -> Vec<SpareRoom> {
-    let room = |offer: &SpareRoom| (offer.free[1], offer.free[0]);
-    offers.sort_by(|a, b| room(b).partial_cmp(&room(a)).unwrap_or(Ordering::Equal));
-    let mut taken: BTreeMap<Kind, usize> = BTreeMap::new();
+    let free = |offer: &SpareRoom| (offer.free[1], offer.free[0]);
+    offers.sort_by(|a, b| free(b).partial_cmp(&free(a)).unwrap_or(Ordering::Equal));
+    let mut offered: BTreeMap<MachineKind, usize> = BTreeMap::new();
     offers.retain(|offer| {
         let machine = &offer.machine;
-        let count = taken
+        let count = offered
             .entry((machine.model.clone(), machine.zone.clone(), machine.spot))
             .or_default();
         *count += 1;
@@ -30,7 +31,7 @@
 }
 
 impl Controller {
-    /// What a machine in use has free, if it could change hands with its tasks.
+    /// The free capacity of a machine in use, if the machine can be handed over with its tasks.
     pub(super) fn spare_room(&self, id: &MachineId, machine: &Machine) -> Option<SpareRoom> {
         if machine.held.is_empty() || machine.reserved || !self.may_share_machines() || !self.may_go_occupied(machine) {
             return None;
@@ -47,59 +48,60 @@
         Some(SpareRoom { machine, free })
     }
 
-    /// The spare room that partitions offer, of machines that are not on their way already.
+    /// The spare room that partitions offer, except on machines whose hand-over is pending.
     pub(super) fn spare_room_offered(&self, digests: &[Digest]) -> Vec<(Partition, SpareRoom)> {
-        let moving = |room: &SpareRoom| {
+        let is_moving = |room: &SpareRoom| {
             self.cloud
-                .lent
+                .pending_hand_overs
                 .iter()
                 .any(|l| l.machine.machine == room.machine.machine)
         };
         let offers = digests
             .iter()
             .flat_map(|d| d.spare_room.iter().map(|room| (d.partition, room.clone())));
-        offers.filter(|(_, room)| !moving(room)).collect()
+        offers.filter(|(_, room)| !is_moving(room)).collect()
     }
 
-    /// Where the cloud has no more machines, work that waits gets a machine of another partition with room for it.
-    /// One at a time for a partition: each costs a change of the roster, and the next round sees what came of it.
-    pub(super) fn take_spare_room(
+    /// Chooses a machine of another partition with spare room for waiting tasks, when the cloud refuses every kind of
+    /// machine that they could use. Only one is chosen at a time for a partition: each hand-over costs a write to the
+    /// roster, and the next round takes its result into account.
+    pub(super) fn choose_spare_room(
         &self,
         to: Partition,
-        want: &WaitingTasks,
+        tasks: &WaitingTasks,
         offers: &mut Vec<(Partition, SpareRoom)>,
     ) -> Option<HandOver> {
-        let under_way = |l: &Lent| l.to == to && want.takes(&l.machine);
-        if self.cloud.lent.iter().any(under_way) || !self.all_kinds_refused(want) {
+        let is_arriving = |l: &PendingHandOver| l.to == to && tasks.takes(&l.machine);
+        if self.cloud.pending_hand_overs.iter().any(is_arriving) || !self.all_kinds_refused(tasks) {
             return None;
         }
-        let fit = |(from, room): &(Partition, SpareRoom)| {
-            let takes = *from != to && want.takes(&room.machine);
-            if takes { want.fits(&room.free) } else { 0 }
+        let tasks_that_fit = |(from, room): &(Partition, SpareRoom)| {
+            let is_allowed = *from != to && tasks.takes(&room.machine);
+            if is_allowed { tasks.fits(&room.free) } else { 0 }
         };
         let (at, _) = offers
             .iter()
             .enumerate()
-            .filter(|(_, offer)| fit(offer) > 0)
-            .max_by_key(|(_, offer)| fit(offer))?;
+            .filter(|(_, offer)| tasks_that_fit(offer) > 0)
+            .max_by_key(|(_, offer)| tasks_that_fit(offer))?;
         let (from, room) = offers.swap_remove(at);
         Some(HandOver {
             from,
             machine: room.machine,
             to,
-            how: How::Occupied,
+            mode: HandOverMode::Occupied,
         })
     }
 
-    /// Whether the cloud has lately refused every kind of machine that would do.
-    fn all_kinds_refused(&self, want: &WaitingTasks) -> bool {
-        let fits = |t: &&MachineType| want.fits(&[t.cpus, t.gpus, t.memory_gb]) > 0;
-        let kinds = self.types.iter().filter(fits).flat_map(|t| {
-            let of_zone = |zone: &String| [false, true].map(|spot| (t.name.clone(), zone.clone(), spot));
-            t.zones.iter().flat_map(of_zone).collect::<Vec<Kind>>()
+    /// Whether the cloud has recently refused every kind of machine that the tasks could use.
+    fn all_kinds_refused(&self, tasks: &WaitingTasks) -> bool {
+        let is_large_enough = |t: &&MachineType| tasks.fits(&[t.cpus, t.gpus, t.memory_gb]) > 0;
+        let kinds = self.types.iter().filter(is_large_enough).flat_map(|t| {
+            let kinds_in_zone = |zone: &String| [false, true].map(|spot| (t.name.clone(), zone.clone(), spot));
+            t.zones.iter().flat_map(kinds_in_zone).collect::<Vec<MachineKind>>()
         });
         let mut allowed = kinds
-            .filter(|(model, zone, spot)| want.allows(model, zone, *spot))
+            .filter(|(model, zone, spot)| tasks.allows(model, zone, *spot))
             .peekable();
         allowed.peek().is_some() && allowed.all(|kind| self.cloud.is_refused(&kind, self.now.ms))
     }
--- a/crates/tidelatch-core/src/roster.rs
+++ b/crates/tidelatch-core/src/roster.rs
@@ -1,14 +1,14 @@
-//! The stored roster: which machines there are, whose they are, and which of them may hold tasks.
+//! The stored roster: all machines, the partition that each belongs to, and which of them may hold tasks.
 //!
-//! The state service takes few changes a second, and hundreds of machines come up together. So a value
-//! does not stand for one machine. Machines of one kind that were rented together for one partition
-//! share a *machine group*; and those that come up at about the same time are entered in one *boot batch* with their
-//! addresses. A machine may hold tasks only once it stands in a machine group and in a boot batch: a take-over knows
-//! by that which machines matter, and those that are still booting do not hold it up.
+//! The state service accepts few writes per second, and hundreds of machines come up together. A stored record
+//! therefore covers many machines. Machines of one kind that were rented together for one partition share a
+//! *machine group*, and machines that come up at about the same time are recorded in one *boot batch* with their
+//! addresses. A machine may hold tasks only once it is in a machine group and in a boot batch. A takeover
+//! therefore knows which machines it must confirm, and does not wait for machines that are still booting.
 //!
-//! A machine group is created by the leader and changed by the partition's owner, each time on condition of its
-//! revision; a machine that is handed over goes to a new machine group in the same transaction. A boot batch is never
-//! changed, and deleted once none of its machines is left.
+//! A machine group is created by the leader and changed by the partition's owner. Each write is conditional on the
+//! group's revision. A machine that is handed over moves to a new machine group in the same transaction. A boot batch
+//! is never changed, and is deleted once none of its machines is left.
 
 mod boot_batches;
 mod group_changes;
@@ -20,85 +20,94 @@
 use boot_batches::BootedMachine;
 use groups::MachineGroup;
 pub use records::{BootEntry, GroupRecord};
-pub(crate) use rentals::Rented;
+pub(crate) use rentals::RentedMachine;
 
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machine groups, boot batches, and the changes of them that are under way.
+/// Machine groups and boot batches as known to this controller, and the writes to them that are due or in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Roster {
     groups: BTreeMap<String, MachineGroup>,
+    /// The machines of each boot batch, by the batch's name.
     boot_batches: BTreeMap<String, Vec<MachineId>>,
-    addresses: BTreeMap<MachineId, BootEntry>,
-    listed: BTreeSet<String>,
-    /// Machine groups with something to be written, and from when on.
-    due: BTreeMap<String, u64>,
+    /// Boot entries of all machines in boot batches.
+    boot_entries: BTreeMap<MachineId, BootEntry>,
+    /// Names of the machine groups seen so far in the listing that is in progress.
+    listed_groups: BTreeSet<String>,
+    /// Machine groups that have to be written, and from when on, in milliseconds.
+    due_writes: BTreeMap<String, u64>,
+    /// Machines that have come up and are not in a boot batch yet.
     booted: Vec<BootedMachine>,
-    booted_due: u64,
-    /// Boot batches without a clear answer, to be sent again.
-    unsure: Vec<BootBatch>,
-    boot_batches_sent: u32,
-    swept: u64,
-    /// The leader's new machine groups: sent, and not clear yet.
-    creating: Vec<(String, GroupRecord)>,
-    creating_sent: bool,
+    /// When the next boot batch is due, in milliseconds.
+    boot_batch_due_at: u64,
+    /// Boot batches that were written without a definite answer, to be sent again.
+    unconfirmed_boot_batches: Vec<BootBatch>,
+    /// Number of boot batches that this incarnation has named; makes their names unique.
+    boot_batch_count: u32,
+    /// When boot batches were last searched for ones that can be deleted, in milliseconds.
+    last_sweep_at: u64,
+    /// The leader's new machine groups, planned or sent, until the outcome of their write is known.
+    new_groups: Vec<(String, GroupRecord)>,
+    new_groups_in_flight: bool,
 }
 
 impl Controller {
-    /// Bytes that a machine group or a boot batch is filled up to: what it says of its machines may grow by some digits.
+    /// Maximum size in bytes of a machine group or boot batch when it is written: 3/4 of the limit on a value,
+    /// because the numbers that it holds about its machines may grow by some digits.
     pub(crate) fn fill(&self) -> usize {
         self.limits.value * 3 / 4
     }
 
-    /// At the start of a tenure nothing of what was being entered for the partition counts any more.
+    /// Drops the pending roster writes of a partition at the start of a tenure.
     pub(crate) fn reset_roster(&mut self, partition: Partition) {
-        let mut askers = Vec::new();
+        let mut requesters = Vec::new();
         let machines = &self.machines;
         self.roster.booted.retain_mut(|n| {
-            let other = machines.get(&n.machine).is_some_and(|m| m.partition != partition);
-            if !other {
-                askers.extend(n.asker.take());
+            let is_of_other_partition = machines.get(&n.machine).is_some_and(|m| m.partition != partition);
+            if !is_of_other_partition {
+                requesters.extend(n.requester.take());
             }
-            other
+            is_of_other_partition
         });
         let now = self.now.ms;
-        for (name, r) in self
+        for (name, group) in self
             .roster
             .groups
             .iter_mut()
-            .filter(|(_, r)| r.record.part == partition)
+            .filter(|(_, group)| group.record.part == partition)
         {
-            r.sending = false;
-            r.settles_at = None;
-            // An earlier owner may have ended while it split this one.
-            let here = |id: &MachineId| machines.get(id).is_some_and(|m| m.group == *name);
-            if !r.record.m.keys().all(here) {
-                self.roster.due.entry(name.clone()).or_insert(now);
+            group.write_in_flight = false;
+            group.refused_at = None;
+            // An earlier owner may have ended while it was splitting this group.
+            let is_in_group = |id: &MachineId| machines.get(id).is_some_and(|m| m.group == *name);
+            if !group.record.m.keys().all(is_in_group) {
+                self.roster.due_writes.entry(name.clone()).or_insert(now);
             }
         }
-        for asker in askers {
-            self.answer_first_report(asker, None);
+        for requester in requesters {
+            self.answer_first_report(requester, None);
         }
     }
 
-    /// Writes what is due: machines that have booted, machine groups that change, and boot batches that can go.
+    /// Sends the roster writes that are due: new boot batches and changed machine groups. Also marks boot batches
+    /// that can be deleted.
     pub(crate) fn tick_roster(&mut self) {
         if !self.entitled() {
             return;
         }
-        self.send_booted();
+        self.send_boot_batches();
         let now = self.now.ms;
         let due: Vec<String> = self
             .roster
-            .due
+            .due_writes
             .iter()
             .filter(|(_, at)| now >= **at)
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
-            self.send_group(&name);
+            self.send_group_write(&name);
         }
         self.sweep_boot_batches();
     }
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -1,6 +1,6 @@
-//! Machines that have come up: their first reports, and the boot batches that they are entered in.
+//! Machines that have come up: their first reports, and the boot batches in which they are recorded.
 
-use super::records::{BootEntry, SEATS, entry_bytes};
+use super::records::{BootEntry, MAX_MACHINES_PER_RECORD, entry_bytes};
 use crate::calls::{Asker, Purpose};
 use crate::controller::Controller;
 use crate::ids::MachineId;
@@ -9,29 +9,33 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// A first report that waits for its machine to be entered.
+/// A machine that has sent its first report and is not in a boot batch yet.
 #[derive(Debug, Clone)]
 pub(super) struct BootedMachine {
     pub(super) machine: MachineId,
     pub(super) entry: BootEntry,
-    pub(super) asker: Option<Asker>,
-    pub(super) since: u64,
+    /// Waits for the answer to the first report; none once it has been answered.
+    pub(super) requester: Option<Asker>,
+    /// When the first report came, in milliseconds.
+    pub(super) reported_at: u64,
 }
 
-/// A boot batch on its way to the store. It is sent until there is a clear answer, always the same.
+/// A boot batch that is being written to the state service. The same write is repeated until there is a definite
+/// answer.
 #[derive(Debug, Clone)]
 pub(crate) struct BootBatch {
+    /// Name of the batch: its key without the prefix.
     key: String,
     entries: BTreeMap<MachineId, BootEntry>,
 }
 
 impl Controller {
-    /// A boot batch was written, or deleted.
+    /// Applies a boot batch that was written, or deleted (`value` is none).
     pub(crate) fn apply_boot_batch(&mut self, name: &str, value: Option<Value>) {
         let entries = value.and_then(|v| serde_json::from_value::<BTreeMap<MachineId, BootEntry>>(v).ok());
         let Some(entries) = entries else {
             for id in self.roster.boot_batches.remove(name).unwrap_or_default() {
-                self.roster.addresses.remove(&id);
+                self.roster.boot_entries.remove(&id);
             }
             return;
         };
@@ -42,15 +46,16 @@
             if let Some(m) = self.machines.get_mut(&id) {
                 m.come_up(&entry.addr, entry.seen);
             }
-            self.roster.addresses.insert(id, entry);
+            self.roster.boot_entries.insert(id, entry);
         }
     }
 
-    /// A machine's first report: it may hold tasks only once a boot batch says that it is up.
-    pub(crate) fn store_first_report(&mut self, asker: Asker, report: &Report) {
+    /// Queues a machine's first report for the next boot batch. The machine may hold tasks only once a boot batch
+    /// records that it is up.
+    pub(crate) fn store_first_report(&mut self, requester: Asker, report: &Report) {
         let now = self.now.ms;
         if self.roster.booted.is_empty() {
-            self.roster.booted_due = now + self.settings.batch_wait_ms();
+            self.roster.boot_batch_due_at = now + self.settings.batch_wait_ms();
         }
         if let Some(m) = self.machines.get_mut(&report.machine) {
             m.storing = true;
@@ -61,15 +66,17 @@
                 addr: report.addr.clone(),
                 seen: (report.session, report.seq),
             },
-            asker: Some(asker),
-            since: now,
+            requester: Some(requester),
+            reported_at: now,
         });
     }
 
-    pub(super) fn answer_first_report(&mut self, asker: Asker, machine: Option<(&MachineId, (u64, u64))>) {
+    /// Answers a first report, with commands if the machine is recorded and has not reported since. `machine` is the
+    /// recorded machine with the session and sequence number of the report; none if it was not recorded.
+    pub(super) fn answer_first_report(&mut self, requester: Asker, machine: Option<(&MachineId, (u64, u64))>) {
         let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
             let later = crate::messages::Answer::later(503, 1, "not entitled to act at present");
-            self.answer(asker, later);
+            self.answer(requester, later);
             return;
         };
         let commands = match machine {
@@ -78,76 +85,79 @@
             }
             _ => Vec::new(),
         };
-        self.answer_orders(asker, epoch, commands);
+        self.answer_orders(requester, epoch, commands);
     }
 
-    pub(super) fn send_booted(&mut self) {
+    /// Sends an unconfirmed boot batch again, and the next new boot batch if it is due.
+    pub(super) fn send_boot_batches(&mut self) {
         let now = self.now.ms;
-        // Nobody waits for longer than a worker's patience allows.
-        let patience = self.settings.report_ms();
-        let mut late = Vec::new();
+        // A first report is answered within a report interval, before the worker gives up on it.
+        let max_wait_ms = self.settings.report_ms();
+        let mut overdue = Vec::new();
         for n in &mut self.roster.booted {
-            if now.saturating_sub(n.since) > patience {
-                late.extend(n.asker.take());
+            if now.saturating_sub(n.reported_at) > max_wait_ms {
+                overdue.extend(n.requester.take());
             }
         }
-        for asker in late {
-            self.answer_first_report(asker, None);
+        for requester in overdue {
+            self.answer_first_report(requester, None);
         }
-        let mine = |c: &Self, id: &MachineId| c.machines.get(id).is_some_and(|m| c.acting(m.partition).is_some());
-        if let Some(batch) = self.roster.unsure.pop() {
+        let is_own = |c: &Self, id: &MachineId| c.machines.get(id).is_some_and(|m| c.acting(m.partition).is_some());
+        if let Some(batch) = self.roster.unconfirmed_boot_batches.pop() {
             if self.state_writes.take(now, 0.0, 0.0) {
-                if batch.entries.keys().any(|id| mine(self, id)) {
+                if batch.entries.keys().any(|id| is_own(self, id)) {
                     self.send_boot_batch(batch, Vec::new());
                 }
             } else {
-                self.roster.unsure.push(batch);
+                self.roster.unconfirmed_boot_batches.push(batch);
             }
         }
-        if self.roster.booted.is_empty() || now < self.roster.booted_due {
+        if self.roster.booted.is_empty() || now < self.roster.boot_batch_due_at {
             return;
         }
         if !self.state_writes.take(now, 0.0, 0.0) {
             return;
         }
-        let fill = self.fill();
+        let max_bytes = self.fill();
         let mut bytes = 2;
         let fits = |n: &&BootedMachine| {
             bytes += entry_bytes(&n.machine, &n.entry);
-            bytes <= fill
+            bytes <= max_bytes
         };
-        let n = self.roster.booted.iter().take(SEATS).take_while(fits).count().max(1);
-        let batch: Vec<BootedMachine> = self.roster.booted.drain(..n).collect();
+        let candidates = self.roster.booted.iter().take(MAX_MACHINES_PER_RECORD);
+        let count = candidates.take_while(fits).count().max(1);
+        let booted: Vec<BootedMachine> = self.roster.booted.drain(..count).collect();
         let mut entries = BTreeMap::new();
-        let mut askers = Vec::new();
-        for n in batch {
-            askers.extend(n.asker.map(|a| (a, n.machine.clone(), n.entry.seen)));
-            if mine(self, &n.machine) {
+        let mut requesters = Vec::new();
+        for n in booted {
+            requesters.extend(n.requester.map(|r| (r, n.machine.clone(), n.entry.seen)));
+            if is_own(self, &n.machine) {
                 entries.insert(n.machine, n.entry);
             } else if let Some(m) = self.machines.get_mut(&n.machine) {
                 m.storing = false;
             }
         }
         let Some(first) = entries.keys().next() else {
-            for (asker, _, _) in askers {
-                self.answer_first_report(asker, None);
+            for (requester, _, _) in requesters {
+                self.answer_first_report(requester, None);
             }
             return;
         };
-        // The epoch, and the number of a process's life, make the name one of its own.
+        // The incarnation and the batch's number in it make the name unique.
         let first = first.clone();
         let key = self.boot_batch_key(&first);
-        self.send_boot_batch(BootBatch { key, entries }, askers);
+        self.send_boot_batch(BootBatch { key, entries }, requesters);
     }
 
+    /// A unique name for a boot batch, from its first machine, this controller's incarnation and a counter.
     fn boot_batch_key(&mut self, first: &MachineId) -> String {
-        self.roster.boot_batches_sent += 1;
-        let (life, number) = (self.member.inc.0, self.roster.boot_batches_sent);
-        format!("{first}.{life:x}.{number}")
+        self.roster.boot_batch_count += 1;
+        let (incarnation, number) = (self.member.inc.0, self.roster.boot_batch_count);
+        format!("{first}.{incarnation:x}.{number}")
     }
 
-    /// A boot batch was too large: two of half its size take its place. Should an earlier copy of it land all the
-    /// same, it says no more than they do.
+    /// Replaces a boot batch that was too large with two of half its size. If an earlier copy of its write is applied
+    /// all the same, it holds no more than they do.
     fn halve_boot_batch(&mut self, batch: BootBatch) {
         let half = batch.entries.len().div_ceil(2);
         let mut first = batch.entries;
@@ -156,7 +166,7 @@
             None => BTreeMap::new(),
         };
         if second.is_empty() {
-            // Nothing is left to cut: its machine asks again with its next report.
+            // A batch of one machine cannot be split. The machine's next report queues it again.
             for id in first.keys() {
                 if let Some(m) = self.machines.get_mut(id) {
                     m.storing = false;
@@ -169,62 +179,72 @@
                 continue;
             };
             let key = self.boot_batch_key(&id);
-            self.roster.unsure.push(BootBatch { key, entries });
+            self.roster.unconfirmed_boot_batches.push(BootBatch { key, entries });
         }
     }
 
-    fn send_boot_batch(&mut self, batch: BootBatch, askers: Vec<(Asker, MachineId, (u64, u64))>) {
+    /// Writes a boot batch, on condition that its key does not exist yet and the epoch is current.
+    fn send_boot_batch(&mut self, batch: BootBatch, requesters: Vec<(Asker, MachineId, (u64, u64))>) {
         let key = format!("{BOOT_BATCH_PREFIX}{}", batch.key);
         let conditions = vec![json!({ "k": key, "stamp": 0 }), self.epoch_condition()];
         let changes = vec![json!({ "write": key, "value": batch.entries })];
-        self.txn(conditions, changes, Purpose::BootBatch { batch, askers });
+        self.txn(
+            conditions,
+            changes,
+            Purpose::BootBatch {
+                batch,
+                askers: requesters,
+            },
+        );
     }
 
+    /// Handles the answer to the write of a boot batch.
     pub(crate) fn on_boot_batch(
         &mut self,
         batch: BootBatch,
-        askers: Vec<(Asker, MachineId, (u64, u64))>,
+        requesters: Vec<(Asker, MachineId, (u64, u64))>,
         result: Option<(u16, Vec<u8>)>,
     ) {
-        let refused = matches!(&result, Some((400, _)));
-        let stored = match result {
+        let is_too_large = matches!(&result, Some((400, _)));
+        let is_stored = match result {
             Some((200, _)) => true,
             Some((409, body)) => {
                 let failed = serde_json::from_slice::<TxnAnswer>(&body).unwrap_or_default().failed;
-                // An earlier copy has landed; or else the epoch has moved on.
+                // If the batch's own key failed, an earlier copy of the write was applied. Otherwise the epoch has
+                // changed.
                 failed.iter().any(|k| k.starts_with(BOOT_BATCH_PREFIX))
             }
             _ => false,
         };
-        if stored {
+        if is_stored {
             let value = serde_json::to_value(&batch.entries).ok();
             self.apply_boot_batch(&batch.key, value);
             self.run_batch();
-        } else if refused {
+        } else if is_too_large {
             self.halve_boot_batch(batch);
         } else {
-            // It may yet land. Until it is clear, nothing is placed on these machines.
-            self.roster.unsure.push(batch);
+            // The write may still be applied. Until its outcome is known, nothing is placed on these machines.
+            self.roster.unconfirmed_boot_batches.push(batch);
         }
-        for (asker, id, seen) in askers {
-            self.answer_first_report(asker, Some((&id, seen)).filter(|_| stored));
+        for (requester, id, seen) in requesters {
+            self.answer_first_report(requester, Some((&id, seen)).filter(|_| is_stored));
         }
     }
 
-    /// Marks the boot batches that no machine is left of to be deleted, once in a while.
+    /// Marks boot batches of which no machine is left for deletion. Run by the leader once per worker lease.
     pub(super) fn sweep_boot_batches(&mut self) {
         let now = self.now.ms;
-        if !self.is_leader() || now < self.roster.swept + self.settings.worker_lease_ms() {
+        if !self.is_leader() || now < self.roster.last_sweep_at + self.settings.worker_lease_ms() {
             return;
         }
-        self.roster.swept = now;
+        self.roster.last_sweep_at = now;
         let machines = &self.machines;
-        let done = self
+        let empty = self
             .roster
             .boot_batches
             .iter()
             .filter(|(_, ids)| !ids.iter().any(|id| machines.contains_key(id)));
-        let keys: Vec<String> = done.map(|(name, _)| format!("{BOOT_BATCH_PREFIX}{name}")).collect();
+        let keys: Vec<String> = empty.map(|(name, _)| format!("{BOOT_BATCH_PREFIX}{name}")).collect();
         for key in keys {
             if !self.cloud.stale_keys.contains(&key) {
                 self.cloud.stale_keys.push(key);
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -1,4 +1,5 @@
-//! Changes of machine groups: machines that are gone or go to other partitions, and machine groups that are split.
+//! Writes of changed machine groups: removal of deleted machines, hand-overs to other partitions, and splits of groups
+//! that are too large.
 
 use super::groups::MachineGroup;
 use super::records::{GroupRecord, entry_bytes};
@@ -13,65 +14,65 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A partition that machines go to, and the partitions whose tasks may still be on them.
+/// The partition that machines are handed over to, and the other partitions whose tasks may still be on them.
 type Destination = (Partition, BTreeSet<Partition>);
 
-/// A machine group's machines by where they are to stand.
+/// The machines of a machine group, divided by their destination.
 struct Division {
-    /// Those that stay in the machine group's partition.
+    /// Machines that stay in the group's partition.
     staying: GroupRecord,
-    /// Those that go elsewhere.
+    /// Machines that are handed over to other partitions.
     moving: BTreeMap<Destination, GroupRecord>,
 }
 
-/// The values of one change of a machine group.
+/// The values that one write of a changed machine group stores.
 struct GroupChange {
     /// New machine groups, by name.
     created: Vec<(String, GroupRecord)>,
-    /// What is left in the machine group itself; none if it stays as it is, because it is taken apart in steps.
-    rest: Option<GroupRecord>,
-    /// Machines go to other partitions.
-    hands_over: bool,
+    /// The group's own new value. None if the group keeps its value, because it is being split in steps.
+    remaining: Option<GroupRecord>,
+    /// Machines are handed over to other partitions.
+    has_hand_overs: bool,
 }
 
-/// A machine group's machines in as many machine groups as hold them.
-fn split(group: &GroupRecord, fill: usize) -> Vec<GroupRecord> {
+/// Splits a machine group into groups of at most `max_bytes` each. A group of one machine may be larger.
+fn split_group(group: &GroupRecord, max_bytes: usize) -> Vec<GroupRecord> {
     let empty = group.without_machines();
-    let base = bytes_of(&empty);
+    let empty_bytes = bytes_of(&empty);
     let mut pieces: Vec<(usize, GroupRecord)> = Vec::new();
     for (id, seen) in &group.m {
-        let more = entry_bytes(id, seen);
-        match pieces.last_mut().filter(|(bytes, _)| bytes + more <= fill) {
+        let added_bytes = entry_bytes(id, seen);
+        match pieces.last_mut().filter(|(bytes, _)| bytes + added_bytes <= max_bytes) {
             Some((bytes, piece)) => {
-                *bytes += more;
+                *bytes += added_bytes;
                 piece.m.insert(id.clone(), *seen);
             }
             None => {
                 let mut piece = empty.clone();
                 piece.m.insert(id.clone(), *seen);
-                pieces.push((base + more, piece));
+                pieces.push((empty_bytes + added_bytes, piece));
             }
         }
     }
     pieces.into_iter().map(|(_, piece)| piece).collect()
 }
 
-/// The name of a new machine group. A machine stands in one machine group of a revision, so its name makes one that nobody
-/// has used.
-fn new_name(group: &str, stamp: Stamp, record: &GroupRecord, word: &str) -> String {
+/// A unique name for a new machine group: its first machine, the revision of the group that it comes from, and a
+/// suffix. A machine is in only one machine group at a revision, so no other group has this name.
+fn new_group_name(group: &str, revision: Stamp, record: &GroupRecord, suffix: &str) -> String {
     let first = record.m.keys().next().map_or(group, MachineId::as_str);
-    format!("{first}.{stamp}.{word}")
+    format!("{first}.{revision}.{suffix}")
 }
 
-/// The store's key of a machine group.
+/// The state service key of a machine group.
 fn group_key(name: &str) -> String {
     format!("{ROSTER_PREFIX}{name}")
 }
 
 impl Controller {
-    /// Writes a machine group without the machines that are gone or go elsewhere.
-    pub(super) fn send_group(&mut self, name: &str) {
-        if !self.may_send_group(name) {
+    /// Writes a machine group without the machines that have been deleted or are handed over.
+    pub(super) fn send_group_write(&mut self, name: &str) {
+        if !self.is_ready_to_write(name) {
             return;
         }
         let Some(group) = self.roster.groups.get(name) else {
@@ -80,40 +81,40 @@
         if self.acting(group.record.part).is_none() {
             return;
         }
-        let (stamp, step) = (group.stamp, group.step);
+        let (revision, step_revision) = (group.revision, group.step_revision);
         let division = self.divide_group(name, group);
         let staying = &division.staying;
         if staying.m.len() == group.record.m.len() && staying.also_holds == group.record.also_holds {
-            self.roster.due.remove(name);
+            self.roster.due_writes.remove(name);
             return;
         }
-        let change = self.plan_group_change(name, stamp, division);
-        let reserve = if change.hands_over { 0.1 } else { 0.3 };
+        let change = self.plan_group_change(name, revision, division);
+        let reserve = if change.has_hand_overs { 0.1 } else { 0.3 };
         if !self.state_writes.take(self.now.ms, 0.0, reserve) {
             return;
         }
-        self.roster.due.remove(name);
-        self.send_group_change(name, stamp, step, change);
+        self.roster.due_writes.remove(name);
+        self.send_group_change(name, revision, step_revision, change);
     }
 
-    /// Whether no earlier change of a machine group is unclear. Once the watch has told what has become of a refused
-    /// one, the hand-overs in it are off.
-    fn may_send_group(&mut self, name: &str) -> bool {
-        let ledger = self.member.ledger;
+    /// Whether the outcome of all earlier writes of a machine group is known, so that it can be written again. Once the
+    /// watch has reached the revision at which a write was refused, the hand-overs in that write are cancelled.
+    fn is_ready_to_write(&mut self, name: &str) -> bool {
+        let revision = self.member.ledger;
         let Some(group) = self.roster.groups.get_mut(name) else {
-            self.roster.due.remove(name);
+            self.roster.due_writes.remove(name);
             return false;
         };
-        if group.sending {
+        if group.write_in_flight {
             return false;
         }
-        let Some(at) = group.settles_at else {
+        let Some(refused_at) = group.refused_at else {
             return true;
         };
-        if ledger < at {
+        if revision < refused_at {
             return false;
         }
-        group.settles_at = None;
+        group.refused_at = None;
         for id in group.record.m.keys() {
             if let Some(m) = self.machines.get_mut(id).filter(|m| m.group == name) {
                 m.moving = None;
@@ -122,7 +123,7 @@
         true
     }
 
-    /// Sorts a machine group's machines by where they are to stand.
+    /// Divides a machine group's machines by destination, leaving out machines that have been deleted.
     fn divide_group(&self, name: &str, group: &MachineGroup) -> Division {
         let mut division = Division {
             staying: group.record.clone(),
@@ -132,9 +133,15 @@
         for id in group.record.m.keys() {
             let machine = self.machines.get(id);
             let Some(m) = machine.filter(|m| m.group == name) else {
-                // It has been entered in a later machine group, or has left that already: this one was being split.
-                let later = |m: &Machine| self.roster.groups.get(&m.group).is_some_and(|r| r.stamp > group.stamp);
-                if machine.is_none_or(later) {
+                // The machine is in a machine group with a later revision, or has already left that one, because this
+                // group was being split.
+                let is_in_later_group = |m: &Machine| {
+                    self.roster
+                        .groups
+                        .get(&m.group)
+                        .is_some_and(|g| g.revision > group.revision)
+                };
+                if machine.is_none_or(is_in_later_group) {
                     division.staying.m.remove(id);
                 }
                 continue;
@@ -142,16 +149,16 @@
             if m.gone {
                 division.staying.m.remove(id);
             } else if let Some(to) = m.moving {
-                self.divide_moving(&mut division, &empty, id, m, to);
+                self.add_moving_machine(&mut division, &empty, id, m, to);
             }
         }
         division.staying.also_holds = self.partitions_beside_owner(&division.staying);
         division
     }
 
-    /// Puts a machine with those that go to the same destination. What a change cannot hold goes with the
-    /// next one.
-    fn divide_moving(
+    /// Adds a machine to those with the same destination. Machines for which a write has no room are left for the next
+    /// one.
+    fn add_moving_machine(
         &self,
         division: &mut Division,
         empty: &GroupRecord,
@@ -161,83 +168,96 @@
     ) {
         let mut also_holds = self.partitions_on(machine);
         also_holds.remove(&to);
-        let target = (to, also_holds);
-        if !division.moving.contains_key(&target) && division.moving.len() + 1 >= self.limits.ops {
+        let destination = (to, also_holds);
+        if !division.moving.contains_key(&destination) && division.moving.len() + 1 >= self.limits.ops {
             return;
         }
-        let part = division.moving.entry(target.clone()).or_insert_with(|| GroupRecord {
-            part: to,
-            also_holds: target.1,
-            ..empty.clone()
-        });
-        if part.m.is_empty() || bytes_of(part) + entry_bytes(id, &machine.last()) <= self.fill() {
-            part.m.insert(id.clone(), machine.last());
+        let record = division
+            .moving
+            .entry(destination.clone())
+            .or_insert_with(|| GroupRecord {
+                part: to,
+                also_holds: destination.1,
+                ..empty.clone()
+            });
+        if record.m.is_empty() || bytes_of(record) + entry_bytes(id, &machine.last()) <= self.fill() {
+            record.m.insert(id.clone(), machine.last());
             division.staying.m.remove(id);
         }
     }
 
-    /// Makes one change of what is to be written of a machine group.
+    /// Plans one write for a divided machine group.
     ///
-    /// A machine group of the version before may hold more than a value may hold by now. What is left of it stands
-    /// in smaller ones, at once if a change can hold them all. Else some are entered in new machine groups first,
-    /// beside the old one: whoever reads both goes by the later.
-    fn plan_group_change(&mut self, name: &str, stamp: Stamp, division: Division) -> GroupChange {
+    /// A machine group written by the version before may hold more than a value may hold now. Its remaining machines
+    /// are split into smaller groups, in one write if a transaction can hold them all. Otherwise some of them are
+    /// written to new machine groups first, while the old group keeps its value: a machine that is in both belongs to
+    /// the group with the later revision.
+    fn plan_group_change(&mut self, name: &str, revision: Stamp, division: Division) -> GroupChange {
         let Division { staying, moving } = division;
-        let mut pieces = split(&staying, self.fill());
+        let mut pieces = split_group(&staying, self.fill());
         if pieces.len() > 1 && moving.len() + pieces.len() > self.limits.ops {
             self.log(
                 Level::Info,
                 format!("machine group {name} is larger than may be written: taking it apart in steps"),
             );
-            return self.plan_step(name, stamp, &staying);
+            return self.plan_split_step(name, revision, &staying);
         }
-        let rest = if pieces.is_empty() {
+        let remaining = if pieces.is_empty() {
             staying.without_machines()
         } else {
             pieces.remove(0)
         };
-        let hands_over = !moving.is_empty();
+        let has_hand_overs = !moving.is_empty();
         let moved = moving
             .into_iter()
-            .map(|((to, _), record)| (new_name(name, stamp, &record, &to.to_string()), record));
+            .map(|((to, _), record)| (new_group_name(name, revision, &record, &to.to_string()), record));
         let split_off = pieces
             .into_iter()
-            .map(|piece| (new_name(name, stamp, &piece, "s"), piece));
+            .map(|piece| (new_group_name(name, revision, &piece, "s"), piece));
         GroupChange {
             created: moved.chain(split_off).collect(),
-            rest: Some(rest),
-            hands_over,
+            remaining: Some(remaining),
+            has_hand_overs,
         }
     }
 
-    /// One step of taking a machine group apart: new machine groups for as many of its machines as a change can hold.
-    fn plan_step(&self, name: &str, stamp: Stamp, staying: &GroupRecord) -> GroupChange {
-        let stays = |id: &MachineId| self.machines.get(id).is_none_or(|m| m.moving.is_none());
-        let mut kept = staying.clone();
-        kept.m.retain(|id, _| stays(id));
-        let kept = if kept.m.is_empty() { staying } else { &kept };
-        let pieces = split(kept, self.fill()).into_iter().take(self.limits.ops - 1);
+    /// Plans one step of splitting a machine group: new machine groups for as many of its machines as a transaction can
+    /// hold. Machines that are being handed over are left out as long as there are others.
+    fn plan_split_step(&self, name: &str, revision: Stamp, staying: &GroupRecord) -> GroupChange {
+        let is_staying = |id: &MachineId| self.machines.get(id).is_none_or(|m| m.moving.is_none());
+        let mut not_moving = staying.clone();
+        not_moving.m.retain(|id, _| is_staying(id));
+        let to_split = if not_moving.m.is_empty() { staying } else { &not_moving };
+        let pieces = split_group(to_split, self.fill()).into_iter().take(self.limits.ops - 1);
         GroupChange {
             created: pieces
-                .map(|piece| (new_name(name, stamp, &piece, "s"), piece))
+                .map(|piece| (new_group_name(name, revision, &piece, "s"), piece))
                 .collect(),
-            rest: None,
-            hands_over: false,
+            remaining: None,
+            has_hand_overs: false,
         }
     }
 
-    /// Sends a change of a machine group, on condition that the machine group is as it was when the change was planned.
-    fn send_group_change(&mut self, name: &str, stamp: Stamp, step: Stamp, change: GroupChange) {
-        let in_steps = change.rest.is_none();
-        let mut conditions = vec![self.epoch_condition(), json!({ "k": group_key(name), "stamp": stamp })];
-        for (new, _) in &change.created {
-            conditions.push(json!({ "k": group_key(new), "stamp": 0 }));
+    /// Sends the write of a changed machine group, on condition that the group still has the revision for which the
+    /// write was planned and the epoch is current.
+    fn send_group_change(&mut self, name: &str, revision: Stamp, step_revision: Stamp, change: GroupChange) {
+        let is_split_step = change.remaining.is_none();
+        let mut conditions = vec![
+            self.epoch_condition(),
+            json!({ "k": group_key(name), "stamp": revision }),
+        ];
+        for (new_name, _) in &change.created {
+            conditions.push(json!({ "k": group_key(new_name), "stamp": 0 }));
         }
-        // New machine groups come first, so that whoever follows the changes sees no machine without one.
-        let created = change.created.into_iter().map(|(new, record)| (new, Some(record)));
+        // New machine groups are written first, so that a controller that follows the watch never sees a machine
+        // without a group.
+        let created = change
+            .created
+            .into_iter()
+            .map(|(new_name, record)| (new_name, Some(record)));
         let mut changes: Vec<(String, Option<GroupRecord>)> = created.collect();
-        if let Some(rest) = change.rest {
-            changes.push((name.to_owned(), Some(rest).filter(|r| !r.m.is_empty())));
+        if let Some(remaining) = change.remaining {
+            changes.push((name.to_owned(), Some(remaining).filter(|r| !r.m.is_empty())));
         }
         let write = |(name, record): &(String, Option<GroupRecord>)| match record {
             Some(record) => json!({ "write": group_key(name), "value": record }),
@@ -245,25 +265,35 @@
         };
         let mut writes: Vec<Value> = changes.iter().map(write).collect();
         let step_key = format!("{STEP_PREFIX}{name}");
-        if in_steps {
-            // A step leaves the old machine group as it is. Without a key that each of them changes, one without an
-            // answer could land after later ones, and take machines back from where they have gone since.
-            conditions.push(json!({ "k": step_key, "stamp": step }));
+        if is_split_step {
+            // A split step does not change the old machine group. Each step therefore writes the step key, on
+            // condition of its revision. Otherwise a step without an answer could be applied after later ones, and
+            // put machines back into groups that they have left since.
+            conditions.push(json!({ "k": step_key, "stamp": step_revision }));
             writes.push(json!({ "write": step_key, "value": true }));
-        } else if step != Stamp(0) && !self.cloud.stale_keys.contains(&step_key) {
+        } else if step_revision != Stamp(0) && !self.cloud.stale_keys.contains(&step_key) {
             self.cloud.stale_keys.push(step_key);
         }
         if let Some(group) = self.roster.groups.get_mut(name) {
-            group.sending = true;
+            group.write_in_flight = true;
         }
         let group = name.to_owned();
-        self.txn(conditions, writes, Purpose::MachineGroup { group, stamp, changes });
+        self.txn(
+            conditions,
+            writes,
+            Purpose::MachineGroup {
+                group,
+                stamp: revision,
+                changes,
+            },
+        );
     }
 
+    /// Handles the answer to the write of a changed machine group.
     pub(crate) fn on_group(
         &mut self,
         name: String,
-        stamp: Stamp,
+        revision: Stamp,
         changes: Vec<(String, Option<GroupRecord>)>,
         result: Option<(u16, Vec<u8>)>,
     ) {
@@ -271,29 +301,30 @@
         if let Some((200, body)) = &result
             && let Some(answer) = answer(body)
         {
-            let whole = changes.iter().any(|(key, _)| *key == name);
+            let is_complete = changes.iter().any(|(key, _)| *key == name);
             for (key, record) in changes {
                 let value = record.and_then(|r| serde_json::to_value(r).ok());
                 self.apply_group(&key, value, Stamp(answer.ledger));
             }
-            if let Some(group) = self.roster.groups.get_mut(&name).filter(|_| !whole) {
-                // Some of its machines stand elsewhere now: the next step.
-                group.sending = false;
-                group.step = Stamp(answer.ledger);
-                self.roster.due.insert(name, self.now.ms);
+            if let Some(group) = self.roster.groups.get_mut(&name).filter(|_| !is_complete) {
+                // Some of its machines are in other groups now: the next step is due.
+                group.write_in_flight = false;
+                group.step_revision = Stamp(answer.ledger);
+                self.roster.due_writes.insert(name, self.now.ms);
             }
             return;
         }
-        let again = self.now.ms + self.settings.report_ms() / 4;
-        let Some(group) = self.roster.groups.get_mut(&name).filter(|r| r.stamp == stamp) else {
+        let retry_at = self.now.ms + self.settings.report_ms() / 4;
+        let Some(group) = self.roster.groups.get_mut(&name).filter(|g| g.revision == revision) else {
             return;
         };
-        group.sending = false;
-        // Refused. If it was an earlier copy that landed, the watch brings that by then. Without a
-        // definite answer a copy may still land: the machines stay out of use, and it is sent again.
+        group.write_in_flight = false;
+        // A refusal (409) may mean that an earlier copy of this write was applied. The watch shows that by the time it
+        // reaches the revision of the refusal. Without a definite answer a copy may still be applied: the machines stay
+        // out of use, and the write is sent again.
         if let Some((409, body)) = &result {
-            group.settles_at = Some(answer(body).map_or(0, |t| t.ledger));
+            group.refused_at = Some(answer(body).map_or(0, |t| t.ledger));
         }
-        self.roster.due.insert(name, again);
+        self.roster.due_writes.insert(name, retry_at);
     }
 }
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -1,4 +1,4 @@
-//! Machine groups as known here: what the store says of them, and which of them are to be written.
+//! This controller's view of the machine groups: their stored values, and which of them have to be written.
 
 use super::records::GroupRecord;
 use crate::controller::Controller;
@@ -7,61 +7,63 @@
 use crate::messages::Level;
 use serde_json::Value;
 
-/// A machine group as known here.
+/// A machine group as known to this controller.
 #[derive(Debug, Clone)]
 pub(super) struct MachineGroup {
-    pub(super) stamp: Stamp,
+    /// Revision of its stored value.
+    pub(super) revision: Stamp,
     pub(super) record: GroupRecord,
-    /// A change of it is under way.
-    pub(super) sending: bool,
-    /// Revision of the key that each step of taking it apart writes.
-    pub(super) step: Stamp,
-    /// A change was refused at this revision: once the watch has come so far, it is known why.
-    pub(super) settles_at: Option<u64>,
+    /// A write of it is in flight.
+    pub(super) write_in_flight: bool,
+    /// Revision of the key that each step of splitting it writes; 0: it is not being split in steps.
+    pub(super) step_revision: Stamp,
+    /// The revision at which a write of it was refused. Once the watch has reached this revision, the reason is known.
+    pub(super) refused_at: Option<u64>,
 }
 
 impl Controller {
-    /// The keys are being listed anew.
+    /// Starts a new listing of the shared keys.
     pub(crate) fn roster_listing_begins(&mut self) {
-        self.roster.listed.clear();
+        self.roster.listed_groups.clear();
     }
 
-    /// All keys have been listed as of some revision: machine groups that were not among them are gone.
-    pub(crate) fn roster_listed(&mut self, ledger: u64) {
-        let listed = std::mem::take(&mut self.roster.listed);
-        let gone: Vec<String> = self
+    /// Completes a listing of the shared keys as of a revision: machine groups that were not listed have been deleted.
+    pub(crate) fn roster_listed(&mut self, revision: u64) {
+        let listed = std::mem::take(&mut self.roster.listed_groups);
+        let deleted: Vec<String> = self
             .roster
             .groups
             .iter()
-            .filter(|(name, r)| !listed.contains(*name) && r.stamp.0 <= ledger)
+            .filter(|(name, group)| !listed.contains(*name) && group.revision.0 <= revision)
             .map(|(name, _)| name.clone())
             .collect();
-        for name in gone {
-            self.apply_group(&name, None, Stamp(ledger + 1));
+        for name in deleted {
+            self.apply_group(&name, None, Stamp(revision + 1));
         }
     }
 
-    /// A machine group has a new value, or is gone.
-    pub(crate) fn apply_group(&mut self, name: &str, value: Option<Value>, stamp: Stamp) {
-        self.roster.listed.insert(name.to_owned());
-        if self.roster.groups.get(name).is_some_and(|r| r.stamp >= stamp) {
+    /// Applies a machine group's new value, or its deletion (`value` is none), as of a revision. A revision that is
+    /// not newer than the known one is ignored.
+    pub(crate) fn apply_group(&mut self, name: &str, value: Option<Value>, revision: Stamp) {
+        self.roster.listed_groups.insert(name.to_owned());
+        if self.roster.groups.get(name).is_some_and(|g| g.revision >= revision) {
             return;
         }
         let mut record = value.and_then(|v| serde_json::from_value::<GroupRecord>(v).ok());
         if let Some(record) = record.as_mut().filter(|_| !self.settings.features.shared_machines) {
-            // The version before shared machines passes over the field.
+            // The version before shared machines ignores this field.
             record.also_holds.clear();
         }
         let old = self.roster.groups.remove(name);
-        let here = |c: &Self, id: &MachineId| c.machines.get(id).is_some_and(|m| m.group == name);
+        let is_in_group = |c: &Self, id: &MachineId| c.machines.get(id).is_some_and(|m| m.group == name);
         for id in old.iter().flat_map(|r| r.record.m.keys()) {
-            let stays = record.as_ref().is_some_and(|r| r.m.contains_key(id));
-            if !stays && here(self, id) {
-                self.leave(id);
+            let is_kept = record.as_ref().is_some_and(|r| r.m.contains_key(id));
+            if !is_kept && is_in_group(self, id) {
+                self.remove_machine(id);
             }
         }
         let Some(record) = record else {
-            self.roster.due.remove(name);
+            self.roster.due_writes.remove(name);
             return;
         };
         for (id, seen) in &record.m {
@@ -70,9 +72,9 @@
                     self.set_also_holds(id, &record.also_holds);
                     continue;
                 }
-                // Handed over at a later revision than this one.
-                Some(m) if self.roster.groups.get(&m.group).is_some_and(|r| r.stamp > stamp) => continue,
-                // A machine group that had become too large was split: nothing has changed for its machines.
+                // The machine's group was written at a later revision: the machine was handed over after this one.
+                Some(m) if self.roster.groups.get(&m.group).is_some_and(|g| g.revision > revision) => continue,
+                // A machine group that had become too large was split. Nothing else has changed for its machines.
                 Some(m) if m.partition == record.part && m.moving.is_none() => {
                     if let Some(m) = self.machines.get_mut(id) {
                         m.group = name.to_owned();
@@ -82,28 +84,32 @@
                 }
                 _ => {}
             }
-            self.enter_machine(id, name, &record, *seen);
+            self.add_machine(id, name, &record, *seen);
         }
-        // Whatever change of it was under way has landed, or cannot land any more; what is still to be
-        // written is sent on top of this value.
-        let open = |m: &Machine| m.group == name && (m.gone || m.moving.is_some());
-        if record.m.keys().any(|id| self.machines.get(id).is_some_and(open)) {
-            self.roster.due.entry(name.to_owned()).or_insert(self.now.ms);
+        // A write of the group that was in flight has either produced this value or can no longer be applied, because
+        // its revision has changed. Changes that are still to be written are applied to this value.
+        let has_unwritten_change = |m: &Machine| m.group == name && (m.gone || m.moving.is_some());
+        if record
+            .m
+            .keys()
+            .any(|id| self.machines.get(id).is_some_and(has_unwritten_change))
+        {
+            self.roster.due_writes.entry(name.to_owned()).or_insert(self.now.ms);
         }
         self.roster.groups.insert(
             name.to_owned(),
             MachineGroup {
-                stamp,
+                revision,
                 record,
-                sending: false,
-                step: old.as_ref().map_or(Stamp(0), |r| r.step),
-                settles_at: old.and_then(|r| r.settles_at).filter(|at| *at > stamp.0),
+                write_in_flight: false,
+                step_revision: old.as_ref().map_or(Stamp(0), |group| group.step_revision),
+                refused_at: old.and_then(|group| group.refused_at).filter(|at| *at > revision.0),
             },
         );
     }
 
-    /// Enters a machine that was not known, or comes from another partition, in the view of the machines.
-    fn enter_machine(&mut self, id: &MachineId, group: &str, record: &GroupRecord, seen: (u64, u64)) {
+    /// Adds a machine that was not known, or that comes from another partition, to the view of the machines.
+    fn add_machine(&mut self, id: &MachineId, group: &str, record: &GroupRecord, seen: (u64, u64)) {
         let carried = self.take_carried_tasks(id);
         let kind = if record.spot { " (spot)" } else { "" };
         self.log(
@@ -113,48 +119,49 @@
                 record.model, record.zone, record.part
             ),
         );
-        let batch = self.roster.addresses.get(id);
-        let floor = batch.map_or(seen, |b| b.seen.max(seen));
-        let addr = batch.map_or(String::new(), |b| b.addr.clone());
-        let mut machine = Machine::new(group, record, addr, floor, self.now.ms);
+        let entry = self.roster.boot_entries.get(id);
+        let last_report = entry.map_or(seen, |e| e.seen.max(seen));
+        let addr = entry.map_or(String::new(), |e| e.addr.clone());
+        let mut machine = Machine::new(group, record, addr, last_report, self.now.ms);
         machine.carry(carried);
         self.machines.insert(id.clone(), machine);
     }
 
-    /// A machine group is being taken apart in steps, or no longer.
-    pub(crate) fn apply_step(&mut self, name: &str, stamp: Stamp) {
+    /// Records the revision of a machine group's step key; 0: the group is not being split in steps.
+    pub(crate) fn apply_step(&mut self, name: &str, revision: Stamp) {
         if let Some(group) = self.roster.groups.get_mut(name) {
-            group.step = stamp;
+            group.step_revision = revision;
         }
     }
 
-    /// A machine has left the roster.
-    fn leave(&mut self, id: &MachineId) {
+    /// Removes a machine that is no longer in the roster from the view of the machines.
+    fn remove_machine(&mut self, id: &MachineId) {
         let Some(partition) = self.machines.get(id).map(|m| m.partition) else {
             return;
         };
         self.release_all(id, "its roster entry is gone");
         self.machines.remove(id);
-        // The cloud's list still shows it for a while, and a late report may come.
+        // The cloud's list may still show the machine for a while, and a delayed report of it may arrive.
         self.cloud.note_deleted(id.clone(), self.now.ms);
         self.log(Level::Debug, format!("{id} left partition {partition}"));
     }
 
-    /// Marks a machine's machine group as one to be written, from some time on.
+    /// Schedules a write of a machine's group for `at` (in milliseconds), or earlier if one is due before.
     pub(crate) fn group_due(&mut self, machine: &MachineId, at: u64) {
         if let Some(group) = self.machines.get(machine).map(|m| m.group.clone()) {
-            let due = self.roster.due.entry(group).or_insert(at);
+            let due = self.roster.due_writes.entry(group).or_insert(at);
             *due = (*due).min(at);
         }
     }
 
-    /// Hands a machine to another partition, empty or with the tasks that run on it.
+    /// Hands a machine over to another partition, empty or with the tasks that run on it: schedules the write of its
+    /// group.
     pub(crate) fn hand_over(&mut self, id: &MachineId, to: Partition) {
-        let acting = self
+        let is_acting = self
             .machines
             .get(id)
             .is_some_and(|m| self.acting(m.partition).is_some());
-        if let Some(m) = self.machines.get_mut(id).filter(|_| acting) {
+        if let Some(m) = self.machines.get_mut(id).filter(|_| is_acting) {
             m.moving = Some(to);
             self.group_due(id, self.now.ms);
         }
--- a/crates/tidelatch-core/src/roster/records.rs
+++ b/crates/tidelatch-core/src/roster/records.rs
@@ -1,34 +1,35 @@
-//! The stored values of machine groups and boot batches.
+//! The values of machine groups and boot batches as stored in the state service.
 
 use crate::ids::{MachineId, Partition};
 use crate::jobs::bytes_of;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines of one kind in one partition, as stored.
+/// The stored value of a machine group: machines of one kind in one partition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupRecord {
-    /// The partition whose owner uses them.
+    /// The partition that the machines belong to.
     pub part: Partition,
-    /// Type.
+    /// Machine type.
     pub model: String,
     /// Zone.
     pub zone: String,
-    /// Spot machines.
+    /// They are spot machines.
     pub spot: bool,
-    /// Time of day of their rental.
-    #[serde(default)]
-    pub at: u64,
-    /// Partitions other than `part` whose tasks may still be on them: each went to `part` while it ran those.
+    /// When the machines were rented: wall clock time in milliseconds.
+    #[serde(default, rename = "at")]
+    pub rented_at_ms: u64,
+    /// Partitions other than `part` whose tasks may still be on the machines, because a machine was handed over to
+    /// `part` while it ran them.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty", rename = "also")]
     pub also_holds: BTreeSet<Partition>,
-    /// The machines, each with its session and sequence number when it came into the machine group: nothing
-    /// older counts.
+    /// The machines, each with the session and sequence number of its last report when it came into the machine group.
+    /// Older reports are ignored.
     pub m: BTreeMap<MachineId, (u64, u64)>,
 }
 
 impl GroupRecord {
-    /// The same machine group with no machines in it.
+    /// A copy of the machine group without its machines.
     pub(super) fn without_machines(&self) -> Self {
         Self {
             m: BTreeMap::new(),
@@ -37,19 +38,19 @@
     }
 }
 
-/// A machine that has come up, as stored in a boot batch.
+/// A machine that has come up: its entry in a stored boot batch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BootEntry {
-    /// Where it takes commands.
+    /// Address at which it takes commands.
     pub addr: String,
-    /// Its session and sequence number: nothing older counts.
+    /// Session and sequence number of its first report. Older reports are ignored.
     pub seen: (u64, u64),
 }
 
-/// Most machines in one stored value, whatever it may hold.
-pub(super) const SEATS: usize = 50;
+/// Maximum number of machines in one stored record, even if its size limit would allow more.
+pub(super) const MAX_MACHINES_PER_RECORD: usize = 50;
 
-/// What a machine's entry adds to a stored value.
+/// Number of bytes that a machine's entry adds to a stored record.
 pub(super) fn entry_bytes(machine: &MachineId, entry: &impl Serialize) -> usize {
     bytes_of(machine) + bytes_of(entry) + 2
 }
--- a/crates/tidelatch-core/src/roster/rentals.rs
+++ b/crates/tidelatch-core/src/roster/rentals.rs
@@ -1,8 +1,8 @@
-//! New machine groups for the machines that the leader has rented.
+//! Creation of machine groups for machines that the leader has rented or adopted.
 
-use super::records::{GroupRecord, SEATS, entry_bytes};
+use super::records::{GroupRecord, MAX_MACHINES_PER_RECORD, entry_bytes};
 use crate::calls::Purpose;
-use crate::capacity::Kind;
+use crate::capacity::MachineKind;
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition, Stamp};
 use crate::jobs::bytes_of;
@@ -11,71 +11,72 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines of one kind that were rented, and are not in the roster yet.
+/// A machine that was rented or adopted, and is not in the roster yet.
 #[derive(Debug, Clone)]
-pub(crate) struct Rented {
+pub(crate) struct RentedMachine {
     pub(crate) machine: MachineId,
     pub(crate) partition: Partition,
-    pub(crate) kind: Kind,
-    /// It was found rather than rented: its name may have stood in the roster before.
-    pub(crate) found: bool,
+    pub(crate) kind: MachineKind,
+    /// It reported without being in the roster and was adopted, so its name may have been in the roster before.
+    pub(crate) is_adopted: bool,
 }
 
 impl Controller {
-    /// Enters rented machines in the roster. Only then may anybody use them.
-    pub(crate) fn write_roster(&mut self) {
-        if self.roster.creating_sent || !self.is_leader() {
+    /// Writes machine groups for rented machines to the roster. A machine may be used only after that.
+    pub(crate) fn send_new_groups(&mut self) {
+        if self.roster.new_groups_in_flight || !self.is_leader() {
             return;
         }
-        if self.roster.creating.is_empty() {
-            self.view_groups();
+        if self.roster.new_groups.is_empty() {
+            self.plan_new_groups();
         }
-        if self.roster.creating.is_empty() || !self.state_writes.take(self.now.ms, 0.0, -0.2) {
+        if self.roster.new_groups.is_empty() || !self.state_writes.take(self.now.ms, 0.0, -0.2) {
             return;
         }
         let mut conditions = vec![self.leader_condition(), self.epoch_condition()];
         let mut changes = Vec::new();
-        for (name, record) in &self.roster.creating {
+        for (name, record) in &self.roster.new_groups {
             let key = format!("{ROSTER_PREFIX}{name}");
             conditions.push(json!({ "k": key, "stamp": 0 }));
             changes.push(json!({ "write": key, "value": record }));
         }
-        self.roster.creating_sent = true;
+        self.roster.new_groups_in_flight = true;
         self.txn(conditions, changes, Purpose::NewGroups);
     }
 
-    /// Puts what was rented into new machine groups, as many as one transaction takes.
-    fn view_groups(&mut self) {
-        let (room, fill) = (self.limits.ops, self.fill());
-        let rented = self.now.wall_ms;
+    /// Assigns rented machines to new machine groups, as many as fit in one transaction.
+    fn plan_new_groups(&mut self) {
+        let (max_groups, max_bytes) = (self.limits.ops, self.fill());
+        let wall_ms = self.now.wall_ms;
         let mut groups: Vec<(String, GroupRecord)> = Vec::new();
         let mut bytes: Vec<usize> = Vec::new();
-        let ledger = self.member.ledger;
-        for r in &self.cloud.unlisted {
-            if self.machines.contains_key(&r.machine) {
+        let revision = self.member.ledger;
+        for rented in &self.cloud.pending_registration {
+            if self.machines.contains_key(&rented.machine) {
                 continue;
             }
-            let more = entry_bytes(&r.machine, &(0, 0));
+            let added_bytes = entry_bytes(&rented.machine, &(0, 0));
             let fits = |((_, group), bytes): (&(String, GroupRecord), &usize)| {
                 let kind = (&group.model, &group.zone, group.spot);
-                let same = group.part == r.partition && kind == (&r.kind.0, &r.kind.1, r.kind.2);
-                same && group.m.len() < SEATS && bytes + more <= fill
+                let is_same_kind =
+                    group.part == rented.partition && kind == (&rented.kind.0, &rented.kind.1, rented.kind.2);
+                is_same_kind && group.m.len() < MAX_MACHINES_PER_RECORD && bytes + added_bytes <= max_bytes
             };
             let at = match groups.iter().zip(&bytes).position(fits) {
                 Some(at) => at,
-                None if groups.len() >= room => continue,
+                None if groups.len() >= max_groups => continue,
                 None => {
-                    // A machine is rented once, so its name makes one for its first machine group.
-                    let name = match r.found {
-                        false => r.machine.to_string(),
-                        true => format!("{}.found.{ledger}", r.machine),
+                    // A machine is rented only once, so its name is unique as the name of its first machine group.
+                    let name = match rented.is_adopted {
+                        false => rented.machine.to_string(),
+                        true => format!("{}.found.{revision}", rented.machine),
                     };
                     let record = GroupRecord {
-                        part: r.partition,
-                        model: r.kind.0.clone(),
-                        zone: r.kind.1.clone(),
-                        spot: r.kind.2,
-                        at: rented,
+                        part: rented.partition,
+                        model: rented.kind.0.clone(),
+                        zone: rented.kind.1.clone(),
+                        spot: rented.kind.2,
+                        rented_at_ms: wall_ms,
                         also_holds: BTreeSet::new(),
                         m: BTreeMap::new(),
                     };
@@ -85,50 +86,57 @@
                 }
             };
             if let Some(((_, group), bytes)) = groups.get_mut(at).zip(bytes.get_mut(at)) {
-                group.m.insert(r.machine.clone(), (0, 0));
-                *bytes += more;
+                group.m.insert(rented.machine.clone(), (0, 0));
+                *bytes += added_bytes;
             }
         }
         if groups.is_empty() {
-            // All of them are in the roster by other ways.
-            self.cloud.unlisted.clear();
+            // All of them are in the roster already.
+            self.cloud.pending_registration.clear();
         }
-        self.roster.creating = groups;
+        self.roster.new_groups = groups;
     }
 
+    /// Handles the answer to the write of new machine groups.
     pub(crate) fn on_new_groups(&mut self, result: Option<(u16, Vec<u8>)>) {
-        self.roster.creating_sent = false;
+        self.roster.new_groups_in_flight = false;
         let (status, answer) = match result {
             Some((status, body)) => (status, serde_json::from_slice::<TxnAnswer>(&body).unwrap_or_default()),
             None => (0, TxnAnswer::default()),
         };
         if status == 400 {
-            // Too much for one change: drawn anew, smaller. What cannot be cut is left to be returned.
-            let creating = std::mem::take(&mut self.roster.creating);
-            let single = creating.len() <= 1 && creating.iter().all(|(_, r)| r.m.len() <= 1);
-            let dropped: BTreeSet<&MachineId> = creating.iter().flat_map(|(_, r)| r.m.keys()).collect();
-            self.cloud.unlisted.retain(|r| !single || !dropped.contains(&r.machine));
+            // The transaction was too large: smaller groups are planned. A group of one machine cannot become
+            // smaller, so its machine is dropped and later returned to the cloud as one that is not in the roster.
+            let rejected = std::mem::take(&mut self.roster.new_groups);
+            let is_single = rejected.len() <= 1 && rejected.iter().all(|(_, r)| r.m.len() <= 1);
+            let dropped: BTreeSet<&MachineId> = rejected.iter().flat_map(|(_, r)| r.m.keys()).collect();
+            self.cloud
+                .pending_registration
+                .retain(|r| !is_single || !dropped.contains(&r.machine));
         }
-        let landed = status == 409 && answer.failed.iter().any(|k| k.starts_with(ROSTER_PREFIX));
-        if status == 200 || landed {
-            let groups = std::mem::take(&mut self.roster.creating);
-            let mut listed = BTreeSet::new();
+        // An earlier copy of the write was applied if one of the new keys exists already.
+        let was_applied_earlier = status == 409 && answer.failed.iter().any(|k| k.starts_with(ROSTER_PREFIX));
+        if status == 200 || was_applied_earlier {
+            let groups = std::mem::take(&mut self.roster.new_groups);
+            let mut registered = BTreeSet::new();
             for (name, record) in groups {
-                listed.extend(record.m.keys().cloned());
-                self.cloud.fresh_from.insert(record.part, answer.ledger);
+                registered.extend(record.m.keys().cloned());
+                self.cloud.min_digest_revision.insert(record.part, answer.ledger);
                 if status == 200 {
                     self.apply_group(&name, serde_json::to_value(record).ok(), Stamp(answer.ledger));
                 }
             }
-            self.cloud.unlisted.retain(|r| !listed.contains(&r.machine));
-            self.write_roster();
+            self.cloud
+                .pending_registration
+                .retain(|r| !registered.contains(&r.machine));
+            self.send_new_groups();
         }
     }
 
-    /// A controller that does not lead has nothing to create.
-    pub(crate) fn forget_new_groups(&mut self) {
-        if !self.roster.creating_sent {
-            self.roster.creating.clear();
+    /// Drops planned machine groups that have not been sent. Called on a controller that is not the leader.
+    pub(crate) fn drop_unsent_groups(&mut self) {
+        if !self.roster.new_groups_in_flight {
+            self.roster.new_groups.clear();
         }
     }
 }
