--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -322,7 +322,7 @@
         self.log(
             Level::Info,
             format!(
-                "{id}: stopping {} tasks: it goes to partition {to} for production work",
+                "{id}: stopping {} tasks before it goes to partition {to} for production work",
                 held.len()
             ),
         );
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -84,7 +84,7 @@
                 self.log(
                     Level::Info,
                     format!(
-                        "rented {} of {} {} in {}{}",
+                        "cloud: rented {} of {} {} machines in zone {}{}",
                         names.len(),
                         rental.count,
                         rental.model,
@@ -109,14 +109,17 @@
             Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
                 self.log(
                     Level::Info,
-                    format!("the cloud has no {} in {} (spot: {})", kind.0, kind.1, kind.2),
+                    format!(
+                        "cloud: no capacity for {} in zone {} (spot: {})",
+                        kind.0, kind.1, kind.2
+                    ),
                 );
                 self.cloud.exhausted_at.insert(kind.clone(), now);
                 self.cloud.refused_until.insert(kind, now + pause_ms);
             }
             Some((400, body)) => {
                 let text = String::from_utf8_lossy(&body).into_owned();
-                self.log(Level::Error, format!("the cloud refused a rental as malformed: {text}"));
+                self.log(Level::Error, format!("cloud: rental rejected as malformed: {text}"));
                 self.cloud.refused_until.insert(kind, now + pause_ms);
             }
             // 429, an outage, or no answer: the same request is sent again. Its id makes it idempotent.
@@ -159,7 +162,10 @@
                 .iter()
                 .max_by(|a, b| a.1.0.demand.total_cmp(&b.1.0.demand))
                 .map_or(Partition(0), |(p, _)| *p);
-            self.log(Level::Info, format!("{id} reports but is in no roster: taking it in"));
+            self.log(
+                Level::Info,
+                format!("{id}: reports but is not in the roster, taking it in"),
+            );
             self.cloud.unregistered.remove(&id);
             self.cloud.pending_registration.push(RentedMachine {
                 machine: id,
@@ -201,7 +207,7 @@
             if is_idle_too_long || m.suspect || m.draining {
                 m.retiring = true;
                 log_lines.push(format!(
-                    "{id}: {}: returning it",
+                    "{id}: {}, returning it to the cloud",
                     if m.suspect {
                         "faulty"
                     } else if m.draining {
@@ -319,7 +325,10 @@
         }
         self.log(
             Level::Info,
-            format!("{} machines are in no roster: returning them", unregistered.len()),
+            format!(
+                "{} machines are not in the roster, returning them to the cloud",
+                unregistered.len()
+            ),
         );
         for id in &unregistered {
             self.cloud.deleted_at.insert(id.clone(), self.now.ms);
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -198,7 +198,7 @@
         if pieces.len() > 1 && moving.len() + pieces.len() > self.limits.ops {
             self.log(
                 Level::Info,
-                format!("machine group {name} is larger than may be written: taking it apart in steps"),
+                format!("machine group {name}: larger than a value may be, splitting it in steps"),
             );
             return self.plan_split_step(name, revision, &staying);
         }
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -115,7 +115,7 @@
         self.log(
             Level::Debug,
             format!(
-                "{id}: {} in {}{kind}, partition {}",
+                "{id}: added to the roster, {} in zone {}{kind}, partition {}",
                 record.model, record.zone, record.part
             ),
         );
@@ -143,7 +143,7 @@
         self.machines.remove(id);
         // The cloud's list may still show the machine for a while, and a delayed report of it may arrive.
         self.cloud.note_deleted(id.clone(), self.now.ms);
-        self.log(Level::Debug, format!("{id} left partition {partition}"));
+        self.log(Level::Debug, format!("{id}: removed from partition {partition}"));
     }
 
     /// Schedules a write of a machine's group for `at` (in milliseconds), or earlier if one is due before.
