--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -131,7 +131,7 @@
         let has_no_local_use = |room: &SpareRoom| {
             !wants
                 .iter()
-                .any(|want| want.takes(&room.machine) && want.fits(&room.free) > 0)
+                .any(|tasks| tasks.takes(&room.machine) && tasks.fits(&room.free) > 0)
         };
         supply.spare_room.retain(has_no_local_use);
         Digest {
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -112,8 +112,8 @@
         self.send_rentals(rentals);
     }
 
-    /// Drops pending hand-overs that have arrived, according to the watch, or that have timed out. Until then the
-    /// machine counts as capacity of the partition that it goes to.
+    /// Drops pending hand-overs that have arrived, according to the watch, that have timed out, or whose machine is no
+    /// longer known. Until then the machine counts as capacity of the partition that it goes to.
     fn prune_pending_hand_overs(&mut self) {
         let now = self.now.ms;
         let timeout_ms = 4 * self.settings.report_ms();
