--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -1,9 +1,9 @@
 //! Voluntary interruptions under disruption budgets, and drains of machines.
 //!
 //! Whatever stops a task without being forced to (a machine is emptied or drained, a replica moves for another, a machine
-//! is vacated for another partition) asks here first, task by task ([`gate`]). The owner of the task's team grants the
+//! is vacated for another partition) asks here first, task by task ([`interruption`]). The owner of the task's team grants the
 //! permit, since it alone knows how many of the team's units run ([`census`]); the owner of the machine uses it. Where
-//! the two are different controllers, wishes and permits ride on their heartbeats ([`exchange`]).
+//! the two are different controllers, wishes and permits ride on their heartbeats ([`permit_exchange`]).
 //!
 //! Drains are begun and parcelled out by the leader, in a record that all controllers follow ([`drain_records`]), and
 //! carried out by the owners of the machines ([`machine_drains`], [`evictions`]).
@@ -14,13 +14,13 @@
 mod census;
 mod drain_records;
 mod evictions;
-mod exchange;
-mod gate;
+mod interruption;
 mod machine_drains;
+mod permit_exchange;
 
 pub(crate) use budget_lookup::BudgetLookup;
 pub(crate) use drain_records::{DRAIN_PREFIX, DrainWrite};
-pub(crate) use gate::Cause;
+pub(crate) use interruption::Cause;
 
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Epoch, JobId, MachineId, Partition, TaskId};
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -1,6 +1,6 @@
 //! Emptying machines task by task, as units come free.
 
-use super::gate::{Blocked, Cause};
+use super::interruption::{Blocked, Cause};
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, TaskId};
 use crate::machine_view::{Held, Machine};
