--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -1,14 +1,15 @@
 //! Voluntary interruptions under disruption budgets, and drains of machines.
 //!
-//! Whatever stops a task without being forced to (a machine is emptied or drained, a replica moves for another, a machine
-//! is vacated for another partition) asks here first, task by task ([`interruption`]). The owner of the task's team grants the
-//! permit, since it alone knows how many of the team's units run ([`census`]); the owner of the machine uses it. Where
-//! the two are different controllers, wishes and permits ride on their heartbeats ([`permit_exchange`]).
+//! A voluntary interruption stops a task although nothing forces it: a machine is emptied or drained, a replica makes
+//! room for another one, or a machine is vacated for another partition. Each such stop needs a permit for the task
+//! ([`interruption`]). The controller that owns the task's team grants the permit, since only that controller knows how
+//! many of the team's units run ([`census`]); the controller that owns the machine uses it. If these are two different
+//! controllers, they exchange permit requests and permits in their heartbeats ([`permit_exchange`]).
 //!
-//! Drains are begun and parcelled out by the leader, in a record that all controllers follow ([`drain_records`]), and
-//! carried out by the owners of the machines ([`machine_drains`], [`evictions`]).
+//! The leader starts drains and selects the machines to drain next, in records that all controllers watch
+//! ([`drain_records`]). The owners of the machines carry the drains out ([`machine_drains`], [`evictions`]).
 //!
-//! All of it is off unless the operators' settings have `disruption`.
+//! The feature is off unless the operator settings contain `disruption`.
 
 mod budget_lookup;
 mod census;
@@ -31,31 +32,31 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tidelatch_disruption::{ControllerName, JobName, MachineName, PermitHolder, PermitLedger, Tenure, Unit};
 
-/// What this controller has granted, wishes for and drains.
+/// Disruption state of this controller: granted permits, wanted and held permits, and drains.
 #[derive(Default)]
 pub(crate) struct Disruption {
-    /// When this controller began to run.
+    /// When this controller process started, in ms.
     started_ms: u64,
-    /// The permits that this controller has granted, by the partition of the teams.
+    /// The permits that this controller has granted, by the partition that the teams belong to.
     ledgers: BTreeMap<Partition, PermitLedger>,
-    /// Partitions for which it has been presumed what earlier owners interrupted.
-    presumed: BTreeSet<Partition>,
-    /// The permits that this controller wants and holds.
-    holder: PermitHolder,
-    /// Machines that are emptied to be returned, and since when.
-    emptied: BTreeMap<MachineId, u64>,
-    /// Machines of this controller's that are drained.
-    drained: BTreeMap<MachineId, DrainedMachine>,
-    /// The drains, as stored.
-    records: DrainRecords,
-    /// How often what runs of the jobs that share a budget has been counted.
-    censuses: Cell<u64>,
-    /// Interruptions that were not voluntary, by team.
-    involuntary: BTreeMap<String, u64>,
+    /// Partitions for which the interruptions by earlier owners have been inferred.
+    interruptions_inferred: BTreeSet<Partition>,
+    /// The permits that this controller has requested or holds.
+    permit_holder: PermitHolder,
+    /// Machines that are being emptied so that they can be returned, each with the start time in ms.
+    emptying_since_ms: BTreeMap<MachineId, u64>,
+    /// The machines of this controller that are being drained.
+    drained_machines: BTreeMap<MachineId, DrainedMachine>,
+    /// The drains, as stored in the state service.
+    drain_records: DrainRecords,
+    /// Number of censuses taken, that is, counts of the running units of jobs that share a budget.
+    census_count: Cell<u64>,
+    /// Number of involuntary interruptions, by team.
+    involuntary_interruptions: BTreeMap<String, u64>,
 }
 
 impl Disruption {
-    /// None: the settings do not ask for it, or an older version is imitated.
+    /// Returns `None` if the settings do not enable disruption budgets, or if they emulate an older version.
     pub(crate) fn new(settings: &Settings, now_ms: u64) -> Option<Self> {
         (settings.level() >= DISRUPTION_LEVEL).then(|| Self {
             started_ms: now_ms,
@@ -80,7 +81,7 @@
     Unit::new(job_name(&task.job), task.index)
 }
 
-/// The task that a unit stands for; none: it has the name of no job.
+/// The task that a unit stands for, or `None` if the unit's job name is not a valid job ID.
 fn task(unit: &Unit) -> Option<TaskId> {
     Some(TaskId {
         job: JobId::parse(unit.job().as_str())?,
@@ -93,19 +94,20 @@
 }
 
 impl Controller {
-    /// Settles what has been granted, and goes on with drains and evictions.
+    /// Updates the permit ledgers, then advances drains and evictions.
     pub(crate) fn tick_disruption(&mut self) {
         if self.disruption.is_none() || !self.entitled() {
             return;
         }
         self.settle_ledgers();
-        self.presume_interrupted();
+        self.infer_earlier_interruptions();
         self.tick_drained_machines();
         self.tick_evictions();
-        self.prune_wishes();
+        self.drop_obsolete_permit_requests();
     }
 
-    /// This controller acts for a partition from now on: it may grant permits once those of earlier owners have ended.
+    /// Creates the permit ledger of a partition that this controller acts for from now on. The ledger grants permits
+    /// only after the permits of earlier owners have expired.
     pub(crate) fn open_ledger(&mut self, partition: Partition, since: Epoch) {
         let grants_from_ms = self.now.ms + self.settings.entitlement_ms();
         if let Some(disruption) = &mut self.disruption {
@@ -114,31 +116,32 @@
         }
     }
 
-    /// Nothing of a partition's permits and drains counts any more.
+    /// Discards all permits, drains and reservations of a partition.
     pub(crate) fn reset_disruption(&mut self, partition: Partition) {
         let Some(disruption) = &mut self.disruption else { return };
         disruption.ledgers.remove(&partition);
-        disruption.presumed.remove(&partition);
+        disruption.interruptions_inferred.remove(&partition);
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.partition == partition) {
             m.cordoned = false;
             m.reserved = false;
-            disruption.emptied.remove(id);
-            disruption.drained.remove(id);
+            disruption.emptying_since_ms.remove(id);
+            disruption.drained_machines.remove(id);
         }
     }
 
-    /// This controller has begun another life: others know nothing of what it wished for as that.
+    /// Drops all wanted and held permits when this controller starts a new incarnation: other controllers know of no
+    /// requests from the new incarnation.
     pub(crate) fn forget_wishes(&mut self) {
         if let Some(disruption) = &mut self.disruption {
-            disruption.holder = PermitHolder::default();
+            disruption.permit_holder = PermitHolder::default();
         }
     }
 
-    /// The epoch has changed. Wishes to owners of earlier tenures are dropped, and stops that those had permitted are
-    /// taken back: the new owner counts what still runs as running.
+    /// Called when the epoch has changed. Drops permit requests to owners of earlier tenures, and revokes stops that
+    /// those owners had permitted: the new owner counts tasks that still run as running.
     ///
-    /// Guard: a stop that has left under the older token is refused by each worker that has seen the new one, and the
-    /// new owner grants nothing before all have.
+    /// This is safe: a stop that was already sent under the older fencing token is refused by each worker that has seen
+    /// the new token, and the new owner grants no permit before all workers have seen it.
     pub(crate) fn drop_superseded_permits(&mut self) {
         if self.disruption.is_none() {
             return;
@@ -148,21 +151,21 @@
             None => return,
         };
         for h in self.machines.values_mut().flat_map(|m| m.held.iter_mut()) {
-            let superseded = |stop: &crate::machine_view::Stop| {
+            let is_superseded = |stop: &crate::machine_view::Stop| {
                 let permit = stop.permit;
                 permit.is_some_and(|(partition, granted_by)| since.get(&partition) != Some(&granted_by))
             };
-            if h.stop.as_ref().is_some_and(superseded) {
+            if h.stop.as_ref().is_some_and(is_superseded) {
                 h.stop = None;
             }
         }
         let jobs = &self.jobs;
-        let current = |_: &ControllerName, unit: &Unit, granted_by: Tenure| {
+        let is_current = |_: &ControllerName, unit: &Unit, granted_by: Tenure| {
             let job = task(unit).and_then(|task| jobs.get(&task.job));
             job.and_then(|job| since.get(&job.partition)).copied().map(tenure) == Some(granted_by)
         };
         if let Some(disruption) = &mut self.disruption {
-            disruption.holder.drop_superseded(current);
+            disruption.permit_holder.drop_superseded(is_current);
         }
     }
 }
--- a/crates/tidelatch-core/src/disruption/budget_lookup.rs
+++ b/crates/tidelatch-core/src/disruption/budget_lookup.rs
@@ -1,4 +1,4 @@
-//! What the disruption budgets of many jobs permit, while nothing changes.
+//! Cached answers of the disruption budgets of many jobs, for a search during which nothing changes.
 
 use super::job_name;
 use crate::controller::Controller;
@@ -7,38 +7,40 @@
 use std::collections::BTreeMap;
 use tidelatch_disruption::Census;
 
-/// Answers of the budgets, kept for as long as a search lasts.
+/// Caches, for the duration of one search, whether the budgets of each job permit an interruption.
 ///
-/// A census goes through all tasks of the jobs that share a budget. A search that orders tasks by what their budgets
-/// permit asks for the same jobs with each comparison: without the answers kept, one batch took a controller seconds
-/// of its processor, and its lease.
+/// A census visits all tasks of the jobs that share a budget. A search that sorts tasks by what their budgets permit
+/// asks about the same jobs in each comparison. Without the cache, one batch used seconds of a controller's CPU time,
+/// and the controller lost its lease.
 pub(crate) struct BudgetLookup<'a> {
     controller: &'a Controller,
-    /// By team and class: jobs of both share their census.
+    /// By team and class: jobs with the same team and class share a census.
     censuses: RefCell<BTreeMap<(&'a str, &'a str), Census>>,
-    answers: RefCell<BTreeMap<JobId, bool>>,
+    /// Whether the budgets permit an interruption, by job.
+    cached_answers: RefCell<BTreeMap<JobId, bool>>,
 }
 
 impl<'a> BudgetLookup<'a> {
+    /// Creates an empty cache over the controller's present state.
     pub(crate) fn new(controller: &'a Controller) -> Self {
         Self {
             controller,
             censuses: RefCell::default(),
-            answers: RefCell::default(),
+            cached_answers: RefCell::default(),
         }
     }
 
-    /// Whether a job's budgets let one more of its units be interrupted.
+    /// Whether the budgets of a job permit one more of its units to be interrupted.
     pub(crate) fn permits(&self, id: &JobId) -> bool {
-        if let Some(answer) = self.answers.borrow().get(id) {
+        if let Some(answer) = self.cached_answers.borrow().get(id) {
             return *answer;
         }
-        let answer = self.look_up(id);
-        self.answers.borrow_mut().insert(id.clone(), answer);
+        let answer = self.evaluate_budgets(id);
+        self.cached_answers.borrow_mut().insert(id.clone(), answer);
         answer
     }
 
-    fn look_up(&self, id: &JobId) -> bool {
+    fn evaluate_budgets(&self, id: &JobId) -> bool {
         let Some(disruption) = &self.controller.disruption else {
             return true;
         };
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -1,4 +1,4 @@
-//! What runs of the jobs that share a budget, as the owner of their team sees it.
+//! Counts the running units of jobs that share a budget, as the owner of their team sees them.
 
 use super::{Disruption, job_name, tenure};
 use crate::controller::Controller;
@@ -11,6 +11,7 @@
     Budget, Census, Counting, JobCensus, JobName, LedgerView, ScopeName, SpentPermit, Unit, UnitSet, UnitState,
 };
 
+/// How the units of a job count against a budget: as replicas of a service, or as tasks.
 fn counting(job: &Job) -> Counting {
     match job.spec.shape {
         Shape::Service => Counting::Replicas,
@@ -18,23 +19,25 @@
     }
 }
 
-/// Whether a task runs, and nobody has told it to stop.
-fn runs_on(held: &Held) -> bool {
+/// Whether a task runs and has not been told to stop.
+fn is_running(held: &Held) -> bool {
     held.state == HeldState::Seen(TaskState::Running) && held.stop.is_none()
 }
 
 impl Controller {
-    /// All jobs that share a budget with a job, which is of a team of this controller's.
+    /// Takes the census of all jobs that share a budget with the given job, whose team this controller owns. Returns
+    /// `None` if the job is unknown.
     pub(super) fn census(&self, id: &JobId) -> Option<Census> {
         let job = self.jobs.get(id)?;
         if let Some(disruption) = &self.disruption {
-            disruption.censuses.set(disruption.censuses.get() + 1);
+            disruption.census_count.set(disruption.census_count.get() + 1);
         }
         let mut census = Census::default();
         census.set_unaccounted(u32::try_from(self.unconfirmed(job.partition)).unwrap_or(u32::MAX));
-        let alike = |other: &&Job| other.spec.team == job.spec.team && other.spec.class == job.spec.class;
-        for (name, other) in self.jobs.iter().filter(|(_, other)| alike(other)) {
-            let scopes = self.scopes(name, other);
+        let shares_team_and_class =
+            |other: &&Job| other.spec.team == job.spec.team && other.spec.class == job.spec.class;
+        for (name, other) in self.jobs.iter().filter(|(_, other)| shares_team_and_class(other)) {
+            let scopes = self.budget_scopes(name, other);
             for (scope, budget) in &scopes {
                 census.add_scope(scope.clone(), *budget);
             }
@@ -46,20 +49,21 @@
         Some(census)
     }
 
-    /// How often this controller has counted what runs of the jobs that share a disruption budget: the cost of budgets.
+    /// Number of censuses that this controller has taken of jobs that share a disruption budget. This measures the cost
+    /// of the budgets.
     pub fn censuses(&self) -> u64 {
-        self.disruption.as_ref().map_or(0, |d| d.censuses.get())
+        self.disruption.as_ref().map_or(0, |d| d.census_count.get())
     }
 
-    /// The scopes of a job, each with its budget.
-    fn scopes(&self, id: &JobId, job: &Job) -> Vec<(ScopeName, Budget)> {
+    /// The budget scopes that a job belongs to, each with its budget.
+    fn budget_scopes(&self, id: &JobId, job: &Job) -> Vec<(ScopeName, Budget)> {
         let spec = &job.spec;
         let class = format!("{}/{}", spec.team, spec.class);
         let settings = self.settings.operator.disruption.as_ref();
         if let Some(budget) = settings.and_then(|settings| settings.budget(&spec.team, &spec.class)) {
             return vec![(ScopeName::new(class), budget)];
         }
-        // A class may have services and arrays: by default they share no budget.
+        // A class may contain services and arrays. By default the two do not share a budget.
         if counting(job) == Counting::Tasks {
             let tasks = ScopeName::new(format!("tasks of {class}"));
             return vec![(tasks, DisruptionSettings::default_for_tasks())];
@@ -72,34 +76,36 @@
         scopes
     }
 
-    /// The units of a job that run on machines which have reported lately.
+    /// The units of a job that run on machines with a recent report.
     fn running_units(&self, id: &JobId, job: &Job) -> UnitSet {
-        let runs = |index: u32, machine: &MachineId| {
-            let machine = self.machines.get(machine).filter(|m| self.is_heard(m));
+        let runs_on = |index: u32, machine: &MachineId| {
+            let machine = self.machines.get(machine).filter(|m| self.has_reported_recently(m));
             machine.is_some_and(|m| {
-                let of_unit = |h: &&Held| h.task.index == index && h.task.job == *id;
-                m.held.iter().filter(of_unit).any(runs_on)
+                let matches_unit = |h: &&Held| h.task.index == index && h.task.job == *id;
+                m.held.iter().filter(matches_unit).any(is_running)
             })
         };
         let placed = job.placed.iter();
-        let running = placed.filter(|(index, machines)| machines.iter().any(|machine| runs(**index, machine)));
+        let running = placed.filter(|(index, machines)| machines.iter().any(|machine| runs_on(**index, machine)));
         running.map(|(index, _)| *index).collect()
     }
 
-    /// Whether a machine has reported lately, and is not given up.
-    fn is_heard(&self, m: &Machine) -> bool {
-        let patience = 2 * self.settings.report_ms();
-        let lately = m.reported.is_some_and(|t| self.now.ms.saturating_sub(t) <= patience);
-        lately && !m.gone && !m.retiring
+    /// Whether a machine has reported within the last two report periods and is neither gone nor being returned.
+    fn has_reported_recently(&self, m: &Machine) -> bool {
+        let max_report_age_ms = 2 * self.settings.report_ms();
+        let is_recent = m
+            .reported
+            .is_some_and(|t| self.now.ms.saturating_sub(t) <= max_report_age_ms);
+        is_recent && !m.gone && !m.retiring
     }
 
-    /// Whether an attempt runs on a machine, as far as this controller sees.
+    /// Whether an attempt runs on a machine, according to this controller's view of the machine.
     pub(super) fn attempt_runs(&self, machine: &MachineId, task: &TaskId, attempt: Attempt) -> bool {
         let held = self.machines.get(machine).into_iter().flat_map(|m| &m.held);
-        held.filter(|h| h.task == *task && h.attempt == attempt).any(runs_on)
+        held.filter(|h| h.task == *task && h.attempt == attempt).any(is_running)
     }
 
-    /// Frees permits that are no longer spent.
+    /// Releases granted permits that no longer count against a budget.
     pub(super) fn settle_ledgers(&mut self) {
         let Some(mut disruption) = self.disruption.take() else {
             return;
@@ -114,28 +120,34 @@
         self.disruption = Some(disruption);
     }
 
-    /// Once all machines of a partition are accounted for, tasks that were begun and are nowhere count as interrupted
-    /// by an earlier owner. Tasks are begun in the order of their numbers.
-    pub(super) fn presume_interrupted(&mut self) {
-        let settled = self
+    /// Infers which tasks earlier owners interrupted. Once all machines of a partition are accounted for, each task
+    /// that was started but is on no machine counts as interrupted by an earlier owner. Tasks are started in the order
+    /// of their index, so a task with a lower index than a started one was started too.
+    pub(super) fn infer_earlier_interruptions(&mut self) {
+        let settled_partitions = self
             .tenures
             .iter()
             .filter(|(_, tenure)| tenure.settled)
             .map(|(p, _)| *p);
-        let settled: Vec<Partition> = settled.collect();
-        let Some(Disruption { ledgers, presumed, .. }) = &mut self.disruption else {
+        let settled_partitions: Vec<Partition> = settled_partitions.collect();
+        let Some(Disruption {
+            ledgers,
+            interruptions_inferred,
+            ..
+        }) = &mut self.disruption
+        else {
             return;
         };
-        for partition in settled {
+        for partition in settled_partitions {
             let Some(ledger) = ledgers.get_mut(&partition) else {
                 continue;
             };
-            if !presumed.insert(partition) {
+            if !interruptions_inferred.insert(partition) {
                 continue;
             }
             let jobs = self.jobs.iter().filter(|(_, job)| job.partition == partition);
             for (id, job) in jobs.filter(|(_, job)| counting(job) == Counting::Tasks) {
-                let units = begun_and_nowhere(job);
+                let units = started_but_unplaced_units(job);
                 if !units.is_empty() {
                     ledger.presume_interrupted(job_name(id), &units);
                 }
@@ -144,38 +156,39 @@
     }
 }
 
-/// Tasks of an array that are neither done nor on a machine, though later ones are.
-fn begun_and_nowhere(job: &Job) -> UnitSet {
+/// Tasks of an array that are neither done nor on a machine, although a task with a higher index is.
+fn started_but_unplaced_units(job: &Job) -> UnitSet {
     let placed = job.placed.keys().next_back().copied();
     let done = (0..job.spec.tasks).rev().find(|index| job.is_done(*index));
     let Some(last) = placed.max(done) else {
         return UnitSet::default();
     };
-    let nowhere = |index: &u32| !job.is_done(*index) && !job.placed.contains_key(index);
-    (0..last).filter(nowhere).collect()
+    let is_unplaced = |index: &u32| !job.is_done(*index) && !job.placed.contains_key(index);
+    (0..last).filter(is_unplaced).collect()
 }
 
-/// What the owner of a partition's teams knows of the units for which it has granted permits.
+/// The state of units with granted permits, as the owner of a partition's teams sees it.
 struct OwnerView<'a> {
     controller: &'a Controller,
     partition: Partition,
 }
 
 impl OwnerView<'_> {
-    fn job(&self, name: &JobName) -> Option<(JobId, &Job)> {
+    /// Looks up a job of this partition; `None` if it is unknown, ending or cancelled.
+    fn find_job(&self, name: &JobName) -> Option<(JobId, &Job)> {
         let id = JobId::parse(name.as_str())?;
         let job = self
             .controller
             .jobs
             .get(&id)
             .filter(|job| job.partition == self.partition)?;
-        let called_off = job.ending.is_some() || self.controller.cancellations.calls_off(&id);
-        (!called_off).then_some((id, job))
+        let is_cancelled = job.ending.is_some() || self.controller.cancellations.calls_off(&id);
+        (!is_cancelled).then_some((id, job))
     }
 
-    /// Whether a unit runs as an attempt for which `accepts` holds.
-    fn runs(&self, unit: &Unit, accepts: impl Fn(u64) -> bool) -> bool {
-        let Some((id, job)) = self.job(unit.job()) else {
+    /// Whether a unit runs as an attempt whose number satisfies `matches_attempt`.
+    fn runs_matching_attempt(&self, unit: &Unit, matches_attempt: impl Fn(u64) -> bool) -> bool {
+        let Some((id, job)) = self.find_job(unit.job()) else {
             return false;
         };
         let machines = job.placed.get(&unit.index()).into_iter().flatten();
@@ -183,25 +196,25 @@
             .filter_map(|machine| self.controller.machines.get(machine))
             .flat_map(|m| &m.held);
         held.filter(|h| h.task.index == unit.index() && h.task.job == id)
-            .any(|h| runs_on(h) && accepts(h.attempt.0))
+            .any(|h| is_running(h) && matches_attempt(h.attempt.0))
     }
 
-    /// Whether whoever holds a permit can no longer stop its attempt: it has lost the machine, and the machine has
-    /// reported under the present token since.
+    /// Whether the holder of a permit can no longer stop the permit's attempt: the holder no longer owns the machine,
+    /// and the machine has since reported under the present fencing token.
     fn is_fenced(&self, machine: &Machine, permit: &SpentPermit) -> bool {
         let Some((record, _)) = &self.controller.member.epoch else {
             return false;
         };
-        let owns = record.parts.iter().any(|part| {
+        let still_owns = record.parts.iter().any(|part| {
             part.owner.as_str() == permit.asker().as_str() && tenure(part.since) == permit.machine_tenure()
         });
-        !owns && machine.token >= record.n
+        !still_owns && machine.token >= record.n
     }
 }
 
 impl LedgerView for OwnerView<'_> {
     fn state(&self, unit: &Unit, permit: &SpentPermit) -> UnitState {
-        let Some((id, job)) = self.job(unit.job()) else {
+        let Some((id, job)) = self.find_job(unit.job()) else {
             return UnitState::Over;
         };
         if job.is_done(unit.index()) {
@@ -209,23 +222,25 @@
         }
         let machine = MachineId::new(permit.machine().as_str());
         let m = self.controller.machines.get(&machine);
-        let of_permit =
+        let matches_permit =
             |h: &&Held| h.task.index == unit.index() && h.task.job == id && h.attempt.0 == permit.attempt().0;
-        let held = m.and_then(|m| m.held.iter().find(of_permit));
+        let held = m.and_then(|m| m.held.iter().find(matches_permit));
         match m.zip(held) {
-            Some((m, held)) if runs_on(held) && self.is_fenced(m, permit) => UnitState::RunsFenced,
+            Some((m, held)) if is_running(held) && self.is_fenced(m, permit) => UnitState::RunsFenced,
             Some(_) => UnitState::Stoppable,
-            None if self.runs(unit, |attempt| attempt != permit.attempt().0) => UnitState::RunsAnew,
+            None if self.runs_matching_attempt(unit, |attempt| attempt != permit.attempt().0) => UnitState::RunsAnew,
             None => UnitState::Gone,
         }
     }
 
     fn counting(&self, job: &JobName) -> Option<Counting> {
-        self.job(job).map(|(_, job)| counting(job))
+        self.find_job(job).map(|(_, job)| counting(job))
     }
 
     fn is_made_up_for(&self, unit: &Unit) -> bool {
-        let done = self.job(unit.job()).is_none_or(|(_, job)| job.is_done(unit.index()));
-        done || self.runs(unit, |_| true)
+        let done = self
+            .find_job(unit.job())
+            .is_none_or(|(_, job)| job.is_done(unit.index()));
+        done || self.runs_matching_attempt(unit, |_| true)
     }
 }
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -1,10 +1,10 @@
-//! Drains as the state service holds them, and how the leader parcels them out.
+//! Drain records in the state service, and the leader's selection of the machines to drain next.
 //!
-//! A drain has a *head*, `t/d/NAME`, and *parts*, `t/d/NAME/0` and so on, with the machines that it covers: those that were
-//! in the roster when the leader began it. The head names the machines that are drained at present. All controllers
-//! follow the keys; the owners of those machines drain them, and a machine that has left the roster is done. Each write
-//! carries the leader's key and the epoch as conditions, so no earlier leader can write after a later one. Versions
-//! that do not know the keys pass over them.
+//! A drain has a *head*, `t/d/NAME`, and *parts*, `t/d/NAME/0` and so on. The parts list the machines that the drain
+//! covers: those that were in the roster when the leader started it. The head names the machines that are being drained
+//! at present. All controllers watch the keys, and the owners of those machines drain them. A machine that has left the
+//! roster is finished. Each write is conditional on the leader's key and the epoch, so no earlier leader can write
+//! after a later one. Versions that do not know the keys ignore them.
 
 use crate::calls::Purpose;
 use crate::controller::Controller;
@@ -17,34 +17,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tidelatch_disruption::{MachineName, MachineSet, MachineSetPart};
 
-/// Prefix of the drains' keys.
+/// Key prefix of the drain records.
 pub(crate) const DRAIN_PREFIX: &str = "t/d/";
-/// Part of the budget of changes that is left to others.
-const WRITE_RESERVE: f64 = 0.3;
-/// Report periods after which a drain is looked at again.
-const LOOKS_PER_REPORT: u64 = 2;
+/// Fraction of the write budget's burst that drain writes leave for other state service writes.
+const WRITE_BUDGET_RESERVE: f64 = 0.3;
+/// Number of times per report period that the leader checks its drains.
+const CHECKS_PER_REPORT_PERIOD: u64 = 2;
 
-/// A machine that is drained at present.
+/// A machine that is being drained at present.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct ActiveMachine {
-    /// The machine.
-    m: MachineId,
-    /// A replacement is rented ahead of the evictions.
-    ahead: bool,
+    /// The machine that is being drained.
+    #[serde(rename = "m")]
+    machine: MachineId,
+    /// Whether a replacement is rented before tasks are evicted.
+    #[serde(rename = "ahead")]
+    replace_ahead: bool,
 }
 
-/// The head of a drain.
+/// The value of a drain's head key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct DrainHead {
-    /// Number of parts with the machines that are covered.
+    /// Number of parts that list the covered machines.
     parts: u32,
-    /// Machines that are drained at present.
+    /// Machines that are being drained at present.
     active: Vec<ActiveMachine>,
-    /// All machines that were covered are gone.
+    /// Whether all covered machines are gone.
     done: bool,
 }
 
-/// A drain as stored.
+/// A drain as stored in the state service: its head with the head's revision, and its parts by number.
 #[derive(Debug, Default)]
 struct StoredDrain {
     head: Option<(DrainHead, Stamp)>,
@@ -52,7 +54,7 @@
 }
 
 impl StoredDrain {
-    /// The machines that are covered; none: not all parts are known, or one cannot be read.
+    /// The covered machines, or `None` if not all parts are known or one cannot be decoded.
     fn targets(&self) -> Option<MachineSet> {
         let (head, _) = self.head.as_ref()?;
         let mut targets = MachineSet::default();
@@ -63,48 +65,55 @@
     }
 }
 
-/// A drain that the leader begins: its parts are written before its head.
+/// A drain that the leader is creating: all its parts are written before its head.
 #[derive(Debug)]
-struct Beginning {
+struct PendingDrain {
     name: String,
     parts: Vec<MachineSetPart>,
+    /// Number of parts that have been written.
     written: usize,
 }
 
-/// What the leader has written.
+/// The kind of a drain write by the leader.
 #[derive(Debug, Clone)]
 pub(crate) enum DrainWrite {
-    /// So many parts of the drain that begins.
+    /// This number of parts of the drain that is being created.
     Parts(usize),
     /// The head of a drain.
     Head,
-    /// A drain that is not in the settings any more has been deleted, in part at least.
+    /// The deletion of all or some keys of a drain that is no longer in the settings.
     Delete,
 }
 
-/// A machine's drain, for its owner.
+/// The drain of one machine, as the machine's owner needs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct ActiveDrain {
+    /// Name of the drain.
     pub(super) drain: String,
+    /// Whether a replacement is rented before tasks are evicted.
     pub(super) replace_ahead: bool,
 }
 
-/// All drains, and the leader's write that is under way.
+/// All drains, and the state of the leader's writes to them.
 #[derive(Debug, Default)]
 pub(crate) struct DrainRecords {
+    /// The stored drains, by name.
     stored: BTreeMap<String, StoredDrain>,
-    /// The machines that running drains cover.
-    covered: Vec<MachineSet>,
-    /// Keys that were named while the shared keys were listed.
-    listed: BTreeSet<String>,
-    beginning: Option<Beginning>,
-    writing: bool,
-    /// No other write before the watch has come to this revision.
-    settles_at: u64,
-    due: u64,
+    /// The machines that unfinished drains cover.
+    covered_machines: Vec<MachineSet>,
+    /// Drain keys received during the current listing of the shared keys, without the prefix.
+    listed_keys: BTreeSet<String>,
+    /// The drain that the leader is creating.
+    pending_drain: Option<PendingDrain>,
+    /// Whether a write is in progress.
+    is_writing: bool,
+    /// The revision of the last write. The leader does not write again before the watch has reached it.
+    awaited_revision: u64,
+    /// When the leader checks the drains next, in ms.
+    next_check_ms: u64,
 }
 
-/// Parts the key of a drain, below the prefix, into its name and the number of a part; none: it is a head.
+/// Splits a drain key without the prefix into the drain's name and the part number, which is `None` for a head key.
 fn parse_key(key: &str) -> (&str, Option<u32>) {
     match key.split_once('/') {
         Some((name, part)) => (name, part.parse().ok()),
@@ -113,29 +122,30 @@
 }
 
 impl DrainRecords {
-    /// The machines that are drained at present.
-    pub(super) fn active(&self) -> BTreeMap<MachineId, ActiveDrain> {
+    /// The machines that are being drained at present, each with its drain.
+    pub(super) fn active_drains(&self) -> BTreeMap<MachineId, ActiveDrain> {
         let mut active = BTreeMap::new();
         for (name, stored) in &self.stored {
             let machines = stored.head.iter().flat_map(|(head, _)| &head.active);
             for machine in machines {
-                active.entry(machine.m.clone()).or_insert_with(|| ActiveDrain {
+                active.entry(machine.machine.clone()).or_insert_with(|| ActiveDrain {
                     drain: name.clone(),
-                    replace_ahead: machine.ahead,
+                    replace_ahead: machine.replace_ahead,
                 });
             }
         }
         active
     }
 
-    /// Whether a running drain covers a machine.
+    /// Whether an unfinished drain covers a machine.
     pub(super) fn covers(&self, machine: &MachineId) -> bool {
         let name = MachineName::new(machine.as_str());
-        self.covered.iter().any(|covered| covered.contains(&name))
+        self.covered_machines.iter().any(|covered| covered.contains(&name))
     }
 
-    fn apply(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
-        self.listed.insert(key.to_owned());
+    /// Applies the new value of a key without the prefix; `None` or an unreadable value removes the key's record.
+    fn apply_key(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
+        self.listed_keys.insert(key.to_owned());
         let (name, part) = parse_key(key);
         let drain = self.stored.entry(name.to_owned()).or_default();
         match part {
@@ -155,17 +165,22 @@
         if drain.head.is_none() && drain.parts.is_empty() {
             self.stored.remove(name);
         }
-        self.note_covered();
+        self.update_covered_machines();
     }
 
-    fn note_covered(&mut self) {
-        let running = |stored: &&StoredDrain| stored.head.as_ref().is_some_and(|(head, _)| !head.done);
-        let targets = self.stored.values().filter(running).filter_map(StoredDrain::targets);
-        self.covered = targets.collect();
+    /// Recomputes the machines that unfinished drains cover.
+    fn update_covered_machines(&mut self) {
+        let is_unfinished = |stored: &&StoredDrain| stored.head.as_ref().is_some_and(|(head, _)| !head.done);
+        let targets = self
+            .stored
+            .values()
+            .filter(is_unfinished)
+            .filter_map(StoredDrain::targets);
+        self.covered_machines = targets.collect();
     }
 
-    /// The keys of a drain that are known, the head first.
-    fn keys(&self, name: &str) -> Vec<String> {
+    /// The known keys of a drain, the head first.
+    fn known_keys(&self, name: &str) -> Vec<String> {
         let Some(stored) = self.stored.get(name) else {
             return Vec::new();
         };
@@ -174,82 +189,88 @@
         head.chain(parts).collect()
     }
 
+    /// The head of a drain and the head's revision, or `None` if no head is known.
     fn head(&self, name: &str) -> Option<&(DrainHead, Stamp)> {
         self.stored.get(name)?.head.as_ref()
     }
 }
 
 impl Controller {
-    /// The shared keys are being listed anew.
+    /// Called when a new listing of the shared keys starts.
     pub(crate) fn drain_listing_begins(&mut self) {
         if let Some(disruption) = &mut self.disruption {
-            disruption.records.listed.clear();
+            disruption.drain_records.listed_keys.clear();
         }
     }
 
-    /// All shared keys have been listed: drains that were not among them are gone.
+    /// Called when all shared keys have been listed. Removes the drain records whose keys were not listed.
     pub(crate) fn drains_listed(&mut self) {
         let Some(disruption) = &mut self.disruption else { return };
-        let records = &mut disruption.records;
-        let listed = std::mem::take(&mut records.listed);
+        let records = &mut disruption.drain_records;
+        let listed = std::mem::take(&mut records.listed_keys);
         let names: Vec<String> = records.stored.keys().cloned().collect();
-        let known = names.iter().flat_map(|name| records.keys(name));
+        let known = names.iter().flat_map(|name| records.known_keys(name));
         let gone: Vec<String> = known
             .filter_map(|key| key.strip_prefix(DRAIN_PREFIX).map(str::to_owned))
             .filter(|key| !listed.contains(key))
             .collect();
         for key in gone {
-            records.apply(&key, None, Stamp(0));
+            records.apply_key(&key, None, Stamp(0));
         }
     }
 
-    /// A drain's key has a new value, or is gone.
+    /// Applies the new value of a drain key, or its deletion.
     pub(crate) fn apply_drain(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
         if let Some(disruption) = &mut self.disruption {
-            disruption.records.apply(key, value, stamp);
+            disruption.drain_records.apply_key(key, value, stamp);
         }
     }
 
-    /// The leader's round: begins drains, gives up those that are not in the settings any more, and names the machines
-    /// that are drained next.
+    /// Advances all drains as the leader, with at most one write: starts drains, deletes those that are no longer in
+    /// the settings, and selects the machines to drain next.
     pub(crate) fn lead_drains(&mut self) {
         let now = self.now.ms;
-        let again = now + self.settings.report_ms() / LOOKS_PER_REPORT;
-        let ledger = self.member.ledger;
+        let next_check_ms = now + self.settings.report_ms() / CHECKS_PER_REPORT_PERIOD;
+        let revision = self.member.ledger;
         let Some(rules) = self.settings.operator.disruption.as_ref().map(|d| d.drains.clone()) else {
             return;
         };
         let Some(disruption) = &mut self.disruption else { return };
-        let records = &mut disruption.records;
-        if records.writing || now < records.due || ledger < records.settles_at {
+        let records = &mut disruption.drain_records;
+        if records.is_writing || now < records.next_check_ms || revision < records.awaited_revision {
             return;
         }
-        records.due = again;
-        let is_begun = |beginning: &Beginning| records.stored.get(&beginning.name).is_some_and(|d| d.head.is_some());
-        if records.beginning.as_ref().is_some_and(is_begun) {
-            // The answer to the write of its head was lost.
-            records.beginning = None;
+        records.next_check_ms = next_check_ms;
+        let is_head_stored = |pending_drain: &PendingDrain| {
+            records
+                .stored
+                .get(&pending_drain.name)
+                .is_some_and(|d| d.head.is_some())
+        };
+        if records.pending_drain.as_ref().is_some_and(is_head_stored) {
+            // The head was stored, but the response to its write was lost.
+            records.pending_drain = None;
         }
-        if !self.state_writes.take(now, 0.0, WRITE_RESERVE) {
+        if !self.state_writes.take(now, 0.0, WRITE_BUDGET_RESERVE) {
             return;
         }
-        let withdrawn = records
+        let removed = records
             .stored
             .keys()
             .find(|name| !rules.iter().any(|rule| rule.name == **name));
-        if let Some(name) = withdrawn.cloned() {
+        if let Some(name) = removed.cloned() {
             self.delete_drain(&name);
             return;
         }
-        if self.write_beginning() {
+        if self.write_pending_drain() {
             return;
         }
         for rule in &rules {
-            let begun = self
+            let has_head = self
                 .disruption
                 .as_ref()
-                .is_some_and(|d| d.records.head(&rule.name).is_some());
-            let written = if begun {
+                .is_some_and(|d| d.drain_records.head(&rule.name).is_some());
+            let written = if has_head {
                 self.update_drain(rule)
             } else {
                 self.begin_drain(rule)
@@ -260,26 +281,33 @@
         }
     }
 
-    /// This controller does not lead: what it was about to begin is another leader's concern.
+    /// Discards the drain that this controller was creating. Called when it is not the leader: another leader creates
+    /// the drain instead.
     pub(crate) fn forget_beginning(&mut self) {
         if let Some(disruption) = &mut self.disruption {
-            disruption.records.beginning = None;
+            disruption.drain_records.pending_drain = None;
         }
     }
 
+    /// Sends a transaction that changes drain keys. It is conditional on the leader's key, the epoch and, if given, the
+    /// revision of a key.
     fn write_drain(&mut self, stamp: Option<(String, Stamp)>, changes: Vec<Value>, write: DrainWrite) {
         let mut conditions = vec![self.leader_condition(), self.epoch_condition()];
         conditions.extend(stamp.map(|(key, stamp)| json!({ "k": key, "stamp": stamp })));
         if let Some(disruption) = &mut self.disruption {
-            disruption.records.writing = true;
+            disruption.drain_records.is_writing = true;
         }
         self.txn(conditions, changes, Purpose::Drain { write });
     }
 
+    /// Deletes the keys of a drain, as many as fit in one transaction.
     fn delete_drain(&mut self, name: &str) {
-        let most = self.limits.ops.max(1);
-        let keys = self.disruption.as_ref().map_or(Vec::new(), |d| d.records.keys(name));
-        let changes = keys.iter().take(most).map(|key| json!({ "delete": key })).collect();
+        let max_ops = self.limits.ops.max(1);
+        let keys = self
+            .disruption
+            .as_ref()
+            .map_or(Vec::new(), |d| d.drain_records.known_keys(name));
+        let changes = keys.iter().take(max_ops).map(|key| json!({ "delete": key })).collect();
         self.log(
             Level::Info,
             format!("drain {name} is not in the settings any more: given up"),
@@ -287,7 +315,8 @@
         self.write_drain(None, changes, DrainWrite::Delete);
     }
 
-    /// Decides which machines a drain covers: those that are in the roster now.
+    /// Starts a drain once its delay has passed. It covers the selected machines that are in the roster now. Returns
+    /// whether anything was written.
     fn begin_drain(&mut self, rule: &DrainRule) -> bool {
         let started_ms = self.disruption.as_ref().map_or(self.now.ms, |d| d.started_ms);
         let ran_ms = self.now.ms.saturating_sub(started_ms);
@@ -310,23 +339,33 @@
             ),
         );
         if let Some(disruption) = &mut self.disruption {
-            disruption.records.beginning = Some(Beginning {
+            disruption.drain_records.pending_drain = Some(PendingDrain {
                 name: rule.name.clone(),
                 parts,
                 written: 0,
             });
         }
-        self.write_beginning()
+        self.write_pending_drain()
     }
 
-    /// Writes the next parts of the drain that begins, and its head after the last; false: none begins.
-    fn write_beginning(&mut self) -> bool {
-        let most = self.limits.ops.max(1);
-        let Some(beginning) = self.disruption.as_ref().and_then(|d| d.records.beginning.as_ref()) else {
+    /// Writes the next parts of the drain that is being created, and its head after the last part. Returns false if no
+    /// drain is being created.
+    fn write_pending_drain(&mut self) -> bool {
+        let max_ops = self.limits.ops.max(1);
+        let Some(pending_drain) = self
+            .disruption
+            .as_ref()
+            .and_then(|d| d.drain_records.pending_drain.as_ref())
+        else {
             return false;
         };
-        let key = format!("{DRAIN_PREFIX}{}", beginning.name);
-        let next = beginning.parts.iter().enumerate().skip(beginning.written).take(most);
+        let key = format!("{DRAIN_PREFIX}{}", pending_drain.name);
+        let next = pending_drain
+            .parts
+            .iter()
+            .enumerate()
+            .skip(pending_drain.written)
+            .take(max_ops);
         let changes: Vec<Value> = next
             .map(|(number, part)| json!({ "write": format!("{key}/{number}"), "value": part }))
             .collect();
@@ -336,21 +375,21 @@
             return true;
         }
         let head = DrainHead {
-            parts: u32::try_from(beginning.parts.len()).unwrap_or(u32::MAX),
+            parts: u32::try_from(pending_drain.parts.len()).unwrap_or(u32::MAX),
             active: Vec::new(),
-            done: beginning.parts.is_empty(),
+            done: pending_drain.parts.is_empty(),
         };
         let change = json!({ "write": key, "value": head });
         self.write_drain(Some((key, Stamp(0))), vec![change], DrainWrite::Head);
         true
     }
 
-    /// Names the machines that a drain takes next; false: nothing changes.
+    /// Writes the machines that a drain works on next. Returns false if nothing changes.
     fn update_drain(&mut self, rule: &DrainRule) -> bool {
         let Some(disruption) = &self.disruption else {
             return false;
         };
-        let Some(stored) = disruption.records.stored.get(&rule.name) else {
+        let Some(stored) = disruption.drain_records.stored.get(&rule.name) else {
             return false;
         };
         let (Some((head, stamp)), Some(targets)) = (stored.head.clone(), stored.targets()) else {
@@ -359,17 +398,17 @@
         if head.done {
             return false;
         }
-        let covered = |id: &MachineId| targets.contains(&MachineName::new(id.as_str()));
-        let left: Vec<&MachineId> = self
+        let is_covered = |id: &MachineId| targets.contains(&MachineName::new(id.as_str()));
+        let remaining: Vec<&MachineId> = self
             .machines
             .iter()
-            .filter(|(id, m)| !m.gone && covered(id))
+            .filter(|(id, m)| !m.gone && is_covered(id))
             .map(|(id, _)| id)
             .collect();
         let next = DrainHead {
             parts: head.parts,
-            active: self.next_active(rule, &head, &left),
-            done: left.is_empty(),
+            active: self.select_active_machines(rule, &head, &remaining),
+            done: remaining.is_empty(),
         };
         if next == head {
             return false;
@@ -381,11 +420,11 @@
                 targets.len()
             )
         } else {
-            let names: Vec<&str> = next.active.iter().map(|active| active.m.as_str()).collect();
+            let names: Vec<&str> = next.active.iter().map(|active| active.machine.as_str()).collect();
             format!(
                 "drain {}: {} of {} machines left, now {}",
                 rule.name,
-                left.len(),
+                remaining.len(),
                 targets.len(),
                 names.join(", ")
             )
@@ -397,57 +436,69 @@
         true
     }
 
-    /// The machines that are drained already, and as many more as may be at a time.
-    fn next_active(&self, rule: &DrainRule, head: &DrainHead, left: &[&MachineId]) -> Vec<ActiveMachine> {
-        let elsewhere = self
+    /// Selects the active machines of a drain: those that are being drained already, and further ones up to the drain's
+    /// limit.
+    fn select_active_machines(
+        &self,
+        rule: &DrainRule,
+        head: &DrainHead,
+        remaining: &[&MachineId],
+    ) -> Vec<ActiveMachine> {
+        let already_draining = self
             .disruption
             .as_ref()
-            .map_or_else(BTreeMap::new, |d| d.records.active());
-        let mut active: Vec<ActiveMachine> = head.active.iter().filter(|a| left.contains(&&a.m)).cloned().collect();
-        let mut ahead = active.iter().filter(|a| a.ahead).count();
-        let free = left
+            .map_or_else(BTreeMap::new, |d| d.drain_records.active_drains());
+        let mut active: Vec<ActiveMachine> = head
+            .active
+            .iter()
+            .filter(|a| remaining.contains(&&a.machine))
+            .cloned()
+            .collect();
+        let mut replace_ahead_count = active.iter().filter(|a| a.replace_ahead).count();
+        let eligible = remaining
             .iter()
-            .filter(|id| !elsewhere.contains_key(**id) && self.may_drain(id));
-        for id in free {
+            .filter(|id| !already_draining.contains_key(**id) && self.owner_can_drain(id));
+        for id in eligible {
             if active.len() >= rule.max_machines as usize {
                 break;
             }
-            let replace_ahead = ahead < rule.surge as usize;
-            ahead += usize::from(replace_ahead);
+            let replace_ahead = replace_ahead_count < rule.surge as usize;
+            replace_ahead_count += usize::from(replace_ahead);
             active.push(ActiveMachine {
-                m: (*id).clone(),
-                ahead: replace_ahead,
+                machine: (*id).clone(),
+                replace_ahead,
             });
         }
         active
     }
 
-    /// Whether the owner of a machine drains machines, and is not suspected to be gone.
-    fn may_drain(&self, id: &MachineId) -> bool {
+    /// Whether the owner of a machine supports drains and is not suspected of having failed.
+    fn owner_can_drain(&self, id: &MachineId) -> bool {
         let partition = self.machines.get(id).map(|m| m.partition);
         let owner = partition.and_then(|p| self.holding(p)).map(|h| &h.owner);
         owner.is_some_and(|owner| (*owner == self.me || self.grants_permits(owner)) && !self.suspects(owner))
     }
 
-    /// A write of the leader's has an answer, or none.
+    /// Handles the response to a drain write, or `None` if there was no response.
     pub(crate) fn on_drain_write(&mut self, write: &DrainWrite, result: Option<(u16, Vec<u8>)>) {
         let Some(disruption) = &mut self.disruption else { return };
-        let records = &mut disruption.records;
-        records.writing = false;
+        let records = &mut disruption.drain_records;
+        records.is_writing = false;
         let Some((200, body)) = result else {
-            // What has come of it is told by the watch; the same or the next is written in a while.
+            // The watch shows whether the write was applied. The leader repeats it, or makes the next one, at a later
+            // check.
             return;
         };
         let revision = serde_json::from_slice::<TxnAnswer>(&body).map_or(0, |answer| answer.ledger);
-        records.settles_at = revision;
-        records.due = 0;
+        records.awaited_revision = revision;
+        records.next_check_ms = 0;
         match write {
             DrainWrite::Parts(count) => {
-                if let Some(beginning) = &mut records.beginning {
-                    beginning.written += count;
+                if let Some(pending_drain) = &mut records.pending_drain {
+                    pending_drain.written += count;
                 }
             }
-            DrainWrite::Head => records.beginning = None,
+            DrainWrite::Head => records.pending_drain = None,
             DrainWrite::Delete => {}
         }
     }
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -1,6 +1,6 @@
-//! Emptying machines task by task, as units come free.
+//! Evicts tasks from machines one by one, as disruption budgets permit.
 
-use super::interruption::{Blocked, Cause};
+use super::interruption::{BlockReason, Cause};
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, TaskId};
 use crate::machine_view::{Held, Machine};
@@ -9,115 +9,126 @@
 use std::collections::BTreeSet;
 use tidelatch_disruption::Interruption;
 
-/// Workers' leases for which a machine is emptied to be returned, before that is given up.
-const EMPTYING_LEASES: u64 = 4;
+/// Number of worker lease durations after which this controller stops emptying a machine that is to be returned.
+const MAX_EMPTYING_LEASES: u64 = 4;
 
-/// A task that is to leave its machine.
-struct Leaving {
+/// A task that is to be evicted from its machine.
+struct EvictionCandidate {
     task: TaskId,
     attempt: Attempt,
     team: String,
     class: String,
-    /// The only unit of its job: it leaves last, for nothing of the job runs meanwhile.
+    /// Whether it is the only unit of its job. Such a task is evicted last, because nothing of its job runs until it is
+    /// started elsewhere.
     is_only_unit: bool,
 }
 
 impl Controller {
-    /// A machine is to be emptied, so that it can be returned.
+    /// Starts to empty a machine so that it can be returned.
     pub(crate) fn begin_emptying(&mut self, id: &MachineId) {
         let now = self.now.ms;
         if let Some(disruption) = &mut self.disruption {
-            disruption.emptied.insert(id.clone(), now);
+            disruption.emptying_since_ms.insert(id.clone(), now);
         }
     }
 
-    /// Why what is on a machine is to leave it; none: it may stay.
+    /// Why the tasks of a machine are to be evicted, or `None` if they may stay.
     pub(super) fn eviction_cause(&self, id: &MachineId) -> Option<Cause> {
         let disruption = self.disruption.as_ref()?;
         let m = self.machines.get(id)?;
-        if disruption.drained.get(id).is_some_and(|drained| drained.evicts()) {
+        if disruption
+            .drained_machines
+            .get(id)
+            .is_some_and(|drained| drained.is_evicting())
+        {
             Some(Cause::Drain)
         } else if m.vacating.is_some() {
             Some(Cause::HandOver)
-        } else if disruption.emptied.contains_key(id) {
+        } else if disruption.emptying_since_ms.contains_key(id) {
             Some(Cause::Emptying)
         } else {
             None
         }
     }
 
-    /// Stops what may be stopped on each machine that is to be emptied.
+    /// Stops the tasks that may be stopped on each machine that is to be emptied.
     pub(super) fn tick_evictions(&mut self) {
-        self.give_up_emptying();
-        let evicted: Vec<(MachineId, Cause)> = self
+        self.abandon_slow_emptying();
+        let to_empty: Vec<(MachineId, Cause)> = self
             .machines
             .iter()
             .filter(|(_, m)| m.confirmed && !m.gone && !m.retiring && self.acting(m.partition).is_some())
             .filter_map(|(id, _)| Some((id.clone(), self.eviction_cause(id)?)))
             .collect();
-        // What one task of a class was denied, no other task of it gets in the same moment.
+        // Teams and classes that were denied a permit in this pass: no other task of the same class is tried.
         let mut denied: BTreeSet<(String, String)> = BTreeSet::new();
-        for (id, cause) in evicted {
-            self.evict(&id, cause, &mut denied);
+        for (id, cause) in to_empty {
+            self.evict_tasks(&id, cause, &mut denied);
         }
     }
 
-    /// Stops what may be stopped on one machine.
+    /// Stops the tasks that may be stopped on one machine, if it is to be emptied.
     pub(crate) fn evict_now(&mut self, id: &MachineId) {
         if let Some(cause) = self.eviction_cause(id) {
-            self.evict(id, cause, &mut BTreeSet::new());
+            self.evict_tasks(id, cause, &mut BTreeSet::new());
         }
     }
 
-    fn evict(&mut self, id: &MachineId, cause: Cause, denied: &mut BTreeSet<(String, String)>) {
-        self.stop_what_has_not_begun(id);
-        let mut blocked = None;
-        for leaving in self.leaving(id, cause) {
-            let class = (leaving.team.clone(), leaving.class.clone());
+    /// Stops the tasks that may be stopped on one machine. Skips the teams and classes in `denied`, and adds those
+    /// whose budget denies a permit.
+    fn evict_tasks(&mut self, id: &MachineId, cause: Cause, denied: &mut BTreeSet<(String, String)>) {
+        self.stop_unstarted_array_tasks(id);
+        let mut blocked_by = None;
+        for candidate in self.eviction_candidates(id, cause) {
+            let class = (candidate.team.clone(), candidate.class.clone());
             if denied.contains(&class) {
                 continue;
             }
-            if let Err(reason) = self.interrupt(id, &leaving.task, leaving.attempt, cause) {
-                if matches!(reason, Blocked::Denied(_)) {
+            if let Err(reason) = self.interrupt(id, &candidate.task, candidate.attempt, cause) {
+                if matches!(reason, BlockReason::Denied(_)) {
                     denied.insert(class);
                 }
-                let asked = matches!(reason, Blocked::Asked(_) | Blocked::NotRunning(_));
-                blocked =
-                    blocked.or_else(|| (!asked).then(|| format!("{} of {}: {reason}", leaving.task, leaving.team)));
+                let is_transient = matches!(reason, BlockReason::PermitRequested(_) | BlockReason::NotRunning(_));
+                blocked_by = blocked_by
+                    .or_else(|| (!is_transient).then(|| format!("{} of {}: {reason}", candidate.task, candidate.team)));
             }
         }
         if cause == Cause::Drain {
-            self.note_blocked_drain(id, blocked);
+            self.log_blocked_drain(id, blocked_by);
         }
     }
 
-    /// Tasks of arrays that do not run yet leave at once: nothing is interrupted by that, and nothing lost.
-    fn stop_what_has_not_begun(&mut self, id: &MachineId) {
+    /// Stops the array tasks that have not started to run. They need no permit: nothing is interrupted and no work is
+    /// lost.
+    fn stop_unstarted_array_tasks(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get(id) else { return };
-        let of_array = |task: &TaskId| {
+        let is_array_task = |task: &TaskId| {
             self.jobs
                 .get(&task.job)
                 .is_some_and(|job| job.spec.shape == Shape::Array)
         };
-        let begun = |held: &Held| held.running_since.is_some() || held.stop.is_some();
-        let waiting = m.held.iter().filter(|held| !begun(held) && of_array(&held.task));
-        let waiting: Vec<(TaskId, Attempt)> = waiting.map(|held| (held.task.clone(), held.attempt)).collect();
-        for (task, attempt) in waiting {
+        let has_started = |held: &Held| held.running_since.is_some() || held.stop.is_some();
+        let unstarted = m
+            .held
+            .iter()
+            .filter(|held| !has_started(held) && is_array_task(&held.task));
+        let unstarted: Vec<(TaskId, Attempt)> = unstarted.map(|held| (held.task.clone(), held.attempt)).collect();
+        for (task, attempt) in unstarted {
             self.stop_held(id, &task, attempt);
         }
     }
 
-    /// The tasks that are to leave a machine, in the order in which they do.
-    fn leaving(&self, id: &MachineId, cause: Cause) -> Vec<Leaving> {
+    /// The tasks to evict from a machine, in the order of eviction.
+    fn eviction_candidates(&self, id: &MachineId, cause: Cause) -> Vec<EvictionCandidate> {
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
-        let staying = m.held.iter().filter(|h| h.stop.is_none());
-        let mut leaving: Vec<Leaving> = staying
-            .filter(|h| cause != Cause::Drain || !self.is_worth_waiting(id, m, h))
+        let not_stopping = m.held.iter().filter(|h| h.stop.is_none());
+        let mut candidates: Vec<EvictionCandidate> = not_stopping
+            .filter(|h| cause != Cause::Drain || !self.should_wait_for_task(id, m, h))
             .filter_map(|h| {
                 let spec = &self.jobs.get(&h.task.job)?.spec;
-                Some(Leaving {
+                Some(EvictionCandidate {
                     task: h.task.clone(),
                     attempt: h.attempt,
                     team: spec.team.clone(),
@@ -126,12 +137,12 @@
                 })
             })
             .collect();
-        leaving.sort_by_key(|leaving| leaving.is_only_unit);
-        leaving
+        candidates.sort_by_key(|candidate| candidate.is_only_unit);
+        candidates
     }
 
-    /// Whether a task of a drained machine is better waited for, within the drain's patience.
-    fn is_worth_waiting(&self, id: &MachineId, m: &Machine, held: &Held) -> bool {
+    /// Whether to wait for a task of a drained machine to finish rather than evict it, within the drain's `patience_s`.
+    fn should_wait_for_task(&self, id: &MachineId, m: &Machine, held: &Held) -> bool {
         let Some(job) = self
             .jobs
             .get(&held.task.job)
@@ -139,7 +150,7 @@
         else {
             return false;
         };
-        if self.drain_patience_is_over(id) {
+        if self.is_drain_patience_exceeded(id) {
             return false;
         }
         let spec = &job.spec;
@@ -148,36 +159,36 @@
         let ran_s = held
             .running_since
             .map_or(0.0, |t| self.now.ms.saturating_sub(t) as f64 / 1000.0);
-        let saves = spec.checkpoint_s > 0.0;
+        let has_checkpoints = spec.checkpoint_s > 0.0;
         let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
         let interruption = Interruption {
             remaining_s: (self.estimates.run_s(spec) - ran_s).max(0.0),
-            lost_s: if saves { ran_s.min(spec.save_s) } else { ran_s },
+            lost_s: if has_checkpoints { ran_s.min(spec.save_s) } else { ran_s },
             fetch_s: spec.image_gb / fetch_rate,
             slack_s: spec.deadline_s.map(|deadline_s| deadline_s - age_s),
         };
         interruption.is_worth_waiting()
     }
 
-    /// Machines that do not become empty go back to service.
-    fn give_up_emptying(&mut self) {
+    /// Returns machines to service that did not become empty within `MAX_EMPTYING_LEASES`.
+    fn abandon_slow_emptying(&mut self) {
         let now = self.now.ms;
-        let patience = EMPTYING_LEASES * self.settings.worker_lease_ms();
+        let max_emptying_ms = MAX_EMPTYING_LEASES * self.settings.worker_lease_ms();
         let Some(disruption) = &mut self.disruption else { return };
         let machines = &mut self.machines;
-        let mut given_up = Vec::new();
-        disruption.emptied.retain(|id, since| {
+        let mut abandoned = Vec::new();
+        disruption.emptying_since_ms.retain(|id, since| {
             let Some(m) = machines.get_mut(id).filter(|m| m.draining && !m.held.is_empty()) else {
                 return false;
             };
-            let goes_on = now.saturating_sub(*since) <= patience || m.held.iter().any(|h| h.stop.is_some());
-            if !goes_on {
+            let continues = now.saturating_sub(*since) <= max_emptying_ms || m.held.iter().any(|h| h.stop.is_some());
+            if !continues {
                 m.draining = false;
-                given_up.push(id.clone());
+                abandoned.push(id.clone());
             }
-            goes_on
+            continues
         });
-        for id in given_up {
+        for id in abandoned {
             self.log(
                 Level::Info,
                 format!("{id}: not emptied within its budgets: back in service"),
--- a/crates/tidelatch-core/src/disruption/interruption.rs
+++ b/crates/tidelatch-core/src/disruption/interruption.rs
@@ -1,4 +1,4 @@
-//! The one gate that every voluntary interruption goes through.
+//! Voluntary interruptions of tasks. Every voluntary interruption goes through [`Controller::interrupt`].
 
 use super::{controller_name, machine_name, tenure, unit};
 use crate::controller::Controller;
@@ -10,16 +10,16 @@
 use std::fmt;
 use tidelatch_disruption::{Attempt as PermitAttempt, Denial, PermitRequest, Usage, WantedPermit};
 
-/// Why a task is interrupted though nothing forces that.
+/// The cause of a voluntary interruption.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// Its machine is drained.
+    /// The task's machine is being drained.
     Drain,
-    /// Its machine is emptied, to be returned.
+    /// The task's machine is being emptied so that it can be returned.
     Emptying,
-    /// It makes room for a replica that may not run in other zones.
+    /// The task makes room for a replica that may not run in other zones.
     Spreading,
-    /// Its machine goes to another partition, for production work.
+    /// The task's machine is handed over to another partition, for production work.
     HandOver,
 }
 
@@ -34,128 +34,139 @@
     }
 }
 
-/// Why a task is not interrupted now.
+/// The reason why a task is not interrupted now.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum Blocked {
-    /// The task's team or machine is unknown, or in nobody's hands.
+pub(crate) enum BlockReason {
+    /// The task's team or machine is unknown, or no controller owns it.
     #[error("nobody owns the task's team or its machine at present")]
     NoOwner,
-    /// It does not run, is being stopped, or waits for a gang's other tasks.
+    /// The task does not run, is being stopped, or waits for the other tasks of its gang.
     #[error("{0} does not run")]
     NotRunning(TaskId),
-    /// No budget, or not yet.
+    /// The permit ledger denied the permit: a budget does not allow it, or the ledger does not grant permits yet.
     #[error(transparent)]
     Denied(#[from] Denial),
-    /// The owner of the task's team has been asked.
+    /// A permit has been requested from the owner of the task's team.
     #[error("{0} has been asked")]
-    Asked(ControllerId),
-    /// The owner of the task's team does not know permits.
+    PermitRequested(ControllerId),
+    /// The owner of the task's team does not support permits.
     #[error("{0} grants no permits")]
-    GrantsNone(ControllerId),
-    /// A gang is interrupted whole, by the owner of all its machines, or not at all.
+    PermitsUnsupported(ControllerId),
+    /// The gang has tasks on machines of other controllers. A gang is interrupted as a whole, by the controller that
+    /// owns all its machines, or not at all.
     #[error("a gang's tasks are not all on machines of this controller's")]
-    Gang,
+    GangNotLocal,
 }
 
-/// One task on one of this controller's machines.
+/// A task on one of this controller's machines that is to be interrupted.
 struct Candidate<'a> {
     machine: &'a MachineId,
     task: &'a TaskId,
     attempt: Attempt,
-    /// With what epoch this controller's ownership of the machine began.
-    machine_since: Epoch,
+    /// The epoch since which this controller owns the machine.
+    machine_owned_since: Epoch,
 }
 
 impl Candidate<'_> {
-    fn request(&self, asker: &ControllerId) -> PermitRequest {
+    /// The request to a permit ledger of this controller.
+    fn permit_request(&self, requester: &ControllerId) -> PermitRequest {
         PermitRequest {
             unit: unit(self.task),
             attempt: PermitAttempt(self.attempt.0),
             machine: machine_name(self.machine),
-            asker: controller_name(asker),
-            machine_tenure: tenure(self.machine_since),
+            asker: controller_name(requester),
+            machine_tenure: tenure(self.machine_owned_since),
         }
     }
 
-    fn wanted(&self) -> WantedPermit {
+    /// The permit to request from another controller.
+    fn wanted_permit(&self) -> WantedPermit {
         WantedPermit {
             unit: unit(self.task),
             attempt: PermitAttempt(self.attempt.0),
             machine: machine_name(self.machine),
-            machine_tenure: tenure(self.machine_since),
+            machine_tenure: tenure(self.machine_owned_since),
         }
     }
 }
 
 impl Controller {
-    /// Stops a task on one of this controller's machines if its team's budget permits it; a gang's task with all others
-    /// of its gang.
+    /// Stops a task on one of this controller's machines if the budgets of its team permit it. A task of a gang is
+    /// stopped together with all other tasks of the gang.
     pub(crate) fn interrupt(
         &mut self,
         machine: &MachineId,
         task: &TaskId,
         attempt: Attempt,
         cause: Cause,
-    ) -> Result<(), Blocked> {
+    ) -> Result<(), BlockReason> {
         let partition = self
             .jobs
             .get(&task.job)
             .map(|job| job.partition)
-            .ok_or(Blocked::NoOwner)?;
+            .ok_or(BlockReason::NoOwner)?;
         if !self.attempt_runs(machine, task, attempt) {
-            return Err(Blocked::NotRunning(task.clone()));
+            return Err(BlockReason::NotRunning(task.clone()));
         }
-        let granted_here = self.acting(partition).is_some();
+        let owns_team = self.acting(partition).is_some();
         let is_gang = self
             .jobs
             .get(&task.job)
             .is_some_and(|job| job.spec.shape == Shape::Gang);
-        if is_gang && !granted_here {
-            return Err(Blocked::Gang);
+        if is_gang && !owns_team {
+            return Err(BlockReason::GangNotLocal);
         }
         let tasks = if is_gang {
-            self.gang_tasks(&task.job).ok_or(Blocked::Gang)?
+            self.gang_tasks(&task.job).ok_or(BlockReason::GangNotLocal)?
         } else {
             vec![(machine.clone(), task.clone(), attempt)]
         };
         let mut candidates = Vec::new();
         for (machine, task, attempt) in &tasks {
-            let machine_since = self.machine_since(machine).ok_or(Blocked::NoOwner)?;
+            let machine_owned_since = self.machine_owned_since(machine).ok_or(BlockReason::NoOwner)?;
             candidates.push(Candidate {
                 machine,
                 task,
                 attempt: *attempt,
-                machine_since,
+                machine_owned_since,
             });
         }
-        if granted_here {
+        if owns_team {
             self.grant_and_stop(partition, &candidates, cause)
         } else {
             candidates
                 .iter()
-                .try_for_each(|candidate| self.ask_or_stop(partition, candidate, cause))
+                .try_for_each(|candidate| self.stop_or_request_permit(partition, candidate, cause))
         }
     }
 
-    /// With what epoch this controller began to own a machine; none: it does not act for it.
-    fn machine_since(&self, machine: &MachineId) -> Option<Epoch> {
+    /// The epoch since which this controller owns a machine, or `None` if it does not act for the machine.
+    fn machine_owned_since(&self, machine: &MachineId) -> Option<Epoch> {
         let partition = self.machines.get(machine)?.partition;
         self.acting(partition).map(|tenure| tenure.since)
     }
 
-    /// This controller owns both the team and the machines.
-    fn grant_and_stop(&mut self, partition: Partition, candidates: &[Candidate], cause: Cause) -> Result<(), Blocked> {
+    /// Grants permits for all candidates and stops them. Called if this controller owns both the team and the machines.
+    fn grant_and_stop(
+        &mut self,
+        partition: Partition,
+        candidates: &[Candidate],
+        cause: Cause,
+    ) -> Result<(), BlockReason> {
         let since = self
             .acting(partition)
             .map(|tenure| tenure.since)
-            .ok_or(Blocked::NoOwner)?;
-        let first = candidates.first().ok_or(Blocked::NoOwner)?;
-        let census = self.census(&first.task.job).ok_or(Blocked::NoOwner)?;
+            .ok_or(BlockReason::NoOwner)?;
+        let first = candidates.first().ok_or(BlockReason::NoOwner)?;
+        let census = self.census(&first.task.job).ok_or(BlockReason::NoOwner)?;
         self.evaluated += census.units();
-        let requests: Vec<PermitRequest> = candidates.iter().map(|candidate| candidate.request(&self.me)).collect();
-        let (now_ms, valid_for_ms) = (self.now.ms, self.permit_ms());
+        let requests: Vec<PermitRequest> = candidates
+            .iter()
+            .map(|candidate| candidate.permit_request(&self.me))
+            .collect();
+        let (now_ms, valid_for_ms) = (self.now.ms, self.permit_validity_ms());
         let ledger = self.disruption.as_mut().and_then(|d| d.ledgers.get_mut(&partition));
-        let ledger = ledger.ok_or(Blocked::NoOwner)?;
+        let ledger = ledger.ok_or(BlockReason::NoOwner)?;
         ledger.request(now_ms, valid_for_ms, &requests, &census)?;
         for request in &requests {
             ledger.note_used(&request.unit);
@@ -163,39 +174,50 @@
         let usage = ledger.usage(requests.first().map_or(&unit(first.task), |r| &r.unit).job(), &census);
         let left: Vec<String> = usage
             .iter()
-            .map(|(scope, usage)| describe(scope.as_str(), *usage))
+            .map(|(scope, usage)| describe_usage(scope.as_str(), *usage))
             .collect();
         for candidate in candidates {
             let text = format!("left: {}", left.join(", "));
-            self.stop_by_permit(candidate, (partition, since), cause, &text);
+            self.stop_with_permit(candidate, (partition, since), cause, &text);
         }
         Ok(())
     }
 
-    /// Another controller owns the team: the task is stopped once that has permitted it.
-    fn ask_or_stop(&mut self, partition: Partition, candidate: &Candidate, cause: Cause) -> Result<(), Blocked> {
-        let holding = self.holding(partition).ok_or(Blocked::NoOwner)?;
+    /// Stops a task if the owner of its team has granted a permit, else requests one. Called if another controller owns
+    /// the team.
+    fn stop_or_request_permit(
+        &mut self,
+        partition: Partition,
+        candidate: &Candidate,
+        cause: Cause,
+    ) -> Result<(), BlockReason> {
+        let holding = self.holding(partition).ok_or(BlockReason::NoOwner)?;
         let (owner, since) = (holding.owner.clone(), holding.since);
         if !self.grants_permits(&owner) {
-            return Err(Blocked::GrantsNone(owner));
+            return Err(BlockReason::PermitsUnsupported(owner));
         }
         let now_ms = self.now.ms;
-        let wanted = candidate.wanted();
-        let disruption = self.disruption.as_mut().ok_or(Blocked::NoOwner)?;
-        match disruption.holder.use_permit(now_ms, &wanted.unit, wanted.attempt) {
+        let wanted = candidate.wanted_permit();
+        let disruption = self.disruption.as_mut().ok_or(BlockReason::NoOwner)?;
+        match disruption
+            .permit_holder
+            .use_permit(now_ms, &wanted.unit, wanted.attempt)
+        {
             Ok(granted_by) if granted_by == tenure(since) => {
                 let text = format!("permitted by {owner}");
-                self.stop_by_permit(candidate, (partition, since), cause, &text);
+                self.stop_with_permit(candidate, (partition, since), cause, &text);
                 Ok(())
             }
             _ => {
-                disruption.holder.want(wanted, controller_name(&owner), tenure(since));
-                Err(Blocked::Asked(owner))
+                disruption
+                    .permit_holder
+                    .want(wanted, controller_name(&owner), tenure(since));
+                Err(BlockReason::PermitRequested(owner))
             }
         }
     }
 
-    /// Whether another controller grants permits: its version knows them, and they are turned on there.
+    /// Whether another controller grants permits: its version supports them, and its settings enable them.
     pub(super) fn grants_permits(&self, owner: &ControllerId) -> bool {
         self.member
             .members
@@ -203,12 +225,13 @@
             .is_some_and(|member| member.knows >= DISRUPTION_LEVEL)
     }
 
-    /// How long a permit that is granted now may be used: no longer than this controller may act.
-    pub(super) fn permit_ms(&self) -> u64 {
+    /// The time in ms for which a permit granted now is valid: never longer than this controller itself may act.
+    pub(super) fn permit_validity_ms(&self) -> u64 {
         self.entitlement_left_ms().min(self.settings.entitlement_ms())
     }
 
-    fn stop_by_permit(&mut self, candidate: &Candidate, permit: (Partition, Epoch), cause: Cause, budget: &str) {
+    /// Stops a task and records the permit, given as the granting partition and the epoch of its owner, with the stop.
+    fn stop_with_permit(&mut self, candidate: &Candidate, permit: (Partition, Epoch), cause: Cause, budget: &str) {
         let Candidate {
             machine, task, attempt, ..
         } = candidate;
@@ -232,19 +255,20 @@
         }
     }
 
-    /// A task was interrupted for a reason that budgets do not govern.
+    /// Counts and logs an interruption for a reason that the budgets do not cover.
     pub(crate) fn note_involuntary(&mut self, task: &TaskId, why: &str) {
         let Some(team) = self.jobs.get(&task.job).map(|job| job.spec.team.clone()) else {
             return;
         };
         let Some(disruption) = &mut self.disruption else { return };
-        let count = disruption.involuntary.entry(team.clone()).or_default();
+        let count = disruption.involuntary_interruptions.entry(team.clone()).or_default();
         *count += 1;
         let text = format!("involuntary interruption {count} of {team}: {task}: {why}");
         self.log(Level::Info, text);
     }
 }
 
-fn describe(scope: &str, usage: Usage) -> String {
+/// Describes how many interruptions a scope has left, for a log line.
+fn describe_usage(scope: &str, usage: Usage) -> String {
     format!("{} of {} in {scope}", usage.left(), usage.allowance)
 }
--- a/crates/tidelatch-core/src/disruption/machine_drains.rs
+++ b/crates/tidelatch-core/src/disruption/machine_drains.rs
@@ -1,4 +1,4 @@
-//! Machines of this controller's that are drained: their steps, their replacements, and the way back to service.
+//! Drains of this controller's machines: the steps of a drain, the replacement machines, and the return to service.
 
 use super::drain_records::ActiveDrain;
 use crate::controller::Controller;
@@ -8,75 +8,78 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tidelatch_disruption::{MachineDrain, MachineName, Observation, Replacement, Step};
 
-/// Report periods for which a step may last before it is said what it waits for.
-const QUIET_REPORTS: u64 = 2;
+/// Number of report periods that a step may last before a log line says what it waits for.
+const BLOCKED_LOG_DELAY_REPORTS: u64 = 2;
 
-/// One drained machine.
+/// A machine that is being drained.
 pub(super) struct DrainedMachine {
-    /// The drain that it belongs to.
+    /// Name of the drain that the machine belongs to.
     drain: String,
+    /// Whether a replacement is rented before tasks are evicted.
     replace_ahead: bool,
+    /// The current step of the drain and the replacement machine.
     progress: MachineDrain,
-    /// The jobs that had tasks on it: its replacement is kept for these.
+    /// The jobs that had tasks on the machine when its drain started. Its replacement is reserved for these.
     jobs: BTreeSet<JobId>,
-    /// What it waits for, and when that was last logged.
+    /// What the drain waits for, and when that was last logged, in ms.
     waits_for: Option<(String, u64)>,
 }
 
 impl DrainedMachine {
-    /// Whether its tasks are to leave it now.
-    pub(super) fn evicts(&self) -> bool {
+    /// Whether the machine's tasks are being evicted.
+    pub(super) fn is_evicting(&self) -> bool {
         self.progress.step() == Step::Evicting
     }
 
+    /// The machine that replaces this one, if there is one.
     fn replacement(&self) -> Option<MachineId> {
         self.progress.replacement().map(|name| MachineId::new(name.as_str()))
     }
 }
 
-/// Whether nothing is on a machine, and no late command can change that.
+/// Whether a machine holds nothing, and no delayed command can change that.
 fn is_empty(m: &Machine) -> bool {
-    let known = m.confirmed || !m.up();
-    known && m.clean() && m.unaccounted.is_empty() && !m.storing
+    let is_state_known = m.confirmed || !m.up();
+    is_state_known && m.clean() && m.unaccounted.is_empty() && !m.storing
 }
 
 impl Controller {
-    /// Takes each drained machine as far as it can go now.
+    /// Advances the drain of each machine of this controller as far as possible.
     pub(crate) fn tick_drained_machines(&mut self) {
         let Some(disruption) = &self.disruption else { return };
-        let active = disruption.records.active();
+        let active = disruption.drain_records.active_drains();
         self.end_drains(&active);
         self.begin_drains(&active);
         let drained: Vec<MachineId> = match &self.disruption {
-            Some(disruption) => disruption.drained.keys().cloned().collect(),
+            Some(disruption) => disruption.drained_machines.keys().cloned().collect(),
             None => return,
         };
         for id in drained {
             self.advance_drain(&id);
         }
-        self.mark_reserved();
+        self.mark_reserved_replacements();
     }
 
-    /// Machines whose drain has ended go back to service, unless they are being deleted already.
+    /// Returns machines to service whose drain has ended, unless they are being deleted already.
     fn end_drains(&mut self, active: &BTreeMap<MachineId, ActiveDrain>) {
         let acting = self.acting_partitions();
         let Some(disruption) = &mut self.disruption else { return };
         let machines = &mut self.machines;
         let mut ended = Vec::new();
-        disruption.drained.retain(|id, drained| {
+        disruption.drained_machines.retain(|id, drained| {
             let Some(m) = machines
                 .get_mut(id)
                 .filter(|m| !m.gone && acting.contains(&m.partition))
             else {
                 return false;
             };
-            let stays = m.retiring || active.get(id).is_some_and(|active| active.drain == drained.drain);
-            if !stays {
+            let is_still_drained = m.retiring || active.get(id).is_some_and(|active| active.drain == drained.drain);
+            if !is_still_drained {
                 m.cordoned = false;
                 m.draining &= drained.progress.step() != Step::Empty;
                 ended.push((id.clone(), drained.drain.clone()));
             }
-            stays
+            is_still_drained
         });
         for (id, drain) in ended {
             self.log(
@@ -87,13 +90,17 @@
         }
     }
 
+    /// Cordons the active machines of this controller that are not being drained yet.
     fn begin_drains(&mut self, active: &BTreeMap<MachineId, ActiveDrain>) {
         let now = self.now.ms;
         let acting = self.acting_partitions();
         let mut begun = Vec::new();
         for (id, active) in active {
-            let known = self.disruption.as_ref().is_some_and(|d| d.drained.contains_key(id));
-            let Some(m) = self.machines.get_mut(id).filter(|_| !known) else {
+            let is_already_drained = self
+                .disruption
+                .as_ref()
+                .is_some_and(|d| d.drained_machines.contains_key(id));
+            let Some(m) = self.machines.get_mut(id).filter(|_| !is_already_drained) else {
                 continue;
             };
             if !acting.contains(&m.partition) || m.gone || m.retiring {
@@ -114,40 +121,43 @@
                 waits_for: None,
             };
             if let Some(disruption) = &mut self.disruption {
-                disruption.drained.insert(id, drained);
+                disruption.drained_machines.insert(id, drained);
             }
         }
     }
 
+    /// Advances the drain of one machine by at most one step.
     fn advance_drain(&mut self, id: &MachineId) {
         let now = self.now.ms;
-        let Some(seen) = self.observe_drained(id) else { return };
-        let Some(drained) = self.disruption.as_mut().and_then(|d| d.drained.get_mut(id)) else {
+        let Some(observation) = self.observe_drained_machine(id) else {
             return;
         };
-        let Some(step) = drained.progress.advance(now, &seen) else {
-            let wanted = drained.progress.wants_replacement();
-            if wanted {
+        let Some(drained) = self.disruption.as_mut().and_then(|d| d.drained_machines.get_mut(id)) else {
+            return;
+        };
+        let Some(step) = drained.progress.advance(now, &observation) else {
+            let wants_replacement = drained.progress.wants_replacement();
+            if wants_replacement {
                 let text = "the cloud has no replacement yet".to_owned();
-                self.note_blocked_drain(id, Some(text));
+                self.log_blocked_drain(id, Some(text));
             }
             return;
         };
         drained.waits_for = None;
         let replacement = drained.replacement();
-        let with = replacement.map_or_else(String::new, |machine| format!(" ({machine})"));
-        let text = format!("{id}: drain {}: {}{with}", drained.drain, step.name());
+        let suffix = replacement.map_or_else(String::new, |machine| format!(" ({machine})"));
+        let text = format!("{id}: drain {}: {}{suffix}", drained.drain, step.name());
         self.log(Level::Info, text);
         if let Some(m) = self.machines.get_mut(id) {
-            // An empty machine is returned like one that was emptied for other reasons.
+            // An empty machine is returned in the same way as one that was emptied for other reasons.
             m.draining = step == Step::Empty;
         }
     }
 
-    /// What is known of a drained machine.
-    fn observe_drained(&self, id: &MachineId) -> Option<Observation> {
+    /// What this controller knows about a drained machine and its replacement.
+    fn observe_drained_machine(&self, id: &MachineId) -> Option<Observation> {
         let m = self.machines.get(id)?;
-        let drained = self.disruption.as_ref()?.drained.get(id)?;
+        let drained = self.disruption.as_ref()?.drained_machines.get(id)?;
         let candidate = drained
             .progress
             .wants_replacement()
@@ -160,34 +170,37 @@
         })
     }
 
-    /// A machine of the same kind and partition on which nothing is, and which is nobody's replacement yet. One that an
-    /// earlier owner rented for this drain is found by that as well.
+    /// Finds an empty machine of the same kind and partition that does not replace another machine yet. This also finds
+    /// a machine that an earlier owner rented for this drain.
     fn replacement_candidate(&self, m: &Machine) -> Option<MachineId> {
         let disruption = self.disruption.as_ref()?;
-        let taken: BTreeSet<MachineId> = disruption
-            .drained
+        let assigned: BTreeSet<MachineId> = disruption
+            .drained_machines
             .values()
             .filter_map(DrainedMachine::replacement)
             .collect();
-        let alike = |other: &Machine| {
+        let is_same_kind = |other: &Machine| {
             other.partition == m.partition && other.model == m.model && other.zone == m.zone && other.spot == m.spot
         };
-        let patience = 2 * self.settings.report_ms();
-        let free = |other: &Machine| {
-            other.clean() && other.moving.is_none() && (other.is_booting() || other.usable(self.now.ms, patience))
+        let max_report_age_ms = 2 * self.settings.report_ms();
+        let is_available = |other: &Machine| {
+            other.clean()
+                && other.moving.is_none()
+                && (other.is_booting() || other.usable(self.now.ms, max_report_age_ms))
         };
         let mut machines = self.machines.iter();
         let found = machines.find(|(id, other)| {
-            alike(other)
-                && free(other)
+            is_same_kind(other)
+                && is_available(other)
                 && !other.cordoned
-                && !taken.contains(*id)
-                && !disruption.drained.contains_key(*id)
-                && !disruption.records.covers(id)
+                && !assigned.contains(*id)
+                && !disruption.drained_machines.contains_key(*id)
+                && !disruption.drain_records.covers(id)
         });
         found.map(|(id, _)| id.clone())
     }
 
+    /// Whether a replacement machine is lost, ready or still booting.
     fn replacement_state(&self, machine: &MachineId) -> Replacement {
         let Some(m) = self.machines.get(machine).filter(|m| !m.gone && !m.retiring) else {
             return Replacement::Lost;
@@ -199,11 +212,11 @@
         }
     }
 
-    /// Replacements are kept for what leaves the machines that they replace.
-    fn mark_reserved(&mut self) {
+    /// Marks replacement machines as reserved for the tasks that are evicted from the machines that they replace.
+    fn mark_reserved_replacements(&mut self) {
         let Some(disruption) = &self.disruption else { return };
         let reserved: BTreeSet<MachineId> = disruption
-            .drained
+            .drained_machines
             .values()
             .filter_map(DrainedMachine::replacement)
             .collect();
@@ -212,26 +225,26 @@
         }
     }
 
-    /// The places of machines that are kept for other jobs than this one.
+    /// The indices in `ids` of the machines that are reserved for other jobs.
     pub(crate) fn reserved_for_others(&self, job: &JobId, ids: &[MachineId]) -> Vec<usize> {
         let Some(disruption) = &self.disruption else {
             return Vec::new();
         };
-        let kept_for_others = |id: &MachineId| {
-            let mut drained = disruption.drained.values();
+        let is_reserved_for_others = |id: &MachineId| {
+            let mut drained = disruption.drained_machines.values();
             drained.any(|d| d.replacement().as_ref() == Some(id) && !d.jobs.contains(job))
         };
-        let places = ids.iter().enumerate().filter(|(_, id)| kept_for_others(id));
-        places.map(|(place, _)| place).collect()
+        let indices = ids.iter().enumerate().filter(|(_, id)| is_reserved_for_others(id));
+        indices.map(|(index, _)| index).collect()
     }
 
-    /// Machines to be rented in the place of drained ones of a partition.
+    /// Requests for the machines to be rented as replacements of drained machines of a partition.
     pub(crate) fn replacements_wanted(&self, partition: Partition) -> Vec<MachineRequest> {
         let Some(disruption) = &self.disruption else {
             return Vec::new();
         };
         let wanted = disruption
-            .drained
+            .drained_machines
             .iter()
             .filter(|(_, drained)| drained.progress.wants_replacement());
         let machines = wanted.filter_map(|(id, _)| self.machines.get(id));
@@ -246,10 +259,11 @@
         requests.collect()
     }
 
-    /// Whether a drained machine's tasks have been waited for long enough.
-    pub(super) fn drain_patience_is_over(&self, id: &MachineId) -> bool {
+    /// Whether the drain of a machine has lasted longer than the drain's `patience_s`. Also true if the machine is not
+    /// being drained.
+    pub(super) fn is_drain_patience_exceeded(&self, id: &MachineId) -> bool {
         let settings = self.settings.operator.disruption.as_ref();
-        let drained = self.disruption.as_ref().and_then(|d| d.drained.get(id));
+        let drained = self.disruption.as_ref().and_then(|d| d.drained_machines.get(id));
         let Some((settings, drained)) = settings.zip(drained) else {
             return true;
         };
@@ -258,21 +272,21 @@
         waited_ms as f64 > patience_s * 1000.0
     }
 
-    /// A drain that stands still says what it waits for, once in a worker's lease.
-    pub(super) fn note_blocked_drain(&mut self, id: &MachineId, waits_for: Option<String>) {
+    /// Logs what the blocked drain of a machine waits for, at most once per worker lease duration.
+    pub(super) fn log_blocked_drain(&mut self, id: &MachineId, waits_for: Option<String>) {
         let now = self.now.ms;
-        let quiet_ms = QUIET_REPORTS * self.settings.report_ms();
-        let again_ms = self.settings.worker_lease_ms();
-        let Some(drained) = self.disruption.as_mut().and_then(|d| d.drained.get_mut(id)) else {
+        let log_delay_ms = BLOCKED_LOG_DELAY_REPORTS * self.settings.report_ms();
+        let log_interval_ms = self.settings.worker_lease_ms();
+        let Some(drained) = self.disruption.as_mut().and_then(|d| d.drained_machines.get_mut(id)) else {
             return;
         };
         let Some(waits_for) = waits_for else { return };
-        let young = now.saturating_sub(drained.progress.step_since_ms()) < quiet_ms;
-        let said = drained
+        let is_step_recent = now.saturating_sub(drained.progress.step_since_ms()) < log_delay_ms;
+        let is_recently_logged = drained
             .waits_for
             .as_ref()
-            .is_some_and(|(_, at)| now.saturating_sub(*at) < again_ms);
-        if young || said {
+            .is_some_and(|(_, at)| now.saturating_sub(*at) < log_interval_ms);
+        if is_step_recent || is_recently_logged {
             return;
         }
         let text = format!("{id}: drain {} stands still: {waits_for}", drained.drain);
--- a/crates/tidelatch-core/src/disruption/permit_exchange.rs
+++ b/crates/tidelatch-core/src/disruption/permit_exchange.rs
@@ -1,4 +1,4 @@
-//! Wishes and permits between controllers, on their heartbeats.
+//! Exchange of permit requests and permits between controllers, in their heartbeats.
 
 use super::{Disruption, controller_name, task, tenure};
 use crate::controller::Controller;
@@ -8,13 +8,14 @@
 use tidelatch_disruption::{Permit, PermitRequest, WantedPermit};
 
 impl Controller {
-    /// What this controller wants and has used of another one's permits; none: there is nothing to say.
+    /// Builds the list of permits that this controller wants from another one, and of those that it has used. Returns
+    /// `None` if there is nothing to report.
     pub(crate) fn permit_listing(&mut self, to: &ControllerId) -> Option<Box<PermitListing>> {
         let granter = controller_name(to);
-        let known = self.grants_permits(to);
+        let grants_permits = self.grants_permits(to);
         let life = self.member.inc.0;
-        let holder = &mut self.disruption.as_mut()?.holder;
-        if !known || !holder.needs_message(&granter) {
+        let holder = &mut self.disruption.as_mut()?.permit_holder;
+        if !grants_permits || !holder.needs_message(&granter) {
             return None;
         }
         Some(Box::new(PermitListing {
@@ -23,37 +24,43 @@
         }))
     }
 
-    /// Another controller says what it wants and has used; what it may have is granted in the answer.
+    /// Handles another controller's list of wanted and used permits. The reply grants the permits that the budgets
+    /// allow.
     pub(crate) fn on_permit_listing(
         &mut self,
         from: &ControllerId,
         listing: &PermitListing,
     ) -> Option<Box<PermitGrants>> {
-        let registered = self.member.members.get(from).map(|member| member.inc.0);
-        if registered != Some(listing.life) || !self.entitled() {
+        let registered_incarnation = self.member.members.get(from).map(|member| member.inc.0);
+        if registered_incarnation != Some(listing.life) || !self.entitled() {
             return None;
         }
-        let asker = controller_name(from);
+        let requester = controller_name(from);
         let message = &listing.message;
         let Disruption { ledgers, .. } = self.disruption.as_mut()?;
-        // Each ledger has to hear what is not listed, so none is left out.
-        let mut is_news = false;
+        // A permit that is missing from the message was returned unused, so the message goes to every ledger, even to
+        // one whose permits it does not list.
+        let mut has_changes = false;
         for ledger in ledgers.values_mut() {
-            is_news |= ledger.take_message(&asker, listing.life, message);
+            has_changes |= ledger.take_message(&requester, listing.life, message);
         }
-        if !is_news {
+        if !has_changes {
             return None;
         }
         self.settle_ledgers();
-        let permits = message.wanted.iter().filter_map(|wanted| self.grant(from, wanted));
+        let permits = message
+            .wanted
+            .iter()
+            .filter_map(|wanted| self.grant_permit(from, wanted));
         Some(Box::new(PermitGrants {
             sequence: message.sequence,
             permits: permits.collect(),
         }))
     }
 
-    /// Grants one permit to another controller, if the budget allows and its view of the task is this one's.
-    fn grant(&mut self, from: &ControllerId, wanted: &WantedPermit) -> Option<Permit> {
+    /// Grants one permit to another controller if the budget allows it and both controllers agree on the task's attempt
+    /// and machine.
+    fn grant_permit(&mut self, from: &ControllerId, wanted: &WantedPermit) -> Option<Permit> {
         let task = task(&wanted.unit)?;
         let partition = self.jobs.get(&task.job)?.partition;
         self.acting(partition)?;
@@ -75,36 +82,36 @@
             asker: controller_name(from),
             machine_tenure: wanted.machine_tenure,
         };
-        let (now_ms, valid_for_ms) = (self.now.ms, self.permit_ms());
+        let (now_ms, valid_for_ms) = (self.now.ms, self.permit_validity_ms());
         let ledger = self.disruption.as_mut()?.ledgers.get_mut(&partition)?;
         let granted = ledger.request(now_ms, valid_for_ms, &[request], &census).ok()?;
         ledger.note_answered(&wanted.unit);
         granted.into_iter().next()
     }
 
-    /// Another controller has granted permits, in answer to a listing that was sent at `sent`.
-    pub(crate) fn on_permit_grants(&mut self, from: &ControllerId, sent: u64, grants: &PermitGrants) {
+    /// Stores the permits that another controller has granted in reply to a listing that was sent at `sent_ms`.
+    pub(crate) fn on_permit_grants(&mut self, from: &ControllerId, sent_ms: u64, grants: &PermitGrants) {
         if let Some(disruption) = &mut self.disruption {
             let granter = controller_name(from);
             disruption
-                .holder
-                .take_answer(&granter, grants.sequence, sent, &grants.permits);
+                .permit_holder
+                .take_answer(&granter, grants.sequence, sent_ms, &grants.permits);
         }
     }
 
-    /// Wishes end with what they were for: the attempt is gone, or its machine is not to be emptied any more.
-    pub(super) fn prune_wishes(&mut self) {
-        let mut wanted: BTreeSet<(TaskId, u64)> = BTreeSet::new();
+    /// Drops permit requests that have become obsolete: the attempt is gone, or its machine is no longer to be emptied.
+    pub(super) fn drop_obsolete_permit_requests(&mut self) {
+        let mut attempts_to_evict: BTreeSet<(TaskId, u64)> = BTreeSet::new();
         for (id, m) in self.machines.iter().filter(|(id, _)| self.eviction_cause(id).is_some()) {
             if self.acting(m.partition).is_some() {
-                wanted.extend(m.held.iter().map(|h| (h.task.clone(), h.attempt.0)));
+                attempts_to_evict.extend(m.held.iter().map(|h| (h.task.clone(), h.attempt.0)));
             }
             let _ = id;
         }
         let Some(disruption) = &mut self.disruption else { return };
-        disruption.holder.retain(|wish| {
-            let task = task(&wish.unit);
-            task.is_some_and(|task| wanted.contains(&(task, wish.attempt.0)))
+        disruption.permit_holder.retain(|request| {
+            let task = task(&request.unit);
+            task.is_some_and(|task| attempts_to_evict.contains(&(task, request.attempt.0)))
         });
     }
 }
