--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -241,12 +241,8 @@
             return;
         }
         records.next_check_ms = next_check_ms;
-        let is_head_stored = |pending_drain: &PendingDrain| {
-            records
-                .stored
-                .get(&pending_drain.name)
-                .is_some_and(|d| d.head.is_some())
-        };
+        let is_head_stored =
+            |pending: &PendingDrain| records.stored.get(&pending.name).is_some_and(|d| d.head.is_some());
         if records.pending_drain.as_ref().is_some_and(is_head_stored) {
             // The head was stored, but the response to its write was lost.
             records.pending_drain = None;
--- a/crates/tidelatch-core/src/disruption/interruption.rs
+++ b/crates/tidelatch-core/src/disruption/interruption.rs
@@ -43,7 +43,8 @@
     /// The task does not run, is being stopped, or waits for the other tasks of its gang.
     #[error("{0} does not run")]
     NotRunning(TaskId),
-    /// The permit ledger denied the permit: a budget does not allow it, or the ledger does not grant permits yet.
+    /// The permit ledger denied the permit, for example because a budget is used up or because permits of an earlier
+    /// owner may still be used.
     #[error(transparent)]
     Denied(#[from] Denial),
     /// A permit has been requested from the owner of the task's team.
