--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -306,7 +306,7 @@
         let changes = keys.iter().take(max_ops).map(|key| json!({ "delete": key })).collect();
         self.log(
             Level::Info,
-            format!("drain {name} is not in the settings any more: given up"),
+            format!("drain {name}: no longer in the settings, deleting its records"),
         );
         self.write_drain(None, changes, DrainWrite::Delete);
     }
@@ -411,14 +411,14 @@
         }
         let text = if next.done {
             format!(
-                "drain {} is done: {} machines replaced or returned",
+                "drain {}: finished, {} machines replaced or returned",
                 rule.name,
                 targets.len()
             )
         } else {
             let names: Vec<&str> = next.active.iter().map(|active| active.machine.as_str()).collect();
             format!(
-                "drain {}: {} of {} machines left, now {}",
+                "drain {}: {} of {} machines left, now draining {}",
                 rule.name,
                 remaining.len(),
                 targets.len(),
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -191,7 +191,7 @@
         for id in abandoned {
             self.log(
                 Level::Info,
-                format!("{id}: not emptied within its budgets: back in service"),
+                format!("{id}: not emptied in time under the disruption budgets: back in service"),
             );
         }
     }
--- a/crates/tidelatch-core/src/disruption/interruption.rs
+++ b/crates/tidelatch-core/src/disruption/interruption.rs
@@ -28,8 +28,8 @@
         f.write_str(match self {
             Self::Drain => "its machine is drained",
             Self::Emptying => "its machine is emptied",
-            Self::Spreading => "it makes room for a replica that may not run elsewhere",
-            Self::HandOver => "its machine goes to another partition",
+            Self::Spreading => "it makes room for a replica that may not run in other zones",
+            Self::HandOver => "its machine is handed over to another partition",
         })
     }
 }
@@ -38,24 +38,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum BlockReason {
     /// The task's team or machine is unknown, or no controller owns it.
-    #[error("nobody owns the task's team or its machine at present")]
+    #[error("no controller owns the task's team or its machine at present")]
     NoOwner,
     /// The task does not run, is being stopped, or waits for the other tasks of its gang.
-    #[error("{0} does not run")]
+    #[error("{0} is not running")]
     NotRunning(TaskId),
     /// The permit ledger denied the permit, for example because a budget is used up or because permits of an earlier
     /// owner may still be used.
     #[error(transparent)]
     Denied(#[from] Denial),
     /// A permit has been requested from the owner of the task's team.
-    #[error("{0} has been asked")]
+    #[error("a permit has been requested from {0}")]
     PermitRequested(ControllerId),
     /// The owner of the task's team does not support permits.
-    #[error("{0} grants no permits")]
+    #[error("{0} does not support permits")]
     PermitsUnsupported(ControllerId),
     /// The gang has tasks on machines of other controllers. A gang is interrupted as a whole, by the controller that
     /// owns all its machines, or not at all.
-    #[error("a gang's tasks are not all on machines of this controller's")]
+    #[error("not all tasks of the gang are on machines of this controller")]
     GangNotLocal,
 }
 
@@ -264,7 +264,7 @@
         let Some(disruption) = &mut self.disruption else { return };
         let count = disruption.involuntary_interruptions.entry(team.clone()).or_default();
         *count += 1;
-        let text = format!("involuntary interruption {count} of {team}: {task}: {why}");
+        let text = format!("involuntary interruption {count} of team {team}: {task}: {why}");
         self.log(Level::Info, text);
     }
 }
