--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -144,14 +144,14 @@
     }
 
     /// Applies the new value of a key without the prefix; `None` or an unreadable value removes the key's record.
-    fn apply_key(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
+    fn apply_key(&mut self, key: &str, value: Option<Value>, revision: Stamp) {
         self.listed_keys.insert(key.to_owned());
         let (name, part) = parse_key(key);
         let drain = self.stored.entry(name.to_owned()).or_default();
         match part {
             None => {
                 let head = value.and_then(|value| serde_json::from_value(value).ok());
-                drain.head = head.map(|head| (head, stamp));
+                drain.head = head.map(|head| (head, revision));
             }
             Some(part) => match value.and_then(|value| serde_json::from_value(value).ok()) {
                 Some(value) => {
@@ -220,9 +220,9 @@
     }
 
     /// Applies the new value of a drain key, or its deletion.
-    pub(crate) fn apply_drain(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
+    pub(crate) fn apply_drain(&mut self, key: &str, value: Option<Value>, revision: Stamp) {
         if let Some(disruption) = &mut self.disruption {
-            disruption.drain_records.apply_key(key, value, stamp);
+            disruption.drain_records.apply_key(key, value, revision);
         }
     }
 
@@ -287,9 +287,9 @@
 
     /// Sends a transaction that changes drain keys. It is conditional on the leader's key, the epoch and, if given, the
     /// revision of a key.
-    fn write_drain(&mut self, stamp: Option<(String, Stamp)>, changes: Vec<Value>, write: DrainWrite) {
+    fn write_drain(&mut self, expected: Option<(String, Stamp)>, changes: Vec<Value>, write: DrainWrite) {
         let mut conditions = vec![self.leader_condition(), self.epoch_condition()];
-        conditions.extend(stamp.map(|(key, stamp)| json!({ "k": key, "stamp": stamp })));
+        conditions.extend(expected.map(|(key, revision)| json!({ "k": key, "stamp": revision })));
         if let Some(disruption) = &mut self.disruption {
             disruption.drain_records.is_writing = true;
         }
@@ -388,7 +388,7 @@
         let Some(stored) = disruption.drain_records.stored.get(&rule.name) else {
             return false;
         };
-        let (Some((head, stamp)), Some(targets)) = (stored.head.clone(), stored.targets()) else {
+        let (Some((head, revision)), Some(targets)) = (stored.head.clone(), stored.targets()) else {
             return false;
         };
         if head.done {
@@ -428,7 +428,7 @@
         self.log(Level::Info, text);
         let key = format!("{DRAIN_PREFIX}{}", rule.name);
         let change = json!({ "write": key, "value": next });
-        self.write_drain(Some((key, stamp)), vec![change], DrainWrite::Head);
+        self.write_drain(Some((key, revision)), vec![change], DrainWrite::Head);
         true
     }
 
--- a/crates/tidelatch-core/src/disruption/interruption.rs
+++ b/crates/tidelatch-core/src/disruption/interruption.rs
@@ -257,14 +257,14 @@
     }
 
     /// Counts and logs an interruption for a reason that the budgets do not cover.
-    pub(crate) fn note_involuntary(&mut self, task: &TaskId, why: &str) {
+    pub(crate) fn note_involuntary(&mut self, task: &TaskId, reason: &str) {
         let Some(team) = self.jobs.get(&task.job).map(|job| job.spec.team.clone()) else {
             return;
         };
         let Some(disruption) = &mut self.disruption else { return };
         let count = disruption.involuntary_interruptions.entry(team.clone()).or_default();
         *count += 1;
-        let text = format!("involuntary interruption {count} of team {team}: {task}: {why}");
+        let text = format!("involuntary interruption {count} of team {team}: {task}: {reason}");
         self.log(Level::Info, text);
     }
 }
