--- a/crates/tidelatch/build.rs
+++ b/crates/tidelatch/build.rs
@@ -1,4 +1,4 @@
-//! Turns the peers' protocol file into Rust, without a `protoc` on the machine.
+//! Generates Rust code from `proto/peer.proto`; `protox` compiles it, so that `protoc` need not be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/peer.proto");
--- a/crates/tidelatch/src/settings.rs
+++ b/crates/tidelatch/src/settings.rs
@@ -1,55 +1,58 @@
-//! Reading and checking the settings files, and the level of the log.
+//! Loads and validates the settings files, and sets up logging.
 
 use std::path::Path;
 use tidelatch_core::settings::{Operator, Platform, Settings};
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::prelude::*;
 
-/// A fault that keeps the program from starting.
+/// An error in the settings or in `LOG_LEVEL`, which prevents the program from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// A file cannot be read.
     #[error("{path}: {source}")]
     Read {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// Error returned by the operating system.
         source: std::io::Error,
     },
-    /// A file is not in its form, or a field is missing or of another type.
+    /// A file is not valid TOML or JSON, or a field is missing, unknown or has the wrong type.
     #[error("{path}: {text}")]
-    Form {
-        /// Its path.
+    Parse {
+        /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// Description of the error, with the path of the field.
         text: String,
     },
-    /// A value is impossible.
+    /// A value is out of range, or contradicts another value.
     #[error("{path}: {fault}")]
     Value {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Field and fault.
+        /// The field, and what is wrong with its value.
         fault: tidelatch_core::settings::Fault,
     },
-    /// `LOG_LEVEL` is none of the known words.
+    /// `LOG_LEVEL` is not a known level.
     #[error("LOG_LEVEL: `{0}` is none of error, info, debug")]
     Level(String),
 }
 
-fn read(path: &Path) -> Result<String, SettingsError> {
+/// Reads a file as text.
+fn read_file(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
         path: path.display().to_string(),
         source,
     })
 }
 
+/// Parses the platform settings (TOML).
 fn parse_platform(text: &str) -> Result<Platform, String> {
     let input = toml::Deserializer::parse(text).map_err(|fault| fault.message().to_owned())?;
     serde_path_to_error::deserialize(input)
         .map_err(|fault| format!("{}: {}", display_path(fault.path()), fault.inner().message()))
 }
 
+/// Parses the operators' settings (JSON).
 fn parse_operator(text: &str) -> Result<Operator, String> {
     let mut input = serde_json::Deserializer::from_str(text);
     let operator = serde_path_to_error::deserialize(&mut input)
@@ -58,6 +61,7 @@
     Ok(operator)
 }
 
+/// Formats the path of a field for error messages.
 fn display_path(path: &serde_path_to_error::Path) -> String {
     let path = path.to_string();
     if path == "." {
@@ -67,12 +71,12 @@
     }
 }
 
-/// Reads both files and reports everything that is wrong with them.
-pub fn load(platform: &Path, operator_path: Option<&Path>) -> Result<Settings, Vec<SettingsError>> {
-    let platform = load_file(platform, parse_platform, Platform::faults);
+/// Loads and validates both files; returns all errors found in them.
+pub fn load(platform_path: &Path, operator_path: Option<&Path>) -> Result<Settings, Vec<SettingsError>> {
+    let platform = load_and_validate_file(platform_path, parse_platform, Platform::faults);
     let operator = match operator_path {
         None => Ok(Operator::default()),
-        Some(path) => load_file(path, parse_operator, Operator::faults),
+        Some(path) => load_and_validate_file(path, parse_operator, Operator::faults),
     };
     match (platform, operator) {
         (Ok(platform), Ok(operator_settings)) => {
@@ -81,7 +85,7 @@
                 operator: operator_settings,
                 features: tidelatch_core::settings::Features::default(),
             };
-            check_together(settings, operator_path)
+            validate_combination(settings, operator_path)
         }
         (platform, operator) => {
             let mut errors = platform.err().unwrap_or_default();
@@ -91,8 +95,8 @@
     }
 }
 
-/// Checks what is impossible only where both files come together; the operators' is the one to be changed.
-fn check_together(settings: Settings, operator_path: Option<&Path>) -> Result<Settings, Vec<SettingsError>> {
+/// Validates the combination of both files. Errors are reported for the operators' file, which is the one to change.
+fn validate_combination(settings: Settings, operator_path: Option<&Path>) -> Result<Settings, Vec<SettingsError>> {
     let path = operator_path.map_or_else(String::new, |path| path.display().to_string());
     let faults = settings.faults().into_iter();
     let errors: Vec<SettingsError> = faults
@@ -104,19 +108,19 @@
     if errors.is_empty() { Ok(settings) } else { Err(errors) }
 }
 
-/// Reads one file, and checks its values.
-fn load_file<T>(
+/// Reads and parses one file, and validates its values.
+fn load_and_validate_file<T>(
     path: &Path,
     parse: fn(&str) -> Result<T, String>,
-    check: fn(&T) -> Vec<tidelatch_core::settings::Fault>,
+    validate: fn(&T) -> Vec<tidelatch_core::settings::Fault>,
 ) -> Result<T, Vec<SettingsError>> {
-    let text = read(path).map_err(|error| vec![error])?;
+    let text = read_file(path).map_err(|error| vec![error])?;
     let path = path.display().to_string();
     let settings = match parse(&text) {
         Ok(settings) => settings,
-        Err(text) => return Err(vec![SettingsError::Form { path, text }]),
+        Err(text) => return Err(vec![SettingsError::Parse { path, text }]),
     };
-    let errors: Vec<SettingsError> = check(&settings)
+    let errors: Vec<SettingsError> = validate(&settings)
         .into_iter()
         .map(|fault| SettingsError::Value {
             path: path.clone(),
@@ -126,12 +130,12 @@
     if errors.is_empty() { Ok(settings) } else { Err(errors) }
 }
 
-/// The schema of the operators' own settings.
+/// Returns the JSON schema of the operators' settings.
 pub fn schema() -> schemars::Schema {
     schemars::schema_for!(Operator)
 }
 
-/// Starts logging to standard error, as much as `LOG_LEVEL` says.
+/// Starts logging to standard error at the level given by `LOG_LEVEL`; the default is info.
 pub fn start_logging() -> Result<(), SettingsError> {
     let level = match std::env::var("LOG_LEVEL") {
         Err(_) => tracing::Level::INFO,
@@ -142,7 +146,7 @@
             _ => return Err(SettingsError::Level(text)),
         },
     };
-    // Libraries speak up for errors only: their own detail would drown this program's.
+    // Libraries log errors only: their details would drown out this program's log lines.
     let filter = Targets::new()
         .with_default(tracing::Level::ERROR)
         .with_target("tidelatch", level);
@@ -161,14 +165,14 @@
     const EXAMPLE: &str = include_str!("../../../docs/example-node.toml");
 
     #[test]
-    fn the_example_is_in_order_and_unknown_fields_are_ignored() {
+    fn the_example_is_valid_and_unknown_fields_are_ignored() {
         let text = format!("new_field = 1\n{EXAMPLE}");
-        let platform = parse_platform(&text).expect("the example is in form");
+        let platform = parse_platform(&text).expect("the example can be parsed");
         assert_eq!(platform.faults(), []);
     }
 
     #[test]
-    fn what_is_missing_or_impossible_is_named_with_its_path() {
+    fn missing_fields_and_invalid_values_are_reported_with_their_path() {
         let missing = parse_platform(&EXAMPLE.replace("report_s = 2.0\n", "")).expect_err("a field is missing");
         assert!(
             missing.contains("facts.workers") && missing.contains("report_s"),
@@ -177,19 +181,19 @@
         let text = EXAMPLE
             .replace("gpus_max = 24.0", "gpus_max = 4.0")
             .replace("lease_s = 15.0", "lease_s = 3.0");
-        let faults = parse_platform(&text).expect("in form").faults();
+        let faults = parse_platform(&text).expect("valid TOML").faults();
         let paths: Vec<&str> = faults.iter().map(|f| f.path.as_str()).collect();
         assert_eq!(paths, ["facts.workers.lease_s", "facts.teams[0].gpus"]);
     }
 
     #[test]
-    fn the_operators_own_settings_are_checked() {
-        let unknown = parse_operator(r#"{"batch": 3}"#).expect_err("an unknown field");
-        assert!(unknown.contains("unknown field `batch`"), "{unknown}");
-        let wrong = parse_operator(r#"{"batch_tasks": "many"}"#).expect_err("not a number");
-        assert!(wrong.starts_with("batch_tasks:"), "{wrong}");
-        let out = parse_operator(r#"{"batch_tasks": 0}"#).expect("in form").faults();
-        assert_eq!(out.first().map(|f| f.path.as_str()), Some("batch_tasks"));
+    fn operator_settings_are_validated_and_the_schema_lists_their_fields() {
+        let unknown_field = parse_operator(r#"{"batch": 3}"#).expect_err("an unknown field");
+        assert!(unknown_field.contains("unknown field `batch`"), "{unknown_field}");
+        let wrong_type = parse_operator(r#"{"batch_tasks": "many"}"#).expect_err("not a number");
+        assert!(wrong_type.starts_with("batch_tasks:"), "{wrong_type}");
+        let faults = parse_operator(r#"{"batch_tasks": 0}"#).expect("valid JSON").faults();
+        assert_eq!(faults.first().map(|f| f.path.as_str()), Some("batch_tasks"));
         let schema = serde_json::to_value(schema()).expect("the schema is JSON");
         let defaults = serde_json::to_value(Operator::default()).expect("defaults are JSON");
         let fields = |v: &serde_json::Value| v.as_object().map(|m| m.keys().cloned().collect::<Vec<_>>());
