--- a/crates/tidelatch/src/peers/convert.rs
+++ b/crates/tidelatch/src/peers/convert.rs
@@ -1,4 +1,4 @@
-//! Between the core's messages and those of `peer.proto`.
+//! Conversions between the core's messages and those of `peer.proto`.
 
 use super::wire;
 use tidelatch_core::ids::{JobId, MachineId, Partition};
@@ -8,12 +8,12 @@
 };
 use tidelatch_failure_detector::{Claim, Heartbeat, Incarnation, Life, MemberId, Opinion};
 
-/// The core has answered a request in the form of another kind of request.
+/// The core's reply belongs to another kind of request than the one that was made.
 #[derive(Debug, thiserror::Error)]
 #[error("another kind of answer")]
 pub struct UnexpectedReply;
 
-/// A request in the form of `peer.proto`, by the call that carries it.
+/// A request as a message of `peer.proto`, with one variant for each call of the service.
 pub(super) enum WireRequest {
     Relay(wire::RelayRequest),
     Forward(wire::ForwardRequest),
@@ -87,8 +87,8 @@
             told: CancellationNotice {
                 life: request.life,
                 unread: request.unread,
-                cancelled: job_ids(&request.cancelled),
-                asked: job_ids(&request.asked),
+                cancelled: parse_job_ids(&request.cancelled),
+                asked: parse_job_ids(&request.asked),
             },
             liveness: request.liveness.map(Into::into),
             permits: request.permits.map(|permits| Box::new(permits.into())),
@@ -165,8 +165,8 @@
             told: CancellationNotice {
                 life: reply.life,
                 unread: reply.unread,
-                cancelled: job_ids(&reply.cancelled),
-                asked: job_ids(&reply.asked),
+                cancelled: parse_job_ids(&reply.cancelled),
+                asked: parse_job_ids(&reply.asked),
             },
             liveness: reply.liveness.map(Into::into),
             permits: reply.permits.map(|permits| Box::new(permits.into())),
@@ -189,7 +189,7 @@
 }
 
 impl From<wire::Liveness> for Heartbeat {
-    /// The sender is not named here: the core knows from whom it came.
+    /// The message does not name its sender, so `from` stays empty: the core knows which peer sent it.
     fn from(liveness: wire::Liveness) -> Self {
         Self {
             from: MemberId::new(""),
@@ -258,45 +258,46 @@
 }
 
 impl From<MachineRequest> for wire::Need {
-    fn from(need: MachineRequest) -> Self {
+    fn from(request: MachineRequest) -> Self {
         Self {
-            model: need.model,
-            zone: need.zone,
-            spot: need.spot,
-            count: need.count,
-            urgent: need.urgent,
-            any_zone: need.any_zone,
+            model: request.model,
+            zone: request.zone,
+            spot: request.spot,
+            count: request.count,
+            urgent: request.urgent,
+            any_zone: request.any_zone,
         }
     }
 }
 
 impl From<wire::Need> for MachineRequest {
-    fn from(need: wire::Need) -> Self {
+    fn from(request: wire::Need) -> Self {
         Self {
-            model: need.model,
-            zone: need.zone,
-            spot: need.spot,
-            count: need.count,
-            urgent: need.urgent,
-            any_zone: need.any_zone,
+            model: request.model,
+            zone: request.zone,
+            spot: request.spot,
+            count: request.count,
+            urgent: request.urgent,
+            any_zone: request.any_zone,
         }
     }
 }
 
 impl From<SpareRoom> for wire::SpareRoom {
-    fn from(room: SpareRoom) -> Self {
+    fn from(spare_room: SpareRoom) -> Self {
         Self {
-            machine: Some(room.machine.into()),
-            free: room.free.to_vec(),
+            machine: Some(spare_room.machine.into()),
+            free: spare_room.free.to_vec(),
         }
     }
 }
 
-/// Room without a machine, or in another number of amounts, comes from no version of this program.
-fn spare_room(room: wire::SpareRoom) -> Option<SpareRoom> {
+/// Converts spare room; `None` if it has no machine or the wrong number of amounts, which no version of this program
+/// sends.
+fn parse_spare_room(spare_room: wire::SpareRoom) -> Option<SpareRoom> {
     Some(SpareRoom {
-        machine: room.machine?.into(),
-        free: room.free.try_into().ok()?,
+        machine: spare_room.machine?.into(),
+        free: spare_room.free.try_into().ok()?,
     })
 }
 
@@ -323,29 +324,29 @@
 }
 
 impl From<WaitingTasks> for wire::Want {
-    fn from(want: WaitingTasks) -> Self {
+    fn from(waiting: WaitingTasks) -> Self {
         Self {
-            models: want.models,
-            zones: want.zones,
-            spot: want.spot,
-            urgent: want.urgent,
-            size: want.size.to_vec(),
-            count: want.count,
+            models: waiting.models,
+            zones: waiting.zones,
+            spot: waiting.spot,
+            urgent: waiting.urgent,
+            size: waiting.size.to_vec(),
+            count: waiting.count,
         }
     }
 }
 
 impl From<wire::Want> for WaitingTasks {
-    fn from(want: wire::Want) -> Self {
+    fn from(waiting: wire::Want) -> Self {
         let mut size = [0.0; 3];
-        size.iter_mut().zip(want.size).for_each(|(s, v)| *s = v);
+        size.iter_mut().zip(waiting.size).for_each(|(s, v)| *s = v);
         Self {
-            models: want.models,
-            zones: want.zones,
-            spot: want.spot,
-            urgent: want.urgent,
+            models: waiting.models,
+            zones: waiting.zones,
+            spot: waiting.spot,
+            urgent: waiting.urgent,
             size,
-            count: want.count,
+            count: waiting.count,
         }
     }
 }
@@ -375,20 +376,22 @@
             idle: convert_all(digest.idle),
             yielding: convert_all(digest.yielding),
             wants: convert_all(digest.wants),
-            spare_room: digest.spare_room.into_iter().filter_map(spare_room).collect(),
+            spare_room: digest.spare_room.into_iter().filter_map(parse_spare_room).collect(),
         }
     }
 }
 
+/// Converts each item of a list.
 fn convert_all<T: Into<U>, U>(items: Vec<T>) -> Vec<U> {
     items.into_iter().map(Into::into).collect()
 }
 
+/// Converts job ids into the names sent to peers.
 fn job_names(jobs: Vec<JobId>) -> Vec<String> {
     jobs.into_iter().map(|id| id.as_str().to_owned()).collect()
 }
 
-/// The jobs with these names; what is none is passed over.
-fn job_ids(names: &[String]) -> Vec<JobId> {
+/// Parses job ids; names that are not valid job ids are skipped.
+fn parse_job_ids(names: &[String]) -> Vec<JobId> {
     names.iter().filter_map(|name| JobId::parse(name)).collect()
 }
--- a/crates/tidelatch/src/peers/convert_permits.rs
+++ b/crates/tidelatch/src/peers/convert_permits.rs
@@ -1,4 +1,4 @@
-//! Between the core's messages about permits to interrupt tasks and those of `peer.proto`.
+//! Conversions between the core's messages about permits to interrupt tasks and those of `peer.proto`.
 
 use super::wire;
 use tidelatch_core::{PermitGrants, PermitListing};
--- a/crates/tidelatch/src/peers/mod.rs
+++ b/crates/tidelatch/src/peers/mod.rs
@@ -1,7 +1,7 @@
 //! gRPC between the controllers: tonic's generated code over hyper's HTTP/2 on smol.
 //!
-//! [`serve`] answers the other controllers, [`PeerClients`] asks them, and `convert` turns the core's messages
-//! into those of `peer.proto` and back.
+//! [`serve`] answers requests of the other controllers, [`PeerClients`] sends requests to them, and `convert` and
+//! `convert_permits` convert between the core's messages and those of `peer.proto`.
 
 mod client;
 mod convert;
@@ -16,15 +16,16 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-// Generated code.
+// Code generated from `peer.proto`.
 #[allow(missing_docs, clippy::too_many_lines)]
 mod wire {
     tonic::include_proto!("tidelatch.peer.v1");
 }
 
+/// A boxed future that can be sent between threads.
 type BoxedFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// The executor, in the form that hyper's adapter takes.
+/// Shared executor, wrapped for hyper's adapter, which requires `AsRef<Executor>`.
 #[derive(Clone)]
 struct SharedExecutor(Arc<Executor<'static>>);
 
--- a/crates/tidelatch/src/peers/server.rs
+++ b/crates/tidelatch/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! The service that a controller offers to the others.
+//! gRPC server for the other controllers.
 
 use super::wire::peer_server::{Peer, PeerServer};
 use super::{BoxedFuture, SharedExecutor, wire};
@@ -15,27 +15,28 @@
 use tonic::body::Body;
 use tower_service::Service;
 
-/// Passes peers' requests to the core, and its replies back.
+/// Implements the peer service: passes requests to the core and returns its replies.
 #[derive(Clone)]
 struct PeerService {
     events: Sender<Event>,
 }
 
 impl PeerService {
-    async fn ask(&self, request: PeerRequest) -> Result<PeerReply, Status> {
+    /// Sends a request to the core and waits for its reply; fails if the daemon is stopping.
+    async fn send_to_core(&self, request: PeerRequest) -> Result<PeerReply, Status> {
         let (reply, answer) = smol::channel::bounded(1);
         let sent = self.events.send(Event::Peer { request, reply }).await;
         sent.map_err(|_| Status::unavailable("stopping"))?;
         answer.recv().await.map_err(|_| Status::unavailable("stopping"))
     }
 
-    /// Asks the core, and answers in the form that the call has.
-    async fn answer<Q, R>(&self, request: tonic::Request<Q>) -> Result<tonic::Response<R>, Status>
+    /// Handles a call: sends its request to the core, and converts the reply into the call's response message.
+    async fn handle_call<Q, R>(&self, request: tonic::Request<Q>) -> Result<tonic::Response<R>, Status>
     where
         Q: Into<PeerRequest>,
         R: TryFrom<PeerReply, Error: std::fmt::Display>,
     {
-        let reply = self.ask(request.into_inner().into()).await?;
+        let reply = self.send_to_core(request.into_inner().into()).await?;
         let reply = R::try_from(reply).map_err(|error| Status::internal(error.to_string()))?;
         Ok(tonic::Response::new(reply))
     }
@@ -47,32 +48,32 @@
         &self,
         request: tonic::Request<wire::RelayRequest>,
     ) -> Result<tonic::Response<wire::Answer>, Status> {
-        self.answer(request).await
+        self.handle_call(request).await
     }
 
     async fn forward(
         &self,
         request: tonic::Request<wire::ForwardRequest>,
     ) -> Result<tonic::Response<wire::Answer>, Status> {
-        self.answer(request).await
+        self.handle_call(request).await
     }
 
     async fn submit(
         &self,
         request: tonic::Request<wire::SubmitRequest>,
     ) -> Result<tonic::Response<wire::Answer>, Status> {
-        self.answer(request).await
+        self.handle_call(request).await
     }
 
     async fn hello(
         &self,
         request: tonic::Request<wire::HelloRequest>,
     ) -> Result<tonic::Response<wire::HelloReply>, Status> {
-        self.answer(request).await
+        self.handle_call(request).await
     }
 }
 
-/// Makes tonic's service callable by hyper.
+/// Adapts tonic's service to hyper's service trait.
 struct HyperService(PeerServer<PeerService>);
 
 impl hyper::service::Service<Request<hyper::body::Incoming>> for HyperService {
@@ -86,46 +87,47 @@
     }
 }
 
-/// Connections of one peer at a time: one that is used, and those that it has given up in cuts that still
-/// hold their ends back.
+/// Maximum number of open connections for each peer: the one in use, and those that the peer abandoned during network
+/// partitions and whose close has not arrived here yet.
 const MAX_CONNECTIONS_PER_PEER: usize = 16;
-/// Most questions at a time on one connection: a third of a thousand workers' reports may be passed on
-/// while their owner is slow.
+/// Maximum number of concurrent requests on one connection: a third of a thousand workers' reports may be relayed
+/// while the controller that owns the workers is slow.
 const MAX_STREAMS_PER_CONNECTION: u32 = 256;
 
-/// Serves the other controllers. A connection on which nothing answers for `silence` is closed: its end
-/// may have been lost in a cut, and such ones must not take the places of new ones.
+/// Serves the `peer_count` other controllers. A connection is pinged at `keep_alive_interval`, and closed if the ping
+/// stays unanswered for that time: its close may have been lost in a network partition, and such connections must not
+/// use up the places of new ones.
 pub async fn serve(
     executor: Arc<Executor<'static>>,
     listener: TcpListener,
     events: Sender<Event>,
-    peers: usize,
-    silence: Duration,
+    peer_count: usize,
+    keep_alive_interval: Duration,
 ) {
-    let open = Arc::new(());
+    let connection_counter = Arc::new(());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             smol::Timer::after(Duration::from_millis(100)).await;
             continue;
         };
-        if Arc::strong_count(&open) > MAX_CONNECTIONS_PER_PEER * peers.max(1) {
+        if Arc::strong_count(&connection_counter) > MAX_CONNECTIONS_PER_PEER * peer_count.max(1) {
             continue;
         }
         let _ = stream.set_nodelay(true);
         let service = HyperService(PeerServer::new(PeerService { events: events.clone() }));
-        let connection_count = open.clone();
+        let counter_guard = connection_counter.clone();
         let rt = SmolExecutor::new(SharedExecutor(executor.clone()));
         executor
             .spawn(async move {
-                let _connection_count = connection_count;
-                let served = hyper::server::conn::http2::Builder::new(rt)
+                let _counter_guard = counter_guard;
+                let result = hyper::server::conn::http2::Builder::new(rt)
                     .timer(SmolTimer::new())
-                    .keep_alive_interval(silence)
-                    .keep_alive_timeout(silence)
+                    .keep_alive_interval(keep_alive_interval)
+                    .keep_alive_timeout(keep_alive_interval)
                     .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
                     .serve_connection(FuturesIo::new(stream), service)
                     .await;
-                if let Err(error) = served {
+                if let Err(error) = result {
                     tracing::debug!("a peer's connection ended: {error}");
                 }
             })
