--- a/crates/tidelatch/src/admission.rs
+++ b/crates/tidelatch/src/admission.rs
@@ -1,54 +1,54 @@
-//! The connections of users, workers and health checks: who gets in when sockets run short.
+//! Admission control for incoming connections of users, workers and health checks when sockets are scarce.
 //!
-//! A controller that stands alone hears every worker, beside users and health checks. So the sockets are
-//! divided by need: a quarter is kept for calls to others, and of the rest an eighth that workers
-//! cannot take. What lies idle gives way to what comes in: connections of machines that have fallen silent
-//! first, then those on which a user has asked nothing for longest. A worker that reports is never
-//! closed for another, for both would take each other's place in turns.
+//! When only one controller is running, all workers report to it, in addition to users and health checks. The sockets
+//! are therefore divided: a quarter is reserved for outgoing calls, and an eighth of the rest is reserved for users and
+//! health checks. When no socket is free for a new connection, an idle one is evicted: first connections of
+//! unresponsive machines, then the user's connection that has been idle for the longest time. The connection of a
+//! worker that reports is never evicted for another worker, because the two would keep evicting each other.
 
 use smol::channel::{Receiver, Sender};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How a controller's sockets are divided.
+/// Maximum numbers of connections by purpose, derived from the controller's socket limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SocketBudget {
-    /// Connections of all who come in.
-    pub incoming: usize,
-    /// Connections of workers among them.
-    pub workers: usize,
-    /// Connections to workers, idle ones included.
-    pub commands: usize,
+    /// Incoming connections, of users, workers and health checks.
+    pub max_incoming: usize,
+    /// Incoming connections of workers; included in `max_incoming`.
+    pub max_incoming_workers: usize,
+    /// Outgoing connections to workers, idle ones included.
+    pub max_outgoing_to_workers: usize,
 }
 
 impl SocketBudget {
-    /// The fewest sockets with which a controller that stands alone has places for so many workers.
-    pub fn needed_for(workers: usize) -> usize {
-        let enough = |sockets: &u32| Self::of(*sockets).workers >= workers;
+    /// Returns the smallest number of sockets with which `workers` workers can report to a single controller.
+    pub fn min_sockets_for(workers: usize) -> usize {
+        let is_enough = |sockets: &u32| Self::from_sockets(*sockets).max_incoming_workers >= workers;
         (0..=u32::MAX)
-            .find(enough)
+            .find(is_enough)
             .map_or(usize::MAX, |sockets| sockets as usize)
     }
 
-    /// Divides so many sockets.
-    pub fn of(sockets: u32) -> Self {
+    /// Divides a controller's `sockets` by purpose.
+    pub fn from_sockets(sockets: u32) -> Self {
         let sockets = sockets as usize;
-        let calls = sockets / 4;
-        let incoming = (sockets - calls).max(8);
+        let outgoing = sockets / 4;
+        let max_incoming = (sockets - outgoing).max(8);
         Self {
-            incoming,
-            workers: incoming - incoming / 8,
+            max_incoming,
+            max_incoming_workers: max_incoming - max_incoming / 8,
             // The rest is for the state service, the cloud, the peers and the process itself.
-            commands: (calls - calls / 4).max(2),
+            max_outgoing_to_workers: (outgoing - outgoing / 4).max(2),
         }
     }
 }
 
-/// What a connection is doing.
+/// Current activity of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Activity {
-    /// It waits for the next request.
+    /// The connection waits for the next request.
     Idle,
     /// A request is being read.
     Reading,
@@ -56,21 +56,26 @@
     Answering,
 }
 
+/// State of an open connection.
 #[derive(Debug)]
 struct ConnectionState {
-    worker: bool,
+    /// Whether a worker has reported on the connection.
+    is_worker: bool,
     activity: Activity,
+    /// Start of the current activity.
     since: Instant,
+    /// Tells the connection's task to close it.
     evict: Sender<()>,
 }
 
+/// Table of open connections, by id.
 #[derive(Debug, Default)]
 struct OpenConnections {
     last_id: u64,
     by_id: BTreeMap<u64, ConnectionState>,
 }
 
-/// All connections that came in.
+/// Admission control for all incoming connections.
 #[derive(Debug)]
 pub struct Admission {
     open: Mutex<OpenConnections>,
@@ -80,7 +85,7 @@
 }
 
 impl Admission {
-    /// None is open yet.
+    /// Creates admission control without any open connection.
     pub fn new(budget: SocketBudget, report_interval: Duration, lease_duration: Duration) -> Arc<Self> {
         Arc::new(Self {
             open: Mutex::default(),
@@ -90,60 +95,64 @@
         })
     }
 
+    /// Locks the table of open connections.
     fn lock(&self) -> MutexGuard<'_, OpenConnections> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets a connection in, if need be in the place of an idle one; none if there is no place.
+    /// Admits a connection, and evicts an idle one if the limit is reached; `None` if none can be evicted.
     pub fn admit(self: &Arc<Self>, now: Instant) -> Option<AdmittedConnection> {
         let mut open = self.lock();
-        if open.by_id.len() >= self.budget.incoming {
-            let silent = 2 * self.report_interval;
-            let place = |e: &ConnectionState| match (e.activity, e.worker) {
-                (Activity::Idle, true) if now.saturating_duration_since(e.since) > silent => Some(0),
+        if open.by_id.len() >= self.budget.max_incoming {
+            let unresponsive_after = 2 * self.report_interval;
+            let eviction_rank = |c: &ConnectionState| match (c.activity, c.is_worker) {
+                (Activity::Idle, true) if now.saturating_duration_since(c.since) > unresponsive_after => Some(0),
                 (Activity::Idle, false) => Some(1),
                 _ => None,
             };
-            let found = open.by_id.iter().filter_map(|(id, e)| Some((place(e)?, e.since, *id)));
-            let (_, _, victim) = found.min()?;
-            if let Some(entry) = open.by_id.remove(&victim) {
-                let _ = entry.evict.try_send(());
+            let evictable = open
+                .by_id
+                .iter()
+                .filter_map(|(id, c)| Some((eviction_rank(c)?, c.since, *id)));
+            let (_, _, evicted_id) = evictable.min()?;
+            if let Some(connection) = open.by_id.remove(&evicted_id) {
+                let _ = connection.evict.try_send(());
             }
         }
         let (evict, evicted) = smol::channel::bounded(1);
         open.last_id += 1;
         let id = open.last_id;
-        let entry = ConnectionState {
-            worker: false,
+        let connection = ConnectionState {
+            is_worker: false,
             activity: Activity::Idle,
             since: now,
             evict,
         };
-        open.by_id.insert(id, entry);
+        open.by_id.insert(id, connection);
         let admission = self.clone();
         Some(AdmittedConnection { id, admission, evicted })
     }
 
-    /// Closes what has been idle for too long, and what does not finish a request. A worker that has not
-    /// reported for a lease's time has gone elsewhere, or has ended.
+    /// Closes connections that have been idle for too long, or whose current request stays incomplete for too long. A
+    /// worker that has not reported for the duration of a lease reports to another controller, or has terminated.
     pub fn close_stale(&self, now: Instant) {
         let mut open = self.lock();
-        open.by_id.retain(|_, e| {
-            let most = match (e.activity, e.worker) {
+        open.by_id.retain(|_, connection| {
+            let max_duration = match (connection.activity, connection.is_worker) {
                 (Activity::Answering, _) => return true,
                 (Activity::Idle, false) => 4 * self.lease_duration,
                 (Activity::Idle, true) | (Activity::Reading, _) => self.lease_duration,
             };
-            let keep = now.saturating_duration_since(e.since) <= most;
+            let keep = now.saturating_duration_since(connection.since) <= max_duration;
             if !keep {
-                let _ = e.evict.try_send(());
+                let _ = connection.evict.try_send(());
             }
             keep
         });
     }
 }
 
-/// A connection's place.
+/// An admitted connection; dropping it releases its socket in the budget.
 #[derive(Debug)]
 pub struct AdmittedConnection {
     id: u64,
@@ -152,41 +161,43 @@
 }
 
 impl AdmittedConnection {
-    /// Ends when the connection is to be closed.
+    /// Waits until the connection is evicted: the caller has to close it.
     pub async fn wait_for_eviction(&self) {
-        // Nothing else is ever sent.
+        // The only message on this channel is the eviction.
         let _ = self.evicted.recv().await;
     }
 
+    /// Records that the connection has begun an activity.
     fn set_activity(&self, activity: Activity) {
-        if let Some(e) = self.admission.lock().by_id.get_mut(&self.id) {
-            e.activity = activity;
-            e.since = Instant::now();
+        if let Some(connection) = self.admission.lock().by_id.get_mut(&self.id) {
+            connection.activity = activity;
+            connection.since = Instant::now();
         }
     }
 
-    /// It waits for a request.
+    /// Records that the connection waits for a request.
     pub fn set_idle(&self) {
         self.set_activity(Activity::Idle);
     }
 
-    /// A request has begun.
+    /// Records that the first bytes of a request were received.
     pub fn set_reading(&self) {
         self.set_activity(Activity::Reading);
     }
 
-    /// A request is complete. False: it is a worker's, and workers have all the places that they may.
-    pub fn set_answering(&self, worker: bool) -> bool {
+    /// Records that a request is complete and is being answered. Returns false if it is a worker's report and the
+    /// number of worker connections has reached its limit.
+    pub fn try_set_answering(&self, is_worker: bool) -> bool {
         self.set_activity(Activity::Answering);
         let mut open = self.admission.lock();
-        if !worker || open.by_id.get(&self.id).is_none_or(|e| e.worker) {
+        if !is_worker || open.by_id.get(&self.id).is_none_or(|c| c.is_worker) {
             return true;
         }
-        let full = open.by_id.values().filter(|e| e.worker).count() >= self.admission.budget.workers;
-        if !full && let Some(e) = open.by_id.get_mut(&self.id) {
-            e.worker = true;
+        let is_full = open.by_id.values().filter(|c| c.is_worker).count() >= self.admission.budget.max_incoming_workers;
+        if !is_full && let Some(connection) = open.by_id.get_mut(&self.id) {
+            connection.is_worker = true;
         }
-        !full
+        !is_full
     }
 }
 
@@ -200,15 +211,15 @@
 mod tests {
     use super::*;
 
-    const REPORT: Duration = Duration::from_secs(5);
+    const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-    fn admission(incoming: usize, workers: usize) -> Arc<Admission> {
+    fn admission(max_incoming: usize, max_incoming_workers: usize) -> Arc<Admission> {
         let budget = SocketBudget {
-            incoming,
-            workers,
-            commands: 2,
+            max_incoming,
+            max_incoming_workers,
+            max_outgoing_to_workers: 2,
         };
-        Admission::new(budget, REPORT, 5 * REPORT)
+        Admission::new(budget, REPORT_INTERVAL, 5 * REPORT_INTERVAL)
     }
 
     fn is_evicted(connection: &AdmittedConnection) -> bool {
@@ -216,62 +227,69 @@
     }
 
     #[test]
-    fn a_controller_that_stands_alone_has_room_for_every_worker_and_for_others() {
-        // Guard: half of the sockets used to be for those who come in. With two of three controllers
-        // away that was less than there were workers, and leases ran out.
+    fn a_single_controller_has_sockets_for_all_workers_and_for_users() {
+        // Guards against too few sockets for incoming connections. With half of the sockets for them, and two of three
+        // controllers down, they were fewer than the workers, and leases expired.
         for (sockets, workers) in [(3490, 1848), (3588, 2131), (1800, 960)] {
-            let d = SocketBudget::of(sockets);
-            assert!(d.workers >= workers, "{d:?} for {workers} workers");
-            assert!(d.incoming - d.workers >= 150, "{d:?}");
-            assert!(d.incoming + d.commands + 64 <= sockets as usize, "{d:?}");
+            let budget = SocketBudget::from_sockets(sockets);
+            assert!(
+                budget.max_incoming_workers >= workers,
+                "{budget:?} for {workers} workers"
+            );
+            assert!(budget.max_incoming - budget.max_incoming_workers >= 150, "{budget:?}");
+            assert!(
+                budget.max_incoming + budget.max_outgoing_to_workers + 64 <= sockets as usize,
+                "{budget:?}"
+            );
         }
     }
 
     #[test]
-    fn what_is_idle_gives_way_and_workers_that_report_do_not() {
+    fn idle_connections_are_evicted_and_those_of_reporting_workers_are_not() {
         let admission = admission(3, 2);
         let now = Instant::now();
         let admit = |at: Instant| admission.admit(at);
-        let worker = admit(now).expect("a place");
-        assert!(worker.set_answering(true));
+        let worker = admit(now).expect("admitted");
+        assert!(worker.try_set_answering(true));
         worker.set_idle();
-        let user = admit(now).expect("a place");
-        let busy = admit(now).expect("a place");
+        let user = admit(now).expect("admitted");
+        let busy = admit(now).expect("admitted");
         busy.set_reading();
-        // Full: the idle user goes, neither the worker nor who is in a request.
-        let second = admit(now + REPORT).expect("the idle user's place");
+        // The limit is reached: the idle user's connection is evicted, not the worker's, and not the one in a request.
+        let new_user = admit(now + REPORT_INTERVAL).expect("admitted in place of the idle user");
         assert!(is_evicted(&user) && !is_evicted(&worker) && !is_evicted(&busy));
-        second.set_reading();
-        // Guard: a refusal, and not a live worker's place, for both would come back in turns.
-        assert!(admit(now + REPORT).is_none());
-        // A machine that has fallen silent goes first.
-        assert!(admit(now + 3 * REPORT).is_some());
+        new_user.set_reading();
+        // Guards against evicting a reporting worker: both workers would reconnect and evict each other. The new
+        // connection is refused instead.
+        assert!(admit(now + REPORT_INTERVAL).is_none());
+        // The connection of an unresponsive machine is evicted first.
+        assert!(admit(now + 3 * REPORT_INTERVAL).is_some());
         assert!(is_evicted(&worker));
     }
 
     #[test]
-    fn workers_leave_places_to_users_and_health_checks() {
+    fn workers_cannot_use_sockets_reserved_for_users_and_health_checks() {
         let admission = admission(8, 2);
         let now = Instant::now();
         let all: Vec<AdmittedConnection> = (0..3).filter_map(|_| admission.admit(now)).collect();
-        let taken: Vec<bool> = all.iter().map(|d| d.set_answering(true)).collect();
-        assert_eq!(taken, [true, true, false]);
-        // Who already has a worker's place keeps it, and a place that is left can be taken again.
-        assert!(all[0].set_answering(true));
+        let accepted: Vec<bool> = all.iter().map(|c| c.try_set_answering(true)).collect();
+        assert_eq!(accepted, [true, true, false]);
+        // A connection that already counts as a worker's stays accepted, and a closed one frees its place.
+        assert!(all[0].try_set_answering(true));
         drop(all);
-        assert!(admission.admit(now).is_some_and(|d| d.set_answering(true)));
+        assert!(admission.admit(now).is_some_and(|c| c.try_set_answering(true)));
     }
 
     #[test]
-    fn connections_of_silent_machines_and_unfinished_requests_are_swept() {
+    fn connections_of_unresponsive_machines_and_with_incomplete_requests_are_closed() {
         let admission = admission(8, 8);
         let now = Instant::now();
         let all: Vec<AdmittedConnection> = (0..4).filter_map(|_| admission.admit(now)).collect();
-        all[0].set_answering(true);
+        all[0].try_set_answering(true);
         all[0].set_idle();
         all[1].set_reading();
-        all[2].set_answering(false);
-        admission.close_stale(now + 6 * REPORT);
+        all[2].try_set_answering(false);
+        admission.close_stale(now + 6 * REPORT_INTERVAL);
         let evicted: Vec<bool> = all.iter().map(is_evicted).collect();
         assert_eq!(evicted, [true, true, false, false]);
     }
--- a/crates/tidelatch/src/daemon/connections.rs
+++ b/crates/tidelatch/src/daemon/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of users and workers: HTTP requests in, the core's answers out.
+//! Serves the HTTP connections of users and workers: passes each request to the core and writes back its answer.
 
 use super::inbox::REPORT_PATH;
 use super::{Event, TICK_INTERVAL};
@@ -12,15 +12,15 @@
 use std::time::Instant;
 use tidelatch_core::{Answer, Method};
 
-/// Body of the answer to what is no request.
-const UNREADABLE: &[u8] = br#"{"error":"malformed or too large"}"#;
-/// Body of the answer to a worker beyond those that the socket budget allows.
-const TOO_MANY_WORKERS: &[u8] = br#"{"error":"too many workers report here"}"#;
-/// Body of the answer to a method that the service does not know.
-const METHOD_NOT_ALLOWED: &[u8] = br#"{"error":"method not allowed"}"#;
+/// Response body for input that cannot be read as an HTTP request.
+const MALFORMED_REQUEST_BODY: &[u8] = br#"{"error":"malformed or too large"}"#;
+/// Response body for a worker that exceeds the number of worker connections in the socket budget.
+const TOO_MANY_WORKERS_BODY: &[u8] = br#"{"error":"too many workers report here"}"#;
+/// Response body for an unsupported HTTP method.
+const METHOD_NOT_ALLOWED_BODY: &[u8] = br#"{"error":"method not allowed"}"#;
 
-/// Accepts connections for as long as the process runs.
-pub(super) async fn accept(
+/// Accepts connections until the process ends, and spawns a task to serve each admitted one.
+pub(super) async fn accept_connections(
     executor: Arc<Executor<'static>>,
     listener: TcpListener,
     events: Sender<Event>,
@@ -28,7 +28,7 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of sockets, most likely: some will close soon.
+            // Most likely the process is out of sockets: wait until some are closed, then retry.
             Timer::after(TICK_INTERVAL).await;
             continue;
         };
@@ -39,14 +39,14 @@
         let events = events.clone();
         executor
             .spawn(async move {
-                let ended = async {
+                let evicted = async {
                     admitted.wait_for_eviction().await;
                     Ok(())
                 };
-                let served = serve_connection(Connection::new(stream), events, &admitted)
-                    .or(ended)
+                let result = serve_connection(Connection::new(stream), events, &admitted)
+                    .or(evicted)
                     .await;
-                if let Err(error) = served {
+                if let Err(error) = result {
                     tracing::debug!("a connection ended: {error}");
                 }
             })
@@ -54,7 +54,7 @@
     }
 }
 
-/// Serves one connection, request after request.
+/// Serves the requests of one connection in sequence until it is closed.
 async fn serve_connection(
     mut connection: Connection,
     events: Sender<Event>,
@@ -64,24 +64,26 @@
         admitted.set_idle();
         match connection.wait_for_request().await {
             Err(HttpError::Closed) => return Ok(()),
-            other => other?,
+            result => result?,
         }
         admitted.set_reading();
         let request = match connection.read_request().await {
             Ok(request) => request,
-            Err(error) => return reject_unreadable(&mut connection, error).await,
+            Err(error) => return reject_malformed_request(&mut connection, error).await,
         };
-        if !admitted.set_answering(request.path == REPORT_PATH) {
-            return connection.write_response(503, Some(1), TOO_MANY_WORKERS, false).await;
+        if !admitted.try_set_answering(request.path == REPORT_PATH) {
+            return connection
+                .write_response(503, Some(1), TOO_MANY_WORKERS_BODY, false)
+                .await;
         }
         let keep_alive = request.keep_alive;
         let Some(method) = parse_method(&request.method) else {
             connection
-                .write_response(405, None, METHOD_NOT_ALLOWED, keep_alive)
+                .write_response(405, None, METHOD_NOT_ALLOWED_BODY, keep_alive)
                 .await?;
             continue;
         };
-        let Some(answer) = ask_core(&events, method, request).await else {
+        let Some(answer) = send_to_core(&events, method, request).await else {
             return Ok(());
         };
         connection
@@ -93,17 +95,20 @@
     }
 }
 
-/// Answers what could not be read as a request, if the connection still can be written to.
-async fn reject_unreadable(connection: &mut Connection, error: HttpError) -> Result<(), HttpError> {
+/// Responds to a request that could not be read, or returns the error if the connection cannot be written to.
+async fn reject_malformed_request(connection: &mut Connection, error: HttpError) -> Result<(), HttpError> {
     let status = match error {
         HttpError::Malformed => 400,
         HttpError::BodyTooLarge => 413,
         HttpError::HeadTooLarge => 431,
         HttpError::Closed | HttpError::Io(_) => return Err(error),
     };
-    connection.write_response(status, None, UNREADABLE, false).await
+    connection
+        .write_response(status, None, MALFORMED_REQUEST_BODY, false)
+        .await
 }
 
+/// Parses the HTTP method; `None` if it is unsupported.
 fn parse_method(name: &str) -> Option<Method> {
     match name {
         "GET" => Some(Method::Get),
@@ -113,8 +118,8 @@
     }
 }
 
-/// Hands a request to the core and waits for its answer; none if the daemon is ending.
-async fn ask_core(events: &Sender<Event>, method: Method, request: Request) -> Option<Answer> {
+/// Sends a request to the core and waits for its answer; `None` if the daemon is stopping.
+async fn send_to_core(events: &Sender<Event>, method: Method, request: Request) -> Option<Answer> {
     let (reply, answer) = smol::channel::bounded(1);
     let event = Event::Request {
         method,
--- a/crates/tidelatch/src/daemon/deadlines.rs
+++ b/crates/tidelatch/src/daemon/deadlines.rs
@@ -1,37 +1,39 @@
-//! The time limits of calls that are under way.
+//! Deadlines of calls in progress.
 
 use smol::channel::{Receiver, Sender};
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Calls that are under way, and when each has no answer. They are looked at with each tick: a timer for
-/// each call costs system calls.
+/// Deadlines of the calls in progress, in time order and by call. They are checked on each tick, because a timer
+/// for each call would cost system calls.
 #[derive(Default)]
 pub(super) struct CallDeadlines {
-    by_time: BTreeMap<(Instant, u64), Sender<()>>,
+    by_deadline: BTreeMap<(Instant, u64), Sender<()>>,
     by_call: HashMap<u64, Instant>,
 }
 
 impl CallDeadlines {
-    /// Begins the time limit of a call; the receiver gets a message once it is over.
-    pub(super) fn start(&mut self, call: u64, timeout_ms: u64) -> Receiver<()> {
-        let at = Instant::now() + Duration::from_millis(timeout_ms);
+    /// Starts the deadline of a call; the receiver gets a message once the deadline has passed.
+    pub(super) fn add(&mut self, call: u64, timeout_ms: u64) -> Receiver<()> {
+        let deadline = Instant::now() + Duration::from_millis(timeout_ms);
         let (expired, expiry) = smol::channel::bounded(1);
-        self.by_time.insert((at, call), expired);
-        self.by_call.insert(call, at);
+        self.by_deadline.insert((deadline, call), expired);
+        self.by_call.insert(call, deadline);
         expiry
     }
 
-    pub(super) fn finish(&mut self, call: u64) {
-        if let Some(at) = self.by_call.remove(&call) {
-            self.by_time.remove(&(at, call));
+    /// Removes the deadline of a call that has finished.
+    pub(super) fn remove(&mut self, call: u64) {
+        if let Some(deadline) = self.by_call.remove(&call) {
+            self.by_deadline.remove(&(deadline, call));
         }
     }
 
-    pub(super) fn expire(&mut self, now: Instant) {
-        while let Some(((at, call), expired)) = self.by_time.pop_first() {
-            if at > now {
-                self.by_time.insert((at, call), expired);
+    /// Notifies and removes all calls whose deadline has passed.
+    pub(super) fn notify_expired(&mut self, now: Instant) {
+        while let Some(((deadline, call), expired)) = self.by_deadline.pop_first() {
+            if deadline > now {
+                self.by_deadline.insert((deadline, call), expired);
                 return;
             }
             self.by_call.remove(&call);
@@ -40,9 +42,9 @@
     }
 }
 
-/// Ends without a result once the time limit of a call is over.
-pub(super) async fn timed_out<T>(expiry: Receiver<()>) -> Option<T> {
-    // Nothing is sent but the end of its time.
+/// Waits until the deadline of a call has passed, then returns `None`.
+pub(super) async fn wait_for_expiry<T>(expiry: Receiver<()>) -> Option<T> {
+    // The only message on this channel is the expiry.
     let _ = expiry.recv().await;
     None
 }
@@ -52,19 +54,15 @@
     use super::*;
 
     #[test]
-    fn calls_end_when_their_time_is_over_and_not_before() {
+    fn calls_expire_at_their_deadline_and_not_before() {
         let mut deadlines = CallDeadlines::default();
         let now = Instant::now();
-        let (short, long, ended) = (
-            deadlines.start(1, 500),
-            deadlines.start(2, 5000),
-            deadlines.start(3, 500),
-        );
-        deadlines.finish(3);
-        deadlines.expire(now + Duration::from_secs(2));
+        let (short, long, finished) = (deadlines.add(1, 500), deadlines.add(2, 5000), deadlines.add(3, 500));
+        deadlines.remove(3);
+        deadlines.notify_expired(now + Duration::from_secs(2));
         assert!(short.try_recv().is_ok());
         assert!(long.try_recv().is_err() && !long.is_closed());
-        assert!(ended.try_recv().is_err());
+        assert!(finished.try_recv().is_err());
         assert_eq!(deadlines.by_call.len(), 1);
     }
 }
--- a/crates/tidelatch/src/daemon/dispatcher.rs
+++ b/crates/tidelatch/src/daemon/dispatcher.rs
@@ -1,7 +1,7 @@
-//! Carrying out what the core wants: answers, calls, requests to peers, and lines of the log.
+//! Executes the core's outputs: answers, HTTP calls, requests to peers, and log lines.
 
-use super::deadlines::{CallDeadlines, timed_out};
-use super::{Event, StartError, address};
+use super::deadlines::{CallDeadlines, wait_for_expiry};
+use super::{Event, StartError, parse_address};
 use crate::admission::SocketBudget;
 use crate::http::{CallProgress, CallStage, Client, OutgoingRequest};
 use crate::peers::PeerClients;
@@ -16,22 +16,25 @@
 use tidelatch_core::settings::Settings;
 use tidelatch_core::{Answer, Input, Level, NOT_SENT, NOT_TRIED, Output, PeerReply, PeerRequest, Target};
 
-/// Carries out what the core wants.
+/// Executes the core's outputs, and converts events into the core's inputs.
 pub(super) struct Dispatcher {
     executor: Arc<Executor<'static>>,
     pub(super) client: Client,
-    peers: PeerClients,
-    state: SocketAddr,
-    cloud: SocketAddr,
-    siblings: HashMap<ControllerId, SocketAddr>,
+    peer_clients: PeerClients,
+    state_address: SocketAddr,
+    cloud_address: SocketAddr,
+    peer_addresses: HashMap<ControllerId, SocketAddr>,
     events: Sender<Event>,
-    next_request: u64,
+    next_request_id: u64,
     deadlines: CallDeadlines,
-    requests: HashMap<u64, Sender<Answer>>,
-    peer_requests: HashMap<u64, Sender<PeerReply>>,
+    /// Senders for the answers of HTTP requests that the core has not answered, by request id.
+    pending_requests: HashMap<u64, Sender<Answer>>,
+    /// Senders for the replies to peers' requests that the core has not answered, by request id.
+    pending_peer_requests: HashMap<u64, Sender<PeerReply>>,
 }
 
 impl Dispatcher {
+    /// Creates a dispatcher; fails if an address in the settings is not a socket address.
     pub(super) fn new(
         executor: &Arc<Executor<'static>>,
         settings: &Settings,
@@ -39,29 +42,29 @@
         budget: SocketBudget,
     ) -> Result<Self, StartError> {
         let platform = &settings.platform;
-        let mut siblings = HashMap::new();
-        for s in &platform.siblings {
-            siblings.insert(ControllerId::new(s.host_name.clone()), address(&s.address)?);
+        let mut peer_addresses = HashMap::new();
+        for peer in &platform.siblings {
+            peer_addresses.insert(ControllerId::new(peer.host_name.clone()), parse_address(&peer.address)?);
         }
         Ok(Self {
             executor: executor.clone(),
-            client: Client::new(budget.commands),
-            peers: PeerClients::new(executor.clone()),
-            state: address(&platform.outside.state)?,
-            cloud: address(&platform.outside.cloud)?,
-            siblings,
+            client: Client::new(budget.max_outgoing_to_workers),
+            peer_clients: PeerClients::new(executor.clone()),
+            state_address: parse_address(&platform.outside.state)?,
+            cloud_address: parse_address(&platform.outside.cloud)?,
+            peer_addresses,
             events,
-            next_request: 1,
+            next_request_id: 1,
             deadlines: CallDeadlines::default(),
-            requests: HashMap::new(),
-            peer_requests: HashMap::new(),
+            pending_requests: HashMap::new(),
+            pending_peer_requests: HashMap::new(),
         })
     }
 
-    /// The core's input for an event; whoever waits for an answer is kept by the request's number.
-    pub(super) fn input(&mut self, event: Event) -> Input {
-        let id = self.next_request;
-        self.next_request += 1;
+    /// Converts an event into the core's input, and keeps the sender for the answer under the request's id.
+    pub(super) fn make_input(&mut self, event: Event) -> Input {
+        let id = self.next_request_id;
+        self.next_request_id += 1;
         match event {
             Event::Request {
                 method,
@@ -69,41 +72,41 @@
                 body,
                 reply,
             } => {
-                self.requests.insert(id, reply);
+                self.pending_requests.insert(id, reply);
                 Input::Request { id, method, path, body }
             }
             Event::Peer { request, reply } => {
-                self.peer_requests.insert(id, reply);
+                self.pending_peer_requests.insert(id, reply);
                 Input::PeerRequest { id, request }
             }
             Event::Reply { call, result } => {
-                self.deadlines.finish(call);
+                self.deadlines.remove(call);
                 Input::Reply { call, result }
             }
             Event::PeerReply { call, result } => {
-                self.deadlines.finish(call);
+                self.deadlines.remove(call);
                 Input::PeerReply { call, result }
             }
         }
     }
 
-    /// Ends the calls whose time is over.
+    /// Ends the calls whose deadline has passed.
     pub(super) fn expire_calls(&mut self, now: Instant) {
-        self.deadlines.expire(now);
+        self.deadlines.notify_expired(now);
     }
 
-    /// Carries out one thing that the core wants.
-    pub(super) fn carry_out(&mut self, output: Output) {
+    /// Executes one output of the core.
+    pub(super) fn execute(&mut self, output: Output) {
         match output {
             Output::Answer { id, answer } => {
-                if let Some(reply) = self.requests.remove(&id) {
-                    // Whoever asked may have gone away.
+                if let Some(reply) = self.pending_requests.remove(&id) {
+                    // The requester may have disconnected.
                     let _ = reply.try_send(answer);
                 }
             }
             Output::Tell { id, reply } => {
-                if let Some(to) = self.peer_requests.remove(&id) {
-                    let _ = to.try_send(reply);
+                if let Some(sender) = self.pending_peer_requests.remove(&id) {
+                    let _ = sender.try_send(reply);
                 }
             }
             Output::Log { level, text } => match level {
@@ -121,12 +124,12 @@
             } => {
                 let request = self.address_of(&target).map(|to| OutgoingRequest {
                     to,
-                    worker: matches!(target, Target::Worker(_)),
+                    is_to_worker: matches!(target, Target::Worker(_)),
                     method,
                     path,
                     body,
                 });
-                self.start_call(id, request, timeout_ms);
+                self.start_http_call(id, request, timeout_ms);
             }
             Output::Ask {
                 id,
@@ -138,21 +141,22 @@
         }
     }
 
+    /// Socket address of a call's target; `None` if a worker's address cannot be parsed.
     fn address_of(&self, target: &Target) -> Option<SocketAddr> {
         match target {
-            Target::State => Some(self.state),
-            Target::Cloud => Some(self.cloud),
+            Target::State => Some(self.state_address),
+            Target::Cloud => Some(self.cloud_address),
             Target::Worker(address) => address.parse().ok(),
         }
     }
 
-    /// Makes a call over HTTP; its result, or the end of its time, comes back as an event.
-    fn start_call(&mut self, id: u64, request: Option<OutgoingRequest>, timeout_ms: u64) {
+    /// Starts an HTTP call; its result, or its timeout, is sent back as an event.
+    fn start_http_call(&mut self, id: u64, request: Option<OutgoingRequest>, timeout_ms: u64) {
         let (client, events) = (self.client.clone(), self.events.clone());
-        let expiry = self.deadlines.start(id, timeout_ms);
+        let expiry = self.deadlines.add(id, timeout_ms);
         let call = async move {
             let progress = CallProgress::default();
-            let answered = async {
+            let http_call = async {
                 let request = request?;
                 let result = client.call(&request, &progress).await;
                 if let Err(error) = &result {
@@ -160,14 +164,14 @@
                 }
                 result.ok()
             };
-            let result = answered.or(timed_out(expiry)).await;
-            let result = result.or_else(|| result_without_answer(progress.stage()));
+            let result = http_call.or(wait_for_expiry(expiry)).await;
+            let result = result.or_else(|| status_without_response(progress.stage()));
             let _ = events.try_send(Event::Reply { call: id, result });
         };
         self.executor.spawn(call).detach();
     }
 
-    /// Opens a connection to a worker ahead of calls to it, if sockets allow.
+    /// Opens a connection to a worker before calls to it are made, if the socket budget allows it.
     fn connect_ahead(&self, address: &str) {
         let Ok(to) = address.parse() else { return };
         let client = self.client.clone();
@@ -180,18 +184,18 @@
             .detach();
     }
 
-    /// Asks a peer; its reply, or the end of the time for it, comes back as an event.
+    /// Sends a request to a peer; its reply, or its timeout, is sent back as an event.
     fn start_peer_call(&mut self, id: u64, to: &ControllerId, request: PeerRequest, timeout_ms: u64) {
-        let to = self.siblings.get(to).copied();
-        let (peers, events) = (self.peers.clone(), self.events.clone());
-        let expiry = self.deadlines.start(id, timeout_ms);
+        let to = self.peer_addresses.get(to).copied();
+        let (peer_clients, events) = (self.peer_clients.clone(), self.events.clone());
+        let expiry = self.deadlines.add(id, timeout_ms);
         let call = async move {
             let result = match to {
-                Some(to) => peers.ask(to, request).or(timed_out(expiry)).await,
+                Some(to) => peer_clients.send_request(to, request).or(wait_for_expiry(expiry)).await,
                 None => None,
             };
             if let (None, Some(to)) = (&result, to) {
-                peers.disconnect(to);
+                peer_clients.disconnect(to);
             }
             let _ = events.try_send(Event::PeerReply { call: id, result });
         };
@@ -199,10 +203,11 @@
     }
 }
 
-/// What the core is told of a call without an answer: a status of its own if the receiver got nothing of it.
-fn result_without_answer(stage: CallStage) -> Option<(u16, Vec<u8>)> {
+/// Result that the core gets for a call without a response: [`NOT_TRIED`] or [`NOT_SENT`] if the receiver cannot have
+/// got the request, `None` if it may have.
+fn status_without_response(stage: CallStage) -> Option<(u16, Vec<u8>)> {
     match stage {
-        CallStage::Waiting => Some((NOT_TRIED, Vec::new())),
+        CallStage::WaitingForSocket => Some((NOT_TRIED, Vec::new())),
         CallStage::Connecting => Some((NOT_SENT, Vec::new())),
         CallStage::Sent => None,
     }
--- a/crates/tidelatch/src/daemon/inbox.rs
+++ b/crates/tidelatch/src/daemon/inbox.rs
@@ -1,9 +1,9 @@
-//! Events that wait for the core, and the order in which it gets them.
+//! Priority queue of events for the core.
 //!
-//! Health checks, other controllers' questions and the ends of calls come first, for leases, watches and grants
-//! hang on them. Workers' reports and users' requests follow in turns; of users' requests submissions and
-//! cancellations go before polls, for users ask many times as often when something is wrong. What has waited for
-//! longer than its sender does is refused unread.
+//! Health checks, other controllers' requests and the results of calls come first, because leases, watches and grants
+//! depend on them. Workers' reports and users' requests follow in alternation. Among users' requests, submissions and
+//! cancellations come before polls, because users poll many times as often when something is wrong. An event that
+//! has waited for longer than its sender waits for an answer is rejected without being processed.
 
 use super::Event;
 use std::collections::VecDeque;
@@ -12,26 +12,32 @@
 
 /// Path of workers' reports.
 pub(super) const REPORT_PATH: &str = "/agent/beat";
-/// PROTOCOL's patience of those who ask: a poll, a report, a submission. What has waited for longer is
-/// refused without being looked at, so that time goes to those who still wait.
-const POLL_PATIENCE: Duration = Duration::from_secs(2);
-const REPORT_PATIENCE: Duration = Duration::from_secs(4);
-const SUBMIT_PATIENCE: Duration = Duration::from_secs(5);
-
-/// Events, each with the time of its coming.
-type WaitingEvents = VecDeque<(Instant, Event)>;
-
-/// What an event is, for the order.
+/// Time that a user waits for the answer to a poll, as specified in PROTOCOL, like the next two. An event that has
+/// waited for longer is rejected without being processed, so that time is spent on clients that still wait.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time that a worker waits for the answer to a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time that a user waits for the answer to a submission.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Events in order of arrival, each with its time of arrival.
+type TimedEvents = VecDeque<(Instant, Event)>;
+
+/// Kind of an event, which determines its priority and its client's timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EventKind {
+    /// A health check, a request of another controller, or the result of a call.
     Urgent,
+    /// A worker's report, sent directly or relayed by another controller.
     Report,
     /// A submission or a cancellation.
     Change,
+    /// A user's query.
     Poll,
 }
 
 impl EventKind {
+    /// Classifies an event.
     fn of(event: &Event) -> Self {
         match event {
             Event::Request { path, .. } if path == REPORT_PATH => Self::Report,
@@ -48,36 +54,36 @@
         }
     }
 
-    /// How long the sender waits for an answer.
-    fn patience(self) -> Duration {
+    /// Time that the sender waits for an answer.
+    fn client_timeout(self) -> Duration {
         match self {
-            Self::Poll => POLL_PATIENCE,
-            Self::Report => REPORT_PATIENCE,
-            Self::Urgent | Self::Change => SUBMIT_PATIENCE,
+            Self::Poll => POLL_TIMEOUT,
+            Self::Report => REPORT_TIMEOUT,
+            Self::Urgent | Self::Change => SUBMIT_TIMEOUT,
         }
     }
 }
 
-/// What has come in and waits for the core, by how soon it is needed.
+/// Events that wait for the core, in one queue for each kind.
 #[derive(Default)]
 pub(super) struct Inbox {
     urgent: VecDeque<Event>,
-    reports: WaitingEvents,
-    changes: WaitingEvents,
-    polls: WaitingEvents,
-    /// Whose turn it is of reports and users' requests.
+    reports: TimedEvents,
+    changes: TimedEvents,
+    polls: TimedEvents,
+    /// Whether reports come before users' requests; toggled with each event that is not urgent.
     reports_first: bool,
 }
 
-/// An event that has left the inbox.
+/// An event that was popped from the inbox.
 pub(super) struct QueuedEvent {
     pub(super) event: Event,
-    /// Its sender waits for an answer no longer.
-    pub(super) expired: bool,
+    /// The sender's timeout has passed: it no longer waits for an answer.
+    pub(super) is_expired: bool,
 }
 
 impl Inbox {
-    /// Takes in an event.
+    /// Adds an event that arrived at `now`.
     pub(super) fn push(&mut self, event: Event, now: Instant) {
         match EventKind::of(&event) {
             EventKind::Urgent => self.urgent.push_back(event),
@@ -87,31 +93,35 @@
         }
     }
 
-    /// Takes the event that comes next.
+    /// Removes and returns the event with the highest priority.
     pub(super) fn pop(&mut self, now: Instant) -> Option<QueuedEvent> {
         if let Some(event) = self.urgent.pop_front() {
-            return Some(QueuedEvent { event, expired: false });
+            return Some(QueuedEvent {
+                event,
+                is_expired: false,
+            });
         }
         self.reports_first = !self.reports_first;
-        let (at, event) = if self.reports_first {
-            self.reports.pop_front().or_else(|| self.pop_of_user())?
+        let (arrived_at, event) = if self.reports_first {
+            self.reports.pop_front().or_else(|| self.pop_user_request())?
         } else {
-            self.pop_of_user().or_else(|| self.reports.pop_front())?
+            self.pop_user_request().or_else(|| self.reports.pop_front())?
         };
-        let waited = now.saturating_duration_since(at);
-        let expired = waited > EventKind::of(&event).patience();
-        Some(QueuedEvent { event, expired })
+        let waited = now.saturating_duration_since(arrived_at);
+        let is_expired = waited > EventKind::of(&event).client_timeout();
+        Some(QueuedEvent { event, is_expired })
     }
 
-    fn pop_of_user(&mut self) -> Option<(Instant, Event)> {
+    /// Removes the next request of a user: changes before polls.
+    fn pop_user_request(&mut self) -> Option<(Instant, Event)> {
         self.changes.pop_front().or_else(|| self.polls.pop_front())
     }
 }
 
-/// Answers who has given up by now, with no other work.
+/// Rejects an event whose sender no longer waits, without passing it to the core.
 pub(super) fn reject_expired(event: Event) {
     let answer = Answer::later(503, 1, "overloaded");
-    // Whoever asked may have gone away.
+    // The requester may have disconnected.
     match event {
         Event::Request { reply, .. } => drop(reply.try_send(answer)),
         Event::Peer { reply, .. } => drop(reply.try_send(PeerReply::Answer(answer))),
@@ -144,23 +154,23 @@
     }
 
     #[test]
-    fn health_checks_and_replies_overtake_and_who_waits_no_longer_is_refused() {
-        // Guard: when everyone comes back at once, `/up` and the ends of lease calls must not stand behind
-        // a thousand reports, and time must not go into answers that nobody reads.
+    fn health_checks_and_replies_come_first_and_expired_requests_are_rejected() {
+        // Guards against `/up` and the results of lease calls being queued behind a thousand reports when all clients
+        // reconnect at once, and against time being spent on answers that nobody reads.
         let mut inbox = Inbox::default();
-        let then = Instant::now();
-        let (poll, polled) = request(Method::Get, "/submissions/job-000001");
-        inbox.push(poll, then);
+        let arrived = Instant::now();
+        let (poll, poll_answer) = request(Method::Get, "/submissions/job-000001");
+        inbox.push(poll, arrived);
         for _ in 0..2 {
-            inbox.push(request(Method::Post, REPORT_PATH).0, then);
+            inbox.push(request(Method::Post, REPORT_PATH).0, arrived);
         }
-        inbox.push(request(Method::Post, "/submissions").0, then);
-        inbox.push(request(Method::Get, "/up").0, then);
-        inbox.push(Event::Reply { call: 1, result: None }, then);
-        let now = then + Duration::from_secs(3);
-        let taken: Vec<QueuedEvent> = std::iter::from_fn(|| inbox.pop(now)).collect();
-        let order: Vec<(&str, bool)> = taken.iter().map(|q| (path(&q.event), q.expired)).collect();
-        // After 3 s a poll is late, a report and a submission are not; reports and users take turns.
+        inbox.push(request(Method::Post, "/submissions").0, arrived);
+        inbox.push(request(Method::Get, "/up").0, arrived);
+        inbox.push(Event::Reply { call: 1, result: None }, arrived);
+        let now = arrived + Duration::from_secs(3);
+        let popped: Vec<QueuedEvent> = std::iter::from_fn(|| inbox.pop(now)).collect();
+        let order: Vec<(&str, bool)> = popped.iter().map(|q| (path(&q.event), q.is_expired)).collect();
+        // After 3 s a poll has expired, a report and a submission have not; reports and users' requests alternate.
         assert_eq!(
             order,
             [
@@ -172,18 +182,18 @@
                 ("/submissions/job-000001", true),
             ]
         );
-        for queued in taken {
-            if queued.expired {
+        for queued in popped {
+            if queued.is_expired {
                 reject_expired(queued.event);
             }
         }
-        let answer = polled.try_recv().expect("an answer at once");
+        let answer = poll_answer.try_recv().expect("an answer at once");
         assert_eq!((answer.status, answer.retry_after_s), (503, Some(1)));
     }
 
     #[test]
-    fn submissions_and_cancellations_go_before_any_number_of_polls() {
-        // Guard: users who ask ten times as often must not delay what their jobs wait for.
+    fn submissions_and_cancellations_come_before_any_number_of_polls() {
+        // Guards against users who poll ten times as often delaying submissions, cancellations and reports.
         const CANCEL: &str = "/submissions/job-000001/withdraw";
         let mut inbox = Inbox::default();
         let now = Instant::now();
@@ -198,11 +208,11 @@
         ] {
             inbox.push(request(method, path).0, now);
         }
-        let taken: Vec<QueuedEvent> = std::iter::from_fn(|| inbox.pop(now)).collect();
-        let order: Vec<&str> = taken.iter().map(|q| path(&q.event)).collect();
+        let popped: Vec<QueuedEvent> = std::iter::from_fn(|| inbox.pop(now)).collect();
+        let order: Vec<&str> = popped.iter().map(|q| path(&q.event)).collect();
         let first = ["/up", REPORT_PATH, "/submissions", CANCEL, "/submissions/job-000001"];
         assert_eq!(order[..5], first);
-        assert_eq!(taken.len(), 104);
-        assert!(taken.iter().all(|q| !q.expired));
+        assert_eq!(popped.len(), 104);
+        assert!(popped.iter().all(|q| !q.is_expired));
     }
 }
--- a/crates/tidelatch/src/daemon/mod.rs
+++ b/crates/tidelatch/src/daemon/mod.rs
@@ -1,7 +1,7 @@
-//! The daemon: sockets and timers round the core. One thread does all the work.
+//! The daemon: connects the core to sockets and timers. All work is done on a single thread.
 //!
-//! [`run`] opens the listeners and drives the core: events wait in the [`inbox`], and what the core wants is
-//! carried out by [`dispatcher`]. [`connections`] serves users and workers, [`crate::peers`] the other controllers.
+//! [`run`] opens the listeners and drives the core: events are queued in the [`inbox`], and the core's outputs are
+//! executed by the [`dispatcher`]. [`connections`] serves users and workers, [`crate::peers`] the other controllers.
 
 mod connections;
 mod deadlines;
@@ -10,7 +10,7 @@
 
 use crate::admission::{Admission, SocketBudget};
 use crate::peers;
-use connections::accept;
+use connections::accept_connections;
 use dispatcher::Dispatcher;
 use inbox::{Inbox, QueuedEvent, reject_expired};
 use smol::channel::{Receiver, Sender};
@@ -24,67 +24,69 @@
 use tidelatch_core::settings::Settings;
 use tidelatch_core::{Answer, Controller, Input, Method, Now, PeerReply, PeerRequest};
 
-/// Time between two ticks of the core.
+/// Interval between ticks of the core.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two looks for idle connections to be closed.
+/// Interval between checks for idle connections that are to be closed.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What keeps the daemon from running.
+/// An error that prevents the daemon from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// The daemon cannot listen on an address.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: String,
-        /// What the system says.
+        /// Error returned by the operating system.
         source: std::io::Error,
     },
-    /// An address in the settings is none.
+    /// An address in the settings is not a socket address.
     #[error("`{0}` is no address")]
     Address(String),
 }
 
-/// What reaches the core from outside.
+/// An event from outside that the core has to process.
 pub enum Event {
-    /// A request with the place for its answer.
+    /// An HTTP request, with the sender for its answer.
     Request {
-        /// Method.
+        /// HTTP method.
         method: Method,
-        /// Path.
+        /// Path and query.
         path: String,
         /// Body.
         body: Vec<u8>,
-        /// Takes the answer.
+        /// Sender for the answer.
         reply: Sender<Answer>,
     },
-    /// A peer's question with the place for its answer.
+    /// A peer's request, with the sender for its reply.
     Peer {
-        /// The question.
+        /// The request.
         request: PeerRequest,
-        /// Takes the answer.
+        /// Sender for the reply.
         reply: Sender<PeerReply>,
     },
-    /// The end of a call.
+    /// The result of an HTTP call.
     Reply {
-        /// The call.
+        /// Id of the call.
         call: u64,
-        /// What came back.
+        /// Status and body of the response; `None` if there was none.
         result: Option<(u16, Vec<u8>)>,
     },
-    /// The end of a question to a peer.
+    /// The result of a request to a peer.
     PeerReply {
-        /// The call.
+        /// Id of the call.
         call: u64,
-        /// What came back.
+        /// The reply; `None` if there was none.
         result: Option<PeerReply>,
     },
 }
 
+/// Clock for the core's inputs: counts steady milliseconds from the given instant.
 struct Clock(Instant);
 
 impl Clock {
+    /// Returns the steady time since the start of the clock (plus 1 ms) and the time of day.
     fn now(&self) -> Now {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Now {
@@ -94,16 +96,20 @@
     }
 }
 
-fn address(text: &str) -> Result<SocketAddr, StartError> {
+/// Parses a socket address from the settings.
+fn parse_address(text: &str) -> Result<SocketAddr, StartError> {
     text.parse().map_err(|_| StartError::Address(text.to_owned()))
 }
 
-async fn listen(text: &str) -> Result<TcpListener, StartError> {
-    let to = address(text)?;
-    TcpListener::bind(to).await.map_err(|source| StartError::Listen {
-        address: text.to_owned(),
-        source,
-    })
+/// Binds a listener to an address from the settings.
+async fn bind_listener(text: &str) -> Result<TcpListener, StartError> {
+    let socket_address = parse_address(text)?;
+    TcpListener::bind(socket_address)
+        .await
+        .map_err(|source| StartError::Listen {
+            address: text.to_owned(),
+            source,
+        })
 }
 
 /// Runs a controller until the process ends.
@@ -112,61 +118,68 @@
     smol::block_on(executor.clone().run(serve(executor.clone(), settings)))
 }
 
+/// Opens the listeners, starts the tasks that serve them, and runs the event loop.
 async fn serve(executor: Arc<Executor<'static>>, settings: Settings) -> Result<(), StartError> {
     let platform = &settings.platform;
-    let users = listen(&platform.api_addr).await?;
-    let siblings = listen(&platform.peer_listen).await?;
-    let (events, inbox) = smol::channel::unbounded();
+    let api_listener = bind_listener(&platform.api_addr).await?;
+    let peer_listener = bind_listener(&platform.peer_listen).await?;
+    let (events, incoming) = smol::channel::unbounded();
     tracing::info!(
         "{} {} serves users and workers on {}",
         platform.host_name,
         env!("CARGO_PKG_VERSION"),
         platform.api_addr
     );
-    let budget = SocketBudget::of(platform.facts.machine_limits.sockets);
+    let budget = SocketBudget::from_sockets(platform.facts.machine_limits.sockets);
     let workers = &platform.facts.workers;
-    let [report, lease] = [workers.report_s, workers.lease_s].map(|s| Duration::from_secs_f64(s.max(0.5)));
-    let admission = Admission::new(budget, report, lease);
+    let [report_interval, lease_duration] =
+        [workers.report_s, workers.lease_s].map(|s| Duration::from_secs_f64(s.max(0.5)));
+    let admission = Admission::new(budget, report_interval, lease_duration);
     executor
-        .spawn(accept(executor.clone(), users, events.clone(), admission.clone()))
+        .spawn(accept_connections(
+            executor.clone(),
+            api_listener,
+            events.clone(),
+            admission.clone(),
+        ))
         .detach();
     executor
         .spawn(peers::serve(
             executor.clone(),
-            siblings,
+            peer_listener,
             events.clone(),
             platform.siblings.len(),
-            lease,
+            lease_duration,
         ))
         .detach();
     let mut dispatcher = Dispatcher::new(&executor, &settings, events, budget)?;
-    // Every life of a process needs a number of its own; random ones do not depend on any clock.
+    // Each incarnation of the process needs a unique number; random numbers do not depend on any clock.
     let incarnation = Incarnation(fastrand::u64(1..1 << 40) << 12);
     let clock = Clock(Instant::now());
     let core = Controller::new(settings, incarnation, clock.now());
-    run_event_loop(core, clock, inbox, &mut dispatcher, &admission).await;
+    run_event_loop(core, clock, incoming, &mut dispatcher, &admission).await;
     Ok(())
 }
 
-/// Feeds events and ticks to the core, and carries out what it wants, for ever.
+/// Passes events and ticks to the core and executes its outputs; never returns.
 async fn run_event_loop(
     mut core: Controller,
     clock: Clock,
-    inbox: Receiver<Event>,
+    incoming: Receiver<Event>,
     dispatcher: &mut Dispatcher,
     admission: &Admission,
 ) {
-    let mut waiting = Inbox::default();
+    let mut inbox = Inbox::default();
     let mut next_tick = Instant::now();
     let mut next_idle_check = next_tick + IDLE_CHECK_INTERVAL;
-    // One timer for all ticks: to make one anew for each event costs system calls.
+    // All ticks share one timer: creating a new one for each event would cost system calls.
     let mut timer = Timer::at(next_tick);
     loop {
         let now = Instant::now();
-        while let Ok(event) = inbox.try_recv() {
-            waiting.push(event, now);
+        while let Ok(event) = incoming.try_recv() {
+            inbox.push(event, now);
         }
-        // Under a flood of events time passes all the same.
+        // Ticks are due even while events keep arriving.
         if now >= next_tick {
             next_tick = now + TICK_INTERVAL;
             timer.set_at(next_tick);
@@ -176,34 +189,40 @@
                 admission.close_stale(now);
             }
             dispatcher.expire_calls(now);
-            step(&mut core, clock.now(), Input::Tick, dispatcher);
+            step_core(&mut core, clock.now(), Input::Tick, dispatcher);
         }
-        match waiting.pop(now) {
-            Some(QueuedEvent { event, expired: false }) => {
-                let input = dispatcher.input(event);
-                step(&mut core, clock.now(), input, dispatcher);
+        match inbox.pop(now) {
+            Some(QueuedEvent {
+                event,
+                is_expired: false,
+            }) => {
+                let input = dispatcher.make_input(event);
+                step_core(&mut core, clock.now(), input, dispatcher);
                 smol::future::yield_now().await;
             }
-            Some(QueuedEvent { event, expired: true }) => reject_expired(event),
+            Some(QueuedEvent {
+                event,
+                is_expired: true,
+            }) => reject_expired(event),
             None => {
-                if let Some(event) = wait_for_event(&inbox, &mut timer).await {
-                    waiting.push(event, Instant::now());
+                if let Some(event) = wait_for_event(&incoming, &mut timer).await {
+                    inbox.push(event, Instant::now());
                 }
             }
         }
     }
 }
 
-/// Feeds one input to the core, and carries out what it wants.
-fn step(core: &mut Controller, now: Now, input: Input, dispatcher: &mut Dispatcher) {
+/// Passes one input to the core and executes its outputs.
+fn step_core(core: &mut Controller, now: Now, input: Input, dispatcher: &mut Dispatcher) {
     for output in core.step(now, input) {
-        dispatcher.carry_out(output);
+        dispatcher.execute(output);
     }
 }
 
-/// Waits for the next event; none if the next tick is due before it.
-async fn wait_for_event(inbox: &Receiver<Event>, timer: &mut Timer) -> Option<Event> {
-    let event = async { inbox.recv().await.ok() };
+/// Waits for the next event; `None` if the next tick is due first.
+async fn wait_for_event(incoming: &Receiver<Event>, timer: &mut Timer) -> Option<Event> {
+    let event = async { incoming.recv().await.ok() };
     let tick = async {
         timer.await;
         None
--- a/crates/tidelatch/src/http/client.rs
+++ b/crates/tidelatch/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A client that keeps a few connections to each address.
+//! HTTP client with a small pool of idle connections for each address.
 
 use super::HttpError;
 use super::connection::Connection;
@@ -13,45 +13,45 @@
 use std::time::{Duration, Instant};
 use tidelatch_core::Method;
 
-/// How far a call has come.
+/// Stage that a call has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum CallStage {
-    /// It waits for a socket.
-    Waiting,
-    /// The connection is being made, and nothing was sent.
+    /// The call waits for a free socket; nothing was sent.
+    WaitingForSocket,
+    /// The connection is being established; nothing was sent.
     Connecting,
-    /// It may have been carried out.
+    /// Sending the request has begun: the receiver may have executed it.
     Sent,
 }
 
-/// How far a call has come, for whoever gives it up.
+/// Shared record of the stage that a call has reached, read by the caller when the call is abandoned.
 #[derive(Debug, Default)]
 pub struct CallProgress(AtomicU8);
 
 impl CallProgress {
-    /// The stage that the call has reached.
+    /// Returns the stage that the call has reached.
     pub fn stage(&self) -> CallStage {
         match self.0.load(Ordering::Relaxed) {
-            stage if stage == CallStage::Waiting as u8 => CallStage::Waiting,
+            stage if stage == CallStage::WaitingForSocket as u8 => CallStage::WaitingForSocket,
             stage if stage == CallStage::Connecting as u8 => CallStage::Connecting,
             _ => CallStage::Sent,
         }
     }
 
-    fn reach(&self, stage: CallStage) {
+    fn set_stage(&self, stage: CallStage) {
         self.0.store(stage as u8, Ordering::Relaxed);
     }
 }
 
-/// A request to be sent.
+/// An HTTP request to be sent.
 #[derive(Debug)]
 pub struct OutgoingRequest {
-    /// Receiver.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// The receiver is a worker: such connections are limited in number.
-    pub worker: bool,
-    /// Method.
+    /// Whether the receiver is a worker: the number of connections to workers is limited.
+    pub is_to_worker: bool,
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
@@ -60,6 +60,7 @@
 }
 
 impl OutgoingRequest {
+    /// Serializes the request as an HTTP/1.1 message.
     fn encode(&self) -> String {
         let method_name = match self.method {
             Method::Get => "GET",
@@ -80,16 +81,16 @@
     }
 }
 
-/// A connection that was opened, and its place among those to workers.
+/// An open connection, and for a worker's the permit that counts it against the limit.
 struct PooledConnection {
     connection: Connection,
     permit: Option<SemaphoreGuardArc>,
 }
 
-/// An idle connection, and since when it is idle.
+/// An idle connection, and the time since which it has been idle.
 type IdleConnection = (PooledConnection, Instant);
 
-/// A client that keeps a few connections to each address.
+/// HTTP client that keeps up to [`Client::MAX_IDLE_PER_ADDRESS`] idle connections for each address; clones share them.
 #[derive(Clone)]
 pub struct Client {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>,
@@ -97,25 +98,26 @@
 }
 
 impl Client {
-    /// Connections that have lain idle for longer are not used again.
+    /// Connections that have been idle for longer are not reused.
     const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-    /// A connection ahead of calls that has not come about by then is given up.
+    /// Time limit for establishing a connection ahead of calls.
     const CONNECT_AHEAD_TIMEOUT: Duration = Duration::from_secs(2);
-    /// Most idle connections to one address.
-    const IDLE_PER_ADDRESS: usize = 4;
+    /// Maximum number of idle connections to one address.
+    const MAX_IDLE_PER_ADDRESS: usize = 4;
 
-    /// A client that has at most so many connections to workers, idle ones included.
-    pub fn new(most: usize) -> Self {
+    /// Creates a client with at most `max_worker_connections` connections to workers, idle ones included.
+    pub fn new(max_worker_connections: usize) -> Self {
         Self {
             idle: Arc::default(),
-            worker_permits: Arc::new(Semaphore::new(most)),
+            worker_permits: Arc::new(Semaphore::new(max_worker_connections)),
         }
     }
 
+    /// Takes the most recently used idle connection to an address that has not exceeded the idle timeout.
     fn take_idle(&self, to: SocketAddr) -> Option<PooledConnection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.get_mut(&to)?;
-        while let Some((connection, since)) = kept.pop() {
+        let connections = idle.get_mut(&to)?;
+        while let Some((connection, since)) = connections.pop() {
             if since.elapsed() < Self::IDLE_TIMEOUT {
                 return Some(connection);
             }
@@ -123,40 +125,44 @@
         None
     }
 
+    /// Returns a connection to the pool, or closes it if the pool for its address is full.
     fn return_idle(&self, to: SocketAddr, connection: PooledConnection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.entry(to).or_default();
-        kept.retain(|(_, since)| since.elapsed() < Self::IDLE_TIMEOUT);
-        if kept.len() < Self::IDLE_PER_ADDRESS {
-            kept.push((connection, Instant::now()));
+        let connections = idle.entry(to).or_default();
+        connections.retain(|(_, since)| since.elapsed() < Self::IDLE_TIMEOUT);
+        if connections.len() < Self::MAX_IDLE_PER_ADDRESS {
+            connections.push((connection, Instant::now()));
         }
     }
 
-    /// Closes idle connections.
+    /// Closes connections that have exceeded the idle timeout.
     pub fn close_idle(&self) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        for kept in idle.values_mut() {
-            kept.retain(|(_, since)| since.elapsed() < Self::IDLE_TIMEOUT);
+        for connections in idle.values_mut() {
+            connections.retain(|(_, since)| since.elapsed() < Self::IDLE_TIMEOUT);
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Closes the connection to a worker that has lain idle for longest.
+    /// Closes the connection to a worker that has been idle for the longest time.
     fn close_oldest_worker_connection(&self) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let counted =
-            |kept: &Vec<IdleConnection>| kept.iter().filter(|(o, _)| o.permit.is_some()).map(|(_, t)| *t).min();
-        let oldest = idle.iter().filter_map(|(to, kept)| Some((counted(kept)?, *to))).min();
+        let oldest_idle_since =
+            |pool: &Vec<IdleConnection>| pool.iter().filter(|(c, _)| c.permit.is_some()).map(|(_, t)| *t).min();
+        let oldest = idle
+            .iter()
+            .filter_map(|(to, connections)| Some((oldest_idle_since(connections)?, *to)))
+            .min();
         if let Some((since, to)) = oldest
-            && let Some(kept) = idle.get_mut(&to)
+            && let Some(connections) = idle.get_mut(&to)
         {
-            kept.retain(|(_, t)| *t != since);
+            connections.retain(|(_, idle_since)| *idle_since != since);
         }
     }
 
-    /// A place for a connection to a worker: an idle one's, or the next that becomes free. Whoever waits
-    /// has sent nothing.
-    async fn worker_permit(&self) -> SemaphoreGuardArc {
+    /// Acquires a permit for a connection to a worker. If none is free, it closes the oldest idle connection to a
+    /// worker and waits for the next permit that is released. While a call waits here, it has sent nothing.
+    async fn acquire_worker_permit(&self) -> SemaphoreGuardArc {
         if let Some(permit) = self.worker_permits.try_acquire_arc() {
             return permit;
         }
@@ -164,24 +170,24 @@
         self.worker_permits.acquire_arc().await
     }
 
-    /// Makes a call, and returns the response's status and body. An error says nothing of whether the call
-    /// was carried out, unless `progress` says that it has not come so far.
+    /// Sends a request and returns the response's status and body. After an error the request may or may not have been
+    /// executed, unless `progress` shows that it was not sent.
     pub async fn call(&self, request: &OutgoingRequest, progress: &CallProgress) -> Result<(u16, Vec<u8>), HttpError> {
         let mut pooled = match self.take_idle(request.to) {
             Some(pooled) => pooled,
             None => self.connect(request, progress).await?,
         };
         let connection = &mut pooled.connection;
-        progress.reach(CallStage::Sent);
+        progress.set_stage(CallStage::Sent);
         connection.write_all(request.encode().as_bytes()).await?;
         let response = connection.read_response().await?;
-        if response.keep_alive && connection.is_drained() {
+        if response.keep_alive && connection.is_buffer_empty() {
             self.return_idle(request.to, pooled);
         }
         Ok((response.status, response.body))
     }
 
-    /// Opens a connection to a worker for later calls, if none is idle and a place for it is free.
+    /// Opens a connection to a worker for later calls, if none is idle and a permit is free.
     pub async fn connect_ahead(&self, to: SocketAddr) -> Result<(), HttpError> {
         if self.has_idle(to) {
             return Ok(());
@@ -190,11 +196,11 @@
             return Ok(());
         };
         let connecting = async { TcpStream::connect(to).await.map_err(HttpError::from) };
-        let given_up = async {
+        let timed_out = async {
             Timer::after(Self::CONNECT_AHEAD_TIMEOUT).await;
             Err(HttpError::from(std::io::Error::from(std::io::ErrorKind::TimedOut)))
         };
-        let stream = connecting.or(given_up).await?;
+        let stream = connecting.or(timed_out).await?;
         let pooled = PooledConnection {
             connection: Connection::new(stream),
             permit: Some(permit),
@@ -203,18 +209,20 @@
         Ok(())
     }
 
+    /// Whether there is an idle connection to an address.
     fn has_idle(&self, to: SocketAddr) -> bool {
         let idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.get(&to).is_some_and(|kept| !kept.is_empty())
+        idle.get(&to).is_some_and(|connections| !connections.is_empty())
     }
 
+    /// Opens a connection for a request; acquires a permit first if it goes to a worker.
     async fn connect(&self, request: &OutgoingRequest, progress: &CallProgress) -> Result<PooledConnection, HttpError> {
-        let permit = if request.worker {
-            Some(self.worker_permit().await)
+        let permit = if request.is_to_worker {
+            Some(self.acquire_worker_permit().await)
         } else {
             None
         };
-        progress.reach(CallStage::Connecting);
+        progress.set_stage(CallStage::Connecting);
         let stream = TcpStream::connect(request.to).await?;
         Ok(PooledConnection {
             connection: Connection::new(stream),
--- a/crates/tidelatch/src/http/connection.rs
+++ b/crates/tidelatch/src/http/connection.rs
@@ -1,52 +1,55 @@
-//! One connection: reading requests and responses, and writing responses.
+//! An HTTP/1.1 connection: reads requests and responses, and writes responses.
 
 use super::HttpError;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
 
-/// Largest head of a message.
-const HEAD_LIMIT: usize = 16 * 1024;
-/// Largest body of a request.
-const BODY_LIMIT: usize = 64 * 1024;
-/// Largest body of a response: watches have no limit of their own.
-const RESPONSE_LIMIT: usize = 8 * 1024 * 1024;
-/// Longest line that gives a chunk's size.
-const CHUNK_SIZE_LIMIT: usize = 1024;
-/// Most header fields of a message.
+/// Maximum size of the head of a message.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum size of the body of a request.
+const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
+/// Maximum size of the body of a response: the number of changes in a watch's response is not limited.
+const MAX_RESPONSE_BODY_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum length of the line that holds a chunk's size.
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 1024;
+/// Maximum number of header fields of a message.
 const MAX_HEADERS: usize = 48;
-/// Bytes that are read at a time.
-const READ_SIZE: usize = 4096;
+/// Number of bytes read from the stream at a time.
+const READ_BUFFER_BYTES: usize = 4096;
 
-/// A request that was read.
+/// A request that was read from a connection.
 pub struct Request {
-    /// Method as text.
+    /// HTTP method, as it stands in the request.
     pub method: String,
     /// Path and query.
     pub path: String,
     /// Body.
     pub body: Vec<u8>,
-    /// The connection stays open after the answer.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
 }
 
-/// A response that was read.
+/// A response that was read from a connection.
 pub struct Response {
     /// Status code.
     pub status: u16,
     /// Body.
     pub body: Vec<u8>,
-    /// The connection may be used again.
+    /// Whether the connection may be reused.
     pub keep_alive: bool,
 }
 
-/// How the end of a body is found.
+/// How the length of a body is determined.
 enum BodyLength {
+    /// The body has this number of bytes.
     Fixed(usize),
+    /// The body has the chunked transfer encoding.
     Chunked,
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
-/// How a message's body and connection go on, by its header fields.
+/// Message framing as given by the header fields: the length of the body, and whether the connection stays open.
 struct Framing {
     body_length: BodyLength,
     keep_alive: bool,
@@ -57,7 +60,7 @@
     method: String,
     path: String,
     framing: Framing,
-    /// The sender waits for `100 Continue` before it sends the body.
+    /// Whether the sender waits for `100 Continue` before it sends the body.
     expects_continue: bool,
 }
 
@@ -67,17 +70,17 @@
     framing: Framing,
 }
 
-/// A head and its size in bytes; none while it is incomplete.
-type Parsed<T> = Result<Option<(usize, T)>, HttpError>;
+/// A parsed head and its size in bytes; `None` while the head is incomplete.
+type HeadParseResult<T> = Result<Option<(usize, T)>, HttpError>;
 
-/// A connection with what has been read ahead.
+/// A connection, and the bytes that were received and not consumed yet.
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl Connection {
-    /// Wraps a stream.
+    /// Wraps a stream, and sets `TCP_NODELAY` on it.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
         Self {
@@ -86,33 +89,33 @@
         }
     }
 
-    /// Whether nothing has been read ahead.
-    pub fn is_drained(&self) -> bool {
+    /// Whether all received bytes have been consumed.
+    pub fn is_buffer_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Writes bytes as they are.
+    /// Writes all bytes to the stream, unchanged.
     pub async fn write_all(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
         Ok(self.stream.write_all(bytes).await?)
     }
 
-    /// Reads what is there; 0 at the end of the stream.
-    async fn read_chunk(&mut self) -> Result<usize, HttpError> {
-        let mut chunk = [0u8; READ_SIZE];
-        let n = self.stream.read(&mut chunk).await?;
-        self.buffer.extend_from_slice(chunk.get(..n).unwrap_or_default());
+    /// Reads the available bytes into the buffer, and returns their number; 0 at the end of the stream.
+    async fn read_available(&mut self) -> Result<usize, HttpError> {
+        let mut bytes = [0u8; READ_BUFFER_BYTES];
+        let n = self.stream.read(&mut bytes).await?;
+        self.buffer.extend_from_slice(bytes.get(..n).unwrap_or_default());
         Ok(n)
     }
 
-    /// Reads more of a message that is not complete.
+    /// Reads more bytes of an incomplete message; [`HttpError::Closed`] at the end of the stream.
     async fn read_more(&mut self) -> Result<(), HttpError> {
-        match self.read_chunk().await? {
+        match self.read_available().await? {
             0 => Err(HttpError::Closed),
             _ => Ok(()),
         }
     }
 
-    /// Reads until there are so many bytes.
+    /// Reads until the buffer holds at least `size` bytes.
     async fn read_at_least(&mut self, size: usize) -> Result<(), HttpError> {
         while self.buffer.len() < size {
             self.read_more().await?;
@@ -120,23 +123,23 @@
         Ok(())
     }
 
-    /// Waits until the first byte of a message is there.
+    /// Waits until the first byte of a message has been received.
     pub async fn wait_for_request(&mut self) -> Result<(), HttpError> {
         self.read_at_least(1).await
     }
 
-    /// Reads a request.
+    /// Reads a request, and sends `100 Continue` if its sender waits for that.
     pub async fn read_request(&mut self) -> Result<Request, HttpError> {
         let head = self.read_head(parse_request_head).await?;
         if head.expects_continue {
             self.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
         let length = match head.framing.body_length {
-            // Without a length a request has no body.
+            // A request without a length has no body.
             BodyLength::UntilClose => BodyLength::Fixed(0),
-            other => other,
+            body_length => body_length,
         };
-        let body = self.read_body(length, BODY_LIMIT).await?;
+        let body = self.read_body(length, MAX_REQUEST_BODY_BYTES).await?;
         Ok(Request {
             method: head.method,
             path: head.path,
@@ -145,7 +148,7 @@
         })
     }
 
-    /// Reads a response, and passes over interim ones.
+    /// Reads a response, and skips interim (1xx) responses.
     pub async fn read_response(&mut self) -> Result<Response, HttpError> {
         let mut head = self.read_head(parse_response_head).await?;
         while (100..200).contains(&head.status) {
@@ -156,7 +159,7 @@
             _ => head.framing.body_length,
         };
         let keep_alive = head.framing.keep_alive && !matches!(length, BodyLength::UntilClose);
-        let body = self.read_body(length, RESPONSE_LIMIT).await?;
+        let body = self.read_body(length, MAX_RESPONSE_BODY_BYTES).await?;
         Ok(Response {
             status: head.status,
             body,
@@ -164,45 +167,47 @@
         })
     }
 
-    /// Reads until a head is complete, and takes it out of the buffer.
-    async fn read_head<T>(&mut self, parse: fn(&[u8]) -> Parsed<T>) -> Result<T, HttpError> {
+    /// Reads until a head is complete, and removes it from the buffer.
+    async fn read_head<T>(&mut self, parse: fn(&[u8]) -> HeadParseResult<T>) -> Result<T, HttpError> {
         loop {
             if let Some((size, head)) = parse(&self.buffer)? {
                 self.buffer.drain(..size);
                 return Ok(head);
             }
-            if self.buffer.len() > HEAD_LIMIT {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(HttpError::HeadTooLarge);
             }
             self.read_more().await?;
         }
     }
 
-    async fn read_body(&mut self, length: BodyLength, limit: usize) -> Result<Vec<u8>, HttpError> {
+    /// Reads a body of at most `max_bytes` bytes.
+    async fn read_body(&mut self, length: BodyLength, max_bytes: usize) -> Result<Vec<u8>, HttpError> {
         match length {
-            BodyLength::Fixed(size) if size > limit => Err(HttpError::BodyTooLarge),
+            BodyLength::Fixed(size) if size > max_bytes => Err(HttpError::BodyTooLarge),
             BodyLength::Fixed(size) => {
                 self.read_at_least(size).await?;
                 let rest = self.buffer.split_off(size);
                 Ok(std::mem::replace(&mut self.buffer, rest))
             }
             BodyLength::UntilClose => {
-                while self.read_chunk().await? > 0 {
-                    if self.buffer.len() > limit {
+                while self.read_available().await? > 0 {
+                    if self.buffer.len() > max_bytes {
                         return Err(HttpError::BodyTooLarge);
                     }
                 }
                 Ok(std::mem::take(&mut self.buffer))
             }
-            BodyLength::Chunked => self.read_chunked_body(limit).await,
+            BodyLength::Chunked => self.read_chunked_body(max_bytes).await,
         }
     }
 
-    async fn read_chunked_body(&mut self, limit: usize) -> Result<Vec<u8>, HttpError> {
+    /// Reads a body in the chunked transfer encoding, of at most `max_bytes` bytes without the framing.
+    async fn read_chunked_body(&mut self, max_bytes: usize) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
         loop {
             let size = self.read_chunk_size().await?;
-            if size > limit || body.len() + size > limit {
+            if size > max_bytes || body.len() + size > max_bytes {
                 return Err(HttpError::BodyTooLarge);
             }
             if size == 0 {
@@ -218,6 +223,7 @@
         }
     }
 
+    /// Reads the line that holds the size of the next chunk.
     async fn read_chunk_size(&mut self) -> Result<usize, HttpError> {
         loop {
             match httparse::parse_chunk_size(&self.buffer) {
@@ -225,7 +231,7 @@
                     self.buffer.drain(..head);
                     return usize::try_from(size).map_err(|_| HttpError::BodyTooLarge);
                 }
-                Ok(httparse::Status::Partial) if self.buffer.len() > CHUNK_SIZE_LIMIT => {
+                Ok(httparse::Status::Partial) if self.buffer.len() > MAX_CHUNK_SIZE_LINE_BYTES => {
                     return Err(HttpError::Malformed);
                 }
                 Ok(httparse::Status::Partial) => self.read_more().await?,
@@ -234,7 +240,7 @@
         }
     }
 
-    /// Passes over what follows the last chunk, up to the empty line.
+    /// Skips the trailer fields after the last chunk, up to and including the empty line.
     async fn skip_trailers(&mut self) -> Result<(), HttpError> {
         loop {
             if let Some(end) = self.buffer.windows(2).position(|w| w == b"\r\n") {
@@ -242,7 +248,7 @@
                 if end == 0 {
                     return Ok(());
                 }
-            } else if self.buffer.len() > HEAD_LIMIT {
+            } else if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(HttpError::HeadTooLarge);
             } else {
                 self.read_more().await?;
@@ -250,7 +256,7 @@
         }
     }
 
-    /// Writes a response.
+    /// Writes a response with a JSON body.
     pub async fn write_response(
         &mut self,
         status: u16,
@@ -260,7 +266,7 @@
     ) -> Result<(), HttpError> {
         let mut message = format!(
             "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
-            reason(status),
+            reason_phrase(status),
             body.len()
         )
         .into_bytes();
@@ -276,11 +282,12 @@
     }
 }
 
-fn parse_request_head(buffer: &[u8]) -> Parsed<RequestHead> {
+/// Parses the head of a request.
+fn parse_request_head(buffer: &[u8]) -> HeadParseResult<RequestHead> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let size = match parsed.parse(buffer) {
-        Ok(httparse::Status::Complete(size)) if size > HEAD_LIMIT => return Err(HttpError::HeadTooLarge),
+        Ok(httparse::Status::Complete(size)) if size > MAX_HEAD_BYTES => return Err(HttpError::HeadTooLarge),
         Ok(httparse::Status::Complete(size)) => size,
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLarge),
@@ -295,7 +302,8 @@
     Ok(Some((size, head)))
 }
 
-fn parse_response_head(buffer: &[u8]) -> Parsed<ResponseHead> {
+/// Parses the head of a response.
+fn parse_response_head(buffer: &[u8]) -> HeadParseResult<ResponseHead> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     let size = match parsed.parse(buffer) {
@@ -310,8 +318,8 @@
     Ok(Some((size, head)))
 }
 
-/// Reads the header fields that say how the body ends and whether the connection stays open. Minor version 1
-/// keeps it open unless a field says otherwise.
+/// Derives the framing from the header fields. With minor version 1 the connection stays open unless a header field
+/// closes it.
 fn parse_framing(minor_version: Option<u8>, headers: &[httparse::Header<'_>]) -> Result<Framing, HttpError> {
     let mut body_length = BodyLength::UntilClose;
     let mut keep_alive = minor_version == Some(1);
@@ -320,7 +328,7 @@
         if h.name.eq_ignore_ascii_case("content-length") {
             let n = value.parse().map_err(|_| HttpError::Malformed)?;
             match body_length {
-                BodyLength::Fixed(before) if before != n => return Err(HttpError::Malformed),
+                BodyLength::Fixed(previous) if previous != n => return Err(HttpError::Malformed),
                 BodyLength::Chunked => {}
                 _ => body_length = BodyLength::Fixed(n),
             }
@@ -345,7 +353,8 @@
     })
 }
 
-fn reason(status: u16) -> &'static str {
+/// Reason phrase of a status code.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -368,8 +377,8 @@
     use super::*;
     use smol::net::TcpListener;
 
-    /// What a connection reads when the other side sends some bytes and closes.
-    fn read<T>(sent: &[u8], take: impl AsyncFnOnce(&mut Connection) -> T) -> T {
+    /// Calls `read` on a connection whose other side has sent `sent` and closed.
+    fn with_received<T>(sent: &[u8], read: impl AsyncFnOnce(&mut Connection) -> T) -> T {
         smol::block_on(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
             let to = listener.local_addr().expect("it has an address");
@@ -377,14 +386,14 @@
             sender.write_all(sent).await.expect("the bytes go out");
             drop(sender);
             let (stream, _) = listener.accept().await.expect("a connection");
-            take(&mut Connection::new(stream)).await
+            read(&mut Connection::new(stream)).await
         })
     }
 
     #[test]
-    fn requests_follow_each_other_on_one_connection() {
+    fn several_requests_are_read_from_one_connection() {
         let sent = b"POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.1\r\nConnection: close\r\n\r\n";
-        read(sent, async |c| {
+        with_received(sent, async |c| {
             let first = c.read_request().await.expect("a request");
             assert_eq!(
                 (first.path.as_str(), first.body.as_slice(), first.keep_alive),
@@ -400,22 +409,25 @@
     }
 
     #[test]
-    fn chunked_bodies_are_put_together() {
+    fn chunks_of_a_body_are_joined() {
         let sent =
             b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\n";
-        read(sent, async |c| {
+        with_received(sent, async |c| {
             assert_eq!(c.read_request().await.expect("a request").body, b"abcde")
         });
     }
 
     #[test]
-    fn what_is_too_large_or_malformed_is_told_apart() {
-        let large = format!("POST /a HTTP/1.1\r\nContent-Length: {}\r\n\r\n", BODY_LIMIT + 1);
-        read(large.as_bytes(), async |c| {
+    fn oversized_malformed_and_truncated_messages_give_distinct_errors() {
+        let large = format!(
+            "POST /a HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
+            MAX_REQUEST_BODY_BYTES + 1
+        );
+        with_received(large.as_bytes(), async |c| {
             assert!(matches!(c.read_request().await, Err(HttpError::BodyTooLarge)))
         });
-        let head = format!("GET /a HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(2 * HEAD_LIMIT));
-        read(head.as_bytes(), async |c| {
+        let head = format!("GET /a HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(2 * MAX_HEAD_BYTES));
+        with_received(head.as_bytes(), async |c| {
             assert!(matches!(c.read_request().await, Err(HttpError::HeadTooLarge)))
         });
         for bad in [
@@ -424,14 +436,14 @@
             "POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
             "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
         ] {
-            read(bad.as_bytes(), async |c| {
+            with_received(bad.as_bytes(), async |c| {
                 assert!(matches!(c.read_request().await, Err(HttpError::Malformed)), "{bad}")
             });
         }
-        read(b"POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc", async |c| {
+        with_received(b"POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc", async |c| {
             assert!(
                 matches!(c.read_request().await, Err(HttpError::Closed)),
-                "it ends within the body"
+                "the stream ends within the body"
             );
         });
     }
--- a/crates/tidelatch/src/http/mod.rs
+++ b/crates/tidelatch/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 on `httparse`: [`Connection`] reads and writes messages, [`Client`] makes calls and keeps
-//! connections for the next ones.
+//! HTTP/1.1 server connections and client, with heads parsed by `httparse`: [`Connection`] reads and writes messages,
+//! [`Client`] makes calls and pools connections for later ones.
 
 mod client;
 mod connection;
@@ -7,22 +7,22 @@
 pub use client::{CallProgress, CallStage, Client, OutgoingRequest};
 pub use connection::{Connection, Request};
 
-/// What went wrong with a message.
+/// An error while a message was read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// The connection failed or ended within a message.
+    /// The connection failed.
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
-    /// Not HTTP.
+    /// The message is not valid HTTP/1.1, or uses an unsupported transfer encoding.
     #[error("malformed message")]
     Malformed,
-    /// The head is too long.
+    /// The head exceeds its maximum size, or has too many header fields.
     #[error("head too large")]
     HeadTooLarge,
-    /// The body is too long.
+    /// The body exceeds its maximum size.
     #[error("body too large")]
     BodyTooLarge,
-    /// The other side closed before a message began.
+    /// The other side closed the connection before a message was complete.
     #[error("closed")]
     Closed,
 }
--- a/crates/tidelatch/src/main.rs
+++ b/crates/tidelatch/src/main.rs
@@ -1,4 +1,4 @@
-//! tidelatch: a cluster scheduler. The command line.
+//! Command line of tidelatch, a cluster scheduler.
 
 #![warn(clippy::too_many_lines)]
 
@@ -24,27 +24,29 @@
 #[derive(Subcommand)]
 enum Command {
     /// Run a controller until it is killed.
-    Serve(Files),
-    /// Check the settings: one line for each fault, and exit code 1 if there is any.
-    Check(Files),
-    /// Print the JSON schema of the operators' own settings.
+    Serve(SettingsPaths),
+    /// Validate the settings: print one line for each error, and exit with code 1 if there is any.
+    Check(SettingsPaths),
+    /// Print the JSON schema of the operators' settings.
     Schema,
 }
 
+/// Paths of the settings files.
 #[derive(clap::Args)]
-struct Files {
-    /// The platform's settings (TOML).
+struct SettingsPaths {
+    /// Platform settings file (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// The operators' own settings (JSON).
+    /// Operators' settings file (JSON).
     #[arg(long, value_name = "FILE", env = "TIDELATCH_OPERATOR")]
     operator: Option<PathBuf>,
 }
 
-fn load(files: &Files) -> Result<tidelatch_core::settings::Settings, ExitCode> {
-    settings::load(&files.config, files.operator.as_deref()).map_err(|faults| {
-        for fault in faults {
-            eprintln!("{fault}");
+/// Loads the settings; prints all errors to standard error and returns the exit code if there are any.
+fn load_settings(paths: &SettingsPaths) -> Result<tidelatch_core::settings::Settings, ExitCode> {
+    settings::load(&paths.config, paths.operator.as_deref()).map_err(|errors| {
+        for error in errors {
+            eprintln!("{error}");
         }
         ExitCode::FAILURE
     })
@@ -63,18 +65,18 @@
                 ExitCode::FAILURE
             }
         },
-        Command::Check(files) => match load(&files) {
+        Command::Check(paths) => match load_settings(&paths) {
             Ok(settings) => {
                 println!("the settings are in order");
-                for line in capacity::describe(&settings.platform.facts.machine_limits) {
+                for line in capacity::describe_capacity(&settings.platform.facts.machine_limits) {
                     println!("{line}");
                 }
                 ExitCode::SUCCESS
             }
             Err(code) => code,
         },
-        Command::Serve(files) => {
-            let settings = match load(&files) {
+        Command::Serve(paths) => {
+            let settings = match load_settings(&paths) {
                 Ok(settings) => settings,
                 Err(code) => return code,
             };
--- a/crates/tidelatch/src/peers/client.rs
+++ b/crates/tidelatch/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the other controllers.
+//! gRPC client for the other controllers.
 
 use super::convert::WireRequest;
 use super::wire::peer_client::PeerClient;
@@ -15,9 +15,10 @@
 use tonic::body::Body;
 use tower_service::Service;
 
+/// Sends requests on an HTTP/2 connection.
 type RequestSender = hyper::client::conn::http2::SendRequest<Body>;
 
-/// One connection to a peer, as tonic's client wants it.
+/// An HTTP/2 connection to a peer, as the service that tonic's generated client calls.
 #[derive(Clone)]
 struct Channel {
     sender: RequestSender,
@@ -42,34 +43,36 @@
     }
 }
 
-/// Calls to the other controllers, one connection to each.
+/// Clients for the other controllers, with one connection to each; clones share the connections.
 #[derive(Clone)]
 pub struct PeerClients {
     executor: Arc<Executor<'static>>,
-    open: Arc<Mutex<HashMap<SocketAddr, Channel>>>,
+    channels: Arc<Mutex<HashMap<SocketAddr, Channel>>>,
 }
 
 impl PeerClients {
-    /// No connection yet.
+    /// Creates clients without any open connection.
     pub fn new(executor: Arc<Executor<'static>>) -> Self {
         Self {
             executor,
-            open: Arc::default(),
+            channels: Arc::default(),
         }
     }
 
-    fn open_channel(&self, to: SocketAddr) -> Option<Channel> {
-        let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        open.get(&to).filter(|c| !c.sender.is_closed()).cloned()
+    /// Returns the open connection to a peer, if there is one.
+    fn existing_channel(&self, to: SocketAddr) -> Option<Channel> {
+        let channels = self.channels.lock().unwrap_or_else(PoisonError::into_inner);
+        channels.get(&to).filter(|channel| !channel.sender.is_closed()).cloned()
     }
 
-    /// Drops the connection to a peer that did not answer: a new one may get through.
+    /// Drops the connection to a peer that did not answer, so that the next request opens a new one.
     pub fn disconnect(&self, to: SocketAddr) {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner).remove(&to);
+        self.channels.lock().unwrap_or_else(PoisonError::into_inner).remove(&to);
     }
 
-    async fn channel(&self, to: SocketAddr) -> Option<Channel> {
-        if let Some(channel) = self.open_channel(to) {
+    /// Returns the open connection to a peer, or opens one; `None` if that fails.
+    async fn get_or_open_channel(&self, to: SocketAddr) -> Option<Channel> {
+        if let Some(channel) = self.existing_channel(to) {
             return Some(channel);
         }
         let stream = TcpStream::connect(to).await.ok()?;
@@ -90,16 +93,16 @@
             sender,
             authority: to.to_string(),
         };
-        self.open
+        self.channels
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(to, channel.clone());
         Some(channel)
     }
 
-    /// Asks a peer; `None` if it did not answer.
-    pub async fn ask(&self, to: SocketAddr, request: PeerRequest) -> Option<PeerReply> {
-        let mut client = PeerClient::new(self.channel(to).await?);
+    /// Sends a request to a peer and waits for its reply; `None` if the peer could not be reached or returned an error.
+    pub async fn send_request(&self, to: SocketAddr, request: PeerRequest) -> Option<PeerReply> {
+        let mut client = PeerClient::new(self.get_or_open_channel(to).await?);
         match request.into() {
             WireRequest::Relay(request) => {
                 let answer = client.relay(request).await.ok()?;
