--- a/crates/tidelatch/src/capacity.rs
+++ b/crates/tidelatch/src/capacity.rs
@@ -15,7 +15,7 @@
 pub fn describe_capacity(limits: &MachineLimits) -> Vec<String> {
     let workers = SocketBudget::from_sockets(limits.sockets).max_incoming_workers;
     let mut lines = vec![format!(
-        "sockets: {workers} workers can report to this controller when it stands alone"
+        "sockets: {workers} workers can report to this controller when it is the only one running"
     )];
     if workers < LARGEST_FLEET_MACHINES {
         let needed_sockets = SocketBudget::min_sockets_for(LARGEST_FLEET_MACHINES);
--- a/crates/tidelatch/src/daemon/connections.rs
+++ b/crates/tidelatch/src/daemon/connections.rs
@@ -47,7 +47,7 @@
                     .or(evicted)
                     .await;
                 if let Err(error) = result {
-                    tracing::debug!("a connection ended: {error}");
+                    tracing::debug!("incoming connection closed: {error}");
                 }
             })
             .detach();
--- a/crates/tidelatch/src/daemon/dispatcher.rs
+++ b/crates/tidelatch/src/daemon/dispatcher.rs
@@ -160,7 +160,7 @@
                 let request = request?;
                 let result = client.call(&request, &progress).await;
                 if let Err(error) = &result {
-                    tracing::debug!("{}{}: {error}", request.to, request.path);
+                    tracing::debug!("call to {}{} failed: {error}", request.to, request.path);
                 }
                 result.ok()
             };
@@ -178,7 +178,7 @@
         self.executor
             .spawn(async move {
                 if let Err(error) = client.connect_ahead(to).await {
-                    tracing::debug!("{to}: not connected ahead: {error}");
+                    tracing::debug!("worker {to}: opening a connection ahead of calls failed: {error}");
                 }
             })
             .detach();
--- a/crates/tidelatch/src/daemon/mod.rs
+++ b/crates/tidelatch/src/daemon/mod.rs
@@ -42,7 +42,7 @@
         source: std::io::Error,
     },
     /// An address in the settings is not a socket address.
-    #[error("`{0}` is no address")]
+    #[error("`{0}` is not a socket address (IP:port)")]
     Address(String),
 }
 
@@ -125,7 +125,7 @@
     let peer_listener = bind_listener(&platform.peer_listen).await?;
     let (events, incoming) = smol::channel::unbounded();
     tracing::info!(
-        "{} {} serves users and workers on {}",
+        "controller {} (version {}): listening for users and workers on {}",
         platform.host_name,
         env!("CARGO_PKG_VERSION"),
         platform.api_addr
--- a/crates/tidelatch/src/http/mod.rs
+++ b/crates/tidelatch/src/http/mod.rs
@@ -11,16 +11,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
     /// The connection failed.
-    #[error("connection: {0}")]
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
     /// The message is not valid HTTP/1.1, or uses an unsupported transfer encoding.
-    #[error("malformed message")]
+    #[error("malformed HTTP message")]
     Malformed,
     /// The head exceeds its maximum size, or has too many header fields.
-    #[error("head too large")]
+    #[error("message head too large")]
     HeadTooLarge,
     /// The body exceeds its maximum size.
-    #[error("body too large")]
+    #[error("message body too large")]
     BodyTooLarge,
     /// The other side closed the connection before a message was complete.
     #[error("closed")]
--- a/crates/tidelatch/src/main.rs
+++ b/crates/tidelatch/src/main.rs
@@ -67,7 +67,7 @@
         },
         Command::Check(paths) => match load_settings(&paths) {
             Ok(settings) => {
-                println!("the settings are in order");
+                println!("the settings are valid");
                 for line in capacity::describe_capacity(&settings.platform.facts.machine_limits) {
                     println!("{line}");
                 }
--- a/crates/tidelatch/src/peers/client.rs
+++ b/crates/tidelatch/src/peers/client.rs
@@ -85,7 +85,7 @@
         self.executor
             .spawn(async move {
                 if let Err(error) = connection.await {
-                    tracing::debug!("the connection to a peer ended: {error}");
+                    tracing::debug!("outgoing peer connection closed: {error}");
                 }
             })
             .detach();
--- a/crates/tidelatch/src/peers/server.rs
+++ b/crates/tidelatch/src/peers/server.rs
@@ -128,7 +128,7 @@
                     .serve_connection(FuturesIo::new(stream), service)
                     .await;
                 if let Err(error) = result {
-                    tracing::debug!("a peer's connection ended: {error}");
+                    tracing::debug!("incoming peer connection closed: {error}");
                 }
             })
             .detach();
--- a/crates/tidelatch/src/settings.rs
+++ b/crates/tidelatch/src/settings.rs
@@ -33,7 +33,7 @@
         fault: tidelatch_core::settings::Fault,
     },
     /// `LOG_LEVEL` is not a known level.
-    #[error("LOG_LEVEL: `{0}` is none of error, info, debug")]
+    #[error("LOG_LEVEL: `{0}` is not one of error, info, debug")]
     Level(String),
 }
 
