--- a/crates/tidelatch/src/daemon/deadlines.rs
+++ b/crates/tidelatch/src/daemon/deadlines.rs
@@ -13,7 +13,7 @@
 }
 
 impl CallDeadlines {
-    /// Starts the deadline of a call; the receiver gets a message once the deadline has passed.
+    /// Adds a call that times out after `timeout_ms`; the receiver gets a message once this deadline has passed.
     pub(super) fn add(&mut self, call: u64, timeout_ms: u64) -> Receiver<()> {
         let deadline = Instant::now() + Duration::from_millis(timeout_ms);
         let (expired, expiry) = smol::channel::bounded(1);
--- a/crates/tidelatch/src/http/connection.rs
+++ b/crates/tidelatch/src/http/connection.rs
@@ -8,7 +8,7 @@
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Maximum size of the body of a request.
 const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
-/// Maximum size of the body of a response: the number of changes in a watch's response is not limited.
+/// Maximum size of the body of a response; nothing else limits the responses to watches.
 const MAX_RESPONSE_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// Maximum length of the line that holds a chunk's size.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 1024;
@@ -19,7 +19,7 @@
 
 /// A request that was read from a connection.
 pub struct Request {
-    /// HTTP method, as it stands in the request.
+    /// HTTP method, as written in the request.
     pub method: String,
     /// Path and query.
     pub path: String,
