--- a/crates/tidelatch-core/src/settings.rs
+++ b/crates/tidelatch-core/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the platform hands over, what the operators set themselves, and what follows from both.
+//! Settings of a controller: the platform's settings, the operators' settings, and values derived from both.
 
 mod disruption;
 mod failure_detection;
@@ -11,161 +11,172 @@
 pub use features::{DISRUPTION_LEVEL, Features, SHARED_MACHINES_LEVEL};
 pub use operator::Operator;
 pub use platform::{
-    CloudFacts, Facts, MachineLimits, NextState, Objective, Outside, Platform, Sibling, StateFacts, Team, WorkerFacts,
+    CloudFacts, Facts, MachineLimits, Objective, PeerController, Platform, ServiceAddresses, StateServiceFacts, Team,
+    UpcomingStateServiceLimits, WorkerFacts,
 };
 
 use tidelatch_failure_detector::Timing;
 
-/// A fault in the settings, with the path of the field.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-#[error("{path}: {fault}")]
+#[error("{path}: {message}")]
 pub struct Fault {
-    /// Where.
+    /// Path of the field, such as `facts.teams[0].gpus`.
     pub path: String,
-    /// What.
-    pub fault: String,
+    /// What is wrong with the value.
+    pub message: String,
 }
 
-/// Both, as the core uses them.
+/// The platform's and the operators' settings, as the core uses them.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The platform's file.
+    /// Settings that the platform provides.
     pub platform: Platform,
-    /// The operators' own.
+    /// Settings that the operators choose.
     pub operator: Operator,
-    /// What this program knows. Anything but the default is for tests of mixed memberships.
+    /// Features that this controller supports. Only tests of controllers of different versions change the default.
     pub features: Features,
 }
 
-fn ms(seconds: f64) -> u64 {
+fn seconds_to_ms(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1000.0) as u64
 }
 
 impl Settings {
-    /// What is impossible only where the platform's facts and the operators' settings come together.
+    /// Operators' settings that are invalid in combination with the facts of this deployment.
+    ///
+    /// Faults that show in one file alone are found by [`Platform::faults`] and [`Operator::faults`].
     pub fn faults(&self) -> Vec<Fault> {
         let detection = self.operator.failure_detection.as_ref();
-        let mut faults = detection.map_or(Vec::new(), |detection| detection.faults(self.detection_timing()));
+        let mut faults = detection.map_or(Vec::new(), |detection| detection.timing_faults(self.detection_timing()));
         if let Some(disruption) = &self.operator.disruption {
             faults.extend(disruption.deployment_faults(&self.platform.facts));
         }
         faults
     }
-    /// The number by which this controller's own record says what it knows and does.
+    /// Feature level that this controller writes in its member record: the level of its [`Features`], or
+    /// [`DISRUPTION_LEVEL`] where disruption budgets are turned on.
     pub fn level(&self) -> u32 {
         let level = self.features.level();
-        let disruption = self.operator.disruption.is_some() && level == SHARED_MACHINES_LEVEL;
-        if disruption { DISRUPTION_LEVEL } else { level }
+        let has_disruption = self.operator.disruption.is_some() && level == SHARED_MACHINES_LEVEL;
+        if has_disruption { DISRUPTION_LEVEL } else { level }
     }
-    /// Time between two heartbeats of a controller.
+    /// Interval between two heartbeats of a controller, in milliseconds: two fifths of the workers' report period.
     pub fn heartbeat_ms(&self) -> u64 {
         2 * self.report_ms() / 5
     }
-    /// The times that the failure detector goes by.
+    /// Heartbeat interval and lease duration that the failure detector uses.
     pub fn detection_timing(&self) -> Timing {
         Timing {
             heartbeat_ms: self.heartbeat_ms(),
             lease_ms: self.lease_ms(),
         }
     }
-    /// Time that a controller's lease lasts.
+    /// Duration of a controller's lease in milliseconds, at least 1000.
     pub fn lease_ms(&self) -> u64 {
-        ms(self.platform.facts.workers.lease_s * self.operator.controller_lease_per_worker_lease).max(1000)
+        seconds_to_ms(self.platform.facts.workers.lease_s * self.operator.controller_lease_per_worker_lease).max(1000)
     }
-    /// How long after sending an extension this controller may act.
+    /// Time in milliseconds for which this controller may act after it has sent an extension of its lease.
     ///
-    /// Steady clocks differ by up to 0.05%; four times that, and a timer step, is taken off.
+    /// It is shorter than the lease: the rates of monotonic clocks differ by up to 0.05%, so four times that (a 500th)
+    /// and one timer step of 20 ms are subtracted.
     pub fn entitlement_ms(&self) -> u64 {
         let lease = self.lease_ms();
         lease - lease / 500 - 20
     }
-    /// Period of workers' reports.
+    /// Period of the workers' reports, in milliseconds.
     pub fn report_ms(&self) -> u64 {
-        ms(self.platform.facts.workers.report_s)
+        seconds_to_ms(self.platform.facts.workers.report_s)
     }
-    /// Workers' lease.
+    /// Duration of a worker's lease, in milliseconds.
     pub fn worker_lease_ms(&self) -> u64 {
-        ms(self.platform.facts.workers.lease_s)
+        seconds_to_ms(self.platform.facts.workers.lease_s)
     }
-    /// Time for a cancelled job's tasks to be gone.
+    /// Time in milliseconds within which all tasks of a cancelled job must be gone.
     pub fn cancel_ms(&self) -> u64 {
-        ms(self.platform.facts.workers.cancel_s)
+        seconds_to_ms(self.platform.facts.workers.cancel_s)
     }
-    /// Time after which a waiting gang task gives up, and within which its tasks notice each other's end.
+    /// Two times in milliseconds: after the first, a gang task that waits for the other tasks gives up; within the
+    /// second, the tasks of a gang notice that one of them has ended. `None` if the deployment does not run gangs.
     pub fn gang_ms(&self) -> Option<(u64, u64)> {
-        let w = &self.platform.facts.workers;
-        Some((ms(w.gang_wait_s?), ms(w.gang_peer_s?)))
+        let workers = &self.platform.facts.workers;
+        Some((seconds_to_ms(workers.gang_wait_s?), seconds_to_ms(workers.gang_peer_s?)))
     }
-    /// The tighter of the limits of the state service that hold and those that will: bytes in a value.
+    /// Maximum size of a value in the state service, in bytes: the smaller of the present and the announced limit.
     pub fn value_bytes(&self) -> usize {
         let state = &self.platform.facts.state;
         let next = state
             .next
             .as_ref()
-            .and_then(|n| n.value_kb)
+            .and_then(|limits| limits.value_kb)
             .filter(|_| self.features.gangs);
         (state.value_kb.min(next.unwrap_or(f64::MAX)) * 1024.0) as usize
     }
-    /// The tighter of both: changes in a transaction.
+    /// Maximum number of changes in a transaction: the smaller of the present and the announced limit.
     pub fn txn_ops(&self) -> usize {
         let state = &self.platform.facts.state;
         let next = state
             .next
             .as_ref()
-            .and_then(|n| n.txn_ops)
+            .and_then(|limits| limits.txn_ops)
             .filter(|_| self.features.gangs);
         state.txn_ops.min(next.unwrap_or(u32::MAX)) as usize
     }
-    /// The tighter of both: changes a second.
+    /// Maximum number of changes per second: the smaller of the present and the announced limit.
     pub fn write_rps(&self) -> f64 {
         let state = &self.platform.facts.state;
         let next = state
             .next
             .as_ref()
-            .and_then(|n| n.write_rps)
+            .and_then(|limits| limits.write_rps)
             .filter(|_| self.features.gangs);
         state.write_rps.min(next.unwrap_or(f64::MAX))
     }
-    /// Wait after which a batch closes.
+    /// Time in milliseconds after which a batch is closed, even if it is not full.
     pub fn batch_wait_ms(&self) -> u64 {
-        ms(self.platform.facts.workers.report_s * self.operator.batch_wait_per_report)
+        seconds_to_ms(self.platform.facts.workers.report_s * self.operator.batch_wait_per_report)
     }
-    /// Wait after which unplaced tasks are tried again.
+    /// Delay in milliseconds after which placement of unplaced tasks is tried again.
     pub fn batch_retry_ms(&self) -> u64 {
-        ms(self.platform.facts.workers.report_s * self.operator.batch_retry_per_report)
+        seconds_to_ms(self.platform.facts.workers.report_s * self.operator.batch_retry_per_report)
     }
-    /// Silence after which a machine is given up.
+    /// Time in milliseconds without a report after which a machine counts as lost.
     pub fn silent_ms(&self) -> u64 {
-        ms(self.platform.facts.workers.lease_s * self.operator.silent_per_worker_lease)
+        seconds_to_ms(self.platform.facts.workers.lease_s * self.operator.silent_per_worker_lease)
     }
-    /// How often one slice of the search may look at a machine for a task.
+    /// Number of evaluations (one machine for one task) that one slice of the placement search may make.
     pub fn search_evaluations(&self) -> usize {
-        // About what a whole core of today does in a second, on the low side.
-        const PER_CORE_SECOND: f64 = 4e6;
+        // A low estimate for one whole core of present hardware.
+        const EVALUATIONS_PER_CORE_SECOND: f64 = 4e6;
         let cores = self.platform.facts.machine_limits.cores;
-        (self.operator.search_budget_s * cores * PER_CORE_SECOND).max(1000.0) as usize
+        (self.operator.search_budget_s * cores * EVALUATIONS_PER_CORE_SECOND).max(1000.0) as usize
     }
-    /// Number of partitions: one for each controller.
+    /// Number of partitions: one for each controller of the deployment.
     pub fn partitions(&self) -> u32 {
         self.platform.facts.nodes.max(1)
     }
-    /// All controllers' names, in order.
+    /// Names of all controllers, this one included, sorted.
     pub fn names(&self) -> Vec<String> {
-        let mut names: Vec<String> = self.platform.siblings.iter().map(|s| s.host_name.clone()).collect();
+        let mut names: Vec<String> = self
+            .platform
+            .siblings
+            .iter()
+            .map(|peer| peer.host_name.clone())
+            .collect();
         names.push(self.platform.host_name.clone());
         names.sort();
         names
     }
-    /// A team by name, with its place in the list.
+    /// The team of this name, with its index in `facts.teams`.
     pub fn team(&self, name: &str) -> Option<(usize, &Team)> {
         self.platform
             .facts
             .teams
             .iter()
             .enumerate()
-            .find(|(_, t)| t.name == name)
+            .find(|(_, team)| team.name == name)
     }
-    /// The partition that a team belongs to, for good.
+    /// The partition that a team belongs to. It follows from the team's index in `facts.teams` and never changes.
     pub fn partition_of_team(&self, name: &str) -> Option<crate::ids::Partition> {
         let (index, _) = self.team(name)?;
         Some(crate::ids::Partition(index as u32 % self.partitions()))
--- a/crates/tidelatch-core/src/settings/disruption.rs
+++ b/crates/tidelatch-core/src/settings/disruption.rs
@@ -1,4 +1,4 @@
-//! Settings of disruption budgets and drains.
+//! Settings of disruption budgets and drains, and the checks on them.
 
 use super::{Facts, Fault};
 use schemars::JsonSchema;
@@ -7,36 +7,38 @@
 use tidelatch_disruption::{Amount, AmountError, Budget};
 use wildmatch::WildMatch;
 
-/// Most tasks of a job, by the protocol: no budget can ask for more units than that.
-const MOST_UNITS: u32 = 100_000;
-/// Longest name of a drain.
-const MOST_NAME_BYTES: usize = 40;
-/// Longest patience with a task, and longest delay of a drain, in seconds: a day.
-const MOST_SECONDS: f64 = 86_400.0;
+/// Maximum number of tasks of a job, set by the protocol. A budget of more units than that would have no effect.
+const MAX_UNITS: u32 = 100_000;
+/// Maximum length of a drain's name.
+const MAX_DRAIN_NAME_BYTES: usize = 40;
+/// Maximum of a drain's `patience_s` and `delay_s`: one day.
+const MAX_DRAIN_WAIT_S: f64 = 86_400.0;
 
-/// Replicas of one service that may be away at a time where no budget is set.
-const DEFAULT_REPLICAS_OF_A_JOB: u32 = 1;
-/// Percentage of a production class's replicas that may be away at a time, over all its jobs; one at least.
-const DEFAULT_PRODUCTION_PERCENT: u8 = 5;
-/// Percentage of the running tasks of a class of arrays or gangs that may be interrupted at a time; one at least.
-const DEFAULT_TASKS_PERCENT: u8 = 25;
+/// Number of replicas of one service that may be unavailable at a time if no budget is set.
+const DEFAULT_UNAVAILABLE_REPLICAS_PER_JOB: u32 = 1;
+/// Percentage of a production class's replicas, over all its jobs, that may be unavailable at a time if no budget is
+/// set; at least one replica.
+const DEFAULT_UNAVAILABLE_PRODUCTION_PERCENT: u8 = 5;
+/// Percentage of the running tasks of a class of arrays or gangs that may be interrupted at a time if no budget is set;
+/// at least one task.
+const DEFAULT_INTERRUPTED_TASKS_PERCENT: u8 = 25;
 
-/// A number of units, or a percentage such as `"25%"`, which is rounded down.
+/// A number of units, or a percentage of the units such as `"25%"`, which is rounded down.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
 pub enum Units {
-    /// So many units.
+    /// Number of units.
     Count(u32),
-    /// So many percent of the units, as text that ends in `%`.
+    /// Percentage of the units, as text that ends in `%`.
     Share(String),
 }
 
 impl Units {
-    /// The amount that is meant.
+    /// Parses the setting into an amount.
     ///
     /// # Errors
     ///
-    /// The text is no percentage from 0% to 100%.
+    /// Fails if the text is not a percentage from 0% to 100%.
     pub fn amount(&self) -> Result<Amount, AmountError> {
         match self {
             Self::Count(count) => Ok(Amount::Count(*count)),
@@ -45,46 +47,48 @@
     }
 }
 
-/// How many units of a team's classes may be unavailable at a time. Of `max_unavailable` and `min_available` one is
-/// set. All units of one team and class share the budget, over all jobs. What is down for any reason counts: a lost
-/// machine, a replica that waits, an image that is being fetched.
+/// Number of units of a team's classes that may be unavailable at a time. Exactly one of `max_unavailable` and
+/// `min_available` is set. All units of one team and class share the budget, over all jobs. A unit counts as
+/// unavailable for any reason: its machine was lost, it waits for a machine, or its image is being fetched.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct BudgetRule {
-    /// Teams, by name; `*` stands for any text.
+    /// Pattern of team names; `*` matches any text.
     pub team: String,
-    /// Classes, by name, each with `*` for any text; empty: all.
+    /// Patterns of class names; `*` matches any text. An empty list matches all classes.
     pub classes: Vec<String>,
-    /// Most units that may be unavailable.
+    /// Maximum number of units that may be unavailable.
     pub max_unavailable: Option<Units>,
-    /// Least units that must be available.
+    /// Minimum number of units that must be available.
     pub min_available: Option<Units>,
 }
 
-/// A drain: all machines of a kind that are in the roster when it begins are replaced, step by step.
+/// A drain: replaces, a few at a time, all machines of a kind that are in the roster when the drain begins.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct DrainRule {
-    /// Name, of letters, digits, `-` and `_`. A name that was used and removed from the settings may be used again.
+    /// Name, made of letters, digits, `-` and `_`. The name of a drain that was removed from the settings may be used
+    /// again.
     pub name: String,
-    /// Machine type; none: any.
+    /// Machine type of the machines to drain; any type if it is not set.
     pub machine_type: Option<String>,
-    /// Zone; none: any.
+    /// Zone of the machines to drain; any zone if it is not set.
     pub zone: Option<String>,
-    /// Only spot machines, or only ordinary ones; none: both.
+    /// Drains only spot machines if `true`, only on-demand machines if `false`, and both if it is not set.
     pub spot: Option<bool>,
-    /// Replacements that are rented ahead of the evictions at a time. Machines beyond that are emptied into the room
-    /// that there is.
+    /// Number of replacement machines that are rented ahead of the evictions at a time. Tasks of further machines are
+    /// moved to free capacity of the machines that are already rented.
     #[schemars(range(min = 0, max = 1_000))]
     pub surge: u32,
-    /// Machines that are drained at a time.
+    /// Maximum number of machines that are drained at a time.
     #[schemars(range(min = 1, max = 1_000))]
     pub max_machines: u32,
-    /// Seconds for which a task of an array or a gang is waited for where waiting costs less than an interruption.
+    /// Time, in seconds, that a drain waits for a task of an array or a gang to end, where waiting costs less than an
+    /// interruption.
     #[schemars(range(min = 0.0, max = 86_400.0))]
     pub patience_s: f64,
-    /// Seconds for which a leader has to have run before it begins the drain: time for the other controllers to get the
-    /// same settings.
+    /// Time, in seconds, that a leader must have been running before it begins the drain, so that the other controllers
+    /// can get the same settings first.
     #[schemars(range(min = 0.0, max = 86_400.0))]
     pub delay_s: f64,
 }
@@ -104,30 +108,30 @@
     }
 }
 
-/// Every voluntary interruption (machines that are emptied, replicas that are moved, drains) keeps to disruption
-/// budgets. Without an entry in `budgets`, a service has one replica away at a time for each job, and a production class
-/// a twentieth of its replicas over all jobs, one at least; classes of arrays and gangs have a quarter of their running
-/// tasks interrupted at a time, one at least.
+/// Disruption budgets and drains. Every voluntary interruption (consolidation of machines, moves of replicas, drains)
+/// stays within the budgets. Where no entry of `budgets` matches, each service may have one replica unavailable at a
+/// time, and a production class a twentieth of its replicas over all jobs, at least one. Of a class of arrays or gangs,
+/// a quarter of the running tasks may be interrupted at a time, at least one.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Disruption {
-    /// Budgets: for each team and class the first that matches holds.
+    /// Budgets. The first entry that matches a team and class applies to it.
     pub budgets: Vec<BudgetRule>,
-    /// Drains. One that is removed is given up: machines that are not deleted yet go back to service.
+    /// Drains. Removing an entry cancels the drain: its machines that are not deleted yet return to service.
     pub drains: Vec<DrainRule>,
 }
 
 impl BudgetRule {
-    fn covers(&self, team: &str, class: &str) -> bool {
-        let any = |class: &str| {
+    fn applies_to(&self, team: &str, class: &str) -> bool {
+        let matches_class = |class: &str| {
             self.classes
                 .iter()
                 .any(|pattern| WildMatch::new(pattern).matches(class))
         };
-        WildMatch::new(&self.team).matches(team) && (self.classes.is_empty() || any(class))
+        WildMatch::new(&self.team).matches(team) && (self.classes.is_empty() || matches_class(class))
     }
 
-    /// The budget; none: the rule is not in order.
+    /// The budget, or `None` if the rule is invalid.
     fn budget(&self) -> Option<Budget> {
         match (&self.max_unavailable, &self.min_available) {
             (Some(units), None) => units.amount().ok().map(Budget::MaxUnavailable),
@@ -136,10 +140,11 @@
         }
     }
 
-    fn faults(&self, path: &str, faults: &mut Vec<Fault>) {
-        let mut add = |field: &str, fault: String| {
+    /// Adds the faults of the rule that stands at `path`.
+    fn check(&self, path: &str, faults: &mut Vec<Fault>) {
+        let mut add = |field: &str, message: String| {
             let path = format!("{path}{field}");
-            faults.push(Fault { path, fault });
+            faults.push(Fault { path, message });
         };
         if self.team.is_empty() {
             add(".team", "must not be empty".to_owned());
@@ -150,34 +155,43 @@
         ] {
             match units.as_ref().map(Units::amount) {
                 Some(Err(error)) => add(field, error.to_string()),
-                Some(Ok(Amount::Count(count))) if count > MOST_UNITS => {
-                    add(field, format!("no job has more than {MOST_UNITS} units"));
+                Some(Ok(Amount::Count(count))) if count > MAX_UNITS => {
+                    add(
+                        field,
+                        format!("must be at most {MAX_UNITS}, the maximum number of units of a job"),
+                    );
                 }
                 _ => {}
             }
         }
         if self.max_unavailable.is_some() == self.min_available.is_some() {
-            add("", "sets one of max_unavailable and min_available".to_owned());
+            add(
+                "",
+                "must set exactly one of max_unavailable and min_available".to_owned(),
+            );
         }
     }
 }
 
 impl DrainRule {
-    /// Whether the drain covers machines of a kind.
+    /// Whether the drain selects machines of this type and zone, and of this kind (spot or on-demand).
     pub fn selects(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
-        let is = |wanted: &Option<String>, found: &str| wanted.as_ref().is_none_or(|wanted| wanted == found);
-        is(&self.machine_type, machine_type) && is(&self.zone, zone) && self.spot.is_none_or(|wanted| wanted == spot)
+        let matches = |wanted: &Option<String>, found: &str| wanted.as_ref().is_none_or(|wanted| wanted == found);
+        matches(&self.machine_type, machine_type)
+            && matches(&self.zone, zone)
+            && self.spot.is_none_or(|wanted| wanted == spot)
     }
 
-    fn faults(&self, path: &str, faults: &mut Vec<Fault>) {
-        let mut add = |field: &str, fault: &str| {
+    /// Adds the faults of the drain that stands at `path`.
+    fn check(&self, path: &str, faults: &mut Vec<Fault>) {
+        let mut add = |field: &str, message: &str| {
             faults.push(Fault {
                 path: format!("{path}.{field}"),
-                fault: fault.to_owned(),
+                message: message.to_owned(),
             });
         };
-        let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-        if self.name.is_empty() || self.name.len() > MOST_NAME_BYTES || !self.name.chars().all(plain) {
+        let is_name_char = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+        if self.name.is_empty() || self.name.len() > MAX_DRAIN_NAME_BYTES || !self.name.chars().all(is_name_char) {
             add("name", "must have 1 to 40 letters, digits, - or _");
         }
         if self.max_machines == 0 || self.max_machines > 1_000 {
@@ -187,7 +201,7 @@
             add("surge", "must lie between 0 and 1000");
         }
         for (field, seconds) in [("patience_s", self.patience_s), ("delay_s", self.delay_s)] {
-            if !(0.0..=MOST_SECONDS).contains(&seconds) {
+            if !(0.0..=MAX_DRAIN_WAIT_S).contains(&seconds) {
                 add(field, "must lie between 0 and 86400");
             }
         }
@@ -198,81 +212,85 @@
 }
 
 impl Disruption {
-    /// The budget that is set for a team's class.
+    /// The budget that the settings give a team's class, if any.
     pub fn budget(&self, team: &str, class: &str) -> Option<Budget> {
-        let rule = self.budgets.iter().find(|rule| rule.covers(team, class))?;
+        let rule = self.budgets.iter().find(|rule| rule.applies_to(team, class))?;
         rule.budget()
     }
 
-    /// The budget of a service's replicas for each job, where none is set.
+    /// Default budget for the replicas of one service.
     pub fn default_for_job() -> Budget {
-        Budget::MaxUnavailable(Amount::Count(DEFAULT_REPLICAS_OF_A_JOB))
+        Budget::MaxUnavailable(Amount::Count(DEFAULT_UNAVAILABLE_REPLICAS_PER_JOB))
     }
 
-    /// The budget of a production class's replicas over all jobs, where none is set.
+    /// Default budget for the replicas of a production class, over all its jobs.
     pub fn default_for_production() -> Budget {
-        Budget::MaxUnavailable(Amount::PercentOrOne(DEFAULT_PRODUCTION_PERCENT))
+        Budget::MaxUnavailable(Amount::PercentOrOne(DEFAULT_UNAVAILABLE_PRODUCTION_PERCENT))
     }
 
-    /// The budget of a class of arrays or gangs, where none is set.
+    /// Default budget for the tasks of a class of arrays or gangs.
     pub fn default_for_tasks() -> Budget {
-        Budget::MaxUnavailable(Amount::PercentOrOne(DEFAULT_TASKS_PERCENT))
+        Budget::MaxUnavailable(Amount::PercentOrOne(DEFAULT_INTERRUPTED_TASKS_PERCENT))
     }
 
-    /// A drain by name.
+    /// The drain of this name, if the settings have one.
     pub fn drain(&self, name: &str) -> Option<&DrainRule> {
         self.drains.iter().find(|drain| drain.name == name)
     }
 
-    /// What is wrong with the values themselves.
+    /// Faults that can be found without the facts of the deployment.
     pub(super) fn value_faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         for (i, rule) in self.budgets.iter().enumerate() {
-            rule.faults(&format!("disruption.budgets[{i}]"), &mut faults);
+            rule.check(&format!("disruption.budgets[{i}]"), &mut faults);
         }
         let mut names = BTreeSet::new();
         for (i, drain) in self.drains.iter().enumerate() {
             let path = format!("disruption.drains[{i}]");
-            drain.faults(&path, &mut faults);
+            drain.check(&path, &mut faults);
             if !names.insert(&drain.name) {
                 faults.push(Fault {
                     path: format!("{path}.name"),
-                    fault: format!("`{}` is the name of another drain", drain.name),
+                    message: format!("`{}` is already the name of another drain", drain.name),
                 });
             }
         }
-        faults.extend(self.blocked_drains());
+        faults.extend(self.never_ending_drain_faults());
         faults
     }
 
-    /// Budgets that permit nothing, beside a drain without replacements ahead: such a drain would never end.
-    fn blocked_drains(&self) -> Vec<Fault> {
-        let nothing = |rule: &BudgetRule| rule.budget().is_some_and(Budget::permits_nothing);
-        let blocking = self.budgets.iter().position(nothing);
-        let fault = |(i, drain): (usize, &DrainRule)| {
-            let blocking = blocking.filter(|_| drain.surge == 0)?;
+    /// Drains that could never finish: they rent no replacements ahead, and a budget permits no interruption.
+    fn never_ending_drain_faults(&self) -> Vec<Fault> {
+        let permits_nothing = |rule: &BudgetRule| rule.budget().is_some_and(Budget::permits_nothing);
+        let blocking_budget = self.budgets.iter().position(permits_nothing);
+        let find_fault = |(i, drain): (usize, &DrainRule)| {
+            let budget = blocking_budget.filter(|_| drain.surge == 0)?;
             Some(Fault {
                 path: format!("disruption.drains[{i}].surge"),
-                fault: format!("must not be 0 while disruption.budgets[{blocking}] lets nothing be unavailable"),
+                message: format!("must not be 0 while disruption.budgets[{budget}] permits no unavailable unit"),
             })
         };
-        self.drains.iter().enumerate().filter_map(fault).collect()
+        self.drains.iter().enumerate().filter_map(find_fault).collect()
     }
 
-    /// What is impossible in this deployment: teams, classes and zones that it does not have.
+    /// Faults that depend on the deployment: teams, classes and zones that it does not have.
     pub(super) fn deployment_faults(&self, facts: &Facts) -> Vec<Fault> {
         let mut faults = Vec::new();
-        let mut add = |path: String, what: &str, name: &str| {
-            let fault = format!("the deployment has no {what} `{name}`");
-            faults.push(Fault { path, fault });
+        let mut add = |path: String, kind: &str, name: &str| {
+            let message = format!("the deployment has no {kind} `{name}`");
+            faults.push(Fault { path, message });
         };
-        let classes: Vec<&String> = facts.objectives.iter().filter_map(|aim| aim.class.as_ref()).collect();
+        let classes: Vec<&String> = facts
+            .objectives
+            .iter()
+            .filter_map(|objective| objective.class.as_ref())
+            .collect();
         for (i, rule) in self.budgets.iter().enumerate() {
             let pattern = WildMatch::new(&rule.team);
             if !facts.teams.iter().any(|team| pattern.matches(&team.name)) {
                 add(format!("disruption.budgets[{i}].team"), "team", &rule.team);
             }
-            // Classes are known by the objectives alone; where there are none, any may come.
+            // Only the objectives name classes. A deployment without objectives may have any class.
             for (j, class) in rule.classes.iter().enumerate().filter(|_| !classes.is_empty()) {
                 let pattern = WildMatch::new(class);
                 if !classes.iter().any(|known| pattern.matches(known)) {
--- a/crates/tidelatch-core/src/settings/failure_detection.rs
+++ b/crates/tidelatch-core/src/settings/failure_detection.rs
@@ -1,19 +1,19 @@
-//! Settings of the failure detector between controllers.
+//! Settings of the failure detector by which controllers watch each other, and the checks on them.
 
 use super::Fault;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use tidelatch_failure_detector::{Estimator, Policy, Timing};
 
-/// How the silence of a controller becomes a level of suspicion.
+/// How the time since a controller's last heartbeat is turned into a suspicion level.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum EstimatorChoice {
-    /// By a fixed time: half of a controller's lease.
+    /// A fixed timeout: half of a controller's lease.
     FixedTimeout,
-    /// Intervals between heartbeats are taken as normally distributed.
+    /// Phi accrual: assumes that the intervals between heartbeats are normally distributed.
     PhiNormal,
-    /// Intervals between heartbeats are taken as exponentially distributed.
+    /// Phi accrual: assumes that the intervals between heartbeats are exponentially distributed.
     PhiExponential,
 }
 
@@ -27,42 +27,45 @@
     }
 }
 
-/// Controllers watch each other, and prepare to take over from one that is suspected. Ratios are to the interval
-/// between two heartbeats, or to a controller's lease.
+/// Failure detection between controllers: they watch each other's heartbeats, and prepare to take over from a suspected
+/// controller. Fields that end in `_per_heartbeat` are ratios to the heartbeat interval, those that end in `_per_lease`
+/// ratios to a controller's lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct FailureDetection {
-    /// How silence is judged.
+    /// Estimator of the suspicion level.
     pub estimator: EstimatorChoice,
-    /// Level from which on a controller is suspected: at `p`, a silence this long is expected once in `10^p`
-    /// heartbeats.
+    /// Suspicion level at which a controller becomes suspected. At level `p`, so long a gap between heartbeats is
+    /// expected once in `10^p` heartbeats.
     #[schemars(range(min = 0.1, max = 100.0))]
     pub threshold_phi: f64,
-    /// Intervals between heartbeats that are kept for each controller.
+    /// Number of recent heartbeat intervals that are kept for each controller.
     #[schemars(range(min = 2, max = 4_096))]
     pub window_heartbeats: u32,
-    /// Least standard deviation of these intervals that is assumed.
+    /// Lower bound of the standard deviation of these intervals.
     #[schemars(range(min = 0.01, max = 10.0))]
     pub least_deviation_per_heartbeat: f64,
-    /// Pause that is forgiven on top of the usual interval.
+    /// Extra delay of a heartbeat, on top of the usual interval, that does not raise the suspicion level.
     #[schemars(range(min = 0.0, max = 10.0))]
     pub acceptable_pause_per_heartbeat: f64,
-    /// Time that other controllers have to say whether they hear a silent one.
+    /// Time that other controllers have to answer whether they receive heartbeats of an unresponsive controller.
     #[schemars(range(min = 0.0, max = 10.0))]
     pub probe_wait_per_heartbeat: f64,
-    /// Controllers that are asked to probe a silent one.
+    /// Number of controllers that are asked to probe an unresponsive controller.
     #[schemars(range(min = 0, max = 64))]
     pub probes: u32,
-    /// Most points by which this controller raises the threshold while it holds itself to be at fault.
+    /// Upper bound of the local-health score. Each point raises the threshold while this controller considers itself
+    /// to be at fault.
     #[schemars(range(min = 0, max = 16))]
     pub local_health_most: u8,
-    /// Time in which the penalty for flapping halves.
+    /// Half-life of the penalty for flapping.
     #[schemars(range(min = 0.1, max = 1_000.0))]
     pub flap_half_life_per_lease: f64,
-    /// Flaps that are forgiven before a suspicion takes more than one heartbeat to clear.
+    /// Number of flaps that have no effect. After each further flap, clearing a suspicion takes one more heartbeat.
     #[schemars(range(min = 0, max = 1_000))]
     pub flaps_forgiven: u32,
-    /// While a controller is suspected, whoever would take over from it reads ahead and connects to its workers.
+    /// While a controller is suspected, the controller that would take over from it reads its state and connects to its
+    /// workers in advance.
     pub prepare: bool,
 }
 
@@ -71,46 +74,46 @@
         let policy = Policy::default();
         Self {
             estimator: EstimatorChoice::PhiNormal,
-            threshold_phi: f64::from(policy.threshold_milliphi) / THOUSANDTHS,
+            threshold_phi: f64::from(policy.threshold_milliphi) / THOUSANDTHS_PER_UNIT,
             window_heartbeats: policy.window as u32,
-            least_deviation_per_heartbeat: f64::from(policy.least_deviation_permille) / THOUSANDTHS,
-            acceptable_pause_per_heartbeat: f64::from(policy.acceptable_pause_permille) / THOUSANDTHS,
-            probe_wait_per_heartbeat: f64::from(policy.probe_wait_permille) / THOUSANDTHS,
+            least_deviation_per_heartbeat: f64::from(policy.least_deviation_permille) / THOUSANDTHS_PER_UNIT,
+            acceptable_pause_per_heartbeat: f64::from(policy.acceptable_pause_permille) / THOUSANDTHS_PER_UNIT,
+            probe_wait_per_heartbeat: f64::from(policy.probe_wait_permille) / THOUSANDTHS_PER_UNIT,
             probes: policy.probes as u32,
             local_health_most: policy.local_health_most,
-            flap_half_life_per_lease: f64::from(policy.flap_half_life_permille) / THOUSANDTHS,
+            flap_half_life_per_lease: f64::from(policy.flap_half_life_permille) / THOUSANDTHS_PER_UNIT,
             flaps_forgiven: policy.flaps_forgiven,
             prepare: true,
         }
     }
 }
 
-/// The detector counts ratios in thousandths.
-const THOUSANDTHS: f64 = 1000.0;
+/// The detector's policy has ratios and levels as integers, in thousandths.
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
-fn thousandths(ratio: f64) -> u32 {
-    (ratio.max(0.0) * THOUSANDTHS).round() as u32
+fn to_thousandths(ratio: f64) -> u32 {
+    (ratio.max(0.0) * THOUSANDTHS_PER_UNIT).round() as u32
 }
 
 impl FailureDetection {
-    /// The same for the detector.
+    /// These settings as the detector's policy.
     pub fn policy(&self) -> Policy {
         Policy {
             estimator: self.estimator.into(),
-            threshold_milliphi: thousandths(self.threshold_phi),
+            threshold_milliphi: to_thousandths(self.threshold_phi),
             window: self.window_heartbeats as usize,
-            least_deviation_permille: thousandths(self.least_deviation_per_heartbeat),
-            acceptable_pause_permille: thousandths(self.acceptable_pause_per_heartbeat),
-            probe_wait_permille: thousandths(self.probe_wait_per_heartbeat),
+            least_deviation_permille: to_thousandths(self.least_deviation_per_heartbeat),
+            acceptable_pause_permille: to_thousandths(self.acceptable_pause_per_heartbeat),
+            probe_wait_permille: to_thousandths(self.probe_wait_per_heartbeat),
             probes: self.probes as usize,
             local_health_most: self.local_health_most,
-            flap_half_life_permille: thousandths(self.flap_half_life_per_lease),
+            flap_half_life_permille: to_thousandths(self.flap_half_life_per_lease),
             flaps_forgiven: self.flaps_forgiven,
         }
     }
 
-    /// Each figure with its path and its range.
-    pub(super) fn ranges(&self) -> [(&'static str, f64, f64, f64); 9] {
+    /// Each numeric setting: path, value, minimum and maximum.
+    pub(super) fn values_with_ranges(&self) -> [(&'static str, f64, f64, f64); 9] {
         [
             ("failure_detection.threshold_phi", self.threshold_phi, 0.1, 100.0),
             (
@@ -159,10 +162,10 @@
         ]
     }
 
-    /// What is impossible together with the times of the deployment.
-    pub(super) fn faults(&self, timing: Timing) -> Vec<Fault> {
+    /// Settings that are invalid with the heartbeat interval and the lease duration of this deployment.
+    pub(super) fn timing_faults(&self, timing: Timing) -> Vec<Fault> {
         let faults = self.policy().check(timing).err().map_or(Vec::new(), |faults| faults.0);
-        let named = faults.into_iter().map(|fault| {
+        let with_paths = faults.into_iter().map(|fault| {
             let path = match fault.field {
                 "heartbeat_ms" => "facts.workers.report_s",
                 "lease_ms" => "controller_lease_per_worker_lease",
@@ -172,9 +175,9 @@
             };
             Fault {
                 path: path.to_owned(),
-                fault: format!("{}: {}", fault.field, fault.fault),
+                message: format!("{}: {}", fault.field, fault.fault),
             }
         });
-        named.collect()
+        with_paths.collect()
     }
 }
--- a/crates/tidelatch-core/src/settings/features.rs
+++ b/crates/tidelatch-core/src/settings/features.rs
@@ -1,23 +1,24 @@
-//! What a version of this program can do, as controllers tell each other.
+//! Features that a version of this program supports. Controllers announce them to each other as a feature level.
 
-/// [`Features::level`] from which on a controller knows machines that hold tasks of several partitions.
+/// Lowest feature level ([`Features::level`]) that supports machines that hold tasks of several partitions.
 pub const SHARED_MACHINES_LEVEL: u32 = 3;
-/// Level of a controller that grants and asks for permits to interrupt tasks: the feature is turned on there.
+/// Feature level of a controller that requests and grants permits to interrupt tasks. A controller has this level only
+/// if disruption budgets are turned on in its settings.
 pub const DISRUPTION_LEVEL: u32 = 4;
 
-/// What a version of this program knows, as it tells the others.
+/// Features that a version of this program supports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Features {
-    /// Gangs, and the state service's coming limits.
+    /// Runs gangs, and keeps to announced limits of the state service.
     pub gangs: bool,
-    /// Cancellations are told between controllers.
+    /// Exchanges cancellations with the other controllers.
     pub cancellations: bool,
-    /// A machine may change hands with the tasks that run on it.
+    /// Hands a machine over to another partition together with the tasks that run on it.
     pub shared_machines: bool,
 }
 
 impl Features {
-    /// The number by which a controller's own record says what it knows: 0 was never written.
+    /// Feature level in a controller's member record. Level 0 was never written to a record.
     pub fn level(self) -> u32 {
         match self {
             Self { gangs: false, .. } => 0,
@@ -30,7 +31,7 @@
             _ => SHARED_MACHINES_LEVEL,
         }
     }
-    /// As the version before gangs was: for tests.
+    /// Features of the version before gangs, for tests.
     pub fn before_gangs() -> Self {
         Self {
             gangs: false,
--- a/crates/tidelatch-core/src/settings/operator.rs
+++ b/crates/tidelatch-core/src/settings/operator.rs
@@ -1,44 +1,45 @@
-//! The operators' own settings, their defaults, and the checks on them.
+//! Settings that the operators choose, their defaults, and the checks on them.
 
 use super::{Disruption, FailureDetection, Fault};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The operators' own settings. Every figure has a default.
+/// Settings that the operators choose. Every field has a default.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// A batch closes at this many tasks.
+    /// Number of tasks at which a placement batch is closed.
     #[schemars(range(min = 1, max = 10_000))]
     pub batch_tasks: u32,
-    /// A batch closes after this part of the workers' report period.
+    /// Time after which a placement batch is closed, as a fraction of the workers' report period.
     #[schemars(range(min = 0.01, max = 10.0))]
     pub batch_wait_per_report: f64,
-    /// Tasks that found no machine are tried again after this part of the workers' report period.
+    /// Delay after which tasks that found no machine are tried again, as a fraction of the workers' report period.
     #[schemars(range(min = 0.01, max = 10.0))]
     pub batch_retry_per_report: f64,
-    /// Moves that a batch's search may try, per task of the batch.
+    /// Number of moves that the local search for a batch may try, per task of the batch.
     #[schemars(range(min = 0, max = 1_000))]
     pub search_moves_per_task: u32,
-    /// Time that one slice of the search may take, at this controller's share of a processor.
+    /// Time, in seconds, that one slice of the placement search may take at this controller's share of a processor.
     #[schemars(range(min = 0.001, max = 10.0))]
     pub search_budget_s: f64,
-    /// A controller's lease in the state service, as a part of the workers' lease.
+    /// Duration of a controller's lease in the state service, as a fraction of the workers' lease.
     #[schemars(range(min = 0.1, max = 0.9))]
     pub controller_lease_per_worker_lease: f64,
-    /// An idle machine is returned after this part of its type's boot time.
+    /// Idle time after which a machine is returned to the cloud, as a multiple of its type's boot time.
     #[schemars(range(min = 0.0, max = 100.0))]
     pub idle_per_boot: f64,
-    /// A silent machine is given up after this part of the workers' lease.
+    /// Time without a report after which a machine counts as lost, as a fraction of the workers' lease.
     #[schemars(range(min = 0.3, max = 10.0))]
     pub silent_per_worker_lease: f64,
-    /// Most unfinished jobs of one team; beyond it submissions are put off. Without it the limit follows from the
-    /// controller's memory and processor.
+    /// Maximum number of unfinished jobs of one team. Further submissions are refused with a request to retry later.
+    /// If it is not set, the limit is computed from the controller's memory and processor share.
     #[schemars(range(min = 1, max = 100_000))]
     pub queue_jobs_per_team: Option<u32>,
-    /// Controllers watch each other, and prepare to take over from one that is suspected. Without it they do not.
+    /// Failure detection: controllers watch each other, and prepare to take over from a suspected controller. It is off
+    /// if this is not set.
     pub failure_detection: Option<FailureDetection>,
-    /// Voluntary interruptions keep to budgets, and machines may be drained. Without it they do not.
+    /// Disruption budgets for voluntary interruptions, and drains of machines. Both are off if this is not set.
     pub disruption: Option<Disruption>,
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl Operator {
-    /// Everything that is out of its range.
+    /// All faults that can be found without the platform's settings, such as values out of range.
     pub fn faults(&self) -> Vec<Fault> {
         let checks = [
             ("batch_tasks", f64::from(self.batch_tasks), 1.0, 10_000.0),
@@ -89,15 +90,18 @@
                 100_000.0,
             ),
         ];
-        let detection = self.failure_detection.iter().flat_map(FailureDetection::ranges);
+        let detection = self
+            .failure_detection
+            .iter()
+            .flat_map(FailureDetection::values_with_ranges);
         let disruption = self.disruption.iter().flat_map(Disruption::value_faults);
         let out_of_range = checks
             .into_iter()
             .chain(detection)
-            .filter(|(_, v, low, high)| !(v.is_finite() && v >= low && v <= high))
+            .filter(|(_, value, low, high)| !(value.is_finite() && value >= low && value <= high))
             .map(|(path, _, low, high)| Fault {
                 path: path.to_owned(),
-                fault: format!("must lie between {low} and {high}"),
+                message: format!("must lie between {low} and {high}"),
             });
         out_of_range.chain(disruption).collect()
     }
--- a/crates/tidelatch-core/src/settings/platform.rs
+++ b/crates/tidelatch-core/src/settings/platform.rs
@@ -1,47 +1,47 @@
-//! What the platform hands over about this controller and its deployment, and the checks on it.
+//! Settings that the platform provides about this controller and its deployment, and the checks on them.
 
 use super::Fault;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The platform's file. Unknown fields are ignored.
+/// The platform's settings file. Unknown fields are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
     /// This controller's name.
     pub host_name: String,
-    /// Its zone.
+    /// Zone of this controller.
     pub area: String,
-    /// Where users, workers and health checks come in.
+    /// Address on which this controller listens for users, workers and health checks.
     pub api_addr: String,
-    /// Where the other controllers come in.
+    /// Address on which this controller listens for the other controllers.
     pub peer_listen: String,
     /// The other controllers.
     #[serde(default)]
-    pub siblings: Vec<Sibling>,
-    /// Services outside.
-    pub outside: Outside,
+    pub siblings: Vec<PeerController>,
+    /// Addresses of the cloud and the state service.
+    pub outside: ServiceAddresses,
     /// Facts about the deployment.
     pub facts: Facts,
 }
 
-/// Another controller.
+/// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Sibling {
-    /// Name.
+pub struct PeerController {
+    /// Name of the controller.
     pub host_name: String,
-    /// Zone.
+    /// Zone of the controller.
     #[serde(default)]
     pub area: String,
-    /// Its peer address.
+    /// Address on which it listens for other controllers.
     pub address: String,
 }
 
-/// Addresses of the services outside.
+/// Addresses of the external services.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Outside {
-    /// The cloud.
+pub struct ServiceAddresses {
+    /// Address of the cloud's API.
     pub cloud: String,
-    /// The state service.
+    /// Address of the state service.
     pub state: String,
 }
 
@@ -50,58 +50,58 @@
 pub struct Facts {
     /// Number of controllers.
     pub nodes: u32,
-    /// Zones.
+    /// Names of the deployment's zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Bound of the time of day's error.
+    /// Maximum error of a wall clock, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
-    /// Teams.
+    /// Teams, in an order that determines their partitions.
     pub teams: Vec<Team>,
-    /// Aims on starting and finishing.
+    /// Service level objectives for starting and finishing tasks.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers.
+    /// Facts about workers.
     pub workers: WorkerFacts,
-    /// State service.
-    pub state: StateFacts,
-    /// Cloud.
+    /// Limits of the state service.
+    pub state: StateServiceFacts,
+    /// Limits of the cloud.
     pub cloud: CloudFacts,
-    /// Limits of this machine.
+    /// Limits of the machine that this controller runs on.
     pub machine_limits: MachineLimits,
 }
 
-/// A team; an amount of 0 means none.
+/// A team with its guarantees and limits. An amount of 0 means no guarantee or no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Name.
+    /// Name of the team.
     pub name: String,
-    /// Guaranteed processors.
+    /// Guaranteed number of processors.
     #[serde(default)]
     pub cpus: f64,
-    /// Most processors.
+    /// Maximum number of processors.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed accelerators.
+    /// Guaranteed number of accelerators.
     #[serde(default)]
     pub gpus: f64,
-    /// Most accelerators.
+    /// Maximum number of accelerators.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// An aim.
+/// A service level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
     /// `wait`, `deadline` or `guarantee`.
     pub kind: String,
-    /// Class that it is for.
+    /// Job class that the objective applies to.
     #[serde(default)]
     pub class: Option<String>,
-    /// Time allowed.
+    /// Time within which the objective must be met, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Multiple of the deadline.
+    /// Objective as a multiple of the deadline.
     #[serde(default)]
     pub times: Option<f64>,
 }
@@ -109,46 +109,48 @@
 /// Facts about workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerFacts {
-    /// Period of reports.
+    /// Interval between the reports of a worker, in seconds.
     pub report_s: f64,
-    /// Lease without answers.
+    /// Duration of a worker's lease, in seconds: without an answer for so long, the lease expires.
     pub lease_s: f64,
-    /// Time for a cancelled job's tasks to be gone.
+    /// Time within which all tasks of a cancelled job must be gone, in seconds.
     pub cancel_s: f64,
-    /// Time after which a gang's task that waits for the others gives up; none: no gangs here.
+    /// Time after which a gang task that waits for the other tasks gives up, in seconds. If it is not set, the
+    /// deployment does not run gangs.
     #[serde(default)]
     pub gang_wait_s: Option<f64>,
-    /// Time within which a gang's tasks notice that one is gone, and within which all must be told to stop.
+    /// Time, in seconds, within which the tasks of a gang notice that one of them is gone, and within which all of them
+    /// must be told to stop.
     #[serde(default)]
     pub gang_peer_s: Option<f64>,
 }
 
 /// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateFacts {
-    /// Requests a second, all controllers together.
+pub struct StateServiceFacts {
+    /// Maximum requests per second of all controllers together.
     pub rps: f64,
-    /// Changes a second, all controllers together.
+    /// Maximum changes per second of all controllers together.
     pub write_rps: f64,
-    /// Largest value.
+    /// Maximum size of a value, in units of 1024 bytes.
     pub value_kb: f64,
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: u32,
-    /// Limits that will hold from some moment on, without notice.
+    /// Announced limits, which will take effect at some later moment without further notice.
     #[serde(default)]
-    pub next: Option<NextState>,
+    pub next: Option<UpcomingStateServiceLimits>,
 }
 
-/// Limits that the state service will have from some moment on; what is absent stays as it is.
+/// Announced limits of the state service. A limit that is absent does not change.
 #[derive(Debug, Clone, Default, Deserialize)]
-pub struct NextState {
-    /// Changes a second, all controllers together.
+pub struct UpcomingStateServiceLimits {
+    /// Maximum changes per second of all controllers together.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Largest value.
+    /// Maximum size of a value, in units of 1024 bytes.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<u32>,
 }
@@ -156,27 +158,27 @@
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudFacts {
-    /// Requests a second.
+    /// Maximum requests per second of all controllers together.
     pub rps: f64,
-    /// Lag of its list.
+    /// Maximum delay with which the list of machines shows a change, in seconds.
     pub list_lag_s: f64,
 }
 
-/// Limits of this machine.
+/// Limits of the machine that a controller runs on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
-    /// Share of a core.
+    /// Share of processor cores, such as 0.1.
     pub cores: f64,
-    /// Memory.
+    /// Memory, in megabytes.
     pub ram_mb: f64,
-    /// Sockets.
+    /// Maximum number of open sockets.
     pub sockets: u32,
 }
 
 impl Platform {
-    /// Everything that is wrong with the values, each with its path.
+    /// All invalid values, each with its path.
     pub fn faults(&self) -> Vec<Fault> {
-        let mut faults = Faults::default();
+        let mut faults = FaultList::default();
         self.check_names_and_addresses(&mut faults);
         self.check_siblings(&mut faults);
         self.facts.check_amounts(&mut faults);
@@ -186,7 +188,7 @@
         faults.0
     }
 
-    fn check_names_and_addresses(&self, faults: &mut Faults) {
+    fn check_names_and_addresses(&self, faults: &mut FaultList) {
         for (path, text) in [("host_name", &self.host_name), ("area", &self.area)] {
             if text.is_empty() {
                 faults.add(path, "must not be empty");
@@ -199,28 +201,31 @@
             ("outside.state", &self.outside.state),
         ] {
             if text.parse::<SocketAddr>().is_err() {
-                faults.add(path, "must be an address and a port, as 10.0.0.1:8080");
+                faults.add(path, "must be an IP address and a port, such as 10.0.0.1:8080");
             }
         }
     }
 
-    fn check_siblings(&self, faults: &mut Faults) {
-        for (i, sibling) in self.siblings.iter().enumerate() {
-            if sibling.address.parse::<SocketAddr>().is_err() {
-                faults.add(&format!("siblings[{i}].address"), "must be an address and a port");
+    fn check_siblings(&self, faults: &mut FaultList) {
+        for (i, peer) in self.siblings.iter().enumerate() {
+            if peer.address.parse::<SocketAddr>().is_err() {
+                faults.add(&format!("siblings[{i}].address"), "must be an IP address and a port");
             }
-            if sibling.host_name.is_empty() || sibling.host_name == self.host_name {
+            if peer.host_name.is_empty() || peer.host_name == self.host_name {
                 faults.add(&format!("siblings[{i}].host_name"), "must name another controller");
             }
         }
         if self.facts.nodes as usize != self.siblings.len() + 1 {
-            faults.add("facts.nodes", "must count this controller and its siblings");
+            faults.add(
+                "facts.nodes",
+                "must be the number of siblings plus 1, for this controller",
+            );
         }
     }
 }
 
 impl Facts {
-    fn check_amounts(&self, faults: &mut Faults) {
+    fn check_amounts(&self, faults: &mut FaultList) {
         for (path, amount) in [
             ("facts.workers.report_s", self.workers.report_s),
             ("facts.workers.lease_s", self.workers.lease_s),
@@ -239,7 +244,7 @@
             ("facts.cloud.list_lag_s", self.cloud.list_lag_s),
         ] {
             if !(amount.is_finite() && amount >= 0.0) {
-                faults.add(path, "must be a number, 0 or above");
+                faults.add(path, "must be a finite number of at least 0");
             }
         }
         if self.workers.lease_s <= 2.0 * self.workers.report_s {
@@ -250,8 +255,8 @@
         }
     }
 
-    /// Gangs' times are asked for only where gangs are to be run; what is there has to be in order.
-    fn check_gangs(&self, faults: &mut Faults) {
+    /// Checks the times for gangs. They are optional, but must be valid, and both are set or neither.
+    fn check_gangs(&self, faults: &mut FaultList) {
         let (wait_s, peer_s) = (self.workers.gang_wait_s, self.workers.gang_peer_s);
         faults.add_unless_positive("facts.workers.gang_wait_s", wait_s);
         faults.add_unless_positive("facts.workers.gang_peer_s", peer_s);
@@ -259,12 +264,12 @@
             let missing = if wait_s.is_some() { "gang_peer_s" } else { "gang_wait_s" };
             faults.add(
                 &format!("facts.workers.{missing}"),
-                "is needed for gangs, since the other time is given",
+                "must be set, because the other time for gangs is set",
             );
         }
     }
 
-    fn check_next_limits(&self, faults: &mut Faults) {
+    fn check_next_limits(&self, faults: &mut FaultList) {
         let next = self.state.next.clone().unwrap_or_default();
         faults.add_unless_positive("facts.state.next.write_rps", next.write_rps);
         faults.add_unless_positive("facts.state.next.value_kb", next.value_kb);
@@ -276,42 +281,42 @@
         }
     }
 
-    fn check_teams(&self, faults: &mut Faults) {
+    fn check_teams(&self, faults: &mut FaultList) {
         for (i, team) in self.teams.iter().enumerate() {
             if team.name.is_empty() {
                 faults.add(&format!("facts.teams[{i}].name"), "must not be empty");
             }
             if self.teams.iter().take(i).any(|other| other.name == team.name) {
-                faults.add(&format!("facts.teams[{i}].name"), "is the name of another team as well");
+                faults.add(&format!("facts.teams[{i}].name"), "is already the name of another team");
             }
-            for (field, low, high) in [("cpus", team.cpus, team.cpus_max), ("gpus", team.gpus, team.gpus_max)] {
+            for (field, guarantee, limit) in [("cpus", team.cpus, team.cpus_max), ("gpus", team.gpus, team.gpus_max)] {
                 let path = format!("facts.teams[{i}].{field}");
-                if !(low.is_finite() && high.is_finite() && low >= 0.0 && high >= 0.0) {
-                    faults.add(&path, "must be a number, 0 or above");
-                } else if high > 0.0 && low > high {
-                    faults.add(&path, "the guarantee is above the limit");
+                if !(guarantee.is_finite() && limit.is_finite() && guarantee >= 0.0 && limit >= 0.0) {
+                    faults.add(&path, "must be a finite number of at least 0");
+                } else if limit > 0.0 && guarantee > limit {
+                    faults.add(&path, "the guarantee must not exceed the limit");
                 }
             }
         }
     }
 }
 
-/// The faults that were found so far.
+/// Faults found so far.
 #[derive(Default)]
-struct Faults(Vec<Fault>);
+struct FaultList(Vec<Fault>);
 
-impl Faults {
-    fn add(&mut self, path: &str, fault: &str) {
+impl FaultList {
+    fn add(&mut self, path: &str, message: &str) {
         self.0.push(Fault {
             path: path.to_owned(),
-            fault: fault.to_owned(),
+            message: message.to_owned(),
         });
     }
 
-    /// What is not given is no fault.
+    /// Adds a fault if the amount is present and not a positive finite number.
     fn add_unless_positive(&mut self, path: &str, amount: Option<f64>) {
         if amount.is_some_and(|amount| !(amount.is_finite() && amount > 0.0)) {
-            self.add(path, "must be a number above 0");
+            self.add(path, "must be a finite number above 0");
         }
     }
 }
