--- a/crates/tidelatch-core/src/protocol.rs
+++ b/crates/tidelatch-core/src/protocol.rs
@@ -1,4 +1,5 @@
-//! The wire as `PROTOCOL` has it. Wire words stay in the renames of the modules below this one.
+//! Messages on the wire, as the protocol document `PROTOCOL` defines them. Types and fields are named by the terms of
+//! this code base; serde attributes keep the protocol's own words.
 
 mod cloud;
 mod state_service;
--- a/crates/tidelatch-core/src/protocol/cloud.rs
+++ b/crates/tidelatch-core/src/protocol/cloud.rs
@@ -1,27 +1,27 @@
-//! What the cloud offers and takes: machine types, rentals, deletions and its list of machines.
+//! Messages of the cloud's API: machine types, rentals, deletions and the list of machines.
 
 use crate::ids::MachineId;
 use serde::{Deserialize, Serialize};
 
-/// A machine type as the cloud offers it.
+/// A machine type that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     #[serde(rename = "label")]
     pub name: String,
-    /// Processors.
+    /// Number of processors.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory.
+    /// Memory, in gigabytes.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Room for images.
+    /// Local storage for images, in gigabytes.
     #[serde(rename = "localGb")]
     pub cache_gb: f64,
-    /// Fetch rate.
+    /// Rate at which images are fetched, in gigabytes per second.
     #[serde(rename = "pullGbPerS")]
     pub fetch_gb_per_s: f64,
     /// Price per hour.
@@ -30,10 +30,10 @@
     /// Price per hour as a spot machine.
     #[serde(rename = "marketPrice")]
     pub spot_price: f64,
-    /// Nominal boot time.
+    /// Nominal boot time, in seconds.
     #[serde(rename = "startupS")]
     pub boot_s: f64,
-    /// Zones that have it.
+    /// Zones in which the type is offered.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
@@ -41,15 +41,15 @@
 /// Answer to `GET /machine_types`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// All types.
+    /// All machine types.
     #[serde(rename = "models")]
     pub types: Vec<MachineType>,
 }
 
-/// A rental request.
+/// A request to rent machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rental {
-    /// Name of the request; never reused.
+    /// Name of the request, by which the cloud recognizes a repetition. It is never reused.
     #[serde(rename = "charter")]
     pub request: String,
     /// Machine type.
@@ -57,42 +57,42 @@
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether spot machines are requested.
     #[serde(rename = "standby")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Names of machines, in a rental's answer and in a deletion.
+/// Names of machines, in the answer to a rental and in a deletion request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names of the machines.
     #[serde(rename = "berths")]
     pub machines: Vec<MachineId>,
 }
 
-/// One machine in the cloud's list.
+/// A machine in the cloud's list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     #[serde(rename = "uid")]
     pub id: MachineId,
-    /// Where it takes commands.
+    /// Address on which its worker accepts commands.
     #[serde(default)]
     pub addr: String,
-    /// Type.
+    /// Machine type.
     pub model: String,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot machine.
     #[serde(rename = "standby", default)]
     pub spot: bool,
     /// `starting`, `running` or `failed`.
     pub status: String,
-    /// Age since the rental request.
+    /// Time since the rental request, in seconds.
     #[serde(rename = "ageS", default)]
     pub age_s: f64,
 }
@@ -100,10 +100,10 @@
 /// Answer to `GET /hosts`.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineList {
-    /// Machines in order of name.
+    /// Machines, sorted by name.
     #[serde(rename = "berths")]
     pub machines: Vec<ListedMachine>,
-    /// The list goes on.
+    /// Whether the list continues after the last of these machines.
     #[serde(default)]
     pub more: bool,
 }
--- a/crates/tidelatch-core/src/protocol/state_service.rs
+++ b/crates/tidelatch-core/src/protocol/state_service.rs
@@ -1,54 +1,54 @@
-//! What the state service answers: keys, lists, changes, transactions and leases.
+//! Answers of the state service: keys, lists, changes, transactions and leases.
 
 use crate::ids::Stamp;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A stored key, from a read or a list.
+/// A stored key with its value, from a read or a list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Item {
-    /// Key.
+    /// The key.
     pub k: String,
-    /// Value.
+    /// The value.
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision of the key's last change.
     pub stamp: Stamp,
 }
 
 /// A page of a list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Items {
-    /// The keys.
+    /// Keys on this page, with their values.
     pub items: Vec<Item>,
-    /// The list goes on.
+    /// Whether the list continues after this page.
     #[serde(default)]
     pub more: bool,
-    /// Revision of the store.
+    /// Revision of the store at which the list was read.
     pub ledger: u64,
 }
 
 /// One change that a watch reports.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Change {
-    /// Key written.
+    /// Key that was written, if the change is a write.
     #[serde(default)]
     pub write: Option<String>,
-    /// Key removed.
+    /// Key that was deleted, if the change is a deletion.
     #[serde(default)]
     pub delete: Option<String>,
-    /// New value.
+    /// New value, if the change is a write.
     #[serde(default)]
     pub value: Value,
     /// Revision of the change.
     pub stamp: Stamp,
 }
 
-/// Answer of a watch.
+/// Answer to a watch request.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Changes {
-    /// Revision up to which it speaks.
+    /// Revision up to which the answer contains all changes.
     pub ledger: u64,
-    /// The changes.
+    /// The changes, oldest first.
     #[serde(default)]
     pub news: Vec<Change>,
 }
@@ -56,17 +56,17 @@
 /// Answer to a transaction.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct TxnAnswer {
-    /// Revision after it.
+    /// Revision of the store after the transaction.
     #[serde(default)]
     pub ledger: u64,
-    /// Keys whose condition failed.
+    /// Keys whose conditions did not hold. If there are any, nothing was changed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// A lease.
+/// A lease that the state service has granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Granted {
-    /// Its number.
+    /// Number of the lease.
     pub permit: u64,
 }
--- a/crates/tidelatch-core/src/protocol/submissions.rs
+++ b/crates/tidelatch-core/src/protocol/submissions.rs
@@ -1,114 +1,116 @@
-//! What users send: jobs as they describe them, and what is wrong with a description.
+//! Submissions: job descriptions that users send, their parsing and validation.
 
 use crate::ids::JobId;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// What the tasks of a job are.
+/// Kind of a job, by how its tasks run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
-    /// Independent tasks, each run to completion.
+    /// Independent tasks, each of which runs to completion.
     #[serde(rename = "sweep")]
     Array,
     /// Replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
-    /// Tasks that run all at the same time, or not at all.
+    /// Tasks that run all at the same time or not at all (gang scheduling).
     #[serde(rename = "group")]
     Gang,
 }
 
-/// How urgent a job is; later variants come first.
+/// Priority of a job, in ascending order: tasks of later variants are placed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Yields to all.
+    /// Below all other priorities.
     Low,
-    /// The ordinary case.
+    /// The usual priority.
     Normal,
-    /// Ahead of the ordinary case.
+    /// Above `Normal`.
     Urgent,
-    /// Production: ahead of all.
+    /// Production: above all other priorities.
     Prod,
 }
 
-/// A job as its user describes it.
+/// Description of a job by its user.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The class that objectives refer to.
+    /// Class of the job. Objectives apply to classes.
     #[serde(rename = "consist")]
     pub class: String,
-    /// Team whose guarantee and limit apply.
+    /// Team whose guarantees and limits apply to the job.
     #[serde(rename = "crew")]
     pub team: String,
     /// Array, service or gang.
     #[serde(rename = "shape")]
     pub shape: Shape,
-    /// Priority.
+    /// Priority of the job.
     #[serde(rename = "precedence")]
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "wagons")]
     pub tasks: u32,
-    /// Processors that each task takes.
+    /// Number of processors for each task.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// Accelerators that each task takes.
+    /// Number of accelerators for each task.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory that each task takes.
+    /// Memory for each task, in gigabytes.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Allowed machine types; none: any.
+    /// Allowed machine types; all types are allowed if it is not set.
     #[serde(rename = "models", default, skip_serializing_if = "Option::is_none")]
     pub models: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone; all zones are allowed if it is not set.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in one zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in any one zone.
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "standby")]
     pub spot: bool,
-    /// Image that a machine must have.
+    /// Image that a machine must have to run a task.
     #[serde(rename = "stock")]
     pub image: String,
-    /// The image's size.
+    /// Size of the image, in gigabytes.
     #[serde(rename = "sizeGb")]
     pub image_gb: f64,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "runtimeS")]
     pub estimate_s: f64,
-    /// Interval of saved progress; 0: never saves.
+    /// Interval between checkpoints of a task, in seconds; 0 if the task saves no checkpoints.
     #[serde(rename = "waypointS")]
     pub checkpoint_s: f64,
-    /// Time that a stopped task needs to save.
+    /// Time that a task needs to save its progress when it is stopped, in seconds.
     #[serde(rename = "stowS")]
     pub save_s: f64,
-    /// Seconds from submission to deadline.
+    /// Time from submission to the deadline, in seconds; no deadline if it is not set.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// Why a submission is malformed.
+/// Reason why a submission cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// Not JSON, or not an object.
+    /// The body is not JSON, or not a JSON object.
     #[error("the body is not a JSON object")]
     NotAnObject,
-    /// A field is missing or has no acceptable value.
+    /// The named field is missing or has an invalid value.
     #[error("field `{0}` is missing or invalid")]
     Field(&'static str),
 }
 
 fn required<'a>(map: &'a Map<String, Value>, key: &'static str) -> Result<&'a Value, Malformed> {
-    map.get(key).filter(|v| !v.is_null()).ok_or(Malformed::Field(key))
+    map.get(key)
+        .filter(|value| !value.is_null())
+        .ok_or(Malformed::Field(key))
 }
 
-fn text(map: &Map<String, Value>, key: &'static str) -> Result<String, Malformed> {
+fn required_text(map: &Map<String, Value>, key: &'static str) -> Result<String, Malformed> {
     required(map, key)?
         .as_str()
         .filter(|s| !s.is_empty())
@@ -116,18 +118,18 @@
         .ok_or(Malformed::Field(key))
 }
 
-fn amount(map: &Map<String, Value>, key: &'static str) -> Result<f64, Malformed> {
+fn required_amount(map: &Map<String, Value>, key: &'static str) -> Result<f64, Malformed> {
     required(map, key)?
         .as_f64()
-        .filter(|v| v.is_finite() && *v >= 0.0)
+        .filter(|value| value.is_finite() && *value >= 0.0)
         .ok_or(Malformed::Field(key))
 }
 
-fn flag(map: &Map<String, Value>, key: &'static str) -> Result<bool, Malformed> {
+fn required_bool(map: &Map<String, Value>, key: &'static str) -> Result<bool, Malformed> {
     required(map, key)?.as_bool().ok_or(Malformed::Field(key))
 }
 
-fn word<T: for<'de> Deserialize<'de>>(map: &Map<String, Value>, key: &'static str) -> Result<T, Malformed> {
+fn required_enum<T: for<'de> Deserialize<'de>>(map: &Map<String, Value>, key: &'static str) -> Result<T, Malformed> {
     serde_json::from_value(required(map, key)?.clone()).map_err(|_| Malformed::Field(key))
 }
 
@@ -139,13 +141,17 @@
     }
 }
 
-/// The id in a submission's body, if the body has one in the right form.
+/// Returns the job id from a submission's body, or `None` if the body has no well-formed id.
 pub fn submission_id(body: &[u8]) -> Option<JobId> {
     let value: Value = serde_json::from_slice(body).ok()?;
     JobId::parse(value.as_object()?.get("uid")?.as_str()?)
 }
 
-/// Reads a submission, field by field, so that the answer can name the fault.
+/// Parses a submission field by field, so that an error can name the invalid field.
+///
+/// # Errors
+///
+/// Fails if the body is not a JSON object, or if a field is missing or invalid.
 pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobSpec), Malformed> {
     let value: Value = serde_json::from_slice(body).map_err(|_| Malformed::NotAnObject)?;
     let map = value.as_object().ok_or(Malformed::NotAnObject)?;
@@ -169,27 +175,27 @@
     };
     let deadline_s = match map.get("dueS") {
         None | Some(Value::Null) => None,
-        Some(_) => Some(amount(map, "dueS")?),
+        Some(_) => Some(required_amount(map, "dueS")?),
     };
     let spec = JobSpec {
-        class: text(map, "consist")?,
-        team: text(map, "crew")?,
-        shape: word(map, "shape")?,
-        priority: word(map, "precedence")?,
+        class: required_text(map, "consist")?,
+        team: required_text(map, "crew")?,
+        shape: required_enum(map, "shape")?,
+        priority: required_enum(map, "precedence")?,
         tasks,
-        cpus: amount(map, "vcpus")?,
-        gpus: amount(map, "accelerators")?,
-        memory_gb: amount(map, "ramGb")?,
+        cpus: required_amount(map, "vcpus")?,
+        gpus: required_amount(map, "accelerators")?,
+        memory_gb: required_amount(map, "ramGb")?,
         models,
         zone: optional_text(map, "yard")?,
-        one_zone: flag(map, "together")?,
-        spread: flag(map, "spread")?,
-        spot: flag(map, "standby")?,
-        image: text(map, "stock")?,
-        image_gb: amount(map, "sizeGb")?,
-        estimate_s: amount(map, "runtimeS")?,
-        checkpoint_s: amount(map, "waypointS")?,
-        save_s: amount(map, "stowS")?,
+        one_zone: required_bool(map, "together")?,
+        spread: required_bool(map, "spread")?,
+        spot: required_bool(map, "standby")?,
+        image: required_text(map, "stock")?,
+        image_gb: required_amount(map, "sizeGb")?,
+        estimate_s: required_amount(map, "runtimeS")?,
+        checkpoint_s: required_amount(map, "waypointS")?,
+        save_s: required_amount(map, "stowS")?,
         deadline_s,
     };
     Ok((id, spec))
--- a/crates/tidelatch-core/src/protocol/workers.rs
+++ b/crates/tidelatch-core/src/protocol/workers.rs
@@ -1,4 +1,4 @@
-//! What workers and controllers say to each other: reports, and orders under a token.
+//! Messages between workers and controllers: reports, and commands that carry an epoch as their fencing token.
 
 use crate::ids::{Attempt, Epoch, MachineId};
 use serde::{Deserialize, Serialize};
@@ -6,39 +6,39 @@
 /// State of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waiting for its image.
+    /// Waits until its image is fetched.
     #[serde(rename = "pulling")]
     Fetching,
-    /// A gang's task that waits for the others of its attempt.
+    /// A gang task that waits for the other tasks of its attempt.
     #[serde(rename = "gathering")]
     Gathering,
-    /// Running.
+    /// Runs.
     #[serde(rename = "running")]
     Running,
-    /// Told to stop, and saving.
+    /// Was told to stop, and saves its progress.
     #[serde(rename = "flushing")]
     Saving,
-    /// Ended; the cause says why.
+    /// Has ended; the report gives the cause.
     #[serde(rename = "ended")]
     Exited,
-    /// A state that this version does not know: the task is on the machine all the same.
+    /// A state that this version does not know. The task still counts as present on the machine.
     #[serde(other)]
     Other,
 }
 
-/// One task in a report.
+/// A task in a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReportedTask {
-    /// `job/number`.
+    /// Task, as `job/number`.
     #[serde(rename = "wagon")]
     pub task: String,
-    /// The attempt.
+    /// Attempt of the task.
     #[serde(rename = "run")]
     pub attempt: Attempt,
-    /// Its state.
+    /// State of the attempt.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Cause of the end, if the attempt has ended.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<String>,
 }
@@ -46,86 +46,86 @@
 /// A worker's report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Report {
-    /// The machine.
+    /// Machine that the worker runs on.
     #[serde(rename = "berth")]
     pub machine: MachineId,
-    /// Where it takes commands.
+    /// Address on which the worker accepts commands.
     pub addr: String,
     /// Machine type.
     #[serde(rename = "model")]
     pub model: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot machine.
     #[serde(rename = "standby", default)]
     pub spot: bool,
-    /// Session: raised each time the worker's lease expires.
+    /// Session number, which the worker increases each time its lease expires.
     #[serde(rename = "shift")]
     pub session: u64,
-    /// Sequence number of the message.
+    /// Sequence number of the report.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// Highest token seen.
+    /// Highest epoch that the worker has seen in a command or an answer.
     #[serde(rename = "baton", default)]
     pub epoch: Epoch,
-    /// Seconds until the cloud takes the machine.
+    /// Time until the cloud reclaims the machine, in seconds, if it has given notice.
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All attempts on the machine, also ended ones that the worker was not yet told to forget.
     #[serde(rename = "wagons", default)]
     pub tasks: Vec<ReportedTask>,
 }
 
-/// An order to a worker.
+/// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "order")]
 pub enum Command {
-    /// Start an attempt.
+    /// Starts an attempt.
     #[serde(rename = "start")]
     Start {
-        /// `job/number`.
+        /// Task, as `job/number`.
         #[serde(rename = "wagon")]
         task: String,
-        /// The attempt.
+        /// Attempt of the task.
         #[serde(rename = "run")]
         attempt: Attempt,
     },
-    /// Stop an attempt.
+    /// Stops an attempt.
     #[serde(rename = "kill")]
     Stop {
-        /// `job/number`.
+        /// Task, as `job/number`.
         #[serde(rename = "wagon")]
         task: String,
-        /// The attempt.
+        /// Attempt of the task.
         #[serde(rename = "run")]
         attempt: Attempt,
-        /// Time to save.
+        /// Time that the task has to save its progress, in seconds.
         #[serde(rename = "leewayS")]
         grace_s: f64,
     },
-    /// Drop an exited attempt from the reports.
+    /// Removes an ended attempt from the worker's reports.
     #[serde(rename = "forget")]
     Forget {
-        /// `job/number`.
+        /// Task, as `job/number`.
         #[serde(rename = "wagon")]
         task: String,
-        /// The attempt.
+        /// Attempt of the task.
         #[serde(rename = "run")]
         attempt: Attempt,
     },
 }
 
-/// Orders under a token: a report's answer, or a direct command.
+/// Commands with their fencing token: the answer to a report, or a direct command.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Orders {
-    /// The token.
+    /// Epoch of the sender. A worker refuses epochs below the highest that it has seen.
     #[serde(rename = "baton")]
     pub epoch: Epoch,
-    /// Session that a direct command is for.
+    /// Session that a direct command applies to.
     #[serde(rename = "shift", default, skip_serializing_if = "Option::is_none")]
     pub session: Option<u64>,
-    /// What to do, in order.
+    /// Commands, in the order in which they are carried out.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
