--- a/crates/tidelatch-core/tests/boot_times.rs
+++ b/crates/tidelatch-core/tests/boot_times.rs
@@ -1,4 +1,4 @@
-//! Which booting machines are late, and how many are replaced at a time.
+//! Detection of machines that are late to boot, and the number of replacements that are rented at a time.
 
 use std::collections::BTreeSet;
 use tidelatch_core::capacity::{BootTimes, BootingMachine};
@@ -6,8 +6,9 @@
 use tidelatch_core::protocol::MachineType;
 
 const BOOT_S: f64 = 40.0;
-/// One and a half nominal boots.
+/// A machine is late after one and a half nominal boot times, until longer boots have been observed.
 const LATE_MS: u64 = 60_000;
+/// Time from the end of a boot until the machine's first report.
 const GRACE_MS: u64 = 5_000;
 
 fn machine_type() -> MachineType {
@@ -15,53 +16,70 @@
         "label": "m2", "vcpus": 24.0, "accelerators": 2.0, "ramGb": 144.0, "localGb": 100.0, "pullGbPerS": 1.0,
         "rate": 7.0, "marketPrice": 3.0, "startupS": BOOT_S, "yards": ["a"]
     }))
-    .expect("in form")
+    .expect("a valid machine type")
 }
 
-/// Machines rented at these times.
-fn booting(since: &[u64]) -> Vec<BootingMachine> {
-    let machine = |(n, since): (usize, &u64)| BootingMachine {
+/// Booting machines that were rented at these times.
+fn booting_machines(rented_ms: &[u64]) -> Vec<BootingMachine> {
+    let machine = |(n, rented_ms): (usize, &u64)| BootingMachine {
         id: MachineId::new(format!("n-{n:06}")),
         model: "m2".to_owned(),
-        since: *since,
+        since: *rented_ms,
     };
-    since.iter().enumerate().map(machine).collect()
+    rented_ms.iter().enumerate().map(machine).collect()
 }
 
-fn discounted(boots: &BootTimes, machines: &[BootingMachine], now: u64) -> BTreeSet<MachineId> {
+/// Late machines for which replacements are rented.
+fn machines_to_replace(boots: &BootTimes, machines: &[BootingMachine], now: u64) -> BTreeSet<MachineId> {
     boots.discounted(machines, &[machine_type()], now, GRACE_MS)
 }
 
 #[test]
-fn no_machine_is_late_within_the_usual_time() {
+fn no_machine_is_late_within_the_usual_boot_time() {
     let boots = BootTimes::default();
-    assert!(discounted(&boots, &booting(&[0; 8]), LATE_MS + GRACE_MS).is_empty());
-    assert_eq!(discounted(&boots, &booting(&[0]), LATE_MS + GRACE_MS + 1).len(), 1);
+    assert!(machines_to_replace(&boots, &booting_machines(&[0; 8]), LATE_MS + GRACE_MS).is_empty());
+    assert_eq!(
+        machines_to_replace(&boots, &booting_machines(&[0]), LATE_MS + GRACE_MS + 1).len(),
+        1
+    );
 }
 
 #[test]
-fn a_quarter_is_replaced_at_a_time_when_all_are_late() {
+fn a_quarter_of_the_machines_is_replaced_at_a_time_when_all_are_late() {
     let boots = BootTimes::default();
-    let round = LATE_MS + GRACE_MS;
-    assert_eq!(discounted(&boots, &booting(&[0; 8]), round + 1).len(), 2);
-    // With the two replacements, which have become late too, another quarter.
-    let with_replacements = booting(&[0, 0, 0, 0, 0, 0, 0, 0, round, round]);
-    assert_eq!(discounted(&boots, &with_replacements, 2 * round - 1).len(), 2);
-    assert_eq!(discounted(&boots, &with_replacements, 2 * round + 1).len(), 4);
+    let replacement_interval_ms = LATE_MS + GRACE_MS;
+    assert_eq!(
+        machines_to_replace(&boots, &booting_machines(&[0; 8]), replacement_interval_ms + 1).len(),
+        2
+    );
+    // Once the two replacements are late as well, another quarter is replaced.
+    let with_replacements =
+        booting_machines(&[0, 0, 0, 0, 0, 0, 0, 0, replacement_interval_ms, replacement_interval_ms]);
+    assert_eq!(
+        machines_to_replace(&boots, &with_replacements, 2 * replacement_interval_ms - 1).len(),
+        2
+    );
+    assert_eq!(
+        machines_to_replace(&boots, &with_replacements, 2 * replacement_interval_ms + 1).len(),
+        4
+    );
 }
 
 #[test]
-fn all_late_machines_that_a_later_one_has_overtaken_are_replaced() {
+fn all_late_machines_are_replaced_once_a_machine_rented_later_has_booted() {
     let mut boots = BootTimes::default();
     boots.note(&machine_type(), 10_000, 50_000);
-    assert_eq!(discounted(&boots, &booting(&[0; 8]), LATE_MS + GRACE_MS + 1).len(), 8);
+    assert_eq!(
+        machines_to_replace(&boots, &booting_machines(&[0; 8]), LATE_MS + GRACE_MS + 1).len(),
+        8
+    );
     let limit_s = boots.late_after_s(&machine_type());
     assert!(boots.give_up_after_s(&machine_type(), 0) < boots.give_up_after_s(&machine_type(), 20_000));
     assert!(boots.give_up_after_s(&machine_type(), 0) > limit_s);
 }
 
 #[test]
-fn slow_boots_raise_the_limit_and_usual_ones_lower_it_again() {
+fn slow_boots_raise_the_limit_and_usual_boots_lower_it_again() {
     let mut boots = BootTimes::default();
     let slow_ms = 160_000;
     boots.note(&machine_type(), 0, slow_ms);
@@ -69,7 +87,7 @@
     assert_eq!(
         limit_s(&boots) * 1000.0,
         LATE_MS as f64,
-        "one slow machine is an exception"
+        "one slow boot does not raise the limit"
     );
     for _ in 0..3 {
         boots.note(&machine_type(), 0, slow_ms);
@@ -82,5 +100,9 @@
     for n in 0..16 {
         boots.note(&machine_type(), n, n + 1_000);
     }
-    assert_eq!(limit_s(&boots) * 1000.0, LATE_MS as f64, "fast boots don't lower it");
+    assert_eq!(
+        limit_s(&boots) * 1000.0,
+        LATE_MS as f64,
+        "boots faster than usual do not lower the limit"
+    );
 }
--- a/crates/tidelatch-core/tests/failure_detection.rs
+++ b/crates/tidelatch-core/tests/failure_detection.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of other controllers that no version of this program sends: each is answered, and none is evidence.
+//! Heartbeats that no version of this program sends: the controller answers each of them, but does not use them as
+//! evidence about other controllers.
 
 use serde_json::json;
 use tidelatch_core::ids::Incarnation;
@@ -6,11 +7,12 @@
 use tidelatch_core::{CancellationNotice, Controller, Input, Level, Now, Output, PeerReply, PeerRequest};
 use tidelatch_failure_detector::{Claim, Heartbeat, Incarnation as MemberIncarnation, Life, MemberId, Opinion};
 
+/// The controller `berth-0` of three, with failure detection and incarnation 7.
 fn controller() -> Controller {
-    let sibling = |i: u32| json!({ "host_name": format!("berth-{i}"), "address": format!("10.0.0.{i}:8081") });
+    let peer = |i: u32| json!({ "host_name": format!("berth-{i}"), "address": format!("10.0.0.{i}:8081") });
     let platform = json!({
         "host_name": "berth-0", "area": "a", "api_addr": "10.0.0.9:8080", "peer_listen": "10.0.0.9:8081",
-        "siblings": [sibling(1), sibling(2)], "outside": { "cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379" },
+        "siblings": [peer(1), peer(2)], "outside": { "cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379" },
         "facts": {
             "nodes": 3, "zones": ["a"], "teams": [{ "name": "team" }],
             "workers": { "report_s": 2.5, "lease_s": 18.0, "cancel_s": 38.0 },
@@ -20,7 +22,7 @@
         }
     });
     let settings = Settings {
-        platform: serde_json::from_value(platform).expect("in form"),
+        platform: serde_json::from_value(platform).expect("valid platform settings"),
         operator: Operator {
             failure_detection: Some(FailureDetection::default()),
             ..Operator::default()
@@ -30,11 +32,11 @@
     Controller::new(settings, Incarnation(7), Now { ms: 1, wall_ms: 1 })
 }
 
-fn liveness(life: u64, sequence: u64) -> Heartbeat {
+fn heartbeat(incarnation: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
         from: MemberId::new(""),
         incarnation: MemberIncarnation {
-            life: Life(life),
+            life: Life(incarnation),
             refutation: 0,
         },
         sequence,
@@ -43,9 +45,10 @@
     }
 }
 
-fn claim(about: &str, number: u64) -> Claim {
+/// A claim that a member is suspected, with `number` as its incarnation, refutation and time.
+fn claim(member: &str, number: u64) -> Claim {
     Claim {
-        member: MemberId::new(about),
+        member: MemberId::new(member),
         incarnation: MemberIncarnation {
             life: Life(number),
             refutation: number,
@@ -55,8 +58,8 @@
     }
 }
 
-/// Feeds a heartbeat, and returns what was logged; it must be answered.
-fn feed(controller: &mut Controller, ms: u64, from: &str, liveness: Heartbeat) -> Vec<(Level, String)> {
+/// Delivers a heartbeat, asserts that it is answered, and returns the log lines.
+fn deliver_heartbeat(controller: &mut Controller, ms: u64, from: &str, heartbeat: Heartbeat) -> Vec<(Level, String)> {
     let request = PeerRequest::Heartbeat {
         name: from.to_owned(),
         entitled: true,
@@ -64,12 +67,12 @@
         relies: false,
         digests: Vec::new(),
         told: CancellationNotice::default(),
-        liveness: Some(liveness),
+        liveness: Some(heartbeat),
         permits: None,
     };
     let input = Input::PeerRequest { id: ms, request };
     let outputs = controller.step(Now { ms, wall_ms: ms }, input);
-    let answered = |output: &Output| {
+    let is_answer = |output: &Output| {
         matches!(
             output,
             Output::Tell {
@@ -78,7 +81,7 @@
             }
         )
     };
-    assert!(outputs.iter().any(answered));
+    assert!(outputs.iter().any(is_answer));
     let lines = outputs.into_iter().filter_map(|output| match output {
         Output::Log { level, text } => Some((level, text)),
         _ => None,
@@ -87,36 +90,36 @@
 }
 
 #[test]
-fn what_no_controller_sends_is_answered_logged_and_no_evidence() {
+fn invalid_heartbeats_are_answered_and_logged_but_not_used_as_evidence() {
     let mut controller = controller();
-    feed(&mut controller, 100, "berth-1", liveness(11, 5));
-    let mut many = liveness(11, 6);
-    many.claims = vec![claim("berth-2", 1); 10_000];
-    let mut strange = liveness(11, u64::MAX);
-    strange.claims = vec![
+    deliver_heartbeat(&mut controller, 100, "berth-1", heartbeat(11, 5));
+    let mut too_many_claims = heartbeat(11, 6);
+    too_many_claims.claims = vec![claim("berth-2", 1); 10_000];
+    let mut impossible_claims = heartbeat(11, u64::MAX);
+    impossible_claims.claims = vec![
         claim("nobody", u64::MAX),
         claim("berth-2", u64::MAX),
         claim("berth-1", 0),
     ];
-    strange.probe = Some(MemberId::new("x".repeat(100_000)));
+    impossible_claims.probe = Some(MemberId::new("x".repeat(100_000)));
     for (from, message, reason) in [
-        ("stranger", liveness(1, 1), "is no member"),
-        ("berth-0", liveness(7, 1), "came back"),
-        ("berth-1", liveness(0, 9), "tells no life"),
-        ("berth-1", liveness(11, 5), "has come before"),
-        ("berth-1", many, "are taken"),
-        ("berth-1", strange, "counts as no evidence"),
+        ("stranger", heartbeat(1, 1), "is no member"),
+        ("berth-0", heartbeat(7, 1), "came back"),
+        ("berth-1", heartbeat(0, 9), "tells no life"),
+        ("berth-1", heartbeat(11, 5), "has come before"),
+        ("berth-1", too_many_claims, "are taken"),
+        ("berth-1", impossible_claims, "counts as no evidence"),
     ] {
-        let lines = feed(&mut controller, 200, from, message);
+        let lines = deliver_heartbeat(&mut controller, 200, from, message);
         assert!(
             lines.iter().any(|(_, text)| text.contains(reason)),
             "{reason}: {lines:?}"
         );
         assert!(lines.iter().all(|(level, _)| *level == Level::Debug), "{lines:?}");
     }
-    // A claim that this controller is suspected in another life asks for no refutation.
-    let mut other_life = liveness(21, 1);
-    other_life.claims = vec![claim("berth-0", 8)];
-    let lines = feed(&mut controller, 300, "berth-2", other_life);
+    // A claim that another incarnation of this controller is suspected needs no refutation.
+    let mut claim_about_other_incarnation = heartbeat(21, 1);
+    claim_about_other_incarnation.claims = vec![claim("berth-0", 8)];
+    let lines = deliver_heartbeat(&mut controller, 300, "berth-2", claim_about_other_incarnation);
     assert!(lines.iter().all(|(_, text)| !text.contains("refuted")), "{lines:?}");
 }
--- a/crates/tidelatch-core/tests/failures.rs
+++ b/crates/tidelatch-core/tests/failures.rs
@@ -1,30 +1,33 @@
-//! The pauses before retries of a job that is suspected of a mistake.
+//! Retry delays of a job whose repeated failures are suspected to be the job's own fault.
 
 use tidelatch_core::failures::retry_delay_ms;
 use tidelatch_core::ids::JobId;
 
 const REPORT_MS: u64 = 2500;
 
-fn id(name: &str) -> JobId {
-    JobId::parse(name).expect("in form")
+fn job_id(name: &str) -> JobId {
+    JobId::parse(name).expect("a valid job id")
 }
 
 #[test]
-fn the_pause_doubles_with_each_retry_up_to_a_bound() {
-    let job = id("job-000001");
+fn the_retry_delay_doubles_with_each_retry_up_to_a_maximum() {
+    let job = job_id("job-000001");
     for retry in 0..=20 {
-        let base = REPORT_MS << retry.min(6);
-        let delay = retry_delay_ms(&job, retry, REPORT_MS);
-        assert!((base..=base + base / 2).contains(&delay), "retry {retry}: {delay}");
+        let base_ms = REPORT_MS << retry.min(6);
+        let delay_ms = retry_delay_ms(&job, retry, REPORT_MS);
+        assert!(
+            (base_ms..=base_ms + base_ms / 2).contains(&delay_ms),
+            "retry {retry}: {delay_ms} ms"
+        );
     }
 }
 
 #[test]
-fn jobs_that_failed_together_are_not_retried_together() {
-    let delays: std::collections::BTreeSet<u64> = (0..20)
-        .map(|n| retry_delay_ms(&id(&format!("job-{n:06}")), 3, REPORT_MS))
+fn jobs_that_fail_at_the_same_time_get_different_retry_delays() {
+    let delays_ms: std::collections::BTreeSet<u64> = (0..20)
+        .map(|n| retry_delay_ms(&job_id(&format!("job-{n:06}")), 3, REPORT_MS))
         .collect();
-    assert!(delays.len() > 15, "{delays:?}");
-    let again = retry_delay_ms(&id("job-000001"), 3, REPORT_MS);
-    assert!(delays.contains(&again), "the same each time");
+    assert!(delays_ms.len() > 15, "{delays_ms:?}");
+    let repeated_ms = retry_delay_ms(&job_id("job-000001"), 3, REPORT_MS);
+    assert!(delays_ms.contains(&repeated_ms), "the delay of a job is deterministic");
 }
--- a/crates/tidelatch-core/tests/protocol.rs
+++ b/crates/tidelatch-core/tests/protocol.rs
@@ -1,9 +1,10 @@
-//! Submissions and reports as they come over the wire.
+//! Parsing of submissions and reports in the form in which they arrive on the wire.
 
 use serde_json::Value;
 use tidelatch_core::protocol::{Malformed, Report, TaskState, parse_submission};
 
-fn good() -> Value {
+/// A valid submission without its optional fields, and with one unknown field.
+fn valid_submission() -> Value {
     serde_json::json!({
         "uid": "job-000412", "consist": "train", "crew": "vision", "shape": "sweep", "precedence": "urgent",
         "wagons": 16, "vcpus": 8.0, "accelerators": 1.0, "ramGb": 64.0, "stock": "img-07", "sizeGb": 6.2,
@@ -13,8 +14,8 @@
 }
 
 #[test]
-fn a_submission_may_leave_out_what_may_be_null() {
-    let (id, spec) = parse_submission(good().to_string().as_bytes()).expect("well formed");
+fn a_submission_may_omit_nullable_fields() {
+    let (id, spec) = parse_submission(valid_submission().to_string().as_bytes()).expect("well formed");
     assert_eq!(
         (id.as_str(), spec.tasks, spec.deadline_s, spec.models),
         ("job-000412", 16, None, None)
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn each_malformed_field_is_named() {
+fn each_invalid_field_is_named_in_the_error() {
     let cases = [
         ("uid", serde_json::json!("train-1")),
         ("uid", serde_json::json!("job-")),
@@ -39,7 +40,7 @@
         ("dueS", serde_json::json!(-5)),
     ];
     for (field, value) in cases {
-        let mut body = good();
+        let mut body = valid_submission();
         body[field] = value.clone();
         let fault = parse_submission(body.to_string().as_bytes()).expect_err("malformed");
         assert_eq!(fault, Malformed::Field(field), "{field} = {value}");
@@ -50,9 +51,9 @@
 }
 
 #[test]
-fn a_report_with_an_unknown_state_is_still_a_report() {
+fn a_report_with_an_unknown_task_state_is_accepted() {
     let body = r#"{"berth":"n-1","addr":"a:1","model":"m","yard":"z","shift":1,"tally":2,"baton":3,
         "wagons":[{"wagon":"job-1/0","run":1,"status":"loading"}]}"#;
-    let report: Report = serde_json::from_str(body).expect("a report");
-    assert_eq!(report.tasks.first().map(|t| t.state), Some(TaskState::Other));
+    let report: Report = serde_json::from_str(body).expect("a valid report");
+    assert_eq!(report.tasks.first().map(|task| task.state), Some(TaskState::Other));
 }
--- a/crates/tidelatch-core/tests/settings.rs
+++ b/crates/tidelatch-core/tests/settings.rs
@@ -1,8 +1,9 @@
-//! Settings: what is valid, and that what is impossible is named with its path.
+//! Validation of settings: valid settings have no faults, and each invalid setting is reported with its path.
 
 use serde_json::{Value, json};
 use tidelatch_core::settings::{Disruption, FailureDetection, Features, Operator, Platform, Settings};
 
+/// Platform settings of a deployment with one controller, two zones and these teams.
 fn platform(teams: Value) -> Platform {
     let platform = json!({
         "host_name": "berth-0", "area": "a", "api_addr": "10.0.0.1:8080", "peer_listen": "10.0.0.1:8081",
@@ -15,11 +16,11 @@
             "machine_limits": { "cores": 0.1, "ram_mb": 100.0, "sockets": 1000 }
         }
     });
-    serde_json::from_value(platform).expect("the settings are in form")
+    serde_json::from_value(platform).expect("the settings have the right form")
 }
 
-fn paths(platform: &Platform) -> Vec<String> {
-    platform.faults().into_iter().map(|f| f.path).collect()
+fn fault_paths(platform: &Platform) -> Vec<String> {
+    platform.faults().into_iter().map(|fault| fault.path).collect()
 }
 
 #[test]
@@ -30,11 +31,11 @@
         { "name": "limited", "gpus_max": 4.0 },
         { "name": "guaranteed", "gpus": 4.0 },
     ]);
-    assert_eq!(paths(&platform(teams)), Vec::<String>::new());
+    assert_eq!(fault_paths(&platform(teams)), Vec::<String>::new());
 }
 
 #[test]
-fn impossible_teams_are_named_with_their_paths() {
+fn invalid_teams_are_reported_with_their_paths() {
     let teams = json!([
         { "name": "a", "gpus": 4.0, "gpus_max": 2.0 },
         { "name": "b", "cpus": -1.0 },
@@ -47,61 +48,68 @@
         "facts.teams[2].name",
         "facts.teams[3].name",
     ];
-    let mut found = paths(&platform(teams));
+    let mut found = fault_paths(&platform(teams));
     found.sort();
     assert_eq!(found, expected);
 }
 
-/// Paths of the faults of the operators' settings with one figure out of any range.
-fn faults_of(figures: &Value, set: impl Fn(&mut Value)) -> Vec<String> {
-    let mut wrong = figures.clone();
-    set(&mut wrong);
-    let operator: Operator = serde_json::from_value(wrong).expect("in form");
-    operator.faults().into_iter().map(|f| f.path).collect()
+/// Paths of the faults of the operators' settings after `set` has made one value invalid.
+fn operator_fault_paths(valid: &Value, set: impl Fn(&mut Value)) -> Vec<String> {
+    let mut settings = valid.clone();
+    set(&mut settings);
+    let operator: Operator = serde_json::from_value(settings).expect("settings of the right form");
+    operator.faults().into_iter().map(|fault| fault.path).collect()
 }
 
 #[test]
-fn each_of_the_operators_figures_is_checked() {
+fn the_range_of_each_numeric_operator_setting_is_checked() {
     let operator = Operator {
         failure_detection: Some(FailureDetection::default()),
         disruption: Some(Disruption::default()),
         ..Operator::default()
     };
-    let figures = serde_json::to_value(operator).expect("JSON");
-    for (name, value) in figures.as_object().expect("an object") {
+    let valid = serde_json::to_value(operator).expect("JSON");
+    for (name, value) in valid.as_object().expect("an object") {
         let Some(inner) = value.as_object() else {
-            let found = faults_of(&figures, |wrong| wrong[name] = json!(1_000_000));
+            let found = operator_fault_paths(&valid, |settings| settings[name] = json!(1_000_000));
             assert_eq!(found, [name.as_str()]);
             continue;
         };
-        // Choices and switches have no range: any other word is refused with the form.
-        for (field, _) in inner.iter().filter(|(_, figure)| figure.is_number()) {
-            // The largest that its type holds.
-            let most = if field == "local_health_most" { 255 } else { 1_000_000 };
-            let found = faults_of(&figures, |wrong| wrong[name][field] = json!(most));
+        // Enum and boolean settings have no range: parsing refuses any other value.
+        for (field, _) in inner.iter().filter(|(_, value)| value.is_number()) {
+            // `local_health_most` is a `u8`: 255 is its largest value.
+            let too_large = if field == "local_health_most" { 255 } else { 1_000_000 };
+            let found = operator_fault_paths(&valid, |settings| settings[name][field] = json!(too_large));
             assert_eq!(found, [format!("{name}.{field}")]);
         }
     }
 }
 
 #[test]
-fn detection_that_does_not_fit_the_deployment_is_named_with_its_path() {
-    let impossible = |operator: Operator| {
+fn failure_detection_that_does_not_fit_the_deployment_is_reported_with_its_path() {
+    let deployment_fault_paths = |operator: Operator| {
         let settings = Settings {
             platform: platform(json!([])),
             operator,
             features: Features::default(),
         };
-        settings.faults().into_iter().map(|f| f.path).collect::<Vec<String>>()
+        settings
+            .faults()
+            .into_iter()
+            .map(|fault| fault.path)
+            .collect::<Vec<String>>()
     };
     let detection = Some(FailureDetection::default());
-    // A lease of 1.8 s, and a heartbeat each second.
+    // A lease of 1.8 s with one heartbeat per second is too short.
     let short_lease = Operator {
         failure_detection: detection.clone(),
         controller_lease_per_worker_lease: 0.1,
         ..Operator::default()
     };
-    assert_eq!(impossible(short_lease), ["controller_lease_per_worker_lease"]);
+    assert_eq!(
+        deployment_fault_paths(short_lease),
+        ["controller_lease_per_worker_lease"]
+    );
     let slow_probes = Operator {
         failure_detection: Some(FailureDetection {
             probe_wait_per_heartbeat: 9.0,
@@ -109,38 +117,42 @@
         }),
         ..Operator::default()
     };
-    assert_eq!(impossible(slow_probes), ["failure_detection.probe_wait_per_heartbeat"]);
-    let usual = Operator {
+    assert_eq!(
+        deployment_fault_paths(slow_probes),
+        ["failure_detection.probe_wait_per_heartbeat"]
+    );
+    let default_detection = Operator {
         failure_detection: detection,
         ..Operator::default()
     };
-    assert_eq!(impossible(usual), Vec::<String>::new());
+    assert_eq!(deployment_fault_paths(default_detection), Vec::<String>::new());
 }
 
-/// Paths of the faults of disruption settings, in a deployment with the team `shop`, the class `web` and two zones.
-fn disruption_faults(disruption: Value) -> Vec<String> {
+/// Paths of the faults of disruption settings in a deployment with the team `shop`, the class `web` and two zones.
+fn disruption_fault_paths(disruption: Value) -> Vec<String> {
     let mut platform = platform(json!([{ "name": "shop" }]));
-    let aims = json!([{ "kind": "wait", "class": "web", "within_s": 10.0 }]);
-    platform.facts.objectives = serde_json::from_value(aims).expect("in form");
-    let operator: Operator = serde_json::from_value(json!({ "disruption": disruption })).expect("in form");
-    let values = operator.faults();
+    let objectives = json!([{ "kind": "wait", "class": "web", "within_s": 10.0 }]);
+    platform.facts.objectives = serde_json::from_value(objectives).expect("valid objectives");
+    let operator: Operator =
+        serde_json::from_value(json!({ "disruption": disruption })).expect("settings of the right form");
+    let value_faults = operator.faults();
     let settings = Settings {
         platform,
         operator,
         features: Features::default(),
     };
-    let faults = values.into_iter().chain(settings.faults());
+    let faults = value_faults.into_iter().chain(settings.faults());
     faults.map(|fault| fault.path).collect()
 }
 
 #[test]
-fn impossible_budgets_and_drains_are_named_with_their_paths() {
+fn invalid_budgets_and_drains_are_reported_with_their_paths() {
     let budget = |team: &str, rest: Value| {
         let mut rule = json!({ "team": team });
         rule.as_object_mut()
             .expect("an object")
             .extend(rest.as_object().expect("an object").clone());
-        disruption_faults(json!({ "budgets": [rule] }))
+        disruption_fault_paths(json!({ "budgets": [rule] }))
     };
     assert_eq!(
         budget("sh*", json!({ "max_unavailable": 1, "classes": ["w?b", "web"] })),
@@ -170,7 +182,7 @@
     );
     assert_eq!(budget("shop", json!({})), ["disruption.budgets[0]"]);
 
-    let drain = |drain: Value| disruption_faults(json!({ "drains": [drain] }));
+    let drain = |drain: Value| disruption_fault_paths(json!({ "drains": [drain] }));
     assert_eq!(
         drain(json!({ "name": "d-1", "machine_type": "m2", "zone": "b" })),
         Vec::<String>::new()
@@ -202,16 +214,16 @@
         ["disruption.drains[0].delay_s"]
     );
     let twice = json!({ "drains": [{ "name": "d" }, { "name": "d" }] });
-    assert_eq!(disruption_faults(twice), ["disruption.drains[1].name"]);
+    assert_eq!(disruption_fault_paths(twice), ["disruption.drains[1].name"]);
 }
 
 #[test]
-fn a_drain_that_no_budget_would_ever_permit_is_refused() {
-    for nothing in [json!({ "max_unavailable": "0%" }), json!({ "min_available": "100%" })] {
-        let mut rule = nothing.clone();
+fn a_drain_that_a_budget_would_block_for_ever_is_refused() {
+    for budget_of_zero in [json!({ "max_unavailable": "0%" }), json!({ "min_available": "100%" })] {
+        let mut rule = budget_of_zero.clone();
         rule["team"] = json!("shop");
         let with_surge = |surge: u32| json!({ "budgets": [rule], "drains": [{ "name": "d", "surge": surge }] });
-        assert_eq!(disruption_faults(with_surge(0)), ["disruption.drains[0].surge"]);
-        assert_eq!(disruption_faults(with_surge(1)), Vec::<String>::new());
+        assert_eq!(disruption_fault_paths(with_surge(0)), ["disruption.drains[0].surge"]);
+        assert_eq!(disruption_fault_paths(with_surge(1)), Vec::<String>::new());
     }
 }
