--- a/crates/tidelatch-core/src/settings.rs
+++ b/crates/tidelatch-core/src/settings.rs
@@ -103,6 +103,7 @@
         Some((seconds_to_ms(workers.gang_wait_s?), seconds_to_ms(workers.gang_peer_s?)))
     }
     /// Maximum size of a value in the state service, in bytes: the smaller of the present and the announced limit.
+    /// A version before gangs ignores announced limits.
     pub fn value_bytes(&self) -> usize {
         let state = &self.platform.facts.state;
         let next = state
--- a/crates/tidelatch-core/src/settings/platform.rs
+++ b/crates/tidelatch-core/src/settings/platform.rs
@@ -167,7 +167,7 @@
 /// Limits of the machine that a controller runs on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
-    /// Share of processor cores, such as 0.1.
+    /// Processor cores that the controller may use; a value below 1 is a share of one core.
     pub cores: f64,
     /// Memory, in megabytes.
     pub ram_mb: f64,
--- a/crates/tidelatch-core/tests/planning.rs
+++ b/crates/tidelatch-core/tests/planning.rs
@@ -338,12 +338,12 @@
 }
 
 /// A gang whose tasks take eight processors each and must run in one zone.
-fn gang(rank: f64) -> JobTerms {
+fn gang(job_rank: f64) -> JobTerms {
     JobTerms {
         gang: true,
         one_zone: true,
         size: [8.0, 0.0, 1.0],
-        rank,
+        rank: job_rank,
         ..terms(1.0)
     }
 }
