--- a/crates/tidelatch-disruption/src/census.rs
+++ b/crates/tidelatch-disruption/src/census.rs
@@ -2,7 +2,7 @@
 
 use crate::budget::Budget;
 use crate::ids::{JobName, ScopeName};
-use crate::units::UnitSet;
+use crate::unit_set::UnitSet;
 use std::collections::BTreeMap;
 
 /// Which units of a job count as unavailable.
--- a/crates/tidelatch-disruption/src/ledger.rs
+++ b/crates/tidelatch-disruption/src/ledger.rs
@@ -3,7 +3,7 @@
 use crate::census::{Census, Counting, Usage};
 use crate::holder::PermitMessage;
 use crate::ids::{Attempt, ControllerName, JobName, MachineName, ScopeName, Tenure, Unit};
-use crate::units::UnitSet;
+use crate::unit_set::UnitSet;
 use std::collections::BTreeMap;
 
 /// A controller asks whether it may stop a unit.
