--- a/crates/tidelatch-disruption/src/budget.rs
+++ b/crates/tidelatch-disruption/src/budget.rs
@@ -1,23 +1,22 @@
-//! How many units may be unavailable at a time.
+//! Disruption budgets: how many units may be unavailable at a time.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// The whole of a percentage.
-const PERCENT: u64 = 100;
+const MAX_PERCENT: u64 = 100;
 
-/// A number of units, or a share of all units. Shares are rounded down.
+/// A number of units, or a percentage of all units. Percentages are rounded down to whole units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Amount {
-    /// So many units.
+    /// A fixed number of units.
     Count(u32),
-    /// So many percent of the units; it may come to none.
+    /// A percentage of the units. The result may be zero.
     Percent(u8),
-    /// So many percent of the units, and one where that comes to none.
+    /// A percentage of the units, but at least one unit.
     PercentOrOne(u8),
 }
 
-/// A text that is no amount.
+/// Error: a text is neither a unit count nor a percentage.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{text}` is neither a number nor a percentage from 0% to 100%")]
 pub struct AmountError {
@@ -25,24 +24,24 @@
 }
 
 impl Amount {
-    /// The number of units that this comes to, out of `size`.
+    /// The number of units that this amount stands for in a scope of `size` units.
     pub fn of(self, size: u32) -> u32 {
         match self {
             Self::Count(count) => count.min(size),
-            Self::Percent(percent) => share(percent, size),
-            Self::PercentOrOne(percent) => share(percent, size).max(1).min(size),
+            Self::Percent(percent) => percentage_of(percent, size),
+            Self::PercentOrOne(percent) => percentage_of(percent, size).max(1).min(size),
         }
     }
 
-    /// Whether it comes to none, however many units there are.
+    /// Returns whether this amount is zero for every scope size.
     pub fn is_nothing(self) -> bool {
         matches!(self, Self::Count(0) | Self::Percent(0))
     }
 }
 
-/// A percentage of a size, rounded down.
-fn share(percent: u8, size: u32) -> u32 {
-    let units = u64::from(size) * u64::from(percent).min(PERCENT) / PERCENT;
+/// Returns `percent` percent of `size`, rounded down.
+fn percentage_of(percent: u8, size: u32) -> u32 {
+    let units = u64::from(size) * u64::from(percent).min(MAX_PERCENT) / MAX_PERCENT;
     u32::try_from(units).unwrap_or(size)
 }
 
@@ -54,7 +53,7 @@
         match text.strip_suffix('%') {
             None => text.parse().map(Self::Count).map_err(|_| error()),
             Some(percent) => match percent.parse::<u8>() {
-                Ok(percent) if u64::from(percent) <= PERCENT => Ok(Self::Percent(percent)),
+                Ok(percent) if u64::from(percent) <= MAX_PERCENT => Ok(Self::Percent(percent)),
                 _ => Err(error()),
             },
         }
@@ -70,27 +69,27 @@
     }
 }
 
-/// The budget of a scope.
+/// The disruption budget of a scope.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Budget {
-    /// At most so many units may be unavailable.
+    /// At most this many units may be unavailable.
     MaxUnavailable(Amount),
-    /// At least so many units must be available. What may be unavailable is rounded down.
+    /// At least this many units must be available. The number that may be unavailable is rounded down.
     MinAvailable(Amount),
 }
 
 impl Budget {
-    /// How many of `size` units may be unavailable at a time.
+    /// Returns how many of `size` units may be unavailable at a time.
     pub fn allowance(self, size: u32) -> u32 {
         match self {
             Self::MaxUnavailable(amount) => amount.of(size),
             Self::MinAvailable(Amount::Count(count)) => size.saturating_sub(count),
-            Self::MinAvailable(Amount::Percent(percent)) => share(100 - percent.min(100), size),
+            Self::MinAvailable(Amount::Percent(percent)) => percentage_of(100 - percent.min(100), size),
             Self::MinAvailable(amount @ Amount::PercentOrOne(_)) => size.saturating_sub(amount.of(size)),
         }
     }
 
-    /// Whether nothing may ever be unavailable, however many units there are.
+    /// Returns whether no unit may ever be unavailable, whatever the scope size is.
     pub fn permits_nothing(self) -> bool {
         match self {
             Self::MaxUnavailable(amount) => amount.is_nothing(),
--- a/crates/tidelatch-disruption/src/census.rs
+++ b/crates/tidelatch-disruption/src/census.rs
@@ -1,4 +1,5 @@
-//! What the owner of some teams sees of their jobs at one moment: the units that run, and the budgets that hold.
+//! A snapshot of the jobs of some teams, as seen by the controller that owns them: the running units, and the budgets
+//! that apply.
 
 use crate::budget::Budget;
 use crate::ids::{JobName, ScopeName};
@@ -8,13 +9,14 @@
 /// Which units of a job count as unavailable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Counting {
-    /// All that do not run: replicas of a service are always wanted.
+    /// Every unit that does not run counts, because all replicas of a service are meant to run at all times.
     Replicas,
-    /// Those that were interrupted by a permit and do not run again yet: tasks of an array wait for room anyway.
+    /// Only units that were interrupted under a permit and do not run again yet count. Tasks of an array may have to
+    /// wait for free capacity in any case.
     Tasks,
 }
 
-/// One job as its owner sees it.
+/// One job as the controller that owns it sees it.
 #[derive(Debug, Clone)]
 pub struct JobCensus {
     counting: Counting,
@@ -24,7 +26,7 @@
 }
 
 impl JobCensus {
-    /// A job of `size` units, the ones that run, and the scopes that it belongs to.
+    /// Creates the snapshot of a job of `size` units, with the units that run and the scopes that the job belongs to.
     pub fn new(counting: Counting, size: u32, running: UnitSet, scopes: impl IntoIterator<Item = ScopeName>) -> Self {
         Self {
             counting,
@@ -34,12 +36,12 @@
         }
     }
 
-    /// Which units count as unavailable.
+    /// Which of the job's units count as unavailable.
     pub fn counting(&self) -> Counting {
         self.counting
     }
 
-    /// Whether a unit runs.
+    /// Returns whether a unit runs.
     pub fn runs(&self, index: u32) -> bool {
         self.running.contains(index)
     }
@@ -49,42 +51,44 @@
         &self.scopes
     }
 
-    /// Units in the budget's base, and those that are unavailable, where `spent` may be stopped at any moment and
-    /// `interrupted` were.
-    fn usage(&self, spent: &UnitSet, interrupted: &UnitSet) -> (u32, u32) {
+    /// Returns the number of units that the budget is computed from, and the number of unavailable units.
+    ///
+    /// Units in `permitted` have an outstanding permit and may be stopped at any moment. Units in `interrupted` were
+    /// stopped under a permit.
+    fn usage(&self, permitted: &UnitSet, interrupted: &UnitSet) -> (u32, u32) {
         match self.counting {
             Counting::Replicas => {
-                let available = self.running.difference_len(spent).min(self.size);
+                let available = self.running.difference_len(permitted).min(self.size);
                 (self.size, self.size - available)
             }
             Counting::Tasks => {
-                let mut away = interrupted.clone();
-                away.extend(spent);
-                (self.running.union_len(&away), away.len())
+                let mut unavailable_units = interrupted.clone();
+                unavailable_units.extend(permitted);
+                (self.running.union_len(&unavailable_units), unavailable_units.len())
             }
         }
     }
 }
 
-/// What a scope has, and what of it is unavailable.
+/// The size of a scope, and how many of its units are unavailable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
-    /// Units in all.
+    /// Number of units in the scope.
     pub size: u32,
-    /// Units that are unavailable, or may become so by permits that are out.
+    /// Number of units that are unavailable, or may become so under outstanding permits.
     pub unavailable: u32,
-    /// Units that may be.
+    /// Number of units that may be unavailable at a time.
     pub allowance: u32,
 }
 
 impl Usage {
-    /// Units that may still become unavailable.
+    /// Number of further units that may become unavailable.
     pub fn left(self) -> u32 {
         self.allowance.saturating_sub(self.unavailable)
     }
 }
 
-/// All jobs that share scopes, at one moment.
+/// A snapshot of all jobs that share budget scopes, at one moment.
 #[derive(Debug, Clone, Default)]
 pub struct Census {
     jobs: BTreeMap<JobName, JobCensus>,
@@ -98,48 +102,48 @@
         self.budgets.insert(scope, budget);
     }
 
-    /// Adds a job. All jobs of its scopes have to be added, for the budgets to be right.
+    /// Adds a job. The budgets are evaluated correctly only if all jobs of its scopes are added.
     pub fn add_job(&mut self, name: JobName, job: JobCensus) {
         self.jobs.insert(name, job);
     }
 
-    /// Sets the number of machines that may hold units and are not accounted for yet. While there are any, nothing is
-    /// permitted.
+    /// Sets the number of machines that may run units of these jobs and have not reported to this owner yet. While
+    /// there are any, no permit is granted.
     pub fn set_unaccounted(&mut self, machines: u32) {
         self.unaccounted = machines;
     }
 
-    /// Machines that are not accounted for.
+    /// Number of machines that may run units of these jobs and have not reported yet.
     pub fn unaccounted(&self) -> u32 {
         self.unaccounted
     }
 
-    /// Units of all jobs together: what taking the census cost.
+    /// Total number of units of all jobs, which is the cost of building this snapshot.
     pub fn units(&self) -> u64 {
         self.jobs.values().map(|job| u64::from(job.size)).sum()
     }
 
-    /// A job.
+    /// The snapshot of a job, or `None` if the job is unknown.
     pub fn job(&self, name: &JobName) -> Option<&JobCensus> {
         self.jobs.get(name)
     }
 
-    /// How a scope stands; none: it is not known.
+    /// Computes the usage of a scope. Returns `None` if the scope is unknown.
     pub(crate) fn usage(
         &self,
         scope: &ScopeName,
-        spent: &BTreeMap<JobName, UnitSet>,
+        permitted: &BTreeMap<JobName, UnitSet>,
         interrupted: &BTreeMap<JobName, UnitSet>,
     ) -> Option<Usage> {
         let budget = self.budgets.get(scope)?;
-        let none = UnitSet::default();
+        let no_units = UnitSet::default();
         let (mut size, mut unavailable) = (0u32, 0u32);
         for (name, job) in self.jobs.iter().filter(|(_, job)| job.scopes.contains(scope)) {
-            let spent = spent.get(name).unwrap_or(&none);
-            let interrupted = interrupted.get(name).unwrap_or(&none);
-            let (units, away) = job.usage(spent, interrupted);
+            let permitted = permitted.get(name).unwrap_or(&no_units);
+            let interrupted = interrupted.get(name).unwrap_or(&no_units);
+            let (units, unavailable_units) = job.usage(permitted, interrupted);
             size = size.saturating_add(units);
-            unavailable = unavailable.saturating_add(away);
+            unavailable = unavailable.saturating_add(unavailable_units);
         }
         Some(Usage {
             size,
--- a/crates/tidelatch-disruption/src/drain.rs
+++ b/crates/tidelatch-disruption/src/drain.rs
@@ -1,50 +1,50 @@
-//! The steps in which one machine is drained.
+//! The state machine that drains one machine.
 
 use crate::ids::MachineName;
 
-/// What has become of the machine that is to take a drained one's place.
+/// State of the machine that is to replace a drained one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Replacement {
-    /// It has not come up.
+    /// It has not reported yet.
     Booting,
-    /// It has reported, and may take units.
+    /// It has reported and can run units.
     Ready,
-    /// It is gone, or has been given up.
+    /// It no longer exists, or the controller has given up waiting for it.
     Lost,
 }
 
-/// What is known of a drained machine when the next step is decided.
+/// What the controller knows about a drained machine when it decides on the next step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Observation {
-    /// Nothing is on the machine, and no late command can change that.
+    /// No unit is on the machine, and no delayed command can start one there.
     pub is_empty: bool,
-    /// A machine is to be had ahead of the evictions.
+    /// A replacement machine must be ready before the evictions begin.
     pub replace_ahead: bool,
-    /// A machine of its kind that nobody uses, booting ones included.
+    /// An unused machine of the same kind, if there is one. Machines that are still booting are included.
     pub candidate: Option<MachineName>,
-    /// How the chosen replacement stands; none: none is chosen.
+    /// State of the chosen replacement. `None` if no replacement is chosen.
     pub replacement: Option<Replacement>,
 }
 
 /// A step of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Nothing new is started on the machine.
+    /// No new unit is started on the machine.
     Cordoned,
-    /// A replacement is asked for.
+    /// The drain waits for a replacement machine to be rented.
     ReplacementWanted,
-    /// The replacement boots.
+    /// The replacement machine is booting.
     ReplacementBooting,
-    /// The replacement has reported, and its room is booked.
+    /// The replacement has reported, and its capacity is reserved.
     ReplacementReady,
-    /// Units are stopped as their budgets permit.
+    /// Units are stopped as far as their disruption budgets permit.
     Evicting,
-    /// Nothing is on the machine: it may be deleted.
+    /// No unit is left on the machine, so it may be deleted.
     Empty,
 }
 
 impl Step {
-    /// The step's name, for logs.
+    /// The step's name for log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Cordoned => "cordoned",
@@ -57,7 +57,8 @@
     }
 }
 
-/// One machine under drain. It goes back to service by being dropped, from each step before its deletion.
+/// The drain of one machine. The drain can be cancelled at each step before the machine's deletion, by dropping this
+/// value: the machine then goes back into service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MachineDrain {
     step: Step,
@@ -67,7 +68,7 @@
 }
 
 impl MachineDrain {
-    /// A machine whose drain begins: it is cordoned.
+    /// Begins the drain of a machine, which is cordoned at first.
     pub fn new(now_ms: u64) -> Self {
         Self {
             step: Step::Cordoned,
@@ -77,12 +78,12 @@
         }
     }
 
-    /// The present step.
+    /// The current step.
     pub fn step(&self) -> Step {
         self.step
     }
 
-    /// Since when the drain has been in its present step.
+    /// When the drain entered its current step.
     pub fn step_since_ms(&self) -> u64 {
         self.step_since_ms
     }
@@ -92,19 +93,20 @@
         self.begun_ms
     }
 
-    /// The machine that takes this one's place.
+    /// The machine that replaces the drained one, once it is chosen.
     pub fn replacement(&self) -> Option<&MachineName> {
         self.replacement.as_ref()
     }
 
-    /// Whether a machine is to be rented in this one's place.
+    /// Returns whether a replacement machine should be rented now.
     pub fn wants_replacement(&self) -> bool {
         self.step == Step::ReplacementWanted
     }
 
-    /// Goes on to the next step if what is known allows it; returns the new step if there is one.
-    pub fn advance(&mut self, now_ms: u64, seen: &Observation) -> Option<Step> {
-        let next = self.next_step(seen)?;
+    /// Goes on to the next step if the observation allows it. Returns the new step, or `None` if the step does not
+    /// change.
+    pub fn advance(&mut self, now_ms: u64, observation: &Observation) -> Option<Step> {
+        let next = self.next_step(observation)?;
         if next == Step::ReplacementWanted {
             self.replacement = None;
         }
@@ -113,16 +115,16 @@
         Some(next)
     }
 
-    fn next_step(&mut self, seen: &Observation) -> Option<Step> {
-        if seen.is_empty {
+    fn next_step(&mut self, observation: &Observation) -> Option<Step> {
+        if observation.is_empty {
             return (self.step != Step::Empty).then_some(Step::Empty);
         }
-        match (self.step, seen.replacement) {
-            (Step::Cordoned, _) if seen.replace_ahead => Some(Step::ReplacementWanted),
+        match (self.step, observation.replacement) {
+            (Step::Cordoned, _) if observation.replace_ahead => Some(Step::ReplacementWanted),
             (Step::Cordoned, _) => Some(Step::Evicting),
-            (Step::ReplacementWanted, _) if !seen.replace_ahead => Some(Step::Evicting),
+            (Step::ReplacementWanted, _) if !observation.replace_ahead => Some(Step::Evicting),
             (Step::ReplacementWanted, _) => {
-                self.replacement = Some(seen.candidate.clone()?);
+                self.replacement = Some(observation.candidate.clone()?);
                 Some(Step::ReplacementBooting)
             }
             (Step::ReplacementBooting, Some(Replacement::Ready)) => Some(Step::ReplacementReady),
@@ -130,7 +132,7 @@
                 Some(Step::ReplacementWanted)
             }
             (Step::ReplacementReady, Some(Replacement::Ready)) => Some(Step::Evicting),
-            // Something was found on it after all, by a late report.
+            // A late report showed that a unit is on the machine after all.
             (Step::Empty, _) => Some(Step::Evicting),
             _ => None,
         }
--- a/crates/tidelatch-disruption/src/holder.rs
+++ b/crates/tidelatch-disruption/src/holder.rs
@@ -1,11 +1,13 @@
-//! Permits, on the side of the controller that stops units: it asks the owners of their teams.
+//! Permits, on the side of the controller that stops units: it requests them from the controllers that own the units'
+//! teams.
 
 use crate::ids::{Attempt, ControllerName, MachineName, Tenure, Unit};
 use crate::ledger::Permit;
 use std::collections::BTreeMap;
 
-/// Steady clocks drift apart by up to this part of a time, four times over; a timer step comes on top.
-const DRIFT_DIVISOR: u64 = 500;
+/// The holder shortens a permit's validity by this fraction (1/500), which is four times the assumed drift between two
+/// monotonic clocks, and by one timer step in addition.
+const CLOCK_DRIFT_DIVISOR: u64 = 500;
 const TIMER_STEP_MS: u64 = 20;
 
 /// A unit that a controller wants to stop, or is stopping.
@@ -13,93 +15,96 @@
 pub struct WantedPermit {
     /// The unit.
     pub unit: Unit,
-    /// Its attempt.
+    /// The attempt to stop.
     pub attempt: Attempt,
-    /// The machine that it is on.
+    /// The machine that the attempt is on.
     pub machine: MachineName,
-    /// With what token the asker's ownership of the machine began.
+    /// The fencing token with which the requester's ownership of the machine began.
     pub machine_tenure: Tenure,
 }
 
-/// All that a controller wants of, and has used from, one owner.
+/// All permits that a controller wants from one owner or has used from it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct PermitMessage {
-    /// Higher than in each earlier message of the same life.
+    /// Sequence number, higher than in each earlier message of the same incarnation of the sender.
     pub sequence: u64,
-    /// Permits that are asked for, or are held and not used.
+    /// Permits that the sender requests, or holds without having used them.
     pub wanted: Vec<WantedPermit>,
-    /// Permits that were used.
+    /// Permits that the sender has used.
     pub used: Vec<WantedPermit>,
 }
 
-/// How far a wish has come.
+/// Progress of a stop request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Progress {
-    Asked,
-    Granted {
-        expires_ms: u64,
-    },
-    /// The message with this number was the first to say so; 0: none has yet.
-    Used {
-        told_with: u64,
-    },
+    /// The permit has been requested and not granted yet.
+    Requested,
+    /// The permit may be used before this time.
+    Granted { expires_ms: u64 },
+    /// The permit has been used. `reported_in` is the sequence number of the first message that reported this, or
+    /// 0 if no message has yet.
+    Used { reported_in: u64 },
 }
 
-/// A unit that this controller wants to stop.
+/// A request of this controller to stop a unit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Wish {
+struct StopRequest {
     wanted: WantedPermit,
     granter: ControllerName,
-    /// The granter's ownership of the unit's team when the wish came up.
+    /// The ownership epoch of the unit's team when the request was created.
     tenure: Tenure,
-    /// The first message that named it.
+    /// Sequence number of the first message that listed this request.
     first_sequence: Option<u64>,
     progress: Progress,
-    /// The attempt is gone, or no concern of this controller's any more. Kept until its owner knows that the permit
-    /// was used.
-    over: bool,
+    /// The attempt is gone, or this controller no longer has to stop it. If the permit was used, the request is kept
+    /// until the owner has learned of the use.
+    is_obsolete: bool,
 }
 
 /// Why a permit may not be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum UseError {
-    /// None was granted.
+    /// No permit was granted, or it has been used already.
     #[error("no permit was granted")]
     NotGranted,
-    /// It has run out.
-    #[error("the permit ran out")]
+    /// The permit has expired.
+    #[error("the permit has expired")]
     Expired,
 }
 
-/// The permits that one controller wants and holds.
+/// The permits that one controller has requested and holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct PermitHolder {
     sequence: u64,
-    wishes: BTreeMap<(Unit, Attempt), Wish>,
-    /// Owners that may remember something of this holder's, each with the first message since that listed nothing.
-    reminded: BTreeMap<ControllerName, Option<u64>>,
+    stop_requests: BTreeMap<(Unit, Attempt), StopRequest>,
+    /// Owners that may still hold state of this holder, each with the sequence number of the first empty message since.
+    /// An owner is removed once it has answered an empty message.
+    owners_to_clear: BTreeMap<ControllerName, Option<u64>>,
 }
 
 impl PermitHolder {
-    /// A unit is to be stopped once its owner permits it.
+    /// Adds a request to stop a unit once the owner of its team permits it. If there is one for the attempt already,
+    /// nothing changes.
     pub fn want(&mut self, wanted: WantedPermit, granter: ControllerName, tenure: Tenure) {
         let key = (wanted.unit.clone(), wanted.attempt);
-        self.wishes.entry(key).or_insert(Wish {
+        self.stop_requests.entry(key).or_insert(StopRequest {
             wanted,
             granter,
             tenure,
             first_sequence: None,
-            progress: Progress::Asked,
-            over: false,
+            progress: Progress::Requested,
+            is_obsolete: false,
         });
     }
 
-    /// Whether an owner is to get a message: something is wished for, or it may not know that nothing is any more.
+    /// Returns whether an owner has to be sent a message: there are stop requests to it, or it may not know yet that
+    /// there are none left.
     pub fn needs_message(&self, granter: &ControllerName) -> bool {
-        self.reminded.contains_key(granter) || self.wishes.values().any(|wish| wish.granter == *granter)
+        self.owners_to_clear.contains_key(granter)
+            || self.stop_requests.values().any(|request| request.granter == *granter)
     }
 
-    /// The next message for an owner.
+    /// Builds the next message to an owner.
     pub fn message_for(&mut self, granter: &ControllerName) -> PermitMessage {
         self.sequence += 1;
         let sequence = self.sequence;
@@ -107,99 +112,108 @@
             sequence,
             ..PermitMessage::default()
         };
-        for wish in self.wishes.values_mut().filter(|wish| wish.granter == *granter) {
-            wish.first_sequence.get_or_insert(sequence);
-            match &mut wish.progress {
-                Progress::Used { told_with } => {
-                    if *told_with == 0 {
-                        *told_with = sequence;
+        for request in self
+            .stop_requests
+            .values_mut()
+            .filter(|request| request.granter == *granter)
+        {
+            request.first_sequence.get_or_insert(sequence);
+            match &mut request.progress {
+                Progress::Used { reported_in } => {
+                    if *reported_in == 0 {
+                        *reported_in = sequence;
                     }
-                    message.used.push(wish.wanted.clone());
+                    message.used.push(request.wanted.clone());
                 }
-                Progress::Asked | Progress::Granted { .. } => message.wanted.push(wish.wanted.clone()),
+                Progress::Requested | Progress::Granted { .. } => message.wanted.push(request.wanted.clone()),
             }
         }
         if message.wanted.is_empty() && message.used.is_empty() {
-            if let Some(first_empty) = self.reminded.get_mut(granter) {
+            if let Some(first_empty) = self.owners_to_clear.get_mut(granter) {
                 first_empty.get_or_insert(sequence);
             }
         } else {
-            self.reminded.insert(granter.clone(), None);
+            self.owners_to_clear.insert(granter.clone(), None);
         }
         message
     }
 
-    /// An owner has answered the message with this sequence number, which was sent at `sent_ms`.
+    /// Handles the answer to the message with this sequence number, which was sent at `sent_ms`.
     ///
-    /// A permit counts from the sending, and only for a wish that the message named.
+    /// A permit's validity is counted from the time of sending. A permit is accepted only for a stop request that the
+    /// message listed.
     pub fn take_answer(&mut self, granter: &ControllerName, sequence: u64, sent_ms: u64, permits: &[Permit]) {
         for permit in permits {
             let key = (permit.unit.clone(), permit.attempt);
-            let Some(wish) = self.wishes.get_mut(&key) else {
+            let Some(request) = self.stop_requests.get_mut(&key) else {
                 continue;
             };
-            let named = wish.first_sequence.is_some_and(|first| first <= sequence);
-            let same = wish.granter == *granter && wish.tenure == permit.tenure;
-            if !named || !same || wish.over || matches!(wish.progress, Progress::Used { .. }) {
+            let was_listed = request.first_sequence.is_some_and(|first| first <= sequence);
+            let is_same_grant = request.granter == *granter && request.tenure == permit.tenure;
+            if !was_listed || !is_same_grant || request.is_obsolete || matches!(request.progress, Progress::Used { .. })
+            {
                 continue;
             }
-            let safe_ms = permit.valid_for_ms - permit.valid_for_ms / DRIFT_DIVISOR;
-            let expires_ms = sent_ms + safe_ms.saturating_sub(TIMER_STEP_MS);
-            wish.progress = Progress::Granted { expires_ms };
+            let usable_ms = permit.valid_for_ms - permit.valid_for_ms / CLOCK_DRIFT_DIVISOR;
+            let expires_ms = sent_ms + usable_ms.saturating_sub(TIMER_STEP_MS);
+            request.progress = Progress::Granted { expires_ms };
         }
-        self.wishes.retain(|_, wish| {
-            let known = matches!(wish.progress, Progress::Used { told_with } if told_with > 0 && told_with <= sequence);
-            !(wish.over && wish.granter == *granter && known)
+        self.stop_requests.retain(|_, request| {
+            let is_use_known = matches!(request.progress, Progress::Used { reported_in } if reported_in > 0 && reported_in <= sequence);
+            !(request.is_obsolete && request.granter == *granter && is_use_known)
         });
-        let knows = |first_empty: &Option<u64>| first_empty.is_some_and(|first| first <= sequence);
-        if self.reminded.get(granter).is_some_and(knows) {
-            self.reminded.remove(granter);
+        let has_acknowledged = |first_empty: &Option<u64>| first_empty.is_some_and(|first| first <= sequence);
+        if self.owners_to_clear.get(granter).is_some_and(has_acknowledged) {
+            self.owners_to_clear.remove(granter);
         }
     }
 
-    /// Uses a permit: the unit may be stopped at once, and not again.
+    /// Uses a permit: the unit may be stopped at once, and the permit cannot be used again. Returns the ownership epoch
+    /// that granted the permit.
     ///
     /// # Errors
     ///
-    /// There is none that may be used now.
+    /// There is no permit that can be used now.
     pub fn use_permit(&mut self, now_ms: u64, unit: &Unit, attempt: Attempt) -> Result<Tenure, UseError> {
-        let wish = self
-            .wishes
+        let request = self
+            .stop_requests
             .get_mut(&(unit.clone(), attempt))
             .ok_or(UseError::NotGranted)?;
-        match wish.progress {
+        match request.progress {
             Progress::Granted { expires_ms } if now_ms < expires_ms => {
-                wish.progress = Progress::Used { told_with: 0 };
-                Ok(wish.tenure)
+                request.progress = Progress::Used { reported_in: 0 };
+                Ok(request.tenure)
             }
             Progress::Granted { .. } => {
-                // It is asked for anew.
-                wish.progress = Progress::Asked;
+                // The next message requests the permit again.
+                request.progress = Progress::Requested;
                 Err(UseError::Expired)
             }
-            Progress::Asked | Progress::Used { .. } => Err(UseError::NotGranted),
+            Progress::Requested | Progress::Used { .. } => Err(UseError::NotGranted),
         }
     }
 
-    /// Keeps only the wishes for which `keep` holds. Of the others those that were used are named until their owner
-    /// knows.
+    /// Keeps only the stop requests for which `keep` returns true. Of the others, those whose permit was used stay
+    /// listed in messages until the owner has learned of the use.
     pub fn retain(&mut self, keep: impl Fn(&WantedPermit) -> bool) {
-        for wish in self.wishes.values_mut() {
-            wish.over |= !keep(&wish.wanted);
+        for request in self.stop_requests.values_mut() {
+            request.is_obsolete |= !keep(&request.wanted);
         }
-        self.wishes
-            .retain(|_, wish| !wish.over || matches!(wish.progress, Progress::Used { .. }));
+        self.stop_requests
+            .retain(|_, request| !request.is_obsolete || matches!(request.progress, Progress::Used { .. }));
     }
 
-    /// Drops all wishes that an owner of a later tenure cannot know of. Whoever stops units by such a permit has to
-    /// take that back.
+    /// Drops all stop requests whose ownership epoch is no longer current: a later owner cannot know of them. The
+    /// caller has to cancel the stops that it began under such a permit.
     pub fn drop_superseded(&mut self, is_current: impl Fn(&ControllerName, &Unit, Tenure) -> bool) {
-        self.wishes
-            .retain(|(unit, _), wish| is_current(&wish.granter, unit, wish.tenure));
+        self.stop_requests
+            .retain(|(unit, _), request| is_current(&request.granter, unit, request.tenure));
     }
 
-    /// Whether a unit's stop is wished for.
+    /// Returns whether there is a stop request for an attempt of a unit that is not obsolete.
     pub fn wants(&self, unit: &Unit, attempt: Attempt) -> bool {
-        self.wishes.get(&(unit.clone(), attempt)).is_some_and(|wish| !wish.over)
+        self.stop_requests
+            .get(&(unit.clone(), attempt))
+            .is_some_and(|request| !request.is_obsolete)
     }
 }
--- a/crates/tidelatch-disruption/src/ids.rs
+++ b/crates/tidelatch-disruption/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers by which this package knows a program's jobs, machines and controllers.
+//! Identifiers of the embedding scheduler's jobs, machines, controllers and budget scopes.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// A name.
+            /// Creates a name from its text.
             pub fn new(name: impl AsRef<str>) -> Self {
                 Self(Arc::from(name.as_ref()))
             }
@@ -44,32 +44,32 @@
 }
 
 name_type!(
-    /// A job: a service of replicas, or an array of tasks.
+    /// Name of a job, which is a service of replicas or an array of tasks.
     JobName
 );
 name_type!(
-    /// A machine.
+    /// Name of a machine.
     MachineName
 );
 name_type!(
-    /// A controller that asks for permits.
+    /// Name of a controller that requests or grants permits.
     ControllerName
 );
 name_type!(
-    /// A set of jobs that share a budget.
+    /// Name of a scope: a set of jobs that share one disruption budget.
     ScopeName
 );
 number_type!(
-    /// One try at running a unit. Attempts of a unit are never used twice.
+    /// Number of one attempt to run a unit. A unit never uses the same attempt number twice.
     Attempt
 );
 number_type!(
-    /// The fencing token with which a controller's ownership of some teams or machines began. A later owner has a
-    /// higher one.
+    /// Ownership epoch: the fencing token with which a controller's ownership of some teams or machines began. A later
+    /// owner has a higher epoch.
     Tenure
 );
 
-/// A replica of a service, or a task of an array: a job and a number in it.
+/// A replica of a service or a task of an array, identified by its job and its index in the job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Unit {
     job: JobName,
@@ -77,17 +77,17 @@
 }
 
 impl Unit {
-    /// A unit of a job.
+    /// Creates the identifier of the unit with this index in a job.
     pub fn new(job: JobName, index: u32) -> Self {
         Self { job, index }
     }
 
-    /// The job that it belongs to.
+    /// The job that the unit belongs to.
     pub fn job(&self) -> &JobName {
         &self.job
     }
 
-    /// Its number in the job, from 0.
+    /// The unit's index in the job, counted from 0.
     pub fn index(&self) -> u32 {
         self.index
     }
--- a/crates/tidelatch-disruption/src/interruption.rs
+++ b/crates/tidelatch-disruption/src/interruption.rs
@@ -1,27 +1,27 @@
-//! Whether a task that ends by itself is better waited for than interrupted.
+//! Decides whether to wait for a task to finish instead of interrupting it.
 
-/// What interrupting a task of an array or a gang would cost. All times are in seconds.
+/// The cost of interrupting a task of an array or a gang. All times are in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Interruption {
-    /// Run time that the task has left where it is.
+    /// Remaining run time of the task on its present machine.
     pub remaining_s: f64,
-    /// Run time that would be lost and had to be repeated: what has run since the last checkpoint.
+    /// Run time that would be lost and repeated: the time since the last checkpoint.
     pub lost_s: f64,
     /// Time to fetch the task's image on another machine.
     pub fetch_s: f64,
-    /// Time left until the job's deadline; none: it has no deadline.
+    /// Time left until the job's deadline. `None` if the job has no deadline.
     pub slack_s: Option<f64>,
 }
 
 impl Interruption {
-    /// Whether the task is better waited for: it ends sooner than an interruption would be made up for, or only by
-    /// staying can it end in time.
+    /// Returns whether to wait for the task. This is so if it finishes sooner than the work lost by an interruption
+    /// could be repeated, or if it can meet the deadline only by staying on its machine.
     pub fn is_worth_waiting(&self) -> bool {
-        let repeated_s = self.lost_s + self.fetch_s;
-        let in_time_only_here = self.slack_s.is_some_and(|slack_s| {
-            let moved_s = self.remaining_s + repeated_s;
-            self.remaining_s <= slack_s && slack_s < moved_s
+        let restart_cost_s = self.lost_s + self.fetch_s;
+        let meets_deadline_only_here = self.slack_s.is_some_and(|slack_s| {
+            let remaining_if_moved_s = self.remaining_s + restart_cost_s;
+            self.remaining_s <= slack_s && slack_s < remaining_if_moved_s
         });
-        self.remaining_s < repeated_s || in_time_only_here
+        self.remaining_s < restart_cost_s || meets_deadline_only_here
     }
 }
--- a/crates/tidelatch-disruption/src/lib.rs
+++ b/crates/tidelatch-disruption/src/lib.rs
@@ -1,23 +1,25 @@
 //! Disruption budgets, permits to interrupt tasks, and stepped drains of machines.
 //!
-//! A program that moves tasks for reasons of its own (it replaces machines, packs tasks closer together, hands machines
-//! on) interrupts what users run. This package decides how much of that may happen at a time:
+//! A scheduler that moves tasks for its own reasons (it replaces machines, packs tasks more densely, hands machines
+//! over to another owner) interrupts its users' workloads. This crate limits how much of that may happen at a time:
 //!
-//! * A [`Budget`] says how many units (replicas of a service, tasks of an array) may be unavailable at a time within a
-//!   scope, which is a set of jobs. What failed by itself uses up the budget as well.
-//! * A [`PermitLedger`] is held by the one controller that owns a team's jobs. It alone grants permits, and counts
-//!   each as spent until the unit runs again, or until nobody can act on the permit any more.
-//! * A [`PermitHolder`] is held by each controller that stops tasks. It asks the owners of the tasks' teams, and uses a
-//!   permit only before its end, counted from when the request was *sent*, and only under the tenure that granted it.
+//! * A [`Budget`] states how many units (replicas of a service, tasks of an array) may be unavailable at a time within
+//!   a scope, which is a set of jobs. Units that failed on their own also use up the budget.
+//! * A [`PermitLedger`] is kept by the one controller that owns a team's jobs. Only the ledger grants permits. It
+//!   counts each permit against the budget until the unit runs again, or until no controller can act on the permit any
+//!   more.
+//! * A [`PermitHolder`] is kept by each controller that stops tasks. It requests permits from the controllers that own
+//!   the tasks' teams. It uses a permit only before the permit expires, counted from when the request was *sent*, and
+//!   only while the controller that granted it still owns the team under the same fencing token.
 //! * A [`MachineDrain`] takes one machine through the steps of a drain, and a [`MachineSet`] stores which machines a
 //!   drain covers.
 //!
-//! The package does no I/O, reads no clock, starts no thread and draws no random number: times are passed in as
-//! milliseconds of a steady clock. The same calls give the same results.
+//! The crate does no I/O, reads no clock, starts no threads and uses no random numbers: the caller passes in times, in
+//! milliseconds of a monotonic clock. The same sequence of calls gives the same results.
 //!
 //! # Example
 //!
-//! A service of four replicas, of which one may be away at a time:
+//! A service of four replicas, of which at most one may be unavailable at a time:
 //!
 //! ```
 //! use tidelatch_disruption::{
@@ -42,8 +44,8 @@
 //! };
 //! let permits = ledger.request(0, 5_000, &[request(0)], &census)?;
 //! assert_eq!(permits.len(), 1);
-//! // The first replica may be stopped by now: the second one has to stay.
-//! assert!(matches!(ledger.request(10, 5_000, &[request(1)], &census), Err(Denial::BudgetSpent { .. })));
+//! // The first replica may already be stopped, so the second one has to keep running.
+//! assert!(matches!(ledger.request(10, 5_000, &[request(1)], &census), Err(Denial::BudgetExhausted { .. })));
 //! # Ok::<(), Denial>(())
 //! ```
 
--- a/crates/tidelatch-disruption/src/machine_set.rs
+++ b/crates/tidelatch-disruption/src/machine_set.rs
@@ -1,7 +1,7 @@
-//! Sets of machines in a form that fits the small values of a state service.
+//! Sets of machine names, encoded in parts that fit into the small values of a state service.
 //!
-//! Clouds number their machines: names that differ only in a number of fixed width share a compressed bitmap. Other
-//! names are stored as they are.
+//! Most clouds number their machines. Names that differ only in a number of fixed width share one compressed bitmap;
+//! all other names are stored as text.
 
 use crate::ids::MachineName;
 use base64::Engine as _;
@@ -10,61 +10,63 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of a part beside its bitmap or its names, and of each name beside its text.
-const FRAME_BYTES: usize = 48;
-const NAME_FRAME_BYTES: usize = 3;
+/// Size of a stored part without its bitmap or its names, in bytes of JSON.
+const PART_OVERHEAD_BYTES: usize = 48;
+/// Size that a stored name takes in addition to its text: quotes and a comma.
+const NAME_OVERHEAD_BYTES: usize = 3;
 
-/// A set of machines.
+/// A set of machine names.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct MachineSet {
     numbered: BTreeMap<(String, usize), RoaringBitmap>,
     named: BTreeSet<String>,
 }
 
-/// A part of a set, as it is stored.
+/// A part of a [`MachineSet`], as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum MachineSetPart {
     /// Names that consist of a prefix and a number of fixed width.
     Numbered {
-        /// What the names begin with.
+        /// The prefix that all names of the part share.
         prefix: String,
-        /// Digits of the number.
+        /// Number of digits, leading zeros included.
         width: usize,
-        /// The numbers: a portable roaring bitmap in base64.
+        /// The numbers, as a portable roaring bitmap in base64.
         bits: String,
     },
-    /// Other names.
+    /// Names that do not end in a number, or whose number does not fit into 32 bits.
     Named {
         /// The names.
         names: Vec<String>,
     },
 }
 
-/// A stored part that cannot be read.
+/// Error: a stored part cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MachineSetError {
-    /// Its text is not base64.
-    #[error("the bitmap is not in base64")]
+    /// The text of the bitmap is not base64.
+    #[error("the machine set's bitmap is not valid base64")]
     Encoding,
-    /// Its bytes are no bitmap.
-    #[error("the bytes are no bitmap")]
+    /// The decoded bytes are not a roaring bitmap.
+    #[error("the machine set's bytes are not a roaring bitmap")]
     Bitmap,
 }
 
-/// Parts a name into prefix, width and number; none: it does not end in a number that fits.
-fn parse(name: &str) -> Option<(String, usize, u32)> {
+/// Splits a name into prefix, number of digits and number. Returns `None` if the name does not end in a number that
+/// fits into 32 bits.
+fn split_name(name: &str) -> Option<(String, usize, u32)> {
     let prefix = name.trim_end_matches(|c: char| c.is_ascii_digit());
     let digits = name.get(prefix.len()..)?;
     let number = digits.parse().ok()?;
     Some((prefix.to_owned(), digits.len(), number))
 }
 
-fn encode(bitmap: &RoaringBitmap) -> String {
+fn encode_bitmap(bitmap: &RoaringBitmap) -> String {
     let mut compressed = bitmap.clone();
     compressed.optimize();
     let mut bytes = Vec::with_capacity(compressed.serialized_size());
-    // Writing into memory cannot fail.
+    // Writing to a `Vec` cannot fail.
     let _ = compressed.serialize_into(&mut bytes);
     BASE64.encode(bytes)
 }
@@ -72,7 +74,7 @@
 impl MachineSet {
     /// Adds a machine.
     pub fn insert(&mut self, name: &MachineName) {
-        match parse(name.as_str()) {
+        match split_name(name.as_str()) {
             Some((prefix, width, number)) => {
                 self.numbered.entry((prefix, width)).or_default().insert(number);
             }
@@ -82,9 +84,9 @@
         }
     }
 
-    /// Whether a machine is in the set.
+    /// Returns whether the set contains a machine.
     pub fn contains(&self, name: &MachineName) -> bool {
-        match parse(name.as_str()) {
+        match split_name(name.as_str()) {
             Some((prefix, width, number)) => {
                 let bitmap = self.numbered.get(&(prefix, width));
                 bitmap.is_some_and(|bitmap| bitmap.contains(number))
@@ -93,23 +95,23 @@
         }
     }
 
-    /// Number of machines.
+    /// Number of machines in the set.
     pub fn len(&self) -> u64 {
         let numbered: u64 = self.numbered.values().map(RoaringBitmap::len).sum();
         numbered + self.named.len() as u64
     }
 
-    /// Whether there is none.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The set in parts of at most about `most_bytes` of JSON each.
-    pub fn parts(&self, most_bytes: usize) -> Vec<MachineSetPart> {
+    /// Encodes the set in parts of at most about `max_part_bytes` bytes of JSON each.
+    pub fn parts(&self, max_part_bytes: usize) -> Vec<MachineSetPart> {
         let mut parts = Vec::new();
         for ((prefix, width), bitmap) in &self.numbered {
-            let room = most_bytes.saturating_sub(FRAME_BYTES + prefix.len());
-            for bits in split(bitmap, room) {
+            let max_bytes = max_part_bytes.saturating_sub(PART_OVERHEAD_BYTES + prefix.len());
+            for bits in split_bitmap(bitmap, max_bytes) {
                 parts.push(MachineSetPart::Numbered {
                     prefix: prefix.clone(),
                     width: *width,
@@ -117,23 +119,23 @@
                 });
             }
         }
-        parts.extend(self.named_parts(most_bytes.saturating_sub(FRAME_BYTES)));
+        parts.extend(self.named_parts(max_part_bytes.saturating_sub(PART_OVERHEAD_BYTES)));
         parts
     }
 
-    fn named_parts(&self, room: usize) -> Vec<MachineSetPart> {
+    fn named_parts(&self, max_bytes: usize) -> Vec<MachineSetPart> {
         let mut parts = Vec::new();
         let mut names: Vec<String> = Vec::new();
         let mut bytes = 0;
         for name in &self.named {
-            let more = name.len() + NAME_FRAME_BYTES;
-            if !names.is_empty() && bytes + more > room {
+            let name_bytes = name.len() + NAME_OVERHEAD_BYTES;
+            if !names.is_empty() && bytes + name_bytes > max_bytes {
                 parts.push(MachineSetPart::Named {
                     names: std::mem::take(&mut names),
                 });
                 bytes = 0;
             }
-            bytes += more;
+            bytes += name_bytes;
             names.push(name.clone());
         }
         if !names.is_empty() {
@@ -142,11 +144,11 @@
         parts
     }
 
-    /// Adds a stored part.
+    /// Adds the machines of a stored part.
     ///
     /// # Errors
     ///
-    /// It cannot be read; then nothing is added.
+    /// The part cannot be decoded. The set is unchanged then.
     pub fn add_part(&mut self, part: &MachineSetPart) -> Result<(), MachineSetError> {
         match part {
             MachineSetPart::Numbered { prefix, width, bits } => {
@@ -160,16 +162,17 @@
     }
 }
 
-/// Encodes a bitmap in as many pieces as the room for each makes necessary.
-fn split(bitmap: &RoaringBitmap, room: usize) -> Vec<String> {
-    let text = encode(bitmap);
+/// Encodes a bitmap in as many pieces as it takes for each to have at most `max_bytes` bytes. A bitmap with a single
+/// number is not split further.
+fn split_bitmap(bitmap: &RoaringBitmap, max_bytes: usize) -> Vec<String> {
+    let text = encode_bitmap(bitmap);
     let half = bitmap.len() / 2;
-    if text.len() <= room || half == 0 {
+    if text.len() <= max_bytes || half == 0 {
         return vec![text];
     }
     let lower: RoaringBitmap = bitmap.iter().take(half as usize).collect();
     let upper = bitmap - &lower;
-    let mut pieces = split(&lower, room);
-    pieces.extend(split(&upper, room));
+    let mut pieces = split_bitmap(&lower, max_bytes);
+    pieces.extend(split_bitmap(&upper, max_bytes));
     pieces
 }
--- a/crates/tidelatch-disruption/src/unit_set.rs
+++ b/crates/tidelatch-disruption/src/unit_set.rs
@@ -3,7 +3,7 @@
 use roaring::RoaringBitmap;
 use std::hash::{Hash, Hasher};
 
-/// Numbers of a job's units.
+/// A set of units of one job, stored as unit indices.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct UnitSet(RoaringBitmap);
 
@@ -28,37 +28,37 @@
         self.0.insert(index);
     }
 
-    /// Takes a unit out; whether it was in.
+    /// Removes a unit. Returns whether the set contained it.
     pub fn remove(&mut self, index: u32) -> bool {
         self.0.remove(index)
     }
 
-    /// Whether a unit is in the set.
+    /// Returns whether the set contains a unit.
     pub fn contains(&self, index: u32) -> bool {
         self.0.contains(index)
     }
 
-    /// Whether there is none.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Number of units.
+    /// Number of units in the set.
     pub fn len(&self) -> u32 {
         u32::try_from(self.0.len()).unwrap_or(u32::MAX)
     }
 
-    /// The units in order.
+    /// The unit indices in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter()
     }
 
-    /// Units that are in this set and not in another.
+    /// Number of units that are in this set but not in `other`.
     pub fn difference_len(&self, other: &Self) -> u32 {
         u32::try_from(self.0.difference_len(&other.0)).unwrap_or(u32::MAX)
     }
 
-    /// Units that are in either set.
+    /// Number of units that are in this set, in `other`, or in both.
     pub fn union_len(&self, other: &Self) -> u32 {
         u32::try_from(self.0.union_len(&other.0)).unwrap_or(u32::MAX)
     }
--- a/crates/tidelatch-disruption/tests/ledger.rs
+++ b/crates/tidelatch-disruption/tests/ledger.rs
@@ -89,7 +89,7 @@
 }
 
 fn spent(ledger: &PermitLedger) -> Vec<u32> {
-    ledger.spent().map(|(unit, _)| unit.index()).collect()
+    ledger.outstanding().map(|(unit, _)| unit.index()).collect()
 }
 
 #[test]
@@ -99,7 +99,7 @@
     assert!(
         matches!(
             refused,
-            Err(Denial::BudgetSpent {
+            Err(Denial::BudgetExhausted {
                 unavailable: 3,
                 allowance: 2,
                 ..
@@ -119,10 +119,10 @@
     let mut ledger = PermitLedger::new(TENURE, 1_000);
     let mut census = replicas(0..6, 2);
     let early = ledger.request(999, VALID_MS, &[request(0)], &census);
-    assert_eq!(early, Err(Denial::EarlierPermits { wait_ms: 1 }));
+    assert_eq!(early, Err(Denial::EarlierOwnerPermits { wait_ms: 1 }));
     census.set_unaccounted(1);
     let unknown = ledger.request(1_000, VALID_MS, &[request(0)], &census);
-    assert_eq!(unknown, Err(Denial::Unaccounted { machines: 1 }));
+    assert_eq!(unknown, Err(Denial::UnreportedMachines { machines: 1 }));
     census.set_unaccounted(0);
     assert!(ledger.request(1_000, VALID_MS, &[request(0)], &census).is_ok());
 }
--- a/crates/tidelatch-disruption/tests/model.rs
+++ b/crates/tidelatch-disruption/tests/model.rs
@@ -331,7 +331,7 @@
     fn use_permits(&mut self) {
         for index in 0..REPLICAS {
             if let Ok(tenure) = self.asker.use_permit(self.now_ms(), &unit(index), Attempt(1)) {
-                if tenure < self.ledger.tenure() && self.ledger.spent().next().is_some() {
+                if tenure < self.ledger.tenure() && self.ledger.outstanding().next().is_some() {
                     self.broken = Some("a permit of an earlier owner was used after a later one had granted");
                 }
                 self.stopping.insert((index, 1), tenure);
