--- a/crates/tidelatch-disruption/src/holder.rs
+++ b/crates/tidelatch-disruption/src/holder.rs
@@ -41,9 +41,9 @@
     Requested,
     /// The permit may be used before this time.
     Granted { expires_ms: u64 },
-    /// The permit has been used. `reported_in` is the sequence number of the first message that reported this, or
+    /// The permit has been used. `first_seq` is the sequence number of the first message that reported this, or
     /// 0 if no message has yet.
-    Used { reported_in: u64 },
+    Used { first_seq: u64 },
 }
 
 /// A request of this controller to stop a unit.
@@ -119,9 +119,9 @@
         {
             request.first_sequence.get_or_insert(sequence);
             match &mut request.progress {
-                Progress::Used { reported_in } => {
-                    if *reported_in == 0 {
-                        *reported_in = sequence;
+                Progress::Used { first_seq } => {
+                    if *first_seq == 0 {
+                        *first_seq = sequence;
                     }
                     message.used.push(request.wanted.clone());
                 }
@@ -159,7 +159,8 @@
             request.progress = Progress::Granted { expires_ms };
         }
         self.stop_requests.retain(|_, request| {
-            let is_use_known = matches!(request.progress, Progress::Used { reported_in } if reported_in > 0 && reported_in <= sequence);
+            let is_use_known =
+                matches!(request.progress, Progress::Used { first_seq } if first_seq > 0 && first_seq <= sequence);
             !(request.is_obsolete && request.granter == *granter && is_use_known)
         });
         let has_acknowledged = |first_empty: &Option<u64>| first_empty.is_some_and(|first| first <= sequence);
@@ -181,7 +182,7 @@
             .ok_or(UseError::NotGranted)?;
         match request.progress {
             Progress::Granted { expires_ms } if now_ms < expires_ms => {
-                request.progress = Progress::Used { reported_in: 0 };
+                request.progress = Progress::Used { first_seq: 0 };
                 Ok(request.tenure)
             }
             Progress::Granted { .. } => {
--- a/crates/tidelatch-failure-detector/src/arbiter.rs
+++ b/crates/tidelatch-failure-detector/src/arbiter.rs
@@ -1,60 +1,63 @@
-//! Who decides that a member is gone, and by what evidence.
+//! Decides whether a suspected member is confirmed as gone, and on what evidence.
 //!
-//! A verdict rests on fencing alone. Three guards stand between a suspicion and a verdict: the registration of the
-//! suspected life has ended, this was seen after the suspicion began, and every grant to the member has run out.
+//! A confirmation rests on fencing alone, never on missing heartbeats. Three conditions must hold before a suspicion
+//! becomes a confirmation: the registration of the suspected incarnation has ended, this was observed after the
+//! suspicion began, and every grant to the member has expired.
 
 use crate::member::Suspicion;
 use crate::message::{Life, MemberId};
 
-/// What a store says of a member's registration.
+/// What the store shows about a member's registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Registration {
     /// The store cannot be reached, or has not been read yet.
     Unreachable,
     /// The member is registered.
     Present {
-        /// The life that is registered.
+        /// The registered incarnation.
         life: Life,
-        /// When this was seen, on the caller's clock.
+        /// When the store was observed, on the caller's clock.
         observed_ms: u64,
     },
-    /// The member is not registered: its lease has ended.
+    /// The member is not registered, so its lease has ended.
     Absent {
-        /// When this was seen, on the caller's clock.
+        /// When the store was observed, on the caller's clock.
         observed_ms: u64,
     },
-    /// The member has written that it gives up its registration.
+    /// The member itself has recorded that it gives up its registration.
     Released {
-        /// The life that gave it up.
+        /// The incarnation that gave it up.
         life: Life,
     },
 }
 
-/// Gives the facts that verdicts rest on: the state service of a deployment, or whatever an embedding program has in
-/// its place. What it says may be old, but it never goes back: after a life was said to be absent, or another to be
-/// present, an older answer must not follow.
+/// The source of the facts that confirmations rest on: a deployment's state service, or its equivalent in an embedding
+/// program.
+///
+/// Answers may be outdated, but must never go backwards: once an answer has shown that an incarnation is absent, or
+/// that another one is present, no older answer may follow.
 pub trait Arbiter {
-    /// What is known of a member's registration.
+    /// Returns what is known about a member's registration.
     fn registration(&self, member: &MemberId) -> Registration;
 
-    /// When the last grant ends by which the member may act without a registration, on the caller's clock; 0 if there
-    /// is none.
+    /// Returns when the last grant that lets the member act without a registration expires, on the caller's clock.
+    /// Returns 0 if there is none.
     fn granted_until_ms(&self, member: &MemberId) -> u64;
 }
 
-/// Why a member is confirmed as gone.
+/// The evidence on which a member was confirmed as gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Verdict {
     /// Its registration has ended.
     RegistrationEnded,
-    /// Another life has registered in its place.
+    /// Another incarnation has registered in its place.
     Superseded(Life),
     /// It gave up its registration itself.
     Released,
 }
 
-/// The verdict on a suspected member, if the evidence is certain.
-pub fn verdict(
+/// Returns the decide_verdict on a suspected member, or `None` if the evidence is not certain.
+pub fn decide_verdict(
     suspicion: &Suspicion,
     registration: Registration,
     granted_until_ms: u64,
--- a/crates/tidelatch-failure-detector/src/arrivals.rs
+++ b/crates/tidelatch-failure-detector/src/arrivals.rs
@@ -1,39 +1,40 @@
-//! The intervals between the heartbeats of one member: a bounded window.
+//! A bounded window of the intervals between one member's heartbeats.
 
 use std::collections::VecDeque;
 
-/// The last intervals between heartbeats, and the time of the last one.
+/// The most recent intervals between heartbeats, and the arrival time of the last heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ArrivalWindow {
     intervals_ms: VecDeque<u64>,
     capacity: usize,
-    last_ms: Option<u64>,
+    last_arrival_ms: Option<u64>,
 }
 
 impl ArrivalWindow {
-    /// An empty window for so many intervals.
+    /// Creates an empty window that keeps up to `capacity` intervals.
     pub fn new(capacity: usize) -> Self {
         Self {
             intervals_ms: VecDeque::new(),
             capacity,
-            last_ms: None,
+            last_arrival_ms: None,
         }
     }
 
-    /// A heartbeat has arrived.
+    /// Records the arrival of a heartbeat.
     pub fn record(&mut self, now_ms: u64) {
-        if let Some(last_ms) = self.last_ms {
+        if let Some(last_arrival_ms) = self.last_arrival_ms {
             if self.intervals_ms.len() == self.capacity {
                 self.intervals_ms.pop_front();
             }
-            self.intervals_ms.push_back(now_ms.saturating_sub(last_ms));
+            self.intervals_ms.push_back(now_ms.saturating_sub(last_arrival_ms));
         }
-        self.last_ms = Some(now_ms);
+        self.last_arrival_ms = Some(now_ms);
     }
 
-    /// The next heartbeat begins a new series: the gap before it says nothing of the usual intervals.
-    pub fn interrupt(&mut self) {
-        self.last_ms = None;
+    /// Starts a new series with the next heartbeat: the gap before that heartbeat is not a regular interval and is not
+    /// recorded.
+    pub fn start_new_series(&mut self) {
+        self.last_arrival_ms = None;
     }
 
     /// Number of intervals in the window.
@@ -41,12 +42,12 @@
         self.intervals_ms.len()
     }
 
-    /// Whether there is no interval yet.
+    /// Returns whether the window has no interval yet.
     pub fn is_empty(&self) -> bool {
         self.intervals_ms.is_empty()
     }
 
-    /// Mean of the intervals.
+    /// Mean of the intervals, or `None` if there are none.
     pub fn mean_ms(&self) -> Option<f64> {
         if self.is_empty() {
             return None;
@@ -55,7 +56,7 @@
         Some(sum / self.len() as f64)
     }
 
-    /// Standard deviation of the intervals.
+    /// Standard deviation of the intervals, or `None` if there are none.
     pub fn deviation_ms(&self) -> Option<f64> {
         let mean = self.mean_ms()?;
         let squares: f64 = self.intervals_ms.iter().map(|ms| (*ms as f64 - mean).powi(2)).sum();
--- a/crates/tidelatch-failure-detector/src/config.rs
+++ b/crates/tidelatch-failure-detector/src/config.rs
@@ -1,39 +1,41 @@
-//! The settings of a detector, and the checks on them.
+//! The settings of a detector and their validation.
 
 use crate::estimator::Estimator;
 use std::fmt;
 
-/// Times of the deployment, from which all others follow by ratios.
+/// The deployment's times. All other times are ratios of these.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Timing {
     /// Interval between two heartbeats of a member.
     pub heartbeat_ms: u64,
-    /// Time after which the registration of a silent member ends.
+    /// Time after which the registration of an unresponsive member ends.
     pub lease_ms: u64,
 }
 
-/// What is suspected, and when. Ratios are in thousandths, so that equal policies compare as equal.
+/// Settings that decide when a member is suspected. Ratios are integers in thousandths, so that equal policies compare
+/// as equal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Policy {
-    /// How silence becomes a level.
+    /// How the time without heartbeats is converted to a suspicion level.
     pub estimator: Estimator,
-    /// Level from which on a member is suspected, in thousandths of a phi.
+    /// Suspicion level from which on a member is suspected, in thousandths of a phi.
     pub threshold_milliphi: u32,
-    /// Heartbeat intervals that are kept for each member.
+    /// Number of heartbeat intervals that are kept per member.
     pub window: usize,
-    /// Least standard deviation that is assumed, in thousandths of the heartbeat interval.
+    /// Minimum standard deviation that is assumed, in thousandths of the heartbeat interval.
     pub least_deviation_permille: u32,
-    /// Pause that is forgiven on top of the usual interval, in thousandths of the heartbeat interval.
+    /// Pause that is tolerated in addition to the usual interval, in thousandths of the heartbeat interval.
     pub acceptable_pause_permille: u32,
-    /// How long answers through other members are waited for, in thousandths of the heartbeat interval.
+    /// How long to wait for answers to probes through other members, in thousandths of the heartbeat interval.
     pub probe_wait_permille: u32,
-    /// Members that are asked to probe a silent one.
+    /// Number of members that are asked to probe an unresponsive one.
     pub probes: usize,
-    /// Most points of the local-health score; each asks for as much silence once more.
+    /// Maximum of the local-health score. Each point multiplies the time without heartbeats that a suspicion takes by
+    /// one more.
     pub local_health_most: u8,
-    /// Time in which the penalty for flapping halves, in thousandths of the lease.
+    /// Half-life of the flapping penalty, in thousandths of the lease.
     pub flap_half_life_permille: u32,
-    /// Flaps that are forgiven before a suspicion takes more than one heartbeat to clear.
+    /// Number of flaps that are tolerated before it takes more than one heartbeat to clear a suspicion.
     pub flaps_forgiven: u32,
 }
 
@@ -54,17 +56,17 @@
     }
 }
 
-/// One impossible setting.
+/// One invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {fault}")]
 pub struct ConfigFault {
-    /// The field.
+    /// Name of the field.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Description of the fault.
     pub fault: &'static str,
 }
 
-/// All that is wrong with the settings of a detector.
+/// All faults in the settings of a detector.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct ConfigFaults(pub Vec<ConfigFault>);
 
@@ -75,15 +77,15 @@
     }
 }
 
-/// Largest window that is kept for a member.
-const MOST_WINDOW: usize = 4_096;
+/// Maximum of [`Policy::window`].
+const MAX_WINDOW_INTERVALS: usize = 4_096;
 
 impl Policy {
-    /// All that is impossible, by itself or with these times.
+    /// Validates these settings, each by itself and together with the given times.
     ///
     /// # Errors
     ///
-    /// The impossible fields, each with its fault.
+    /// Returns every invalid field with a description of its fault.
     pub fn check(&self, timing: Timing) -> Result<(), ConfigFaults> {
         let checks = [
             ("heartbeat_ms", timing.heartbeat_ms > 0, "must be above 0"),
@@ -95,7 +97,7 @@
             ("threshold_milliphi", self.threshold_milliphi > 0, "must be above 0"),
             (
                 "window",
-                (2..=MOST_WINDOW).contains(&self.window),
+                (2..=MAX_WINDOW_INTERVALS).contains(&self.window),
                 "must lie between 2 and 4096",
             ),
             (
@@ -105,13 +107,13 @@
             ),
             (
                 "probe_wait_permille",
-                self.scaled(timing.heartbeat_ms, self.probe_wait_permille) < timing.lease_ms,
-                "answers to probes must come within a lease",
+                self.scale_permille(timing.heartbeat_ms, self.probe_wait_permille) < timing.lease_ms,
+                "the wait for probe answers must be shorter than a lease",
             ),
             (
                 "acceptable_pause_permille",
-                self.scaled(timing.heartbeat_ms, self.acceptable_pause_permille) < timing.lease_ms,
-                "a pause of a whole lease cannot be forgiven",
+                self.scale_permille(timing.heartbeat_ms, self.acceptable_pause_permille) < timing.lease_ms,
+                "the acceptable pause must be shorter than a lease",
             ),
             (
                 "flap_half_life_permille",
@@ -121,7 +123,7 @@
         ];
         let faults: Vec<ConfigFault> = checks
             .into_iter()
-            .filter(|(_, in_order, _)| !in_order)
+            .filter(|(_, is_valid, _)| !is_valid)
             .map(|(field, _, fault)| ConfigFault { field, fault })
             .collect();
         if faults.is_empty() {
@@ -131,8 +133,8 @@
         }
     }
 
-    /// A time, multiplied by thousandths.
-    pub(crate) fn scaled(&self, ms: u64, permille: u32) -> u64 {
+    /// Multiplies a time by a ratio in thousandths.
+    pub(crate) fn scale_permille(&self, ms: u64, permille: u32) -> u64 {
         ms.saturating_mul(u64::from(permille)) / 1000
     }
 }
--- a/crates/tidelatch-failure-detector/src/detector.rs
+++ b/crates/tidelatch-failure-detector/src/detector.rs
@@ -1,4 +1,4 @@
-//! The detector: takes heartbeats and the passing of time, and tells what has changed.
+//! The failure detector: it processes heartbeats and the passing of time, and returns events.
 
 use crate::arbiter::Arbiter;
 use crate::config::{ConfigFaults, Policy, Timing};
@@ -7,34 +7,34 @@
 use crate::local_health::LocalHealth;
 use crate::member::{Member, MemberState, Suspicion};
 use crate::message::{Channel, Claim, ClaimRejection, Heartbeat, Incarnation, Life, MemberId, Opinion, Rejection};
-use crate::registrations::{Moment, take_registration};
+use crate::registrations::{Timestamps, apply_registration};
 use std::collections::BTreeMap;
 
 /// The failure detector of one member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct FailureDetector {
-    me: MemberId,
+    own_id: MemberId,
     incarnation: Incarnation,
     sequence: u64,
     timing: Timing,
     policy: Policy,
     members: BTreeMap<MemberId, Member>,
-    health: LocalHealth,
-    /// Time in which this member ran, since it began.
+    local_health: LocalHealth,
+    /// Running time of this member since the detector was created, without its own pauses.
     active_ms: u64,
-    last_step_ms: u64,
-    /// Where the next choice of members to probe through begins.
-    next_probe: usize,
+    last_update_ms: u64,
+    /// Rotation offset for the next selection of members to probe through.
+    probe_rotation: usize,
 }
 
 impl FailureDetector {
-    /// The detector of a member that has just begun a life.
+    /// Creates the detector of a member whose incarnation has just begun.
     ///
     /// # Errors
     ///
-    /// The settings that are impossible.
+    /// Returns the invalid settings.
     pub fn new(
-        me: MemberId,
+        own_id: MemberId,
         life: Life,
         others: impl IntoIterator<Item = MemberId>,
         timing: Timing,
@@ -42,22 +42,22 @@
         now_ms: u64,
     ) -> Result<Self, ConfigFaults> {
         policy.check(timing)?;
-        let members = others.into_iter().filter(|other| *other != me);
+        let members = others.into_iter().filter(|other| *other != own_id);
         Ok(Self {
             incarnation: Incarnation { life, refutation: 0 },
             sequence: 0,
             timing,
             policy,
             members: members.map(|name| (name, Member::new(policy.window))).collect(),
-            health: LocalHealth::new(policy.local_health_most),
+            local_health: LocalHealth::new(policy.local_health_most),
             active_ms: 0,
-            last_step_ms: now_ms,
-            next_probe: 0,
-            me,
+            last_update_ms: now_ms,
+            probe_rotation: 0,
+            own_id,
         })
     }
 
-    /// This member has begun another life with the arbiter.
+    /// Starts a new incarnation of this member, after it has registered anew with the arbiter.
     pub fn begin_life(&mut self, life: Life) {
         if self.incarnation.life != life {
             self.incarnation = Incarnation { life, refutation: 0 };
@@ -70,7 +70,7 @@
         self.incarnation
     }
 
-    /// How another member stands; none: it is no member.
+    /// Returns the state of another member, or `None` if there is no such member.
     pub fn state(&self, member: &MemberId) -> Option<MemberState> {
         self.members.get(member).map(|m| m.state)
     }
@@ -81,24 +81,28 @@
         suspected.map(|(name, _)| name)
     }
 
-    /// The level of suspicion against a member, as of the last step.
+    /// Returns the suspicion level of a member as of the last call that passed in a time, or `None` if there is no such
+    /// member.
     pub fn level(&self, member: &MemberId) -> Option<SuspicionLevel> {
         let member = self.members.get(member)?;
         Some(member.level(self.active_ms, self.timing, &self.policy))
     }
 
-    /// Whether this member holds itself to be at fault.
+    /// Returns whether this member considers itself impaired.
     pub fn is_impaired(&self) -> bool {
-        self.health.is_impaired()
+        self.local_health.is_impaired()
     }
 
-    /// The heartbeat to be sent now; `probe` asks its receiver to contact a member.
+    /// Builds the heartbeat to send now. `probe` asks the receiver to contact a member.
     pub fn heartbeat(&mut self, now_ms: u64, probe: Option<MemberId>) -> Heartbeat {
         self.sequence += 1;
-        let active_ms = self.active_ms + now_ms.saturating_sub(self.last_step_ms);
-        let claims = self.members.iter().filter_map(|(name, m)| claim(name, m, active_ms));
+        let active_ms = self.active_ms + now_ms.saturating_sub(self.last_update_ms);
+        let claims = self
+            .members
+            .iter()
+            .filter_map(|(name, m)| build_claim(name, m, active_ms));
         Heartbeat {
-            from: self.me.clone(),
+            from: self.own_id.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
             claims: claims.collect(),
@@ -106,26 +110,26 @@
         }
     }
 
-    /// A heartbeat has arrived.
+    /// Processes a received heartbeat.
     ///
     /// # Errors
     ///
-    /// Why it counts as no evidence. It has changed nothing then.
+    /// Returns why the heartbeat is rejected as evidence. A rejected heartbeat changes nothing.
     pub fn on_heartbeat(
         &mut self,
         now_ms: u64,
         channel: Channel,
         heartbeat: &Heartbeat,
     ) -> Result<Vec<Event>, Rejection> {
-        self.check(heartbeat)?;
+        self.check_heartbeat(heartbeat)?;
         let mut events = Vec::new();
-        self.pass_time(now_ms, &mut events);
+        self.advance_clock(now_ms, &mut events);
         let Some(member) = self.members.get_mut(&heartbeat.from) else {
             return Err(Rejection::UnknownSender(heartbeat.from.clone()));
         };
         let was_confirmed = member.is_confirmed();
-        let new_life = member.admit(channel, heartbeat, now_ms)?;
-        member.note_heard(channel, self.active_ms);
+        let is_new_incarnation = member.accept_heartbeat(channel, heartbeat, now_ms)?;
+        member.record_contact(channel, self.active_ms);
         if was_confirmed {
             member.state = MemberState::Alive;
             events.push(Event::Returned {
@@ -133,125 +137,134 @@
                 life: heartbeat.incarnation.life,
             });
         } else {
-            let by = if new_life { Cleared::NewLife } else { Cleared::Heard };
-            self.clear_if_steady(&heartbeat.from, by, now_ms, &mut events);
+            let by = if is_new_incarnation {
+                Cleared::NewLife
+            } else {
+                Cleared::Heard
+            };
+            self.count_heartbeat_and_clear(&heartbeat.from, by, now_ms, &mut events);
         }
-        self.trust_own_observations(now_ms, &mut events);
+        self.recover_local_health(now_ms, &mut events);
         for claim in &heartbeat.claims {
-            self.take_claim(&heartbeat.from, claim, now_ms, &mut events);
+            self.apply_claim(&heartbeat.from, claim, now_ms, &mut events);
         }
         Ok(events)
     }
 
-    /// A member was heard whose version tells no life and sends no claims: it is judged by that alone. It does not
-    /// bring back a member that is confirmed as gone, for nothing says which life it is from.
+    /// Processes a contact from a member whose version sends neither incarnations nor claims. Such a member is
+    /// monitored by its contacts alone. A contact does not bring back a member that is confirmed as gone, because
+    /// nothing shows which incarnation it comes from.
     pub fn on_contact(&mut self, now_ms: u64, from: &MemberId, channel: Channel) -> Vec<Event> {
         let mut events = Vec::new();
-        self.pass_time(now_ms, &mut events);
+        self.advance_clock(now_ms, &mut events);
         let active_ms = self.active_ms;
         let Some(member) = self.members.get_mut(from) else {
             return events;
         };
         if !member.is_confirmed() {
-            member.note_heard(channel, active_ms);
-            self.clear_if_steady(from, Cleared::Heard, now_ms, &mut events);
-            self.trust_own_observations(now_ms, &mut events);
+            member.record_contact(channel, active_ms);
+            self.count_heartbeat_and_clear(from, Cleared::Heard, now_ms, &mut events);
+            self.recover_local_health(now_ms, &mut events);
         }
         events
     }
 
-    /// Time has passed: suspects who is silent, and gives the verdicts that the arbiter's facts allow.
+    /// Advances the time: suspects unresponsive members, and confirms suspected ones as gone where the arbiter's facts
+    /// allow it.
     pub fn tick(&mut self, now_ms: u64, arbiter: &impl Arbiter) -> Vec<Event> {
         let mut events = Vec::new();
-        self.pass_time(now_ms, &mut events);
-        self.judge_silence(now_ms, &mut events);
+        self.advance_clock(now_ms, &mut events);
+        self.detect_unresponsive_members(now_ms, &mut events);
         let lease_ms = self.timing.lease_ms;
-        let at = Moment {
+        let time = Timestamps {
             now_ms,
             active_ms: self.active_ms,
         };
         for (name, member) in &mut self.members {
-            take_registration(name, member, arbiter, at, lease_ms, &mut events);
+            apply_registration(name, member, arbiter, time, lease_ms, &mut events);
         }
         events
     }
 
-    /// Checks all of a heartbeat that does not depend on what its sender has sent before.
-    fn check(&self, heartbeat: &Heartbeat) -> Result<(), Rejection> {
+    /// Makes the checks on a heartbeat that do not depend on earlier heartbeats of its sender.
+    fn check_heartbeat(&self, heartbeat: &Heartbeat) -> Result<(), Rejection> {
         let from = &heartbeat.from;
-        if *from == self.me {
+        if *from == self.own_id {
             return Err(Rejection::OwnMessage);
         }
         if !self.members.contains_key(from) {
             return Err(Rejection::UnknownSender(from.clone()));
         }
         if heartbeat.incarnation.life == Life(0) {
-            return Err(Rejection::NoLife(from.clone()));
+            return Err(Rejection::MissingIncarnation(from.clone()));
         }
-        let most = self.members.len() + 1;
-        if heartbeat.claims.len() > most {
-            return Err(Rejection::Oversized {
+        let max_claims = self.members.len() + 1;
+        if heartbeat.claims.len() > max_claims {
+            return Err(Rejection::TooManyClaims {
                 from: from.clone(),
                 claims: heartbeat.claims.len(),
-                most,
+                max_claims,
             });
         }
         Ok(())
     }
 
-    /// Counts the time since the last step. What is more than a heartbeat interval is a pause of this member's own,
-    /// in which it could have heard nobody: it is no silence of theirs.
-    fn pass_time(&mut self, now_ms: u64, events: &mut Vec<Event>) {
-        let passed_ms = now_ms.saturating_sub(self.last_step_ms);
-        self.last_step_ms = self.last_step_ms.max(now_ms);
+    /// Adds the time since the last update to the running time. A step of more than one heartbeat interval is a pause
+    /// of this member itself, during which it could not receive heartbeats, so it does not count as missing heartbeats
+    /// of the others.
+    fn advance_clock(&mut self, now_ms: u64, events: &mut Vec<Event>) {
+        let passed_ms = now_ms.saturating_sub(self.last_update_ms);
+        self.last_update_ms = self.last_update_ms.max(now_ms);
         if passed_ms <= self.timing.heartbeat_ms {
             self.active_ms += passed_ms;
             return;
         }
-        self.health.worsen(now_ms);
+        self.local_health.record_fault(now_ms);
         for member in self.members.values_mut() {
-            member.arrivals.interrupt();
+            member.arrivals.start_new_series();
         }
         events.push(Event::Impaired { paused_ms: passed_ms });
     }
 
-    fn judge_silence(&mut self, now_ms: u64, events: &mut Vec<Event>) {
-        let silent: Vec<MemberId> = self
+    fn detect_unresponsive_members(&mut self, now_ms: u64, events: &mut Vec<Event>) {
+        let unresponsive: Vec<MemberId> = self
             .members
             .iter()
             .filter(|(_, m)| m.state == MemberState::Alive)
-            .filter(|(_, m)| self.is_silent(m))
+            .filter(|(_, m)| self.is_unresponsive(m))
             .map(|(name, _)| name.clone())
             .collect();
-        self.doubt_own_observations(silent.len(), now_ms, events);
-        for name in silent {
-            self.judge_member(&name, now_ms, events);
+        self.check_local_health(unresponsive.len(), now_ms, events);
+        for name in unresponsive {
+            self.probe_or_suspect(&name, now_ms, events);
         }
     }
 
-    /// A lease's silence is suspect whatever the intervals were: a member that was slow once, or cut off, may have a
-    /// window that forgives more than that.
-    fn is_silent(&self, member: &Member) -> bool {
+    /// A full lease without heartbeats is suspicious whatever the usual intervals were: after a slow period or a
+    /// network partition, the member's window may tolerate more than that.
+    fn is_unresponsive(&self, member: &Member) -> bool {
         let level = member.level(self.active_ms, self.timing, &self.policy);
-        let silent_ms = self.active_ms.saturating_sub(member.heard_ms);
-        level.0 >= self.policy.threshold_milliphi || silent_ms >= self.timing.lease_ms
+        let since_heard_ms = self.active_ms.saturating_sub(member.last_contact_ms);
+        level.0 >= self.policy.threshold_milliphi || since_heard_ms >= self.timing.lease_ms
     }
 
-    /// More than half of the others fell silent together: this member may be the one that is cut off.
-    fn doubt_own_observations(&mut self, silent: usize, now_ms: u64, events: &mut Vec<Event>) {
+    /// Lowers the local health if more than half of the other members became unresponsive together: this member itself
+    /// may be cut off.
+    fn check_local_health(&mut self, unresponsive: usize, now_ms: u64, events: &mut Vec<Event>) {
         let others = self.members.values().filter(|m| !m.is_confirmed()).count();
-        let almost_nobody = others > 1 && silent * 2 > others;
-        if almost_nobody && self.health.settled(now_ms, self.timing.heartbeat_ms) {
-            if !self.health.is_impaired() {
+        let is_majority_unresponsive = others > 1 && unresponsive * 2 > others;
+        if is_majority_unresponsive && self.local_health.is_settled(now_ms, self.timing.heartbeat_ms) {
+            if !self.local_health.is_impaired() {
                 events.push(Event::Impaired { paused_ms: 0 });
             }
-            self.health.worsen(now_ms);
+            self.local_health.record_fault(now_ms);
         }
     }
 
-    /// A member is past the threshold: it is probed through others first, and suspected if that brings nothing.
-    fn judge_member(&mut self, name: &MemberId, now_ms: u64, events: &mut Vec<Event>) {
-        let through = self.choose_probes(name);
+    /// Handles a member above the threshold: asks others to probe it first, and suspects it if no answer arrives in
+    /// time.
+    fn probe_or_suspect(&mut self, name: &MemberId, now_ms: u64, events: &mut Vec<Event>) {
+        let through = self.select_probe_helpers(name);
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
@@ -269,13 +282,15 @@
         };
         let wait_ms = self
             .policy
-            .scaled(self.timing.heartbeat_ms, self.policy.probe_wait_permille);
-        let silent_ms = active_ms.saturating_sub(member.heard_ms);
-        // Whoever doubts itself waits for a multiple of the silence; a whole lease is suspect all the same.
-        let discounted_ms = silent_ms / self.health.factor();
-        let discounted = member.level_of(discounted_ms, self.timing, &self.policy);
-        let beyond_doubt = discounted.0 >= self.policy.threshold_milliphi || silent_ms >= self.timing.lease_ms;
-        if active_ms < probing_since_ms + wait_ms || !beyond_doubt {
+            .scale_permille(self.timing.heartbeat_ms, self.policy.probe_wait_permille);
+        let since_heard_ms = active_ms.saturating_sub(member.last_contact_ms);
+        // An impaired detector waits for a multiple of the usual time without heartbeats, but a full lease is always
+        // enough.
+        let scaled_silence_ms = since_heard_ms / self.local_health.silence_multiplier();
+        let scaled_level = member.level_for_silence(scaled_silence_ms, self.timing, &self.policy);
+        let is_above_threshold =
+            scaled_level.0 >= self.policy.threshold_milliphi || since_heard_ms >= self.timing.lease_ms;
+        if active_ms < probing_since_ms + wait_ms || !is_above_threshold {
             return;
         }
         let suspicion = Suspicion {
@@ -287,41 +302,42 @@
         member.state = MemberState::Suspected(suspicion);
         member.probing_since_ms = None;
         member.heartbeats_since_suspicion = 0;
-        member.arrivals.interrupt();
+        member.arrivals.start_new_series();
         events.push(Event::Suspected {
             member: name.clone(),
             suspicion,
-            silent_ms: active_ms.saturating_sub(member.heard_directly_ms.unwrap_or(0)),
+            silent_ms: active_ms.saturating_sub(member.last_direct_contact_ms.unwrap_or(0)),
         });
     }
 
-    /// The members through which a silent one is probed, in turn.
-    fn choose_probes(&mut self, target: &MemberId) -> Vec<MemberId> {
-        let eligible = |name: &&MemberId| {
+    /// Selects the members through which an unresponsive member is probed. They rotate from call to call.
+    fn select_probe_helpers(&mut self, target: &MemberId) -> Vec<MemberId> {
+        let is_eligible = |name: &&MemberId| {
             *name != target && self.members.get(*name).is_some_and(|m| m.state == MemberState::Alive)
         };
-        let candidates: Vec<MemberId> = self.members.keys().filter(eligible).cloned().collect();
-        let start = self.next_probe;
-        self.next_probe = self.next_probe.wrapping_add(1);
-        let in_turn = candidates.iter().cycle().skip(start % candidates.len().max(1));
-        in_turn
+        let candidates: Vec<MemberId> = self.members.keys().filter(is_eligible).cloned().collect();
+        let start = self.probe_rotation;
+        self.probe_rotation = self.probe_rotation.wrapping_add(1);
+        let rotated = candidates.iter().cycle().skip(start % candidates.len().max(1));
+        rotated
             .take(self.policy.probes.min(candidates.len()))
             .cloned()
             .collect()
     }
 
-    /// Somebody was heard: this member doubts itself a little less.
-    fn trust_own_observations(&mut self, now_ms: u64, events: &mut Vec<Event>) {
-        if self.health.is_impaired() {
-            self.health.improve(now_ms, self.timing.heartbeat_ms);
-            if !self.health.is_impaired() {
+    /// A member was heard: reduces the local-health score, and reports when this member is no longer impaired.
+    fn recover_local_health(&mut self, now_ms: u64, events: &mut Vec<Event>) {
+        if self.local_health.is_impaired() {
+            self.local_health.record_contact(now_ms, self.timing.heartbeat_ms);
+            if !self.local_health.is_impaired() {
                 events.push(Event::Recovered);
             }
         }
     }
 
-    /// A suspected member was heard itself: the suspicion ends, at once unless it flaps.
-    fn clear_if_steady(&mut self, name: &MemberId, by: Cleared, now_ms: u64, events: &mut Vec<Event>) {
+    /// Counts a heartbeat of a suspected member and clears the suspicion. This takes one heartbeat, or more if the
+    /// member has been flapping. A new incarnation always clears it.
+    fn count_heartbeat_and_clear(&mut self, name: &MemberId, by: Cleared, now_ms: u64, events: &mut Vec<Event>) {
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
@@ -329,20 +345,22 @@
             return;
         }
         member.heartbeats_since_suspicion += 1;
-        let needed = member.flaps.heartbeats_to_clear(now_ms, self.timing, &self.policy);
+        let needed = member
+            .flap_penalty
+            .heartbeats_to_clear(now_ms, self.timing, &self.policy);
         if by == Cleared::NewLife || member.heartbeats_since_suspicion >= needed {
-            self.clear(name, by, now_ms, events);
+            self.clear_suspicion(name, by, now_ms, events);
         }
     }
 
-    fn clear(&mut self, name: &MemberId, by: Cleared, now_ms: u64, events: &mut Vec<Event>) {
+    fn clear_suspicion(&mut self, name: &MemberId, by: Cleared, now_ms: u64, events: &mut Vec<Event>) {
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
         let Some(suspicion) = member.suspicion() else { return };
-        member.flaps.count(now_ms, self.timing, &self.policy);
+        member.flap_penalty.record_flap(now_ms, self.timing, &self.policy);
         member.state = MemberState::Alive;
-        member.heard_ms = self.active_ms;
+        member.last_contact_ms = self.active_ms;
         events.push(Event::Cleared {
             member: name.clone(),
             by,
@@ -350,10 +368,10 @@
         });
     }
 
-    /// Takes what another member tells of a third, or of this one.
-    fn take_claim(&mut self, from: &MemberId, claim: &Claim, now_ms: u64, events: &mut Vec<Event>) {
-        if claim.member == self.me {
-            self.refute(from, claim, events);
+    /// Applies a claim of another member about a third one, or about this one.
+    fn apply_claim(&mut self, from: &MemberId, claim: &Claim, now_ms: u64, events: &mut Vec<Event>) {
+        if claim.member == self.own_id {
+            self.refute_suspicion(from, claim, events);
             return;
         }
         if let Err(reason) = self.check_claim(from, claim) {
@@ -368,12 +386,13 @@
         let Some(member) = self.members.get_mut(&claim.member) else {
             return;
         };
-        let newer = member.raise_refutation(claim.incarnation.refutation);
+        let is_newer = member.raise_refutation_count(claim.incarnation.refutation);
         match member.state {
-            MemberState::Alive => member.note_heard_by_others(active_ms, claim.heard_ago_ms),
-            // How long ago it was heard may be old news by now; a refutation of this very suspicion is not.
-            MemberState::Suspected(suspicion) if newer && claim.incarnation.refutation > suspicion.refutation => {
-                self.clear(&claim.member, Cleared::Refuted, now_ms, events);
+            MemberState::Alive => member.record_indirect_contact(active_ms, claim.heard_ago_ms),
+            // The time since others heard the member may be outdated by now, but a refutation of this very suspicion is
+            // not.
+            MemberState::Suspected(suspicion) if is_newer && claim.incarnation.refutation > suspicion.refutation => {
+                self.clear_suspicion(&claim.member, Cleared::Refuted, now_ms, events);
             }
             MemberState::Suspected(_) | MemberState::Confirmed(_) => {}
         }
@@ -386,12 +405,13 @@
         let member = self.members.get(&claim.member).ok_or(ClaimRejection::UnknownMember)?;
         match member.incarnation {
             Some(known) if known.life == claim.incarnation.life && !member.is_confirmed() => Ok(()),
-            _ => Err(ClaimRejection::OtherLife),
+            _ => Err(ClaimRejection::OtherIncarnation),
         }
     }
 
-    /// Others suspect this member's present incarnation: it shows that it lives by a higher refutation.
-    fn refute(&mut self, from: &MemberId, claim: &Claim, events: &mut Vec<Event>) {
+    /// Refutes a suspicion of this member's current incarnation: its heartbeats carry a higher refutation count from
+    /// now on.
+    fn refute_suspicion(&mut self, from: &MemberId, claim: &Claim, events: &mut Vec<Event>) {
         let own = self.incarnation;
         let suspected = claim.opinion == Opinion::Suspected && claim.incarnation.life == own.life;
         if suspected && claim.incarnation.refutation >= own.refutation {
@@ -405,8 +425,9 @@
     }
 }
 
-/// What is told of a member to the others; nothing of one that was never heard, or is gone.
-fn claim(name: &MemberId, member: &Member, active_ms: u64) -> Option<Claim> {
+/// Builds the claim about a member that goes into heartbeats. Returns `None` for a member that was never heard, or that
+/// is confirmed as gone.
+fn build_claim(name: &MemberId, member: &Member, active_ms: u64) -> Option<Claim> {
     let opinion = match member.state {
         MemberState::Alive => Opinion::Alive,
         MemberState::Suspected(_) => Opinion::Suspected,
@@ -416,6 +437,6 @@
         member: name.clone(),
         incarnation: member.incarnation?,
         opinion,
-        heard_ago_ms: active_ms.saturating_sub(member.heard_directly_ms?),
+        heard_ago_ms: active_ms.saturating_sub(member.last_direct_contact_ms?),
     })
 }
--- a/crates/tidelatch-failure-detector/src/event.rs
+++ b/crates/tidelatch-failure-detector/src/event.rs
@@ -1,4 +1,4 @@
-//! What a detector finds.
+//! The events that a detector returns.
 
 use crate::arbiter::Verdict;
 use crate::member::Suspicion;
@@ -7,22 +7,22 @@
 /// Why a suspicion was cleared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Cleared {
-    /// The member was heard itself.
+    /// The member itself was heard.
     Heard,
     /// Another member passed on its refutation.
     Refuted,
-    /// It has begun a new life.
+    /// It has started a new incarnation.
     NewLife,
 }
 
-/// What has changed, or is to be done.
+/// A change of state, or an action for the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A member is silent: these others are asked to probe it before it is suspected.
+    /// A member is unresponsive: the caller asks other members to probe it before it is suspected.
     ProbeWanted {
-        /// The silent member.
+        /// The unresponsive member.
         target: MemberId,
-        /// Whom to ask.
+        /// The members to ask.
         through: Vec<MemberId>,
     },
     /// A member is suspected.
@@ -31,55 +31,55 @@
         member: MemberId,
         /// The suspicion.
         suspicion: Suspicion,
-        /// Time since it was last heard itself, pauses of this member's own left out.
+        /// Time since it was last heard directly, without pauses of this member.
         silent_ms: u64,
     },
-    /// A suspicion has ended without a verdict.
+    /// A suspicion was cleared, and the member was not confirmed as gone.
     Cleared {
         /// The member.
         member: MemberId,
         /// Why.
         by: Cleared,
-        /// How long it lasted.
+        /// How long the suspicion lasted.
         suspected_for_ms: u64,
     },
-    /// A member is gone for certain.
+    /// A member is confirmed as gone.
     Confirmed {
         /// The member.
         member: MemberId,
-        /// The life that is gone; none: it was never heard.
+        /// The incarnation that is gone. `None` if the member was never heard.
         life: Option<Life>,
-        /// By what evidence.
+        /// The evidence.
         verdict: Verdict,
-        /// How long it was suspected.
+        /// How long it was suspected before.
         suspected_for_ms: u64,
     },
-    /// A member that was confirmed as gone is back in a new life.
+    /// A member that was confirmed as gone has returned in a new incarnation.
     Returned {
         /// The member.
         member: MemberId,
-        /// Its new life.
+        /// Its new incarnation.
         life: Life,
     },
-    /// Others suspect this member: its heartbeats carry a higher refutation from now on.
+    /// Another member suspects this one: this member's heartbeats carry a higher refutation count from now on.
     RefutedOwn {
-        /// Who suspects it.
+        /// The member that suspects this one.
         suspected_by: MemberId,
-        /// The refutation.
+        /// The new refutation count.
         refutation: u64,
     },
-    /// This member holds itself to be at fault, and suspects others less readily.
+    /// This member considers itself impaired, and requires more evidence before it suspects others.
     Impaired {
-        /// Time in which it did not run; 0: it hears almost nobody.
+        /// How long it did not run. 0 if the reason is that it hears from almost no other member.
         paused_ms: u64,
     },
-    /// This member trusts its own observations again.
+    /// This member is no longer impaired.
     Recovered,
-    /// A claim counts as no evidence.
+    /// A claim was rejected as evidence.
     ClaimIgnored {
-        /// Who sent it.
+        /// The member that sent the claim.
         from: MemberId,
-        /// Whom it is about.
+        /// The member that the claim is about.
         about: MemberId,
         /// Why.
         reason: ClaimRejection,
--- a/crates/tidelatch-failure-detector/src/lib.rs
+++ b/crates/tidelatch-failure-detector/src/lib.rs
@@ -1,21 +1,21 @@
-//! A failure detector for small clusters whose members watch each other.
+//! A failure detector for small clusters whose members monitor each other.
 //!
-//! A member that falls silent is either dead or slow, and silence alone cannot tell which. This package keeps the two
-//! questions apart:
+//! A member that stops sending heartbeats has either failed or become slow, and missing heartbeats alone cannot tell
+//! which. This crate keeps two decisions apart:
 //!
-//! * **Suspicion** is an estimate. It comes from the times at which heartbeats arrive ([`estimator`]), is checked
-//!   through other members before it is raised, can be refuted, and grants no right of any kind.
-//! * **A verdict** is a fact. A suspected member is [`Confirmed`](MemberState::Confirmed) only once an [`Arbiter`],
-//!   a store that all members register with, shows that its registration has ended, and every grant that was given
-//!   to it has run out ([`arbiter`]).
+//! * **Suspicion** is an estimate. It is computed from the arrival times of heartbeats ([`estimator`]), is checked
+//!   through other members before it is raised, can be refuted, and never entitles anyone to act.
+//! * **Confirmation** is certain. A suspected member is [`Confirmed`](MemberState::Confirmed) as gone only once an
+//!   [`Arbiter`], a store that all members register with, shows that its registration has ended, and every grant that
+//!   was given to it has expired ([`arbiter`]). The evidence is recorded as a [`Verdict`].
 //!
-//! The package does no I/O, reads no clock, starts no thread and draws no random number: times are passed in as
-//! milliseconds of a steady clock, messages are passed in and handed out as values. The same calls give the same
-//! results.
+//! The crate does no I/O, reads no clock, starts no threads and uses no random numbers: the caller passes in times, in
+//! milliseconds of a monotonic clock, and messages are passed in and returned as values. The same sequence of calls
+//! gives the same results.
 //!
 //! # Example
 //!
-//! A program of its own with two members, and a table in memory as the arbiter:
+//! A stand-alone program with two members, and an in-memory table as the arbiter:
 //!
 //! ```
 //! use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 //!     Arbiter, Channel, Event, FailureDetector, Life, MemberId, MemberState, Policy, Registration, Timing,
 //! };
 //!
-//! /// Registrations, as a store would list them, and the time of the listing.
+//! /// The registrations as a store would list them, and the time of the listing.
 //! struct Table {
 //!     registered: BTreeMap<MemberId, Life>,
 //!     listed_ms: u64,
@@ -43,23 +43,23 @@
 //!
 //! let (a, b) = (MemberId::new("a"), MemberId::new("b"));
 //! let timing = Timing { heartbeat_ms: 1_000, lease_ms: 8_000 };
-//! let mut at_a = FailureDetector::new(a.clone(), Life(1), [b.clone()], timing, Policy::default(), 0)?;
-//! let mut at_b = FailureDetector::new(b.clone(), Life(2), [a.clone()], timing, Policy::default(), 0)?;
+//! let mut detector_a = FailureDetector::new(a.clone(), Life(1), [b.clone()], timing, Policy::default(), 0)?;
+//! let mut detector_b = FailureDetector::new(b.clone(), Life(2), [a.clone()], timing, Policy::default(), 0)?;
 //! let mut table = Table { registered: BTreeMap::from([(b.clone(), Life(2))]), listed_ms: 0 };
 //!
-//! // For a minute, `b` sends a heartbeat each second; then it is silent, and its registration ends after a lease.
+//! // For one minute, `b` sends a heartbeat each second. Then it stops, and its registration ends one lease later.
 //! let mut suspected_ms = None;
 //! let mut confirmed_ms = None;
 //! for now_ms in (0..90_000).step_by(100) {
 //!     if now_ms <= 60_000 && now_ms % 1_000 == 0 {
-//!         let heartbeat = at_b.heartbeat(now_ms, None);
-//!         at_a.on_heartbeat(now_ms, Channel::Scheduled, &heartbeat)?;
+//!         let heartbeat = detector_b.heartbeat(now_ms, None);
+//!         detector_a.on_heartbeat(now_ms, Channel::Scheduled, &heartbeat)?;
 //!     }
 //!     table.listed_ms = now_ms;
 //!     if now_ms >= 68_000 {
 //!         table.registered.remove(&b);
 //!     }
-//!     for event in at_a.tick(now_ms, &table) {
+//!     for event in detector_a.tick(now_ms, &table) {
 //!         match event {
 //!             Event::Suspected { .. } => suspected_ms = Some(now_ms),
 //!             Event::Confirmed { .. } => confirmed_ms = Some(now_ms),
@@ -69,7 +69,7 @@
 //! }
 //! assert!(suspected_ms.is_some_and(|at| at < 68_000), "suspected before its lease ended");
 //! assert_eq!(confirmed_ms, Some(68_000), "confirmed only once the store shows that its lease has ended");
-//! assert!(matches!(at_a.state(&b), Some(MemberState::Confirmed(_))));
+//! assert!(matches!(detector_a.state(&b), Some(MemberState::Confirmed(_))));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
--- a/crates/tidelatch-failure-detector/src/member.rs
+++ b/crates/tidelatch-failure-detector/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one other member.
+//! The state that is kept about one other member.
 
 use crate::arbiter::Verdict;
 use crate::arrivals::ArrivalWindow;
@@ -8,53 +8,57 @@
 use crate::message::{Channel, Heartbeat, Incarnation, Life, Rejection};
 use std::collections::VecDeque;
 
-/// Earlier lives of a member that are remembered, so that what they sent late is not taken for news.
-const EARLIER_LIVES: usize = 8;
+/// Number of earlier incarnations that are remembered per member, so that their late heartbeats are recognized as
+/// outdated.
+const MAX_EARLIER_INCARNATIONS: usize = 8;
 
-/// A suspicion against a member.
+/// A suspicion of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Suspicion {
-    /// The life that is suspected; none: it was never heard.
+    /// The suspected incarnation. `None` if the member was never heard.
     pub life: Option<Life>,
-    /// Refutations of that life that were known when the suspicion began.
+    /// Refutation count of that incarnation when the suspicion began.
     pub refutation: u64,
-    /// When it began, on the caller's clock.
+    /// When the suspicion began, on the caller's clock.
     pub since_ms: u64,
-    /// The level that was reached.
+    /// The suspicion level when the suspicion began.
     pub level: SuspicionLevel,
 }
 
-/// How a member stands.
+/// State of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum MemberState {
-    /// Nothing speaks against it.
+    /// It is not suspected.
     Alive,
-    /// It is silent. This is an estimate, and permits nothing that could not be undone.
+    /// It is unresponsive. This is an estimate, and justifies only actions that can be undone.
     Suspected(Suspicion),
-    /// It is gone, by evidence that fences it.
+    /// It is gone for certain: the evidence shows that it is fenced off.
     Confirmed(Verdict),
 }
 
-/// One other member, as seen from here.
+/// One other member, as seen by this one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Member {
     pub(crate) state: MemberState,
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) arrivals: ArrivalWindow,
-    pub(crate) flaps: FlapPenalty,
-    /// When its silence began: the last sign of life, direct or through others, in time that this member ran.
-    pub(crate) heard_ms: u64,
-    /// When it was last heard itself, in time that this member ran.
-    pub(crate) heard_directly_ms: Option<u64>,
-    /// Since when answers through other members are waited for, in time that this member ran.
+    pub(crate) flap_penalty: FlapPenalty,
+    /// When it was last known to be alive, by direct contact or through others, in running time of this member. The
+    /// time without heartbeats is counted from here.
+    pub(crate) last_contact_ms: u64,
+    /// When it was last heard directly, in running time of this member.
+    pub(crate) last_direct_contact_ms: Option<u64>,
+    /// Since when answers to probes through other members have been awaited, in running time of this member.
     pub(crate) probing_since_ms: Option<u64>,
-    /// Heartbeats in a row since it was suspected.
+    /// Number of heartbeats received since it was suspected.
     pub(crate) heartbeats_since_suspicion: u64,
-    earlier_lives: VecDeque<Life>,
-    /// When its present life was first heard, on the caller's clock.
-    life_began_ms: u64,
-    newest_scheduled: u64,
-    newest_answer: u64,
+    earlier_incarnations: VecDeque<Life>,
+    /// When its current incarnation was first heard or registered, on the caller's clock.
+    incarnation_began_ms: u64,
+    /// Highest sequence number of scheduled heartbeats in the current incarnation.
+    newest_scheduled_sequence: u64,
+    /// Highest sequence number of heartbeats sent as answers in the current incarnation.
+    newest_answer_sequence: u64,
 }
 
 impl Member {
@@ -63,15 +67,15 @@
             state: MemberState::Alive,
             incarnation: None,
             arrivals: ArrivalWindow::new(window),
-            flaps: FlapPenalty::default(),
-            heard_ms: 0,
-            heard_directly_ms: None,
+            flap_penalty: FlapPenalty::default(),
+            last_contact_ms: 0,
+            last_direct_contact_ms: None,
             probing_since_ms: None,
             heartbeats_since_suspicion: 0,
-            earlier_lives: VecDeque::new(),
-            life_began_ms: 0,
-            newest_scheduled: 0,
-            newest_answer: 0,
+            earlier_incarnations: VecDeque::new(),
+            incarnation_began_ms: 0,
+            newest_scheduled_sequence: 0,
+            newest_answer_sequence: 0,
         }
     }
 
@@ -86,73 +90,80 @@
         matches!(self.state, MemberState::Confirmed(_))
     }
 
-    /// Checks a heartbeat for being news, and takes note of its life and number; whether its life is a new one.
-    pub(crate) fn admit(&mut self, channel: Channel, heartbeat: &Heartbeat, now_ms: u64) -> Result<bool, Rejection> {
+    /// Checks that a heartbeat is newer than those before it, and records its incarnation and sequence number. Returns
+    /// whether its incarnation is a new one.
+    pub(crate) fn accept_heartbeat(
+        &mut self,
+        channel: Channel,
+        heartbeat: &Heartbeat,
+        now_ms: u64,
+    ) -> Result<bool, Rejection> {
         let life = heartbeat.incarnation.life;
-        if self.is_earlier(life) {
-            return Err(Rejection::EarlierLife {
+        if self.is_ended(life) {
+            return Err(Rejection::EndedIncarnation {
                 from: heartbeat.from.clone(),
                 life,
             });
         }
-        let new_life = self.incarnation.is_none_or(|known| known.life != life);
-        if new_life {
-            self.begin_life(heartbeat.incarnation, now_ms);
+        let is_new_incarnation = self.incarnation.is_none_or(|known| known.life != life);
+        if is_new_incarnation {
+            self.begin_incarnation(heartbeat.incarnation, now_ms);
         }
         let newest = match channel {
-            Channel::Scheduled => &mut self.newest_scheduled,
-            Channel::Answer => &mut self.newest_answer,
+            Channel::Scheduled => &mut self.newest_scheduled_sequence,
+            Channel::Answer => &mut self.newest_answer_sequence,
         };
         if heartbeat.sequence <= *newest {
-            return Err(Rejection::Overtaken {
+            return Err(Rejection::OutdatedSequence {
                 from: heartbeat.from.clone(),
                 sequence: heartbeat.sequence,
                 newest: *newest,
             });
         }
         *newest = heartbeat.sequence;
-        self.raise_refutation(heartbeat.incarnation.refutation);
-        Ok(new_life)
+        self.raise_refutation_count(heartbeat.incarnation.refutation);
+        Ok(is_new_incarnation)
     }
 
-    /// Whether nothing of this life can be news any more.
-    fn is_earlier(&self, life: Life) -> bool {
-        let confirmed = self.is_confirmed() && self.incarnation.is_some_and(|known| known.life == life);
-        confirmed || self.earlier_lives.contains(&life)
+    /// Returns whether an incarnation has ended, so that its heartbeats are outdated.
+    fn is_ended(&self, life: Life) -> bool {
+        let is_confirmed_as_gone = self.is_confirmed() && self.incarnation.is_some_and(|known| known.life == life);
+        is_confirmed_as_gone || self.earlier_incarnations.contains(&life)
     }
 
-    /// Whether a listed life is what an earlier process has left behind, and the present one just has not registered
-    /// yet. A lease after that one was first heard it cannot be: then its heartbeat was an old message that came late.
-    pub(crate) fn is_leftover(&self, listed: Life, observed_ms: u64, lease_ms: u64) -> bool {
-        self.earlier_lives.contains(&listed) && observed_ms < self.life_began_ms.saturating_add(lease_ms)
+    /// Returns whether a registered incarnation was left behind by an earlier process, while the current one has not
+    /// registered yet. This is possible only within one lease after the current incarnation was first heard. Later than
+    /// that, the heartbeat that started the current incarnation must have been an old message that arrived late.
+    pub(crate) fn is_stale_registration(&self, listed: Life, observed_ms: u64, lease_ms: u64) -> bool {
+        self.earlier_incarnations.contains(&listed) && observed_ms < self.incarnation_began_ms.saturating_add(lease_ms)
     }
 
-    /// Another life begins: nothing of the one before counts for it.
-    pub(crate) fn begin_life(&mut self, incarnation: Incarnation, now_ms: u64) {
-        self.earlier_lives.retain(|earlier| *earlier != incarnation.life);
-        self.life_began_ms = now_ms;
+    /// Starts another incarnation. No state of the one before is applied to it.
+    pub(crate) fn begin_incarnation(&mut self, incarnation: Incarnation, now_ms: u64) {
+        self.earlier_incarnations.retain(|earlier| *earlier != incarnation.life);
+        self.incarnation_began_ms = now_ms;
         let earlier = self.incarnation.replace(incarnation);
         if let Some(earlier) = earlier.filter(|earlier| earlier.life != incarnation.life) {
-            self.earlier_lives.push_back(earlier.life);
-            if self.earlier_lives.len() > EARLIER_LIVES {
-                self.earlier_lives.pop_front();
+            self.earlier_incarnations.push_back(earlier.life);
+            if self.earlier_incarnations.len() > MAX_EARLIER_INCARNATIONS {
+                self.earlier_incarnations.pop_front();
             }
         }
-        self.newest_scheduled = 0;
-        self.newest_answer = 0;
-        self.arrivals.interrupt();
+        self.newest_scheduled_sequence = 0;
+        self.newest_answer_sequence = 0;
+        self.arrivals.start_new_series();
     }
 
-    /// Its silence is counted from now on, as that of a member that was never heard.
+    /// Counts the time without heartbeats from now on, as for a member that was never heard.
     pub(crate) fn await_first_heartbeat(&mut self, active_ms: u64) {
         self.state = MemberState::Alive;
-        self.heard_ms = active_ms;
-        self.heard_directly_ms = None;
+        self.last_contact_ms = active_ms;
+        self.last_direct_contact_ms = None;
         self.probing_since_ms = None;
     }
 
-    /// Takes note of a refutation; whether it is a newer one.
-    pub(crate) fn raise_refutation(&mut self, refutation: u64) -> bool {
+    /// Records a refutation count. Returns whether it is higher than the known one.
+    pub(crate) fn raise_refutation_count(&mut self, refutation: u64) -> bool {
         match &mut self.incarnation {
             Some(known) if known.refutation < refutation => {
                 known.refutation = refutation;
@@ -162,29 +173,29 @@
         }
     }
 
-    /// It was heard itself.
-    pub(crate) fn note_heard(&mut self, channel: Channel, active_ms: u64) {
-        self.heard_ms = self.heard_ms.max(active_ms);
-        self.heard_directly_ms = Some(active_ms);
+    /// Records that the member was heard directly.
+    pub(crate) fn record_contact(&mut self, channel: Channel, active_ms: u64) {
+        self.last_contact_ms = self.last_contact_ms.max(active_ms);
+        self.last_direct_contact_ms = Some(active_ms);
         self.probing_since_ms = None;
         if channel == Channel::Scheduled {
             self.arrivals.record(active_ms);
         }
     }
 
-    /// Another member has heard it, so long ago.
-    pub(crate) fn note_heard_by_others(&mut self, active_ms: u64, ago_ms: u64) {
-        self.heard_ms = self.heard_ms.max(active_ms.saturating_sub(ago_ms));
+    /// Records that another member heard it `ago_ms` ago.
+    pub(crate) fn record_indirect_contact(&mut self, active_ms: u64, ago_ms: u64) {
+        self.last_contact_ms = self.last_contact_ms.max(active_ms.saturating_sub(ago_ms));
     }
 
-    /// The level of suspicion. A member without any heartbeat so far has a whole lease to send one.
+    /// Returns the suspicion level. A member that was never heard has one full lease to send its first heartbeat.
     pub(crate) fn level(&self, active_ms: u64, timing: Timing, policy: &Policy) -> SuspicionLevel {
-        self.level_of(active_ms.saturating_sub(self.heard_ms), timing, policy)
+        self.level_for_silence(active_ms.saturating_sub(self.last_contact_ms), timing, policy)
     }
 
-    /// The level that a silence of this length would have.
-    pub(crate) fn level_of(&self, silence_ms: u64, timing: Timing, policy: &Policy) -> SuspicionLevel {
-        if self.heard_directly_ms.is_none() && silence_ms < timing.lease_ms {
+    /// Returns the suspicion level after `silence_ms` without a heartbeat.
+    pub(crate) fn level_for_silence(&self, silence_ms: u64, timing: Timing, policy: &Policy) -> SuspicionLevel {
+        if self.last_direct_contact_ms.is_none() && silence_ms < timing.lease_ms {
             return SuspicionLevel(0);
         }
         policy.estimator.level(&self.arrivals, silence_ms, timing, policy)
--- a/crates/tidelatch-failure-detector/src/message.rs
+++ b/crates/tidelatch-failure-detector/src/message.rs
@@ -1,18 +1,18 @@
-//! What members tell each other, and why a message may count as no evidence.
+//! The messages between members, and the reasons for rejecting them as evidence.
 
 use std::fmt;
 
-/// A member's name.
+/// The name of a member.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(String);
 
 impl MemberId {
-    /// A member by its name.
+    /// Creates the identifier of the member with this name.
     pub fn new(name: impl Into<String>) -> Self {
         Self(name.into())
     }
 
-    /// The name.
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -24,118 +24,121 @@
     }
 }
 
-/// One run of a member, from its registration with the arbiter to the end of that. Numbers of different lives have
-/// no order: they may be drawn at random.
+/// Identifier of one incarnation of a member: one run of it, from its registration with the arbiter until that
+/// registration ends. The identifiers of different incarnations have no order, since they may be random numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Life(pub u64);
 
-/// A life and how often it has refuted a suspicion. Within one life the larger refutation is the newer one.
+/// An incarnation of a member and its refutation count. Within one incarnation the higher refutation count is the newer
+/// one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Incarnation {
-    /// The life.
+    /// The incarnation's identifier.
     pub life: Life,
-    /// How often the member has answered a suspicion of this life.
+    /// How often the member has refuted a suspicion of this incarnation.
     pub refutation: u64,
 }
 
-/// What one member holds of another.
+/// One member's opinion of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Opinion {
-    /// No suspicion.
+    /// The member is not suspected.
     Alive,
-    /// It is suspected.
+    /// The member is suspected.
     Suspected,
 }
 
-/// What the sender of a heartbeat tells of a third member, or of the receiver.
+/// What the sender of a heartbeat states about a third member, or about the receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Claim {
-    /// Whom it is about.
+    /// The member that the claim is about.
     pub member: MemberId,
-    /// The incarnation that the sender has heard of last.
+    /// The latest incarnation that the sender has heard of.
     pub incarnation: Incarnation,
-    /// What the sender holds of it.
+    /// The sender's opinion of the member.
     pub opinion: Opinion,
-    /// Time since the sender last heard the member itself.
+    /// Time since the sender last heard from the member directly.
     pub heard_ago_ms: u64,
 }
 
-/// A sign of life, with what its sender knows of the others.
+/// A heartbeat, with what its sender knows about the other members.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Heartbeat {
     /// The sender.
     pub from: MemberId,
-    /// Its incarnation.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Grows with every heartbeat of a life: duplicates and messages that were overtaken show by it.
+    /// Sequence number, which grows with every heartbeat of an incarnation. It reveals duplicates and heartbeats that
+    /// arrive after a newer one.
     pub sequence: u64,
-    /// What it knows of others.
+    /// What the sender knows about other members.
     pub claims: Vec<Claim>,
-    /// The receiver is asked to contact this member at once, and to tell of it in its next heartbeat.
+    /// A member that the receiver is asked to contact at once, and to report on in its next heartbeat.
     pub probe: Option<MemberId>,
 }
 
-/// How a heartbeat came.
+/// How a heartbeat was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Channel {
-    /// By itself, one in each heartbeat interval: its time of arrival goes into the distribution.
+    /// On schedule, once per heartbeat interval. Its arrival time is added to the window of intervals.
     Scheduled,
-    /// As the answer to a message of the receiver's: a sign of life whose time says nothing of the intervals.
+    /// In answer to a message from the receiver. It shows that the sender is alive, but its arrival time says nothing
+    /// about the intervals.
     Answer,
 }
 
-/// Why a heartbeat counts as no evidence.
+/// Why a heartbeat is rejected as evidence.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Rejection {
-    /// Its sender is no member.
+    /// Its sender is not a member.
     #[error("`{0}` is no member")]
     UnknownSender(MemberId),
-    /// It claims to come from its receiver.
-    #[error("a heartbeat of this member's own came back")]
+    /// It names its receiver as its sender.
+    #[error("this member's own heartbeat came back")]
     OwnMessage,
-    /// It carries no life: the sender's version does not take part.
+    /// It carries no incarnation, because the sender's version does not support them.
     #[error("{0} tells no life")]
-    NoLife(MemberId),
+    MissingIncarnation(MemberId),
     /// It carries more claims than there are members.
-    #[error("{from} sent {claims} claims, {most} at most are taken")]
-    Oversized {
+    #[error("{from} sent {claims} claims, at most {max_claims} are taken")]
+    TooManyClaims {
         /// The sender.
         from: MemberId,
-        /// Claims in the message.
+        /// Number of claims in the message.
         claims: usize,
-        /// Most that are taken.
-        most: usize,
+        /// The maximum number of claims.
+        max_claims: usize,
     },
-    /// It was sent in a life that has been followed by another.
-    #[error("{from} sent it in life {life:?}, which is over")]
-    EarlierLife {
+    /// It was sent in an incarnation that has ended: another one followed, or it was confirmed as gone.
+    #[error("{from} sent the heartbeat in incarnation {life:?}, which has ended")]
+    EndedIncarnation {
         /// The sender.
         from: MemberId,
-        /// The life.
+        /// The incarnation that has ended.
         life: Life,
     },
-    /// It is a duplicate, or was overtaken by a later one.
-    #[error("{from} sent number {sequence}, number {newest} has come before")]
-    Overtaken {
+    /// It is a duplicate, or a newer heartbeat arrived before it.
+    #[error("{from} sent heartbeat {sequence}, but heartbeat {newest} has come before")]
+    OutdatedSequence {
         /// The sender.
         from: MemberId,
-        /// Its number.
+        /// The heartbeat's sequence number.
         sequence: u64,
-        /// The largest number seen.
+        /// The highest sequence number received.
         newest: u64,
     },
 }
 
-/// Why one claim of a heartbeat counts as no evidence.
+/// Why one claim of a heartbeat is rejected as evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum ClaimRejection {
-    /// It is about no member.
-    #[error("it is about no member")]
+    /// It is about a name that is not a member.
+    #[error("the claim is about a name that is not a member")]
     UnknownMember,
     /// It is about the member that sent it.
-    #[error("it is about its sender")]
+    #[error("the claim is about its own sender")]
     AboutSender,
-    /// It is about another life than the one that is known here.
-    #[error("it is about another life")]
-    OtherLife,
+    /// It is about another incarnation than the one known here.
+    #[error("the claim is about another incarnation than the known one")]
+    OtherIncarnation,
 }
--- a/crates/tidelatch-failure-detector/tests/detector.rs
+++ b/crates/tidelatch-failure-detector/tests/detector.rs
@@ -133,7 +133,10 @@
     let late = heartbeat("m2", cluster.life(2), 1_000);
     let now_ms = cluster.now_ms;
     let refused = cluster.detectors[0].on_heartbeat(now_ms, Channel::Scheduled, &late);
-    assert!(matches!(refused, Err(Rejection::EarlierLife { .. })), "{refused:?}");
+    assert!(
+        matches!(refused, Err(Rejection::EndedIncarnation { .. })),
+        "{refused:?}"
+    );
     assert!(matches!(cluster.state(0, 2), Some(MemberState::Confirmed(_))));
     cluster.restart(2);
     cluster.run(3_000);
@@ -204,7 +207,10 @@
     assert_eq!(cluster.count(is_suspected), 0);
     let now_ms = cluster.now_ms;
     let refused = cluster.detectors[0].on_heartbeat(now_ms, Channel::Scheduled, &late);
-    assert!(matches!(refused, Err(Rejection::EarlierLife { .. })), "{refused:?}");
+    assert!(
+        matches!(refused, Err(Rejection::EndedIncarnation { .. })),
+        "{refused:?}"
+    );
 }
 
 #[test]
@@ -340,20 +346,20 @@
     let before = at_a.clone();
     let mut too_many = heartbeat("b", 2, 6);
     too_many.claims = vec![alive("c", 3); 4];
-    let overtaken = |sequence| Rejection::Overtaken {
+    let overtaken = |sequence| Rejection::OutdatedSequence {
         from: member("b"),
         sequence,
         newest: 5,
     };
-    let oversized = Rejection::Oversized {
+    let oversized = Rejection::TooManyClaims {
         from: member("b"),
         claims: 4,
-        most: 3,
+        max_claims: 3,
     };
     for (message, expected) in [
         (heartbeat("z", 9, 1), Rejection::UnknownSender(member("z"))),
         (heartbeat("a", 1, 1), Rejection::OwnMessage),
-        (heartbeat("b", 0, 6), Rejection::NoLife(member("b"))),
+        (heartbeat("b", 0, 6), Rejection::MissingIncarnation(member("b"))),
         (heartbeat("b", 2, 5), overtaken(5)),
         (heartbeat("b", 2, 4), overtaken(4)),
         (too_many, oversized),
@@ -381,7 +387,7 @@
     let expected = [
         ClaimRejection::UnknownMember,
         ClaimRejection::AboutSender,
-        ClaimRejection::OtherLife,
+        ClaimRejection::OtherIncarnation,
     ];
     assert_eq!(reasons, expected);
 }
