--- a/crates/tidelatch-disruption/tests/budgets.rs
+++ b/crates/tidelatch-disruption/tests/budgets.rs
@@ -1,10 +1,10 @@
-//! Properties of budgets and amounts, with fixed seeds.
+//! Property tests of budgets, any_amount and machine sets, with fixed seeds.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use tidelatch_disruption::{Amount, Budget, MachineName, MachineSet};
 
-/// The same cases with every run.
+/// A runner that generates the same cases in every run.
 fn runner() -> TestRunner {
     let config = Config {
         cases: 512,
@@ -14,7 +14,7 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-fn amounts() -> impl Strategy<Value = Amount> {
+fn any_amount() -> impl Strategy<Value = Amount> {
     prop_oneof![
         (0u32..2_000).prop_map(Amount::Count),
         (0u8..=100).prop_map(Amount::Percent),
@@ -23,43 +23,47 @@
 }
 
 #[test]
-fn an_allowance_is_never_more_than_there_is_and_is_rounded_down() {
-    let case = (amounts(), 0u32..5_000);
+fn allowance_is_at_most_the_scope_size_and_is_rounded_down() {
+    let strategy = (any_amount(), 0u32..5_000);
     let property = |(amount, size): (Amount, u32)| {
-        let most = Budget::MaxUnavailable(amount).allowance(size);
-        let least = Budget::MinAvailable(amount).allowance(size);
-        prop_assert!(most <= size && least <= size);
+        let max_unavailable = Budget::MaxUnavailable(amount).allowance(size);
+        let min_available = Budget::MinAvailable(amount).allowance(size);
+        prop_assert!(max_unavailable <= size && min_available <= size);
         if let Amount::Percent(percent) = amount {
             let exact = f64::from(size) * f64::from(percent) / 100.0;
-            prop_assert!(f64::from(most) <= exact + 1e-9 && exact < f64::from(most) + 1.0);
-            // What must stay available is kept whatever the rounding.
-            prop_assert!(f64::from(size - least) + 1e-9 >= exact);
+            prop_assert!(f64::from(max_unavailable) <= exact + 1e-9 && exact < f64::from(max_unavailable) + 1.0);
+            // The minimum number of available units is kept, whatever the rounding.
+            prop_assert!(f64::from(size - min_available) + 1e-9 >= exact);
         }
         if Budget::MaxUnavailable(amount).permits_nothing() {
-            prop_assert_eq!(most, 0);
+            prop_assert_eq!(max_unavailable, 0);
         }
         if Budget::MinAvailable(amount).permits_nothing() {
-            prop_assert_eq!(least, 0);
+            prop_assert_eq!(min_available, 0);
         }
         Ok(())
     };
-    runner().run(&case, property).expect("holds for each case");
+    runner()
+        .run(&strategy, property)
+        .expect("the property holds for each case");
 }
 
 #[test]
-fn an_allowance_grows_with_the_size() {
-    let case = (amounts(), 0u32..5_000, 0u32..500);
+fn allowance_never_decreases_as_the_scope_grows() {
+    let strategy = (any_amount(), 0u32..5_000, 0u32..500);
     let property = |(amount, size, more): (Amount, u32, u32)| {
         for budget in [Budget::MaxUnavailable(amount), Budget::MinAvailable(amount)] {
             prop_assert!(budget.allowance(size) <= budget.allowance(size + more));
         }
         Ok(())
     };
-    runner().run(&case, property).expect("holds for each case");
+    runner()
+        .run(&strategy, property)
+        .expect("the property holds for each case");
 }
 
 #[test]
-fn texts_are_read_as_they_are_written_and_others_are_refused() {
+fn amounts_round_trip_through_text_and_invalid_texts_are_rejected() {
     for text in ["0", "7", "0%", "25%", "100%"] {
         assert_eq!(text.parse::<Amount>().expect("an amount").to_string(), text);
     }
@@ -72,14 +76,14 @@
 }
 
 #[test]
-fn a_set_of_machines_is_the_same_after_it_was_stored() {
+fn machine_set_round_trips_through_its_stored_parts() {
     let names = prop_oneof![
         (0u32..20_000).prop_map(|n| format!("n-{n:06}")),
         (0u64..u64::MAX).prop_map(|n| format!("{n}")),
         "[a-z]{1,8}",
         "[a-z]{1,4}-[0-9]{1,12}",
     ];
-    let case = prop::collection::btree_set(names, 0..400);
+    let strategy = prop::collection::btree_set(names, 0..400);
     let property = |names: std::collections::BTreeSet<String>| {
         let mut set = MachineSet::default();
         names.iter().for_each(|name| set.insert(&MachineName::new(name)));
@@ -96,11 +100,13 @@
         prop_assert!(!restored.contains(&MachineName::new("none-such-1")));
         Ok(())
     };
-    runner().run(&case, property).expect("holds for each case");
+    runner()
+        .run(&strategy, property)
+        .expect("the property holds for each case");
 }
 
 #[test]
-fn four_thousand_machines_fit_small_values() {
+fn four_thousand_machines_fit_into_small_stored_values() {
     let store = |numbers: &mut dyn Iterator<Item = u32>| {
         let mut set = MachineSet::default();
         numbers.for_each(|n| set.insert(&MachineName::new(format!("n-{n:06}"))));
@@ -110,7 +116,8 @@
             .map(|part| serde_json::to_string(part).expect("it is JSON").len());
         (parts.len(), bytes.max().unwrap_or(0))
     };
-    // Numbered one after the other, and each second one: the least and the most that bitmaps of one range take.
+    // Consecutive numbers, and every second number: the best and the worst case for the size of a bitmap over one
+    // range.
     let (parts, bytes) = store(&mut (1..=4_000));
     assert!(parts == 1 && bytes < 128, "{parts} parts of {bytes} bytes");
     let (parts, bytes) = store(&mut (1..=8_000).step_by(2));
--- a/crates/tidelatch-disruption/tests/drains.rs
+++ b/crates/tidelatch-disruption/tests/drains.rs
@@ -1,8 +1,8 @@
-//! The steps of a machine's drain, and what is better waited for.
+//! Tests of the steps of a machine's drain, and of the decision to wait for a task to finish.
 
 use tidelatch_disruption::{Interruption, MachineDrain, MachineName, Observation, Replacement, Step};
 
-fn busy() -> Observation {
+fn observe_busy_machine() -> Observation {
     Observation {
         is_empty: false,
         replace_ahead: true,
@@ -11,53 +11,64 @@
     }
 }
 
-fn with_candidate() -> Observation {
+fn observe_candidate() -> Observation {
     Observation {
         candidate: Some(MachineName::new("r-1")),
-        ..busy()
+        ..observe_busy_machine()
     }
 }
 
-fn replaced(replacement: Replacement) -> Observation {
+fn observe_replacement(replacement: Replacement) -> Observation {
     Observation {
         replacement: Some(replacement),
-        ..busy()
+        ..observe_busy_machine()
     }
 }
 
 #[test]
-fn a_replacement_is_ready_before_anything_is_evicted() {
+fn evictions_wait_until_the_replacement_is_ready() {
     let mut drain = MachineDrain::new(0);
-    assert_eq!(drain.advance(1, &busy()), Some(Step::ReplacementWanted));
+    assert_eq!(drain.advance(1, &observe_busy_machine()), Some(Step::ReplacementWanted));
     assert!(drain.wants_replacement());
-    assert_eq!(drain.advance(2, &busy()), None, "the cloud has none yet");
-    assert_eq!(drain.advance(3, &with_candidate()), Some(Step::ReplacementBooting));
-    assert_eq!(drain.advance(4, &replaced(Replacement::Booting)), None, "it is cold");
     assert_eq!(
-        drain.advance(5, &replaced(Replacement::Ready)),
+        drain.advance(2, &observe_busy_machine()),
+        None,
+        "no candidate machine exists yet"
+    );
+    assert_eq!(drain.advance(3, &observe_candidate()), Some(Step::ReplacementBooting));
+    assert_eq!(
+        drain.advance(4, &observe_replacement(Replacement::Booting)),
+        None,
+        "the replacement is still booting"
+    );
+    assert_eq!(
+        drain.advance(5, &observe_replacement(Replacement::Ready)),
         Some(Step::ReplacementReady)
     );
-    assert_eq!(drain.advance(6, &replaced(Replacement::Ready)), Some(Step::Evicting));
-    assert_eq!(drain.advance(7, &replaced(Replacement::Ready)), None);
+    assert_eq!(
+        drain.advance(6, &observe_replacement(Replacement::Ready)),
+        Some(Step::Evicting)
+    );
+    assert_eq!(drain.advance(7, &observe_replacement(Replacement::Ready)), None);
     let empty = Observation {
         is_empty: true,
-        ..busy()
+        ..observe_busy_machine()
     };
     assert_eq!(drain.advance(8, &empty), Some(Step::Empty));
     assert_eq!((drain.begun_ms(), drain.step_since_ms()), (0, 8));
 }
 
 #[test]
-fn a_replacement_that_is_lost_before_the_evictions_is_replaced_itself() {
+fn lost_replacement_is_replaced_if_evictions_have_not_begun() {
     for ready in [false, true] {
         let mut drain = MachineDrain::new(0);
-        drain.advance(1, &busy());
-        drain.advance(2, &with_candidate());
+        drain.advance(1, &observe_busy_machine());
+        drain.advance(2, &observe_candidate());
         if ready {
-            drain.advance(3, &replaced(Replacement::Ready));
+            drain.advance(3, &observe_replacement(Replacement::Ready));
         }
         assert_eq!(
-            drain.advance(4, &replaced(Replacement::Lost)),
+            drain.advance(4, &observe_replacement(Replacement::Lost)),
             Some(Step::ReplacementWanted)
         );
         assert_eq!(drain.replacement(), None);
@@ -65,27 +76,27 @@
 }
 
 #[test]
-fn without_a_replacement_ahead_evictions_begin_at_once() {
+fn evictions_begin_at_once_if_no_replacement_is_required() {
     let mut drain = MachineDrain::new(0);
-    let alone = Observation {
+    let without_replacement = Observation {
         replace_ahead: false,
-        ..busy()
+        ..observe_busy_machine()
     };
-    assert_eq!(drain.advance(1, &alone), Some(Step::Evicting));
+    assert_eq!(drain.advance(1, &without_replacement), Some(Step::Evicting));
     let empty = Observation {
         is_empty: true,
-        ..alone.clone()
+        ..without_replacement.clone()
     };
     assert_eq!(drain.advance(2, &empty), Some(Step::Empty));
     assert_eq!(
-        drain.advance(3, &alone),
+        drain.advance(3, &without_replacement),
         Some(Step::Evicting),
-        "a late report found something on it"
+        "a late report showed a unit on the machine"
     );
 }
 
 #[test]
-fn a_task_that_is_nearly_finished_or_only_so_in_time_is_waited_for() {
+fn task_is_waited_for_if_nearly_finished_or_if_moving_it_misses_the_deadline() {
     let task = Interruption {
         remaining_s: 100.0,
         lost_s: 20.0,
@@ -100,11 +111,17 @@
         }
         .is_worth_waiting()
     );
-    let due = |slack_s| Interruption {
+    let with_slack = |slack_s| Interruption {
         slack_s: Some(slack_s),
         ..task
     };
-    assert!(due(110.0).is_worth_waiting(), "moved it would end after 125 s");
-    assert!(!due(126.0).is_worth_waiting());
-    assert!(!due(99.0).is_worth_waiting(), "it is late either way");
+    assert!(
+        with_slack(110.0).is_worth_waiting(),
+        "if moved, the task would finish after 125 s"
+    );
+    assert!(!with_slack(126.0).is_worth_waiting());
+    assert!(
+        !with_slack(99.0).is_worth_waiting(),
+        "the task misses the deadline in either case"
+    );
 }
--- a/crates/tidelatch-disruption/tests/ledger.rs
+++ b/crates/tidelatch-disruption/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Permits: what is granted, what stays spent, and what returns.
+//! Tests of permits: when they are granted, how long they stay outstanding, and how they are returned.
 
 use std::collections::{BTreeMap, BTreeSet};
 use tidelatch_disruption::{
@@ -14,7 +14,7 @@
     Unit::new(JobName::new("job"), index)
 }
 
-fn asker() -> ControllerName {
+fn requester() -> ControllerName {
     ControllerName::new("x")
 }
 
@@ -27,7 +27,7 @@
         unit: unit(index),
         attempt: Attempt(1),
         machine: MachineName::new("m"),
-        asker: asker(),
+        asker: requester(),
         machine_tenure: Tenure(3),
     }
 }
@@ -59,24 +59,24 @@
     )
 }
 
-/// What is known of units, as a test sets it.
-struct View {
+/// A ledger view whose unit states a test sets.
+struct TestView {
     counting: Option<Counting>,
     states: BTreeMap<u32, UnitState>,
-    made_up_for: BTreeSet<u32>,
+    recovered: BTreeSet<u32>,
 }
 
-impl View {
+impl TestView {
     fn of(counting: Counting, states: impl IntoIterator<Item = (u32, UnitState)>) -> Self {
         Self {
             counting: Some(counting),
             states: states.into_iter().collect(),
-            made_up_for: BTreeSet::new(),
+            recovered: BTreeSet::new(),
         }
     }
 }
 
-impl LedgerView for View {
+impl LedgerView for TestView {
     fn state(&self, unit: &Unit, _permit: &SpentPermit) -> UnitState {
         self.states.get(&unit.index()).copied().unwrap_or(UnitState::Stoppable)
     }
@@ -84,16 +84,16 @@
         self.counting
     }
     fn is_made_up_for(&self, unit: &Unit) -> bool {
-        self.made_up_for.contains(&unit.index())
+        self.recovered.contains(&unit.index())
     }
 }
 
-fn spent(ledger: &PermitLedger) -> Vec<u32> {
+fn outstanding(ledger: &PermitLedger) -> Vec<u32> {
     ledger.outstanding().map(|(unit, _)| unit.index()).collect()
 }
 
 #[test]
-fn what_failed_by_itself_uses_up_the_budget() {
+fn units_that_failed_on_their_own_use_up_the_budget() {
     let mut ledger = PermitLedger::new(TENURE, 0);
     let refused = ledger.request(0, VALID_MS, &[request(0)], &replicas(0..4, 2));
     assert!(
@@ -108,14 +108,14 @@
         "{refused:?}"
     );
     assert!(ledger.request(0, VALID_MS, &[request(0)], &replicas(0..5, 2)).is_ok());
-    // The permit that is out counts even though the replica still runs.
+    // The outstanding permit counts although the replica still runs.
     assert!(ledger.request(0, VALID_MS, &[request(1)], &replicas(0..5, 2)).is_err());
-    // Once it is seen to be away it counts once, not twice.
+    // Once the replica is seen to be stopped, it counts once, not twice.
     assert!(ledger.request(0, VALID_MS, &[request(1)], &replicas(1..6, 2)).is_ok());
 }
 
 #[test]
-fn nothing_is_granted_before_earlier_permits_have_ended_and_all_machines_have_reported() {
+fn new_owner_grants_no_permit_until_earlier_permits_expired_and_all_machines_reported() {
     let mut ledger = PermitLedger::new(TENURE, 1_000);
     let mut census = replicas(0..6, 2);
     let early = ledger.request(999, VALID_MS, &[request(0)], &census);
@@ -128,83 +128,95 @@
 }
 
 #[test]
-fn a_gang_gets_permits_for_all_its_tasks_or_for_none() {
+fn request_for_several_units_is_granted_for_all_or_none() {
     let budget = Budget::MaxUnavailable(Amount::Percent(50));
     let mut ledger = PermitLedger::new(TENURE, 0);
     let tasks = census(Counting::Tasks, 6, 0..6, budget);
-    let four: Vec<PermitRequest> = (0..4).map(request).collect();
-    assert!(ledger.request(0, VALID_MS, &four, &tasks).is_err());
-    assert_eq!(spent(&ledger), []);
-    let three: Vec<PermitRequest> = (0..3).map(request).collect();
+    let four_requests: Vec<PermitRequest> = (0..4).map(request).collect();
+    assert!(ledger.request(0, VALID_MS, &four_requests, &tasks).is_err());
+    assert_eq!(outstanding(&ledger), []);
+    let three_requests: Vec<PermitRequest> = (0..3).map(request).collect();
     assert_eq!(
-        ledger.request(0, VALID_MS, &three, &tasks).map(|permits| permits.len()),
+        ledger
+            .request(0, VALID_MS, &three_requests, &tasks)
+            .map(|permits| permits.len()),
         Ok(3)
     );
-    assert_eq!(spent(&ledger), [0, 1, 2]);
+    assert_eq!(outstanding(&ledger), [0, 1, 2]);
 }
 
 #[test]
-fn a_unit_in_doubt_stays_spent_until_nobody_can_stop_it_any_more() {
+fn permit_stays_outstanding_until_its_holder_can_no_longer_stop_the_unit() {
     let mut ledger = PermitLedger::new(TENURE, 0);
     let all = replicas(0..6, 1);
     ledger
         .request(0, VALID_MS, &[request(0)], &all)
-        .expect("a unit is left");
+        .expect("the budget allows one more unit");
     ledger.settle(
         10 * VALID_MS,
-        &View::of(Counting::Replicas, [(0, UnitState::Stoppable)]),
+        &TestView::of(Counting::Replicas, [(0, UnitState::Stoppable)]),
+    );
+    assert_eq!(
+        outstanding(&ledger),
+        [0],
+        "its holder is unresponsive, but still owns the machine"
     );
-    assert_eq!(spent(&ledger), [0], "its holder is silent, and still owns the machine");
-    ledger.settle(VALID_MS, &View::of(Counting::Replicas, [(0, UnitState::RunsFenced)]));
-    assert_eq!(spent(&ledger), [0], "the permit has not run out");
+    ledger.settle(
+        VALID_MS,
+        &TestView::of(Counting::Replicas, [(0, UnitState::RunsFenced)]),
+    );
+    assert_eq!(outstanding(&ledger), [0], "the permit has not expired");
     ledger.settle(
         VALID_MS + 1,
-        &View::of(Counting::Replicas, [(0, UnitState::RunsFenced)]),
+        &TestView::of(Counting::Replicas, [(0, UnitState::RunsFenced)]),
     );
-    assert_eq!(spent(&ledger), []);
+    assert_eq!(outstanding(&ledger), []);
 }
 
 #[test]
-fn tasks_of_an_array_stay_interrupted_until_they_run_again() {
+fn array_tasks_count_as_interrupted_until_they_run_again() {
     let quarter = Budget::MaxUnavailable(Amount::PercentOrOne(25));
     let mut ledger = PermitLedger::new(TENURE, 0);
     let running = |tasks: std::ops::Range<u32>| census(Counting::Tasks, 100, tasks, quarter);
     ledger
         .request(0, VALID_MS, &[request(0)], &running(0..4))
-        .expect("a quarter of four");
-    let mut view = View::of(Counting::Tasks, [(0, UnitState::Gone)]);
+        .expect("one of four tasks may be interrupted");
+    let mut view = TestView::of(Counting::Tasks, [(0, UnitState::Gone)]);
     ledger.settle(10, &view);
-    assert_eq!((spent(&ledger), ledger.interrupted(&JobName::new("job"))), (vec![], 1));
+    assert_eq!(
+        (outstanding(&ledger), ledger.interrupted(&JobName::new("job"))),
+        (vec![], 1)
+    );
     assert!(ledger.request(10, VALID_MS, &[request(1)], &running(1..4)).is_err());
-    view.made_up_for.insert(0);
+    view.recovered.insert(0);
     ledger.settle(20, &view);
     assert!(ledger.request(20, VALID_MS, &[request(1)], &running(0..4)).is_ok());
-    // A job that is over returns what it has spent.
-    let over = View {
+    // A job that has ended releases its outstanding permits.
+    let over = TestView {
         counting: None,
-        ..View::of(Counting::Tasks, [(1, UnitState::Over)])
+        ..TestView::of(Counting::Tasks, [(1, UnitState::Over)])
     };
     ledger.settle(30, &over);
-    assert_eq!(spent(&ledger), []);
+    assert_eq!(outstanding(&ledger), []);
 }
 
 #[test]
-fn what_an_earlier_owner_may_have_interrupted_counts_until_it_runs() {
+fn tasks_an_earlier_owner_may_have_interrupted_count_until_they_run() {
     let mut ledger = PermitLedger::new(TENURE, 0);
     ledger.presume_interrupted(JobName::new("job"), &(4..6).collect::<UnitSet>());
     let quarter = Budget::MaxUnavailable(Amount::PercentOrOne(25));
     let tasks = census(Counting::Tasks, 6, 0..4, quarter);
     assert!(ledger.request(0, VALID_MS, &[request(0)], &tasks).is_err());
-    let mut view = View::of(Counting::Tasks, []);
-    view.made_up_for.extend([4, 5]);
+    let mut view = TestView::of(Counting::Tasks, []);
+    view.recovered.extend([4, 5]);
     ledger.settle(0, &view);
     assert!(ledger.request(0, VALID_MS, &[request(0)], &tasks).is_ok());
 }
 
-/// One exchange: the holder's message, and the answer to it.
+/// Sends the holder's message to the ledger and the answer back. Returns the number of permits granted.
 fn exchange(ledger: &mut PermitLedger, holder: &mut PermitHolder, now_ms: u64, census: &Census) -> usize {
     let message = holder.message_for(&granter());
-    if !ledger.take_message(&asker(), 1, &message) {
+    if !ledger.take_message(&requester(), 1, &message) {
         return 0;
     }
     let mut permits = Vec::new();
@@ -213,7 +225,7 @@
             unit: wanted.unit.clone(),
             attempt: wanted.attempt,
             machine: wanted.machine.clone(),
-            asker: asker(),
+            asker: requester(),
             machine_tenure: wanted.machine_tenure,
         };
         if let Ok(granted) = ledger.request(now_ms, VALID_MS, &[request], census) {
@@ -226,60 +238,68 @@
 }
 
 #[test]
-fn permits_that_are_not_listed_any_more_are_returned() {
+fn permits_missing_from_a_later_message_are_returned() {
     let (mut ledger, mut holder) = (PermitLedger::new(TENURE, 0), PermitHolder::default());
     let all = replicas(0..6, 1);
     holder.want(wanted(0), granter(), TENURE);
     assert_eq!(exchange(&mut ledger, &mut holder, 0, &all), 1);
     holder.retain(|_| false);
-    assert!(holder.needs_message(&granter()), "its owner would count it for ever");
+    assert!(
+        holder.needs_message(&granter()),
+        "otherwise the owner would count the permit forever"
+    );
     exchange(&mut ledger, &mut holder, 100, &all);
-    assert_eq!(spent(&ledger), []);
+    assert_eq!(outstanding(&ledger), []);
     assert!(!holder.needs_message(&granter()));
 }
 
 #[test]
-fn a_used_permit_is_named_until_its_owner_knows() {
+fn used_permit_is_listed_until_its_owner_has_learned_of_it() {
     let (mut ledger, mut holder) = (PermitLedger::new(TENURE, 0), PermitHolder::default());
     let all = replicas(0..6, 1);
     holder.want(wanted(0), granter(), TENURE);
     exchange(&mut ledger, &mut holder, 0, &all);
     assert_eq!(holder.use_permit(10, &unit(0), Attempt(1)), Ok(TENURE));
-    // Guard: it is gone at the holder's before the owner has heard of it. Not to name it would return it.
+    // The holder drops the stop request before the owner has learned that the permit was used. If the next message did
+    // not list it, the owner would take the permit as returned.
     holder.retain(|_| false);
     exchange(&mut ledger, &mut holder, 100, &all);
-    assert_eq!(spent(&ledger), [0]);
+    assert_eq!(outstanding(&ledger), [0]);
     exchange(&mut ledger, &mut holder, 200, &all);
-    assert_eq!(spent(&ledger), [0], "it is settled by evidence alone from now on");
+    assert_eq!(
+        outstanding(&ledger),
+        [0],
+        "from now on only the unit's state releases the permit"
+    );
     assert!(!holder.needs_message(&granter()));
 }
 
 #[test]
-fn late_messages_and_late_answers_change_nothing() {
+fn late_messages_and_late_answers_are_ignored() {
     let (mut ledger, mut holder) = (PermitLedger::new(TENURE, 0), PermitHolder::default());
     let all = replicas(0..6, 1);
     holder.want(wanted(0), granter(), TENURE);
     let first = holder.message_for(&granter());
-    assert!(ledger.take_message(&asker(), 1, &first));
+    assert!(ledger.take_message(&requester(), 1, &first));
     let permits = ledger
         .request(0, VALID_MS, &[request(0)], &all)
-        .expect("a unit is left");
+        .expect("the budget allows one more unit");
     ledger.note_answered(&unit(0));
-    // The answer is under way while the wish is dropped, and comes up again.
+    // While the answer is in flight, the stop request is dropped and then made again.
     holder.retain(|_| false);
     let second = holder.message_for(&granter());
-    assert!(ledger.take_message(&asker(), 1, &second));
-    assert_eq!(spent(&ledger), []);
+    assert!(ledger.take_message(&requester(), 1, &second));
+    assert_eq!(outstanding(&ledger), []);
     holder.want(wanted(0), granter(), TENURE);
     holder.message_for(&granter());
     holder.take_answer(&granter(), first.sequence, 0, &permits);
     assert_eq!(holder.use_permit(10, &unit(0), Attempt(1)), Err(UseError::NotGranted));
-    // A copy of the first message comes late.
-    assert!(!ledger.take_message(&asker(), 1, &first));
+    // A copy of the first message arrives late.
+    assert!(!ledger.take_message(&requester(), 1, &first));
 }
 
 #[test]
-fn a_permit_ends_for_its_holder_before_it_does_for_its_owner() {
+fn permit_expires_at_its_holder_before_it_expires_at_its_owner() {
     let (mut ledger, mut holder) = (PermitLedger::new(TENURE, 0), PermitHolder::default());
     holder.want(wanted(0), granter(), TENURE);
     exchange(&mut ledger, &mut holder, 0, &replicas(0..6, 1));
@@ -288,7 +308,7 @@
         late.use_permit(VALID_MS - 20, &unit(0), Attempt(1)),
         Err(UseError::Expired)
     );
-    assert!(late.wants(&unit(0), Attempt(1)), "it is asked for anew");
+    assert!(late.wants(&unit(0), Attempt(1)), "the permit is requested again");
     assert!(holder.use_permit(VALID_MS - 100, &unit(0), Attempt(1)).is_ok());
     assert_eq!(
         holder.use_permit(VALID_MS - 100, &unit(0), Attempt(1)),
@@ -297,14 +317,14 @@
 }
 
 #[test]
-fn permits_of_an_earlier_tenure_are_dropped_and_not_taken() {
+fn permits_of_an_earlier_ownership_epoch_are_rejected_and_dropped() {
     let (mut ledger, mut holder) = (PermitLedger::new(TENURE, 0), PermitHolder::default());
     holder.want(wanted(0), granter(), Tenure(8));
     exchange(&mut ledger, &mut holder, 0, &replicas(0..6, 1));
     assert_eq!(
         holder.use_permit(10, &unit(0), Attempt(1)),
         Err(UseError::NotGranted),
-        "granted by tenure 7"
+        "granted under ownership epoch 7"
     );
     holder.drop_superseded(|_, _, tenure| tenure != Tenure(8));
     assert!(!holder.wants(&unit(0), Attempt(1)));
--- a/crates/tidelatch-disruption/tests/model.rs
+++ b/crates/tidelatch-disruption/tests/model.rs
@@ -1,9 +1,11 @@
-//! Explores all short histories of a granter, an asker, a successor of the granter, late grants, late stops and pauses,
-//! with the package's own states in the model, by `pathfinding`'s breadth-first search.
+//! Model checks the permit protocol: explores all short histories of a granting owner, a requester, a successor of the
+//! owner, late answers, late stop commands and pauses, by `pathfinding`'s breadth-first search. The crate's own types
+//! are part of the model's state.
 //!
-//! A service of three replicas, of which one may be away, runs on a machine of the asker's. The asker stops each
-//! replica once. Owner 1 grants, until a successor takes over with a higher fencing token. At most [`MOST_FAULTS`]
-//! faults happen in a history of [`DEPTH`] intervals; in each interval each part that is not paused acts once.
+//! A service of three replicas, of which one may be unavailable at a time, runs on a machine that the requester owns.
+//! The requester stops each replica once. Owner 1 grants permits until a successor takes over with a higher fencing
+//! token. At most [`MAX_FAULTS`] faults happen in a history of [`DEPTH`] intervals; in each interval each participant
+//! that is not paused acts once.
 
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::BTreeMap;
@@ -15,35 +17,35 @@
 
 const REPLICAS: u32 = 3;
 const DEPTH: u64 = 16;
-const MOST_FAULTS: u8 = 4;
+const MAX_FAULTS: u8 = 4;
 const INTERVAL_MS: u64 = 1_000;
 const VALID_MS: u64 = 3 * INTERVAL_MS;
-/// Intervals in which a drain ends once there are no faults any more.
-const FAIR_INTERVALS: u64 = 40;
-const FIRST: Tenure = Tenure(1);
-const SECOND: Tenure = Tenure(2);
+/// Number of intervals within which a drain must end once no more faults happen.
+const RECOVERY_INTERVALS: u64 = 40;
+const FIRST_EPOCH: Tenure = Tenure(1);
+const SECOND_EPOCH: Tenure = Tenure(2);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Fault {
     None,
-    /// The message of this interval and its answer are lost.
+    /// The message of this interval is lost, and so there is no answer.
     MessageLost,
-    /// The message arrives, and its answer only in a later interval.
+    /// The message arrives, but its answer only in a later interval.
     AnswerLate,
-    /// A copy of an earlier message arrives after this one.
+    /// A copy of an earlier message arrives after this interval's message.
     MessageCopied,
-    /// The stops of this interval are held up, and arrive by the next such fault or at the end.
-    StopHeldUp,
-    /// The stop that was held up is carried out.
+    /// The stop commands of this interval are not delivered. One of them is delayed, if none is yet.
+    StopDelayed,
+    /// The delayed stop command is carried out.
     StopArrives,
-    /// The owner's view of the machine stays as old as it is.
+    /// The owner receives no report, so its view of the machine is not updated.
     ReportLost,
-    /// The asker stands still, or goes on.
+    /// The requester pauses, or resumes.
     Pause,
-    /// A successor takes the team over.
-    TakeOver,
-    /// A replica dies by itself.
-    Death,
+    /// A successor takes over the team.
+    Takeover,
+    /// A replica fails on its own.
+    ReplicaFailure,
 }
 
 const FAULTS: [Fault; 10] = [
@@ -51,24 +53,24 @@
     Fault::MessageLost,
     Fault::AnswerLate,
     Fault::MessageCopied,
-    Fault::StopHeldUp,
+    Fault::StopDelayed,
     Fault::StopArrives,
     Fault::ReportLost,
     Fault::Pause,
-    Fault::TakeOver,
-    Fault::Death,
+    Fault::Takeover,
+    Fault::ReplicaFailure,
 ];
 
-/// A replica on the machine, or the place of one that is away.
+/// A replica on the machine, or the slot of one that does not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Replica {
     attempt: u64,
-    runs: bool,
-    /// It was stopped by a permit, and does not run again yet.
-    stopped: bool,
+    is_running: bool,
+    /// It was stopped under a permit, and does not run again yet.
+    is_stopped: bool,
 }
 
-/// A stop on its way, with the token that it carries.
+/// A stop command in flight, with the fencing token that it carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Stop {
     replica: u32,
@@ -82,20 +84,21 @@
     faults_left: u8,
     replicas: [Replica; REPLICAS as usize],
     worker_token: Tenure,
-    held_up: Option<Stop>,
-    /// The stored epoch: who owns the team.
+    delayed_stop: Option<Stop>,
+    /// The stored ownership epoch, which decides who owns the team.
     epoch: Tenure,
     ledger: PermitLedger,
-    /// What the present owner has seen of the machine in its tenure.
+    /// The last report of the machine that the current owner has received in its epoch.
     view: Option<[Replica; REPLICAS as usize]>,
-    asker: PermitHolder,
-    asker_epoch: Tenure,
-    asker_paused: bool,
-    /// Stops that the asker goes on with until the attempt is gone, and the tenure that permitted them.
+    requester: PermitHolder,
+    requester_epoch: Tenure,
+    is_requester_paused: bool,
+    /// Attempts that the requester keeps stopping until they are gone, with the ownership epoch that permitted each
+    /// stop.
     stopping: BTreeMap<(u32, u64), Tenure>,
     late_answer: Option<(u64, u64, Vec<Permit>)>,
     earlier_message: Option<PermitMessage>,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 fn unit(index: u32) -> Unit {
@@ -103,39 +106,39 @@
 }
 
 fn owner(epoch: Tenure) -> ControllerName {
-    ControllerName::new(if epoch == FIRST { "a" } else { "b" })
+    ControllerName::new(if epoch == FIRST_EPOCH { "a" } else { "b" })
 }
 
-fn asker() -> ControllerName {
+fn requester() -> ControllerName {
     ControllerName::new("x")
 }
 
 fn initial() -> State {
     let replica = Replica {
         attempt: 1,
-        runs: true,
-        stopped: false,
+        is_running: true,
+        is_stopped: false,
     };
     State {
         interval: 0,
-        faults_left: MOST_FAULTS,
+        faults_left: MAX_FAULTS,
         replicas: [replica; REPLICAS as usize],
-        worker_token: FIRST,
-        held_up: None,
-        epoch: FIRST,
-        ledger: PermitLedger::new(FIRST, 0),
+        worker_token: FIRST_EPOCH,
+        delayed_stop: None,
+        epoch: FIRST_EPOCH,
+        ledger: PermitLedger::new(FIRST_EPOCH, 0),
         view: Some([replica; REPLICAS as usize]),
-        asker: PermitHolder::default(),
-        asker_epoch: FIRST,
-        asker_paused: false,
+        requester: PermitHolder::default(),
+        requester_epoch: FIRST_EPOCH,
+        is_requester_paused: false,
         stopping: BTreeMap::new(),
         late_answer: None,
         earlier_message: None,
-        broken: None,
+        violation: None,
     }
 }
 
-/// What the owner knows, as the ledger asks it.
+/// The owner's view of the units, as the ledger reads it.
 struct View<'a>(&'a State);
 
 impl LedgerView for View<'_> {
@@ -144,10 +147,10 @@
             return UnitState::Stoppable;
         };
         let replica = view[unit.index() as usize];
-        if replica.attempt == permit.attempt().0 && replica.runs {
-            // The asker's ownership of the machine lasts through all of this model.
+        if replica.attempt == permit.attempt().0 && replica.is_running {
+            // The requester owns the machine for the whole history.
             UnitState::Stoppable
-        } else if replica.runs {
+        } else if replica.is_running {
             UnitState::RunsAnew
         } else {
             UnitState::Gone
@@ -170,7 +173,7 @@
         let mut census = Census::default();
         let scope = ScopeName::new("job");
         census.add_scope(scope.clone(), Budget::MaxUnavailable(Amount::Count(1)));
-        let runs = |index: &u32| self.view.is_some_and(|view| view[*index as usize].runs);
+        let runs = |index: &u32| self.view.is_some_and(|view| view[*index as usize].is_running);
         let running: UnitSet = (0..REPLICAS).filter(runs).collect();
         let job = JobCensus::new(Counting::Replicas, REPLICAS, running, [scope]);
         census.add_job(JobName::new("job"), job);
@@ -185,60 +188,60 @@
             next.faults_left = next.faults_left.checked_sub(1)?;
         }
         match fault {
-            Fault::TakeOver if next.epoch == FIRST => next.take_over(),
+            Fault::Takeover if next.epoch == FIRST_EPOCH => next.start_takeover(),
             Fault::StopArrives => next.stop_arrives()?,
-            Fault::Pause => next.asker_paused = !next.asker_paused,
-            Fault::Death => next.death(),
-            Fault::TakeOver => return None,
+            Fault::Pause => next.is_requester_paused = !next.is_requester_paused,
+            Fault::ReplicaFailure => next.fail_replica(),
+            Fault::Takeover => return None,
             _ => {}
         }
-        next.owner_acts(fault);
-        if !next.asker_paused {
-            next.asker_acts(fault);
+        next.step_owner(fault);
+        if !next.is_requester_paused {
+            next.step_requester(fault);
         }
-        next.check();
+        next.check_budget();
         Some(next)
     }
 
-    fn take_over(&mut self) {
-        self.epoch = SECOND;
+    fn start_takeover(&mut self) {
+        self.epoch = SECOND_EPOCH;
         self.view = None;
-        self.ledger = PermitLedger::new(SECOND, self.now_ms() + VALID_MS);
+        self.ledger = PermitLedger::new(SECOND_EPOCH, self.now_ms() + VALID_MS);
     }
 
-    fn death(&mut self) {
-        self.replicas[0].runs = false;
+    fn fail_replica(&mut self) {
+        self.replicas[0].is_running = false;
     }
 
     fn stop_arrives(&mut self) -> Option<()> {
-        let stop = self.held_up.take()?;
-        self.carry_out(stop);
+        let stop = self.delayed_stop.take()?;
+        self.apply_stop(stop);
         Some(())
     }
 
-    fn carry_out(&mut self, stop: Stop) {
+    fn apply_stop(&mut self, stop: Stop) {
         let replica = &mut self.replicas[stop.replica as usize];
-        let fits = stop.token >= self.worker_token && replica.attempt == stop.attempt && replica.runs;
-        if fits {
+        let is_accepted = stop.token >= self.worker_token && replica.attempt == stop.attempt && replica.is_running;
+        if is_accepted {
             self.worker_token = stop.token;
-            replica.runs = false;
-            replica.stopped = true;
+            replica.is_running = false;
+            replica.is_stopped = true;
         }
     }
 
-    /// The owner hears the machine, starts what is away anew, and settles its ledger.
-    fn owner_acts(&mut self, fault: Fault) {
-        // Whoever answers a report hands the worker the token.
+    /// The owner receives the machine's report, restarts replicas that do not run, and settles its ledger.
+    fn step_owner(&mut self, fault: Fault) {
+        // The answer to a report hands the owner's token to the worker.
         self.worker_token = self.worker_token.max(self.epoch);
         if fault != Fault::ReportLost {
             if let Some(view) = self.view {
                 for (replica, seen) in self.replicas.iter_mut().zip(view) {
-                    // What was seen to be away has been started since, and runs by now.
-                    if !seen.runs && !replica.runs {
+                    // A replica that the last report showed as not running has been restarted since, and runs by now.
+                    if !seen.is_running && !replica.is_running {
                         *replica = Replica {
                             attempt: replica.attempt + 1,
-                            runs: true,
-                            stopped: false,
+                            is_running: true,
+                            is_stopped: false,
                         };
                     }
                 }
@@ -250,41 +253,44 @@
         self.ledger = ledger;
     }
 
-    fn asker_acts(&mut self, fault: Fault) {
-        if self.asker_epoch != self.epoch {
-            // It has read the new epoch, and takes back what an earlier owner permitted.
-            self.asker_epoch = self.epoch;
+    fn step_requester(&mut self, fault: Fault) {
+        if self.requester_epoch != self.epoch {
+            // The requester has read the new epoch, and cancels what an earlier owner permitted.
+            self.requester_epoch = self.epoch;
             let current = self.epoch;
-            self.asker.drop_superseded(|_, _, tenure| tenure == current);
+            self.requester.drop_superseded(|_, _, tenure| tenure == current);
             self.stopping.retain(|_, tenure| *tenure == current);
         }
         let on_machine = self.replicas;
-        let held =
-            |index: u32, attempt: u64| on_machine[index as usize].attempt == attempt && on_machine[index as usize].runs;
-        self.stopping.retain(|(index, attempt), _| held(*index, *attempt));
-        self.asker.retain(|wanted| held(wanted.unit.index(), wanted.attempt.0));
+        let is_on_machine = |index: u32, attempt: u64| {
+            on_machine[index as usize].attempt == attempt && on_machine[index as usize].is_running
+        };
+        self.stopping
+            .retain(|(index, attempt), _| is_on_machine(*index, *attempt));
+        self.requester
+            .retain(|wanted| is_on_machine(wanted.unit.index(), wanted.attempt.0));
         for index in 0..REPLICAS {
-            if held(index, 1) {
+            if is_on_machine(index, 1) {
                 let wanted = WantedPermit {
                     unit: unit(index),
                     attempt: Attempt(1),
                     machine: MachineName::new("m"),
-                    machine_tenure: FIRST,
+                    machine_tenure: FIRST_EPOCH,
                 };
-                self.asker.want(wanted, owner(self.epoch), self.epoch);
+                self.requester.want(wanted, owner(self.epoch), self.epoch);
             }
         }
-        self.exchange(fault);
+        self.exchange_messages(fault);
         self.use_permits();
         self.send_stops(fault);
     }
 
-    fn exchange(&mut self, fault: Fault) {
+    fn exchange_messages(&mut self, fault: Fault) {
         if let Some((sequence, sent_ms, permits)) = self.late_answer.take() {
-            self.asker
-                .take_answer(&owner(self.asker_epoch), sequence, sent_ms, &permits);
+            self.requester
+                .take_answer(&owner(self.requester_epoch), sequence, sent_ms, &permits);
         }
-        let message = self.asker.message_for(&owner(self.asker_epoch));
+        let message = self.requester.message_for(&owner(self.requester_epoch));
         if fault == Fault::MessageLost {
             return;
         }
@@ -300,13 +306,13 @@
         if fault == Fault::AnswerLate {
             self.late_answer = Some((sequence, sent_ms, permits));
         } else {
-            self.asker
-                .take_answer(&owner(self.asker_epoch), sequence, sent_ms, &permits);
+            self.requester
+                .take_answer(&owner(self.requester_epoch), sequence, sent_ms, &permits);
         }
     }
 
     fn answer(&mut self, message: &PermitMessage) -> Vec<Permit> {
-        if !self.ledger.take_message(&asker(), 1, message) {
+        if !self.ledger.take_message(&requester(), 1, message) {
             return Vec::new();
         }
         let census = self.census();
@@ -317,7 +323,7 @@
                 unit: wanted.unit.clone(),
                 attempt: wanted.attempt,
                 machine: wanted.machine.clone(),
-                asker: asker(),
+                asker: requester(),
                 machine_tenure: wanted.machine_tenure,
             };
             if let Ok(granted) = self.ledger.request(now_ms, VALID_MS, &[request], &census) {
@@ -330,9 +336,9 @@
 
     fn use_permits(&mut self) {
         for index in 0..REPLICAS {
-            if let Ok(tenure) = self.asker.use_permit(self.now_ms(), &unit(index), Attempt(1)) {
+            if let Ok(tenure) = self.requester.use_permit(self.now_ms(), &unit(index), Attempt(1)) {
                 if tenure < self.ledger.tenure() && self.ledger.outstanding().next().is_some() {
-                    self.broken = Some("a permit of an earlier owner was used after a later one had granted");
+                    self.violation = Some("a permit of an earlier owner was used after a later one had granted");
                 }
                 self.stopping.insert((index, 1), tenure);
             }
@@ -344,57 +350,61 @@
             let stop = Stop {
                 replica: index,
                 attempt,
-                token: self.asker_epoch,
+                token: self.requester_epoch,
             };
-            if fault == Fault::StopHeldUp && self.held_up.is_none() {
-                self.held_up = Some(stop);
-            } else if fault != Fault::StopHeldUp {
-                self.carry_out(stop);
+            if fault == Fault::StopDelayed && self.delayed_stop.is_none() {
+                self.delayed_stop = Some(stop);
+            } else if fault != Fault::StopDelayed {
+                self.apply_stop(stop);
             }
         }
     }
 
-    fn check(&mut self) {
-        let stopped = self.replicas.iter().filter(|replica| replica.stopped).count();
+    fn check_budget(&mut self) {
+        let stopped = self.replicas.iter().filter(|replica| replica.is_stopped).count();
         if stopped > 1 {
-            self.broken = Some("more replicas were stopped than the budget allows");
+            self.violation = Some("more replicas were stopped than the budget allows");
         }
     }
 
-    fn is_drained(&self) -> bool {
-        self.replicas.iter().all(|replica| replica.attempt > 1 && replica.runs)
+    fn is_drain_complete(&self) -> bool {
+        self.replicas
+            .iter()
+            .all(|replica| replica.attempt > 1 && replica.is_running)
     }
 }
 
 fn successors(state: &State) -> Vec<State> {
-    if state.interval >= DEPTH || state.broken.is_some() {
+    if state.interval >= DEPTH || state.violation.is_some() {
         return Vec::new();
     }
     FAULTS.iter().filter_map(|fault| state.next(*fault)).collect()
 }
 
 #[test]
-fn no_history_exceeds_the_budget_and_every_drain_ends() {
+fn no_history_exceeds_the_budget_and_every_drain_completes() {
     let mut states = 0u64;
     for state in bfs_reach(initial(), successors) {
         states += 1;
-        assert_eq!(state.broken, None, "{state:#?}");
-        // From each state at the end of the faults the drain comes to its end.
+        assert_eq!(state.violation, None, "{state:#?}");
+        // From each state after the last fault, the drain must complete.
         if state.interval < DEPTH && state.faults_left > 0 {
             continue;
         }
-        let mut fair = State {
-            asker_paused: false,
+        let mut recovery = State {
+            is_requester_paused: false,
             ..state
         };
-        for _ in 0..FAIR_INTERVALS {
-            if fair.is_drained() {
+        for _ in 0..RECOVERY_INTERVALS {
+            if recovery.is_drain_complete() {
                 break;
             }
-            fair = fair.next(Fault::None).expect("nothing is used up");
-            assert_eq!(fair.broken, None, "{fair:#?}");
+            recovery = recovery
+                .next(Fault::None)
+                .expect("an interval without a fault is always possible");
+            assert_eq!(recovery.violation, None, "{recovery:#?}");
         }
-        assert!(fair.is_drained(), "{fair:#?}");
+        assert!(recovery.is_drain_complete(), "{recovery:#?}");
     }
     assert!(states > 100_000, "{states} states");
 }
--- a/crates/tidelatch-failure-detector/examples/measure.rs
+++ b/crates/tidelatch-failure-detector/examples/measure.rs
@@ -1,9 +1,9 @@
-//! Measures the detector on simulated networks: time to suspicion and false suspicions, by estimator and threshold, for
-//! steady, jittery and heavy-tailed arrivals and clusters of several sizes.
+//! Measures the detector on simulated networks: time to suspicion and number of false suspicions, by estimator and
+//! threshold, for steady, jittery and heavy-tailed message delays and for clusters of several sizes.
 //!
 //!     cargo run --release -p tidelatch-failure-detector --example measure
 //!
-//! Prints a table in Markdown. Times are simulated; the last column is real processor time.
+//! Prints a table in Markdown. Times are simulated, except in the last column, which is real processor time.
 
 use hdrhistogram::Histogram;
 use rand::SeedableRng;
@@ -20,15 +20,15 @@
     lease_ms: 7_200,
 };
 const TICK_MS: u64 = 100;
-/// Undisturbed time in which suspicions are false ones.
-const QUIET_MS: u64 = 3_600_000;
-/// Crashes of which the time to suspicion is taken.
-const CRASHES: u64 = 20;
-/// Time between two crashes: the cluster is steady again by then.
-const BETWEEN_CRASHES_MS: u64 = 60_000;
+/// Time without crashes at the start. Every suspicion in it is a false one.
+const CRASH_FREE_MS: u64 = 3_600_000;
+/// Number of crashes for which the time to suspicion is measured.
+const CRASH_COUNT: u64 = 20;
+/// Time between two crashes, long enough for the cluster to become steady again.
+const CRASH_INTERVAL_MS: u64 = 60_000;
 const SEED: u64 = 1;
 
-/// How long heartbeats are under way.
+/// Distribution of message delays.
 #[derive(Debug, Clone, Copy)]
 enum Network {
     Steady,
@@ -36,25 +36,25 @@
     HeavyTailed,
 }
 
-/// Draws delays in milliseconds.
-enum Delays {
+/// Sampler of message delays, in milliseconds.
+enum DelaySampler {
     Normal(Normal<f64>),
     LogNormal(LogNormal<f64>),
     Pareto(Pareto<f64>),
 }
 
 impl Network {
-    fn delays(self) -> Result<Delays, Box<dyn std::error::Error>> {
+    fn delays(self) -> Result<DelaySampler, Box<dyn std::error::Error>> {
         Ok(match self {
-            Self::Steady => Delays::Normal(Normal::new(5.0, 2.0)?),
-            Self::Jittery => Delays::LogNormal(LogNormal::new(5.0, 0.8)?),
-            Self::HeavyTailed => Delays::Pareto(Pareto::new(20.0, 1.1)?),
+            Self::Steady => DelaySampler::Normal(Normal::new(5.0, 2.0)?),
+            Self::Jittery => DelaySampler::LogNormal(LogNormal::new(5.0, 0.8)?),
+            Self::HeavyTailed => DelaySampler::Pareto(Pareto::new(20.0, 1.1)?),
         })
     }
 }
 
-impl Delays {
-    fn draw_ms(&self, random: &mut StdRng) -> u64 {
+impl DelaySampler {
+    fn sample_ms(&self, random: &mut StdRng) -> u64 {
         let ms = match self {
             Self::Normal(d) => d.sample(random),
             Self::LogNormal(d) => d.sample(random),
@@ -64,7 +64,7 @@
     }
 }
 
-/// The store: crashed members lose their registration after a lease.
+/// The store. A crashed member loses its registration one lease after the crash.
 #[derive(Default)]
 struct Store {
     registered: BTreeMap<MemberId, Life>,
@@ -93,9 +93,9 @@
     lives: Vec<u64>,
     down_since_ms: Vec<Option<u64>>,
     store: Store,
-    under_way: BTreeMap<(u64, u64), (usize, Heartbeat)>,
-    sent: u64,
-    delays: Delays,
+    in_flight: BTreeMap<(u64, u64), (usize, Heartbeat)>,
+    sent_messages: u64,
+    delays: DelaySampler,
     random: StdRng,
     policy: Policy,
     suspected: Histogram<u64>,
@@ -114,8 +114,8 @@
             lives: (1..=size as u64).map(|index| index * 1_000).collect(),
             down_since_ms: vec![None; size],
             store: Store::default(),
-            under_way: BTreeMap::new(),
-            sent: 0,
+            in_flight: BTreeMap::new(),
+            sent_messages: 0,
             delays: network.delays()?,
             random: StdRng::seed_from_u64(SEED),
             policy,
@@ -146,64 +146,64 @@
     }
 
     fn run(&mut self, ms: u64) -> Result<(), Box<dyn std::error::Error>> {
-        let until = self.store.now_ms + ms;
-        while self.store.now_ms < until {
+        let until_ms = self.store.now_ms + ms;
+        while self.store.now_ms < until_ms {
             self.store.now_ms += TICK_MS;
-            self.expire();
-            self.deliver();
+            self.expire_registrations();
+            self.deliver_due_heartbeats();
             for index in 0..self.detectors.len() {
                 if self.down_since_ms[index].is_none() {
-                    self.step(index)?;
+                    self.step_member(index)?;
                 }
             }
         }
         Ok(())
     }
 
-    fn expire(&mut self) {
+    fn expire_registrations(&mut self) {
         for (index, down_since_ms) in self.down_since_ms.iter().enumerate() {
-            if down_since_ms.is_some_and(|since| self.store.now_ms >= since + TIMING.lease_ms) {
+            if down_since_ms.is_some_and(|since_ms| self.store.now_ms >= since_ms + TIMING.lease_ms) {
                 self.store.registered.remove(&name(index));
             }
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_due_heartbeats(&mut self) {
         let now_ms = self.store.now_ms;
-        while let Some(((at, _), _)) = self.under_way.first_key_value() {
-            if *at > now_ms {
+        while let Some(((arrives_ms, _), _)) = self.in_flight.first_key_value() {
+            if *arrives_ms > now_ms {
                 return;
             }
-            let Some((_, (to, heartbeat))) = self.under_way.pop_first() else {
+            let Some((_, (to, heartbeat))) = self.in_flight.pop_first() else {
                 return;
             };
             if self.down_since_ms[to].is_none() {
-                // What was overtaken counts as no evidence.
+                // A heartbeat that arrives_ms after a newer one is rejected as evidence.
                 let _ = self.detectors[to].on_heartbeat(now_ms, Channel::Scheduled, &heartbeat);
             }
         }
     }
 
-    fn step(&mut self, index: usize) -> Result<(), Box<dyn std::error::Error>> {
+    fn step_member(&mut self, index: usize) -> Result<(), Box<dyn std::error::Error>> {
         let now_ms = self.store.now_ms;
         for event in self.detectors[index].tick(now_ms, &self.store) {
-            self.count(&event)?;
+            self.record_event(&event)?;
         }
-        // Members send at different moments of the interval.
+        // Members send at different moments of the heartbeat interval.
         let phase = index as u64 * 300;
         if !(now_ms + phase).is_multiple_of(TIMING.heartbeat_ms) {
             return Ok(());
         }
         for to in (0..self.detectors.len()).filter(|to| *to != index) {
             let heartbeat = self.detectors[index].heartbeat(now_ms, None);
-            let arrives = now_ms + self.delays.draw_ms(&mut self.random);
-            self.sent += 1;
-            self.under_way.insert((arrives, self.sent), (to, heartbeat));
+            let arrives_ms = now_ms + self.delays.sample_ms(&mut self.random);
+            self.sent_messages += 1;
+            self.in_flight.insert((arrives_ms, self.sent_messages), (to, heartbeat));
         }
         Ok(())
     }
 
-    fn count(&mut self, event: &Event) -> Result<(), Box<dyn std::error::Error>> {
+    fn record_event(&mut self, event: &Event) -> Result<(), Box<dyn std::error::Error>> {
         let (member, times) = match event {
             Event::Suspected { member, .. } => (member, &mut self.suspected),
             Event::Confirmed { member, .. } => (member, &mut self.confirmed),
@@ -211,7 +211,7 @@
         };
         let index = (0..self.lives.len()).find(|index| name(*index) == *member);
         match index.and_then(|index| self.down_since_ms[index]) {
-            Some(since) => times.record(self.store.now_ms - since)?,
+            Some(since_ms) => times.record(self.store.now_ms - since_ms)?,
             None => self.false_suspicions += 1,
         }
         Ok(())
@@ -219,35 +219,35 @@
 
     fn crash_and_restart(&mut self, index: usize) -> Result<(), Box<dyn std::error::Error>> {
         self.down_since_ms[index] = Some(self.store.now_ms);
-        self.run(BETWEEN_CRASHES_MS / 2)?;
+        self.run(CRASH_INTERVAL_MS / 2)?;
         self.down_since_ms[index] = None;
         self.lives[index] += 1;
         self.detectors[index] = self.detector(index)?;
         self.store.registered.insert(name(index), Life(self.lives[index]));
-        self.run(BETWEEN_CRASHES_MS / 2)
+        self.run(CRASH_INTERVAL_MS / 2)
     }
 }
 
 fn measure(size: usize, network: Network, policy: Policy) -> Result<String, Box<dyn std::error::Error>> {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut cluster = Cluster::new(size, network, policy)?;
-    cluster.run(QUIET_MS)?;
+    cluster.run(CRASH_FREE_MS)?;
     let false_suspicions = cluster.false_suspicions;
-    for crash in 0..CRASHES {
+    for crash in 0..CRASH_COUNT {
         cluster.crash_and_restart(crash as usize % size)?;
     }
     let simulated_s = cluster.store.now_ms as f64 / 1000.0;
-    let micros_per_second = began.elapsed().as_micros() as f64 / simulated_s / size as f64;
-    let at = |times: &Histogram<u64>, quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
+    let us_per_second = started.elapsed().as_micros() as f64 / simulated_s / size as f64;
+    let quantile_s = |times: &Histogram<u64>, quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
     let (suspected, confirmed) = (&cluster.suspected, &cluster.confirmed);
     Ok(format!(
-        "| {size} | {network:?} | {:?} | {:.1} | {:.1} / {:.1} | {:.1} / {:.1} | {false_suspicions} | {micros_per_second:.0} |",
+        "| {size} | {network:?} | {:?} | {:.1} | {:.1} / {:.1} | {:.1} / {:.1} | {false_suspicions} | {us_per_second:.0} |",
         policy.estimator,
         f64::from(policy.threshold_milliphi) / 1000.0,
-        at(suspected, 0.5),
-        at(suspected, 0.99),
-        at(confirmed, 0.5),
-        at(confirmed, 0.99),
+        quantile_s(suspected, 0.5),
+        quantile_s(suspected, 0.99),
+        quantile_s(confirmed, 0.5),
+        quantile_s(confirmed, 0.99),
     ))
 }
 
@@ -261,7 +261,7 @@
     for network in networks {
         for estimator in estimators {
             for threshold_milliphi in [2_000, 6_000, 12_000] {
-                // A fixed timeout has no threshold: it is a part of the lease.
+                // The fixed timeout is a fraction of the lease and does not depend on the threshold.
                 if estimator == Estimator::FixedTimeout && threshold_milliphi != 6_000 {
                     continue;
                 }
