--- a/crates/tidelatch-disruption/tests/budgets.rs
+++ b/crates/tidelatch-disruption/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Property tests of budgets, any_amount and machine sets, with fixed seeds.
+//! Property tests of budgets, amounts and machine sets, with fixed seeds.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
--- a/crates/tidelatch-failure-detector/examples/measure.rs
+++ b/crates/tidelatch-failure-detector/examples/measure.rs
@@ -178,7 +178,7 @@
                 return;
             };
             if self.down_since_ms[to].is_none() {
-                // A heartbeat that arrives_ms after a newer one is rejected as evidence.
+                // A heartbeat that arrives after a newer one is rejected as evidence.
                 let _ = self.detectors[to].on_heartbeat(now_ms, Channel::Scheduled, &heartbeat);
             }
         }
--- a/crates/tidelatch-failure-detector/src/arbiter.rs
+++ b/crates/tidelatch-failure-detector/src/arbiter.rs
@@ -56,7 +56,7 @@
     Released,
 }
 
-/// Returns the decide_verdict on a suspected member, or `None` if the evidence is not certain.
+/// Returns the verdict on a suspected member, or `None` if the evidence is not certain.
 pub fn decide_verdict(
     suspicion: &Suspicion,
     registration: Registration,
--- a/crates/tidelatch-failure-detector/src/estimator.rs
+++ b/crates/tidelatch-failure-detector/src/estimator.rs
@@ -40,7 +40,7 @@
         let silence = silence_ms as f64;
         let heartbeat = timing.heartbeat_ms as f64;
         let pause = heartbeat * f64::from(policy.acceptable_pause_permille) / 1000.0;
-        // The mean is at min_deviation the heartbeat interval, so that a member which sends more often than required is not
+        // The mean is at least the heartbeat interval, so that a member which sends more often than required is not
         // suspected as soon as it returns to the regular rate.
         let mean = window.mean_ms().unwrap_or(heartbeat).max(heartbeat) + pause;
         let phi = match self {
--- a/crates/tidelatch-failure-detector/src/flapping.rs
+++ b/crates/tidelatch-failure-detector/src/flapping.rs
@@ -28,7 +28,7 @@
         1 + flaps.saturating_sub(u64::from(policy.flaps_forgiven))
     }
 
-    /// Returns the current_points penalty points. They are halved once for each complete half-life since the last flap.
+    /// Returns the current penalty points. They are halved once for each complete half-life since the last flap.
     fn current_points(&self, now_ms: u64, timing: Timing, policy: &Policy) -> u64 {
         let half_life_ms = policy
             .scale_permille(timing.lease_ms, policy.flap_half_life_permille)
--- a/crates/tidelatch-failure-detector/tests/detector.rs
+++ b/crates/tidelatch-failure-detector/tests/detector.rs
@@ -1,4 +1,4 @@
-//! Suspicion, refutation and verdicts, one case at a time.
+//! Tests of suspicion, refutation and confirmation, one scenario each.
 
 mod support;
 
@@ -8,12 +8,12 @@
     Rejection, Timing, Verdict,
 };
 
-fn detector(others: &[&str]) -> FailureDetector {
+fn new_detector(others: &[&str]) -> FailureDetector {
     let others = others.iter().map(|name| member(name));
-    FailureDetector::new(member("a"), Life(1), others, TIMING, Policy::default(), 0).expect("the settings are in order")
+    FailureDetector::new(member("a"), Life(1), others, TIMING, Policy::default(), 0).expect("the settings are valid")
 }
 
-fn alive(about: &str, life: u64) -> Claim {
+fn claim_alive(about: &str, life: u64) -> Claim {
     Claim {
         member: member(about),
         incarnation: Incarnation {
@@ -38,143 +38,144 @@
 }
 
 #[test]
-fn a_dead_member_is_suspected_before_its_lease_ends_and_confirmed_when_it_has() {
+fn crashed_member_is_suspected_before_its_lease_ends_and_confirmed_afterwards() {
     let mut cluster = Cluster::new(4, Policy::default());
     cluster.run(60_000);
     cluster.crash(2);
     let crashed_ms = cluster.now_ms;
     cluster.run(2 * LEASE_MS);
     for observer in [0, 1, 3] {
-        let suspected = cluster.first(observer, is_suspected).expect("suspected");
-        let confirmed = cluster.first(observer, is_confirmed).expect("confirmed");
+        let suspected = cluster.first_event_ms(observer, is_suspected).expect("suspected");
+        let confirmed = cluster.first_event_ms(observer, is_confirmed).expect("confirmed");
         assert!(
             suspected > crashed_ms && suspected < crashed_ms + LEASE_MS,
             "{suspected}"
         );
-        // Guard: the verdict comes with the end of the registration, neither before nor much later.
+        // The confirmation comes with the end of the registration, neither before nor much later.
         let ended = crashed_ms + LEASE_MS;
         assert!((ended - 200..=ended + 200).contains(&confirmed), "{confirmed}");
     }
-    assert_eq!(cluster.count(is_cleared), 0);
+    assert_eq!(cluster.count_events(is_cleared), 0);
 }
 
 #[test]
-fn without_an_arbiter_nobody_is_ever_confirmed() {
-    // Guard: silence alone is no verdict, however long it lasts.
+fn no_member_is_confirmed_while_the_arbiter_is_unreachable() {
+    // Missing heartbeats alone confirm no member, however long they last.
     let mut cluster = Cluster::new(3, Policy::default());
     cluster.run(30_000);
     cluster.store.reachable = false;
     cluster.crash(2);
     cluster.run(100 * LEASE_MS);
-    assert_eq!(cluster.count(is_suspected), 2);
-    assert_eq!(cluster.count(is_confirmed), 0);
-    // It can be reached again: what it says now is newer than the suspicion.
+    assert_eq!(cluster.count_events(is_suspected), 2);
+    assert_eq!(cluster.count_events(is_confirmed), 0);
+    // Once the store can be reached again, its answers are newer than the suspicion.
     cluster.store.reachable = true;
     cluster.run(1_000);
-    assert_eq!(cluster.count(is_confirmed), 2);
+    assert_eq!(cluster.count_events(is_confirmed), 2);
 }
 
 #[test]
-fn a_registration_that_was_seen_to_be_missing_before_the_suspicion_is_no_evidence() {
-    let mut at_a = detector(&["b"]);
+fn registration_seen_absent_before_the_suspicion_does_not_confirm() {
+    let mut detector = new_detector(&["b"]);
     for second in 1..=30 {
-        let sign = heartbeat("b", 2, second);
-        at_a.on_heartbeat(second * 1_000, Channel::Scheduled, &sign)
-            .expect("news");
-        at_a.tick(second * 1_000, &Store::present("b", 2, second * 1_000));
+        let message = heartbeat("b", 2, second);
+        detector
+            .on_heartbeat(second * 1_000, Channel::Scheduled, &message)
+            .expect("the heartbeat is accepted");
+        detector.tick(second * 1_000, &Store::present("b", 2, second * 1_000));
     }
-    // The last look at the store is from before the silence: the member may have registered since.
-    let old = Store::absent(30_000);
+    // The store was last read before the heartbeats stopped, so the member may have registered since.
+    let outdated_store = Store::absent(30_000);
     let mut events = Vec::new();
     for step in 301..600 {
-        events.extend(at_a.tick(step * 100, &old));
+        events.extend(detector.tick(step * 100, &outdated_store));
     }
     assert!(events.iter().any(is_suspected));
     assert!(!events.iter().any(is_confirmed));
-    let fresh = at_a.tick(60_000, &Store::absent(60_000));
-    assert!(matches!(fresh.as_slice(), [Event::Confirmed { .. }]), "{fresh:?}");
+    let events_with_current_store = detector.tick(60_000, &Store::absent(60_000));
+    assert!(
+        matches!(events_with_current_store.as_slice(), [Event::Confirmed { .. }]),
+        "{events_with_current_store:?}"
+    );
 }
 
 #[test]
-fn a_grant_that_has_not_run_out_holds_the_verdict_back() {
+fn unexpired_grant_delays_the_confirmation() {
     let mut cluster = Cluster::new(3, Policy::default());
     cluster.run(30_000);
     cluster.crash(2);
     cluster.store.granted_until_ms = cluster.now_ms + 5 * LEASE_MS;
     cluster.run(5 * LEASE_MS - 1_000);
-    assert_eq!(cluster.count(is_confirmed), 0);
+    assert_eq!(cluster.count_events(is_confirmed), 0);
     cluster.run(2_000);
-    assert_eq!(cluster.count(is_confirmed), 2);
+    assert_eq!(cluster.count_events(is_confirmed), 2);
 }
 
 #[test]
-fn a_pause_shorter_than_the_lease_is_refuted_and_loses_nothing() {
+fn pause_shorter_than_the_lease_is_cleared_without_a_confirmation() {
     let mut cluster = Cluster::new(3, Policy::default());
     cluster.run(60_000);
     cluster.pause(2);
     cluster.run(LEASE_MS - 1_500);
-    assert_eq!(cluster.count(is_suspected), 2);
+    assert_eq!(cluster.count_events(is_suspected), 2);
     cluster.resume(2);
     cluster.run(10_000);
-    assert_eq!(cluster.count(is_cleared), 2);
-    assert_eq!(cluster.count(is_confirmed), 0);
-    // Guard: the pause of the one that was paused is no silence of the others.
-    assert_eq!(cluster.first(2, is_suspected), None);
+    assert_eq!(cluster.count_events(is_cleared), 2);
+    assert_eq!(cluster.count_events(is_confirmed), 0);
+    // The paused member does not count its own pause as missing heartbeats of the others.
+    assert_eq!(cluster.first_event_ms(2, is_suspected), None);
     let paused = |e: &Event| matches!(e, Event::Impaired { paused_ms: 5_000.. });
-    assert!(cluster.first(2, paused).is_some());
+    assert!(cluster.first_event_ms(2, paused).is_some());
 }
 
 #[test]
-fn what_a_confirmed_life_sends_late_is_no_evidence_and_a_new_life_returns() {
+fn late_heartbeat_of_a_confirmed_incarnation_is_rejected_and_a_new_incarnation_returns() {
     let mut cluster = Cluster::new(3, Policy::default());
     cluster.run(30_000);
     cluster.crash(2);
     cluster.run(2 * LEASE_MS);
     let late = heartbeat("m2", cluster.life(2), 1_000);
     let now_ms = cluster.now_ms;
-    let refused = cluster.detectors[0].on_heartbeat(now_ms, Channel::Scheduled, &late);
-    assert!(
-        matches!(refused, Err(Rejection::EndedIncarnation { .. })),
-        "{refused:?}"
-    );
+    let result = cluster.detectors[0].on_heartbeat(now_ms, Channel::Scheduled, &late);
+    assert!(matches!(result, Err(Rejection::EndedIncarnation { .. })), "{result:?}");
     assert!(matches!(cluster.state(0, 2), Some(MemberState::Confirmed(_))));
     cluster.restart(2);
     cluster.run(3_000);
-    assert_eq!(cluster.count(|e| matches!(e, Event::Returned { .. })), 2);
+    assert_eq!(cluster.count_events(|e| matches!(e, Event::Returned { .. })), 2);
     assert_eq!(cluster.state(0, 2), Some(MemberState::Alive));
 }
 
 #[test]
-fn a_life_that_registers_and_is_never_heard_is_suspected_and_confirmed_as_well() {
+fn incarnation_that_registers_but_is_never_heard_is_suspected_and_confirmed() {
     let mut cluster = Cluster::new(3, Policy::default());
     cluster.run(30_000);
     cluster.crash(2);
     cluster.run(2 * LEASE_MS);
-    assert_eq!(cluster.count(is_confirmed), 2);
-    // Guard: what the arbiter lists is a member again, whether it is heard or not.
+    assert_eq!(cluster.count_events(is_confirmed), 2);
+    // A member that the arbiter lists is monitored again, whether it is heard or not.
     cluster.cut_one_way(2, 0);
     cluster.cut_one_way(2, 1);
     cluster.restart(2);
     cluster.run(2 * LEASE_MS);
-    assert_eq!(cluster.count(|e| matches!(e, Event::Returned { .. })), 2);
-    assert_eq!(cluster.count(is_suspected), 4);
+    assert_eq!(cluster.count_events(|e| matches!(e, Event::Returned { .. })), 2);
+    assert_eq!(cluster.count_events(is_suspected), 4);
     cluster.crash(2);
     cluster.run(2 * LEASE_MS);
-    assert_eq!(cluster.count(is_confirmed), 4);
+    assert_eq!(cluster.count_events(is_confirmed), 4);
 }
 
 #[test]
-fn what_an_earlier_process_left_registered_does_not_supersede_the_present_one() {
+fn registration_left_by_an_earlier_process_does_not_supersede_the_current_one() {
     let mut cluster = Cluster::new(3, Policy::default());
     cluster.run(30_000);
-    // It is heard before it comes to register, and then not for a while.
+    // The new process is heard before it registers, and then not heard for a while.
     cluster.restart_unregistered(2, 5_000);
     cluster.run(1_000);
     cluster.cut_one_way(2, 0);
     cluster.cut_one_way(2, 1);
     cluster.run(6_000);
-    assert_eq!(cluster.count(is_suspected), 2);
-    assert_eq!(cluster.count(is_confirmed), 0);
+    assert_eq!(cluster.count_events(is_suspected), 2);
+    assert_eq!(cluster.count_events(is_confirmed), 0);
     cluster.heal(2, 0);
     cluster.heal(2, 1);
     cluster.run(3_000);
@@ -182,64 +183,62 @@
 }
 
 #[test]
-fn a_member_whose_version_tells_no_life_is_judged_by_its_contacts() {
-    let mut at_a = detector(&["b"]);
+fn member_whose_version_sends_no_incarnation_is_monitored_by_its_contacts() {
+    let mut detector = new_detector(&["b"]);
     for step in 1..=600 {
         let now_ms = step * 100;
         if now_ms <= 30_000 && now_ms % 1_000 == 0 {
-            at_a.on_contact(now_ms, &member("b"), Channel::Scheduled);
+            detector.on_contact(now_ms, &member("b"), Channel::Scheduled);
         }
-        at_a.tick(now_ms, &Store::present("b", 2, now_ms));
-        let suspected = matches!(at_a.state(&member("b")), Some(MemberState::Suspected(_)));
+        detector.tick(now_ms, &Store::present("b", 2, now_ms));
+        let suspected = matches!(detector.state(&member("b")), Some(MemberState::Suspected(_)));
         assert_eq!(suspected, now_ms > 33_400, "at {now_ms}");
     }
-    let events = at_a.on_contact(60_100, &member("b"), Channel::Answer);
+    let events = detector.on_contact(60_100, &member("b"), Channel::Answer);
     assert!(matches!(events.as_slice(), [Event::Cleared { .. }]), "{events:?}");
 }
 
 #[test]
-fn back_within_a_moment_supersedes_the_earlier_life() {
+fn fast_restart_supersedes_the_earlier_incarnation() {
     let mut cluster = Cluster::new(3, Policy::default());
     cluster.run(30_000);
     let late = heartbeat("m2", cluster.life(2), 1_000);
     cluster.restart(2);
     cluster.run(5_000);
-    assert_eq!(cluster.count(is_suspected), 0);
+    assert_eq!(cluster.count_events(is_suspected), 0);
     let now_ms = cluster.now_ms;
-    let refused = cluster.detectors[0].on_heartbeat(now_ms, Channel::Scheduled, &late);
-    assert!(
-        matches!(refused, Err(Rejection::EndedIncarnation { .. })),
-        "{refused:?}"
-    );
+    let result = cluster.detectors[0].on_heartbeat(now_ms, Channel::Scheduled, &late);
+    assert!(matches!(result, Err(Rejection::EndedIncarnation { .. })), "{result:?}");
 }
 
 #[test]
-fn a_late_message_of_an_earlier_life_does_not_shut_out_the_registered_one() {
-    // Guard: lives have no order. One that comes after the registered life, though it is older, is taken for a newer
-    // one at first; a lease later the arbiter shows which of them is true.
-    let mut at_a = detector(&["b"]);
+fn late_heartbeat_of_an_earlier_incarnation_does_not_lock_out_the_registered_one() {
+    // Incarnations have no order. A heartbeat of an older incarnation that arrives after the registered one's is taken
+    // for a newer incarnation at first. One lease later the arbiter shows which of the two is registered.
+    let mut detector = new_detector(&["b"]);
     let mut sequence = 0;
-    let mut send = |at_a: &mut FailureDetector, now_ms: u64| {
+    let mut send = |detector: &mut FailureDetector, now_ms: u64| {
         sequence += 1;
-        let refused = at_a.on_heartbeat(now_ms, Channel::Scheduled, &heartbeat("b", 7, sequence));
-        at_a.tick(now_ms, &Store::present("b", 7, now_ms));
-        refused
+        let result = detector.on_heartbeat(now_ms, Channel::Scheduled, &heartbeat("b", 7, sequence));
+        detector.tick(now_ms, &Store::present("b", 7, now_ms));
+        result
     };
     for second in 1..=10 {
-        send(&mut at_a, second * 1_000).expect("news");
+        send(&mut detector, second * 1_000).expect("the heartbeat is accepted");
     }
-    at_a.on_heartbeat(10_500, Channel::Scheduled, &heartbeat("b", 3, 99))
-        .expect("taken for a new life");
-    assert!(send(&mut at_a, 11_000).is_err());
+    detector
+        .on_heartbeat(10_500, Channel::Scheduled, &heartbeat("b", 3, 99))
+        .expect("taken for a new incarnation");
+    assert!(send(&mut detector, 11_000).is_err());
     for second in 12..=20 {
-        let _ = send(&mut at_a, second * 1_000);
+        let _ = send(&mut detector, second * 1_000);
     }
-    send(&mut at_a, 21_000).expect("the registered life is heard again");
-    assert_eq!(at_a.state(&member("b")), Some(MemberState::Alive));
+    send(&mut detector, 21_000).expect("the registered incarnation is heard again");
+    assert_eq!(detector.state(&member("b")), Some(MemberState::Alive));
 }
 
 #[test]
-fn a_release_confirms_without_waiting_for_the_lease() {
+fn released_registration_confirms_before_the_lease_ends() {
     let mut cluster = Cluster::new(3, Policy::default());
     cluster.run(30_000);
     cluster.release(2);
@@ -253,29 +252,29 @@
             }
         )
     };
-    assert_eq!(cluster.count(released), 2);
+    assert_eq!(cluster.count_events(released), 2);
 }
 
 #[test]
-fn one_that_a_single_member_does_not_hear_is_cleared_by_the_others() {
+fn member_unheard_by_one_observer_is_not_suspected_if_others_hear_it() {
     let mut cluster = Cluster::new(4, Policy::default());
     cluster.run(30_000);
     cluster.cut_one_way(2, 0);
     cluster.run(60_000);
-    // Guard: what others hear counts before a suspicion is raised.
-    assert_eq!(cluster.count(is_suspected), 0);
+    // Contacts of other members count before a suspicion is raised.
+    assert_eq!(cluster.count_events(is_suspected), 0);
 }
 
 #[test]
-fn a_suspicion_that_others_can_refute_ends_by_the_refutation() {
-    // The ways from one member to all others are cut; then only the way to one observer stays cut.
+fn refutation_passed_on_by_others_clears_a_suspicion() {
+    // All links from one member to the others are cut. Then only the link to one observer stays cut.
     let mut cluster = Cluster::new(4, Policy::default());
     cluster.run(30_000);
     for other in [0, 1, 3] {
         cluster.cut_one_way(2, other);
     }
     cluster.run(LEASE_MS - 2_000);
-    assert_eq!(cluster.count(is_suspected), 3);
+    assert_eq!(cluster.count_events(is_suspected), 3);
     cluster.heal(2, 1);
     cluster.heal(2, 3);
     cluster.run(5_000);
@@ -289,12 +288,16 @@
             }
         )
     };
-    assert!(cluster.first(0, refuted).is_some());
-    assert!(cluster.first(2, |e| matches!(e, Event::RefutedOwn { .. })).is_some());
+    assert!(cluster.first_event_ms(0, refuted).is_some());
+    assert!(
+        cluster
+            .first_event_ms(2, |e| matches!(e, Event::RefutedOwn { .. }))
+            .is_some()
+    );
 }
 
 #[test]
-fn who_hears_nobody_suspects_itself_first() {
+fn isolated_member_becomes_impaired_before_it_suspects_others() {
     let mut cluster = Cluster::new(5, Policy::default());
     cluster.run(30_000);
     for other in 1..5 {
@@ -302,56 +305,67 @@
         cluster.cut_one_way(0, other);
     }
     cluster.run(2 * LEASE_MS);
-    let by_the_rest = cluster.first(1, is_suspected).expect("suspected");
-    let by_the_lone = cluster.first(0, is_suspected).expect("suspected");
-    assert!(by_the_rest < by_the_lone, "{by_the_rest} {by_the_lone}");
-    let itself = cluster.first(0, |e| matches!(e, Event::Impaired { paused_ms: 0 }));
-    assert!(itself.is_some_and(|at| at < by_the_lone));
+    let suspected_by_others_ms = cluster.first_event_ms(1, is_suspected).expect("suspected");
+    let suspected_by_isolated_ms = cluster.first_event_ms(0, is_suspected).expect("suspected");
+    assert!(
+        suspected_by_others_ms < suspected_by_isolated_ms,
+        "{suspected_by_others_ms} {suspected_by_isolated_ms}"
+    );
+    let impaired_ms = cluster.first_event_ms(0, |e| matches!(e, Event::Impaired { paused_ms: 0 }));
+    assert!(impaired_ms.is_some_and(|at| at < suspected_by_isolated_ms));
 }
 
 #[test]
-fn one_that_flaps_takes_ever_more_heartbeats_to_clear() {
+fn flapping_member_takes_more_heartbeats_to_clear_each_time() {
     let mut cluster = Cluster::new(3, Policy::default());
     cluster.run(30_000);
-    let mut cleared_after = Vec::new();
+    let mut cleared_after_ms = Vec::new();
     for _ in 0..6 {
         cluster.pause(2);
         cluster.run(LEASE_MS - 1_500);
         cluster.resume(2);
         let resumed_ms = cluster.now_ms;
-        let before = cluster.count(is_cleared);
-        while cluster.count(is_cleared) < before + 2 {
+        let before = cluster.count_events(is_cleared);
+        while cluster.count_events(is_cleared) < before + 2 {
             cluster.run(100);
             assert!(cluster.now_ms < resumed_ms + 20_000, "never cleared");
         }
-        cleared_after.push(cluster.now_ms - resumed_ms);
+        cleared_after_ms.push(cluster.now_ms - resumed_ms);
         cluster.run(5_000);
     }
-    assert!(cleared_after[5] > cleared_after[0] + 1_000, "{cleared_after:?}");
-    // Guard: damping has a bound.
-    assert!(cleared_after.iter().all(|ms| *ms < 10_000), "{cleared_after:?}");
+    assert!(
+        cleared_after_ms[5] > cleared_after_ms[0] + 1_000,
+        "{cleared_after_ms:?}"
+    );
+    // The damping is bounded.
+    assert!(cleared_after_ms.iter().all(|ms| *ms < 10_000), "{cleared_after_ms:?}");
     cluster.run(100 * LEASE_MS);
     cluster.pause(2);
     cluster.run(LEASE_MS - 1_500);
     cluster.resume(2);
     cluster.run(1_300);
-    assert_eq!(cluster.state(0, 2), Some(MemberState::Alive), "old flaps are forgotten");
+    assert_eq!(
+        cluster.state(0, 2),
+        Some(MemberState::Alive),
+        "the penalty for earlier flaps has decayed"
+    );
 }
 
 #[test]
-fn a_malformed_foreign_or_old_message_changes_nothing() {
-    let mut at_a = detector(&["b", "c"]);
-    at_a.on_heartbeat(1_000, Channel::Scheduled, &heartbeat("b", 2, 5))
-        .expect("news");
-    let before = at_a.clone();
-    let mut too_many = heartbeat("b", 2, 6);
-    too_many.claims = vec![alive("c", 3); 4];
-    let overtaken = |sequence| Rejection::OutdatedSequence {
+fn malformed_foreign_or_outdated_heartbeats_are_rejected_without_effect() {
+    let mut detector = new_detector(&["b", "c"]);
+    detector
+        .on_heartbeat(1_000, Channel::Scheduled, &heartbeat("b", 2, 5))
+        .expect("the heartbeat is accepted");
+    let before = detector.clone();
+    let mut message_with_too_many_claims = heartbeat("b", 2, 6);
+    message_with_too_many_claims.claims = vec![claim_alive("c", 3); 4];
+    let outdated_sequence = |sequence| Rejection::OutdatedSequence {
         from: member("b"),
         sequence,
         newest: 5,
     };
-    let oversized = Rejection::TooManyClaims {
+    let too_many_claims = Rejection::TooManyClaims {
         from: member("b"),
         claims: 4,
         max_claims: 3,
@@ -360,23 +374,29 @@
         (heartbeat("z", 9, 1), Rejection::UnknownSender(member("z"))),
         (heartbeat("a", 1, 1), Rejection::OwnMessage),
         (heartbeat("b", 0, 6), Rejection::MissingIncarnation(member("b"))),
-        (heartbeat("b", 2, 5), overtaken(5)),
-        (heartbeat("b", 2, 4), overtaken(4)),
-        (too_many, oversized),
+        (heartbeat("b", 2, 5), outdated_sequence(5)),
+        (heartbeat("b", 2, 4), outdated_sequence(4)),
+        (message_with_too_many_claims, too_many_claims),
     ] {
-        assert_eq!(at_a.on_heartbeat(1_000, Channel::Scheduled, &message), Err(expected));
-        assert_eq!(at_a, before);
+        assert_eq!(
+            detector.on_heartbeat(1_000, Channel::Scheduled, &message),
+            Err(expected)
+        );
+        assert_eq!(detector, before);
     }
 }
 
 #[test]
-fn claims_that_are_no_evidence_are_named() {
-    let mut at_a = detector(&["b", "c"]);
-    at_a.on_heartbeat(500, Channel::Scheduled, &heartbeat("c", 3, 1))
-        .expect("news");
+fn rejected_claims_are_reported_with_a_reason() {
+    let mut detector = new_detector(&["b", "c"]);
+    detector
+        .on_heartbeat(500, Channel::Scheduled, &heartbeat("c", 3, 1))
+        .expect("the heartbeat is accepted");
     let mut message = heartbeat("b", 2, 1);
-    message.claims = vec![alive("z", 9), alive("b", 2), alive("c", 4)];
-    let events = at_a.on_heartbeat(1_000, Channel::Scheduled, &message).expect("news");
+    message.claims = vec![claim_alive("z", 9), claim_alive("b", 2), claim_alive("c", 4)];
+    let events = detector
+        .on_heartbeat(1_000, Channel::Scheduled, &message)
+        .expect("the heartbeat is accepted");
     let reasons: Vec<ClaimRejection> = events
         .iter()
         .filter_map(|e| match e {
@@ -393,20 +413,20 @@
 }
 
 #[test]
-fn impossible_settings_are_named() {
+fn invalid_settings_are_reported_by_field() {
     let policy = Policy {
         window: 1,
         threshold_milliphi: 0,
         probe_wait_permille: 8_000,
         ..Policy::default()
     };
-    let faults = policy.check(TIMING).expect_err("impossible").0;
+    let faults = policy.check(TIMING).expect_err("the settings are invalid").0;
     let fields: Vec<&str> = faults.iter().map(|fault| fault.field).collect();
     assert_eq!(fields, ["threshold_milliphi", "window", "probe_wait_permille"]);
     let short = Timing {
         heartbeat_ms: 1_000,
         lease_ms: 1_500,
     };
-    let faults = Policy::default().check(short).expect_err("impossible");
+    let faults = Policy::default().check(short).expect_err("the settings are invalid");
     assert!(faults.to_string().starts_with("lease_ms:"), "{faults}");
 }
--- a/crates/tidelatch-failure-detector/tests/model.rs
+++ b/crates/tidelatch-failure-detector/tests/model.rs
@@ -1,10 +1,11 @@
-//! Explores all short histories of a lease, a grant, a pause, a cut and a stale view, with the detector's own states
-//! in the model. `stateright`, which is made for this, cannot be had from the registry; the breadth-first search of
-//! `pathfinding` is the nearest kin: it visits each distinct state once.
+//! Model checks the detector: explores all short histories of a lease, a grant, a pause, a network partition and an
+//! outdated view of the store, by breadth-first search. The detectors themselves are part of the model's state.
+//! `stateright`, which is made for this, cannot be had from the registry; `pathfinding`'s breadth-first search is the
+//! closest substitute: it visits each distinct state once.
 //!
-//! Member `b` owns a partition under a lease, and may act on with a grant of `a`'s. Member `a` takes the partition over
-//! once its detector confirms `b` as gone. In each interval at most one thing changes; at most [`MOST_CHANGES`] do in a
-//! history of [`DEPTH`] intervals.
+//! Member `b` owns a partition under a lease, and may continue to act under a grant from `a`. Member `a` takes the
+//! partition over once its detector confirms `b` as gone. In each interval at most one thing changes; at most
+//! [`MAX_CHANGES`] changes happen in a history of [`DEPTH`] intervals.
 
 use pathfinding::directed::bfs::bfs_reach;
 use tidelatch_failure_detector::{
@@ -12,61 +13,61 @@
     Verdict,
 };
 
-/// Intervals in a history.
+/// Number of intervals in a history.
 const DEPTH: u64 = 16;
-/// Changes in a history.
-const MOST_CHANGES: u8 = 4;
+/// Maximum number of changes in a history.
+const MAX_CHANGES: u8 = 4;
 /// Length of an interval: one heartbeat.
 const INTERVAL_MS: u64 = 1_000;
-/// A lease, and a grant, in intervals.
-const LEASE: u64 = 5;
-/// Intervals after which fair conditions must have led to a verdict.
-const FAIR_INTERVALS: u64 = 3 * LEASE;
+/// Duration of a lease and of a grant, in intervals.
+const LEASE_INTERVALS: u64 = 5;
+/// Number of intervals within which the right verdict must be reached, once no more faults happen.
+const RECOVERY_INTERVALS: u64 = 3 * LEASE_INTERVALS;
 
 const TIMING: Timing = Timing {
     heartbeat_ms: INTERVAL_MS,
-    lease_ms: LEASE * INTERVAL_MS,
+    lease_ms: LEASE_INTERVALS * INTERVAL_MS,
 };
 
-/// What can change in an interval.
+/// A change that can happen in an interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Change {
-    /// `b` stops running, or goes on with what has come in meanwhile.
+    /// `b` pauses, or resumes with everything that has arrived in the meantime.
     Pause,
-    /// Heartbeats of `b` are lost, or arrive again.
-    Cut,
-    /// The last heartbeat that was lost arrives after all.
+    /// Heartbeats of `b` start to get lost, or arrive again.
+    LinkCut,
+    /// The most recently lost heartbeat arrives after all.
     LateHeartbeat,
     /// The store stops serving `a`, or serves it again.
     ServiceOfA,
     /// The store stops serving `b`, or serves it again.
     ServiceOfB,
-    /// What `a` has read of the store stays as it is, though its writes are served, or is fresh again.
+    /// `a`'s view of the store stops being updated although its writes are served, or is updated again.
     ViewOfA,
 }
 
 const CHANGES: [Change; 6] = [
     Change::Pause,
-    Change::Cut,
+    Change::LinkCut,
     Change::LateHeartbeat,
     Change::ServiceOfA,
     Change::ServiceOfB,
     Change::ViewOfA,
 ];
 
-/// What `a` has read of the store.
+/// `a`'s view of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct View {
     registered: Option<Life>,
     owner: Owner,
-    read_at: u64,
-    /// When the last grant that `a` gave to `b` ends.
-    granted_until: u64,
+    read_interval: u64,
+    /// The interval in which the last grant from `a` to `b` expires.
+    granted_until_interval: u64,
 }
 
 impl Arbiter for View {
     fn registration(&self, _member: &MemberId) -> Registration {
-        let observed_ms = self.read_at * INTERVAL_MS;
+        let observed_ms = self.read_interval * INTERVAL_MS;
         match self.registered {
             Some(life) => Registration::Present { life, observed_ms },
             None => Registration::Absent { observed_ms },
@@ -74,15 +75,15 @@
     }
 
     fn granted_until_ms(&self, _member: &MemberId) -> u64 {
-        self.granted_until * INTERVAL_MS
+        self.granted_until_interval * INTERVAL_MS
     }
 }
 
-/// Who owns the partition by the stored epoch.
+/// The owner of the partition by the stored epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Owner {
     A,
-    /// A life of `b`.
+    /// An incarnation of `b`.
     B(Life),
 }
 
@@ -93,54 +94,54 @@
     detector_of_a: FailureDetector,
     detector_of_b: FailureDetector,
     view_of_a: View,
-    a_served: bool,
-    a_view_fresh: bool,
-    b_running: bool,
-    b_served: bool,
-    cut: bool,
+    is_a_served: bool,
+    is_a_view_updated: bool,
+    is_b_running: bool,
+    is_b_served: bool,
+    is_link_cut: bool,
     lost_heartbeat: Option<Heartbeat>,
-    /// The store's truth: the life that is registered, and when its lease ends.
+    /// The registration in the store: the registered incarnation, and the interval in which its lease ends.
     registration: Option<(Life, u64)>,
-    life_of_b: Life,
-    /// `b` may act before this, by its lease or by the grant.
-    b_entitled_until: u64,
+    incarnation_of_b: Life,
+    /// `b` may act before this interval, by its lease or by the grant.
+    b_entitled_until_interval: u64,
     owner: Owner,
-    /// A rule that was broken in this interval.
-    broken: Option<&'static str>,
+    /// The rule that was violated in this interval.
+    violation: Option<&'static str>,
 }
 
 fn initial() -> State {
     let (a, b) = (MemberId::new("a"), MemberId::new("b"));
     let new = |me: &MemberId, life| {
         let both = [a.clone(), b.clone()];
-        FailureDetector::new(me.clone(), life, both, TIMING, Policy::default(), 0).expect("in order")
+        FailureDetector::new(me.clone(), life, both, TIMING, Policy::default(), 0).expect("the settings are valid")
     };
     let mut state = State {
         interval: 0,
-        changes_left: MOST_CHANGES,
+        changes_left: MAX_CHANGES,
         detector_of_a: new(&a, Life(1)),
         detector_of_b: new(&b, Life(10)),
         view_of_a: View {
             registered: Some(Life(10)),
             owner: Owner::B(Life(10)),
-            read_at: 0,
-            granted_until: 0,
+            read_interval: 0,
+            granted_until_interval: 0,
         },
-        a_served: true,
-        a_view_fresh: true,
-        b_running: true,
-        b_served: true,
-        cut: false,
+        is_a_served: true,
+        is_a_view_updated: true,
+        is_b_running: true,
+        is_b_served: true,
+        is_link_cut: false,
         lost_heartbeat: None,
-        registration: Some((Life(10), LEASE)),
-        life_of_b: Life(10),
-        b_entitled_until: LEASE,
+        registration: Some((Life(10), LEASE_INTERVALS)),
+        incarnation_of_b: Life(10),
+        b_entitled_until_interval: LEASE_INTERVALS,
         owner: Owner::B(Life(10)),
-        broken: None,
+        violation: None,
     };
-    // Enough intervals for the detector to know the usual ones.
+    // Enough heartbeats for the detector to have intervals in its window.
     for _ in 0..3 {
-        state.pass();
+        state.step();
     }
     state
 }
@@ -150,31 +151,31 @@
         MemberId::new("b")
     }
 
-    fn change(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         match change {
-            Change::Pause => self.b_running = !self.b_running,
-            Change::Cut => self.cut = !self.cut,
+            Change::Pause => self.is_b_running = !self.is_b_running,
+            Change::LinkCut => self.is_link_cut = !self.is_link_cut,
             Change::LateHeartbeat => {
                 if let Some(late) = self.lost_heartbeat.take() {
                     self.deliver(&late);
                 }
             }
-            Change::ServiceOfA => self.a_served = !self.a_served,
-            Change::ServiceOfB => self.b_served = !self.b_served,
-            Change::ViewOfA => self.a_view_fresh = !self.a_view_fresh,
+            Change::ServiceOfA => self.is_a_served = !self.is_a_served,
+            Change::ServiceOfB => self.is_b_served = !self.is_b_served,
+            Change::ViewOfA => self.is_a_view_updated = !self.is_a_view_updated,
         }
     }
 
-    /// One interval passes.
-    fn pass(&mut self) {
+    /// Advances the model by one interval.
+    fn step(&mut self) {
         self.interval += 1;
         self.expire_registration();
-        if self.b_running {
+        if self.is_b_running {
             self.step_b();
         }
         self.step_a();
-        if self.owner == Owner::A && self.interval < self.b_entitled_until {
-            self.broken = Some("two members are entitled at a time");
+        if self.owner == Owner::A && self.interval < self.b_entitled_until_interval {
+            self.violation = Some("two members are entitled to act at the same time");
         }
     }
 
@@ -186,32 +187,33 @@
 
     fn step_b(&mut self) {
         let now = self.interval;
-        if self.b_served {
+        if self.is_b_served {
             match self.registration {
-                Some((life, _)) if life == self.life_of_b => {}
+                Some((life, _)) if life == self.incarnation_of_b => {}
                 _ => {
-                    // Its lease was lost: it joins as another life. A third member leads, and gives it what its
-                    // earlier life owned.
-                    let earlier = self.life_of_b;
-                    self.life_of_b = Life(earlier.0 + 1);
-                    self.detector_of_b.begin_life(self.life_of_b);
-                    self.b_entitled_until = 0;
+                    // `b` lost its lease and registers as a new incarnation. A third member, the leader, assigns to it
+                    // what its earlier incarnation owned.
+                    let earlier = self.incarnation_of_b;
+                    self.incarnation_of_b = Life(earlier.0 + 1);
+                    self.detector_of_b.begin_life(self.incarnation_of_b);
+                    self.b_entitled_until_interval = 0;
                     if self.owner == Owner::B(earlier) {
-                        self.owner = Owner::B(self.life_of_b);
+                        self.owner = Owner::B(self.incarnation_of_b);
                     }
                 }
             }
-            self.registration = Some((self.life_of_b, now + LEASE));
-            if self.owner == Owner::B(self.life_of_b) {
-                self.b_entitled_until = now + LEASE;
+            self.registration = Some((self.incarnation_of_b, now + LEASE_INTERVALS));
+            if self.owner == Owner::B(self.incarnation_of_b) {
+                self.b_entitled_until_interval = now + LEASE_INTERVALS;
             }
-        } else if !self.a_served && now < self.b_entitled_until {
-            // Neither is served: `a` grants what keeps `b` entitled, and does not take over before its end.
-            self.view_of_a.granted_until = now + LEASE;
-            self.b_entitled_until = now + LEASE;
+        } else if !self.is_a_served && now < self.b_entitled_until_interval {
+            // Neither member is served. `a` gives `b` a grant that keeps it entitled, and does not take over before the
+            // grant expires.
+            self.view_of_a.granted_until_interval = now + LEASE_INTERVALS;
+            self.b_entitled_until_interval = now + LEASE_INTERVALS;
         }
         let heartbeat = self.detector_of_b.heartbeat(now * INTERVAL_MS, None);
-        if self.cut {
+        if self.is_link_cut {
             self.lost_heartbeat = Some(heartbeat);
         } else {
             self.deliver(&heartbeat);
@@ -220,43 +222,43 @@
 
     fn deliver(&mut self, heartbeat: &Heartbeat) {
         let now_ms = self.interval * INTERVAL_MS;
-        // What is rejected counts as no evidence, and changes nothing.
+        // A rejected heartbeat is no evidence and changes nothing.
         let _ = self.detector_of_a.on_heartbeat(now_ms, Channel::Scheduled, heartbeat);
     }
 
     fn step_a(&mut self) {
         let now = self.interval;
-        if self.a_served && self.a_view_fresh {
+        if self.is_a_served && self.is_a_view_updated {
             self.view_of_a.registered = self.registration.map(|(life, _)| life);
             self.view_of_a.owner = self.owner;
-            self.view_of_a.read_at = now;
+            self.view_of_a.read_interval = now;
         }
         for event in self.detector_of_a.tick(now * INTERVAL_MS, &self.view_of_a) {
             if let Event::Confirmed { life, .. } = event {
-                self.judge_verdict(life);
+                self.check_verdict(life);
             }
         }
-        // The write is conditional on the owner that was read with the registrations.
+        // The write is conditional on the owner that was read together with the registrations.
         let state = self.detector_of_a.state(&self.b());
-        let gone = state == Some(MemberState::Confirmed(Verdict::RegistrationEnded));
-        if gone && self.a_served && self.view_of_a.owner == self.owner {
+        let is_confirmed_gone = state == Some(MemberState::Confirmed(Verdict::RegistrationEnded));
+        if is_confirmed_gone && self.is_a_served && self.view_of_a.owner == self.owner {
             self.owner = Owner::A;
         }
     }
 
-    /// A life that is confirmed as gone must have lost its registration and every right to act.
-    fn judge_verdict(&mut self, life: Option<Life>) {
+    /// An incarnation that is confirmed as gone must have lost its registration and every right to act.
+    fn check_verdict(&mut self, life: Option<Life>) {
         let registered = self.registration.map(|(life, _)| life);
         if life.is_some() && registered == life {
-            self.broken = Some("a registered life is confirmed as gone");
+            self.violation = Some("a registered incarnation is confirmed as gone");
         }
-        if life == Some(self.life_of_b) && self.interval < self.b_entitled_until {
-            self.broken = Some("an entitled life is confirmed as gone");
+        if life == Some(self.incarnation_of_b) && self.interval < self.b_entitled_until_interval {
+            self.violation = Some("an entitled incarnation is confirmed as gone");
         }
     }
 
     fn successors(&self) -> Vec<Self> {
-        if self.interval >= DEPTH || self.broken.is_some() {
+        if self.interval >= DEPTH || self.violation.is_some() {
             return Vec::new();
         }
         let mut successors = Vec::new();
@@ -267,67 +269,72 @@
                 Some(Change::LateHeartbeat) if next.lost_heartbeat.is_none() => continue,
                 Some(change) => {
                     next.changes_left -= 1;
-                    next.change(change);
+                    next.apply_change(change);
                 }
                 None => {}
             }
-            next.pass();
+            next.step();
             successors.push(next);
         }
         successors
     }
 
-    /// The network and the store work from now on.
-    fn heal(&mut self) {
-        self.a_served = true;
-        self.a_view_fresh = true;
-        self.b_served = true;
-        self.cut = false;
+    /// From now on the network and the store work.
+    fn recover_network_and_store(&mut self) {
+        self.is_a_served = true;
+        self.is_a_view_updated = true;
+        self.is_b_served = true;
+        self.is_link_cut = false;
     }
 
-    fn pass_fairly(mut self, b_running: bool) -> Self {
-        self.heal();
-        self.b_running = b_running;
-        for _ in 0..FAIR_INTERVALS {
-            self.pass();
+    fn step_until_recovered(mut self, is_b_running: bool) -> Self {
+        self.recover_network_and_store();
+        self.is_b_running = is_b_running;
+        for _ in 0..RECOVERY_INTERVALS {
+            self.step();
         }
         self
     }
 }
 
 #[test]
-fn every_short_history_keeps_one_entitled_member_and_ends_in_the_right_verdict() {
+fn no_history_entitles_two_members_and_every_history_ends_in_the_right_verdict() {
     let (mut states, mut suspected, mut confirmed) = (0u64, 0u64, 0u64);
     for state in bfs_reach(initial(), State::successors) {
         states += 1;
-        assert_eq!(state.broken, None, "{state:#?}");
+        assert_eq!(state.violation, None, "{state:#?}");
         match state.detector_of_a.state(&state.b()) {
             Some(MemberState::Suspected(_)) => suspected += 1,
             Some(MemberState::Confirmed(_)) => confirmed += 1,
             _ => {}
         }
-        // Each state is either inside a history or at its end; what must come about is checked from the ends.
+        // Only the states at the end of a history are checked for what must happen eventually.
         if state.interval < DEPTH {
             continue;
         }
-        let dead = state.clone().pass_fairly(false);
-        assert_eq!(dead.broken, None, "{dead:#?}");
-        assert_eq!(dead.owner, Owner::A, "a dead owner is never confirmed: {state:#?}");
-        let holds = |(life, ends): (Life, u64)| life == state.life_of_b && ends > state.interval + 1;
-        let keeps = state.owner == Owner::B(state.life_of_b) && state.registration.is_some_and(holds);
-        let alive = state.clone().pass_fairly(true);
-        assert_eq!(alive.broken, None, "{alive:#?}");
+        let after_crash = state.clone().step_until_recovered(false);
+        assert_eq!(after_crash.violation, None, "{after_crash:#?}");
         assert_eq!(
-            alive.detector_of_a.state(&alive.b()),
+            after_crash.owner,
+            Owner::A,
+            "a crashed owner is never confirmed as gone: {state:#?}"
+        );
+        let is_lease_held = |(life, ends): (Life, u64)| life == state.incarnation_of_b && ends > state.interval + 1;
+        let is_owner_with_lease =
+            state.owner == Owner::B(state.incarnation_of_b) && state.registration.is_some_and(is_lease_held);
+        let after_recovery = state.clone().step_until_recovered(true);
+        assert_eq!(after_recovery.violation, None, "{after_recovery:#?}");
+        assert_eq!(
+            after_recovery.detector_of_a.state(&after_recovery.b()),
             Some(MemberState::Alive),
-            "a live member stays suspected: {state:#?}"
+            "a running member stays suspected: {state:#?}"
         );
         assert!(
-            !keeps || alive.owner == state.owner,
-            "a member that lives lost something: {state:#?}"
+            !is_owner_with_lease || after_recovery.owner == state.owner,
+            "a running member lost its partition: {state:#?}"
         );
     }
-    // The search is no search if the interesting states are not in it.
+    // Guard: the search must have reached states with suspicions and verdicts, or it proves nothing.
     assert!(states > 100_000, "{states} states");
     assert!(suspected > 1_000 && confirmed > 1_000, "{suspected} {confirmed}");
     println!("{states} states, {suspected} with a suspicion, {confirmed} with a verdict");
--- a/crates/tidelatch-failure-detector/tests/properties.rs
+++ b/crates/tidelatch-failure-detector/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties over random networks, with fixed seeds: delays, losses, duplicates, crashes and pauses.
+//! Property tests on random networks with delays, losses, duplicates, crashes and pauses, with fixed seeds.
 
 mod support;
 
@@ -7,10 +7,10 @@
 use support::{Cluster, LEASE_MS, heartbeat};
 use tidelatch_failure_detector::{Channel, Event, MemberState, Policy};
 
-/// Cases of each property.
+/// Number of cases per property.
 const CASES: u32 = 64;
 
-/// The same cases with every run.
+/// A runner that generates the same cases in every run.
 fn runner() -> TestRunner {
     let config = Config {
         cases: CASES,
@@ -20,7 +20,7 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// One thing that happens to a member.
+/// A fault of a member, its network links or the store, or the end of one.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     Crash,
@@ -35,7 +35,7 @@
     Duplicate(u64),
 }
 
-fn faults(size: usize) -> impl Strategy<Value = Vec<(u64, usize, Fault)>> {
+fn any_fault_history(size: usize) -> impl Strategy<Value = Vec<(u64, usize, Fault)>> {
     let fault = prop_oneof![
         Just(Fault::Crash),
         Just(Fault::Restart),
@@ -65,15 +65,15 @@
         Fault::Duplicate(sequence) => {
             let other = (member + 1) % cluster.detectors.len();
             let name = support::name_of(member).as_str().to_owned();
-            let copy = heartbeat(&name, cluster.life(member), sequence);
+            let duplicate = heartbeat(&name, cluster.life(member), sequence);
             let now_ms = cluster.now_ms;
-            let _ = cluster.detectors[other].on_heartbeat(now_ms, Channel::Scheduled, &copy);
+            let _ = cluster.detectors[other].on_heartbeat(now_ms, Channel::Scheduled, &duplicate);
         }
     }
 }
 
-/// A cluster after a history of faults.
-fn play(history: Vec<(u64, usize, Fault)>) -> Cluster {
+/// Runs a cluster through a history of faults.
+fn run_history(history: Vec<(u64, usize, Fault)>) -> Cluster {
     let mut cluster = Cluster::new(4, Policy::default());
     cluster.run(10_000);
     for (after_ms, member, fault) in history {
@@ -84,19 +84,25 @@
 }
 
 #[test]
-fn whoever_is_confirmed_has_lost_its_registration_whatever_happens() {
+fn member_is_confirmed_only_after_it_lost_its_registration() {
     let property = |history: Vec<(u64, usize, Fault)>| {
-        let cluster = play(history);
-        prop_assert!(cluster.wrong_verdicts().is_empty(), "{:?}", cluster.wrong_verdicts());
+        let cluster = run_history(history);
+        prop_assert!(
+            cluster.false_confirmations().is_empty(),
+            "{:?}",
+            cluster.false_confirmations()
+        );
         Ok(())
     };
-    runner().run(&faults(4), property).expect("the property holds");
+    runner()
+        .run(&any_fault_history(4), property)
+        .expect("the property holds");
 }
 
 #[test]
-fn once_all_is_well_the_living_are_alive_and_the_dead_are_confirmed() {
+fn after_recovery_running_members_are_alive_and_crashed_members_are_confirmed() {
     let property = |history: Vec<(u64, usize, Fault)>| {
-        let mut cluster = play(history);
+        let mut cluster = run_history(history);
         cluster.heal_all();
         cluster.crash(3);
         cluster.run(12 * LEASE_MS);
@@ -104,21 +110,27 @@
             for other in (0..3).filter(|other| *other != observer) {
                 prop_assert_eq!(cluster.state(observer, other), Some(MemberState::Alive));
             }
-            let dead = cluster.state(observer, 3);
-            prop_assert!(matches!(dead, Some(MemberState::Confirmed(_))), "{:?}", dead);
+            let crashed_state = cluster.state(observer, 3);
+            prop_assert!(
+                matches!(crashed_state, Some(MemberState::Confirmed(_))),
+                "{:?}",
+                crashed_state
+            );
         }
         Ok(())
     };
-    runner().run(&faults(4), property).expect("the property holds");
+    runner()
+        .run(&any_fault_history(4), property)
+        .expect("the property holds");
 }
 
 #[test]
-fn delays_within_half_a_heartbeat_raise_no_suspicion() {
+fn delays_of_up_to_half_a_heartbeat_raise_no_suspicion() {
     let property = |(size, seed): (usize, u64)| {
         let mut cluster = Cluster::new(size, Policy::default());
         cluster.delay_up_to(500, seed);
         cluster.run(300_000);
-        prop_assert_eq!(cluster.count(|e| matches!(e, Event::Suspected { .. })), 0);
+        prop_assert_eq!(cluster.count_events(|e| matches!(e, Event::Suspected { .. })), 0);
         Ok(())
     };
     runner()
--- a/crates/tidelatch-failure-detector/tests/support/mod.rs
+++ b/crates/tidelatch-failure-detector/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster of detectors on a simulated network, with a store that ends the registration of who is silent.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A cluster of detectors on a simulated network, with a store that ends the registrations of unresponsive members.
+#![allow(dead_code, reason = "each test file uses only some of these helpers")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use tidelatch_failure_detector::{
@@ -19,7 +19,7 @@
     MemberId::new(name)
 }
 
-/// A heartbeat without claims.
+/// Builds a heartbeat without claims.
 pub fn heartbeat(from: &str, life: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
         from: member(from),
@@ -33,7 +33,7 @@
     }
 }
 
-/// The store: who is registered, as listed at some time.
+/// The store: the registered members, as listed at `listed_ms`.
 #[derive(Debug, Clone, Default)]
 pub struct Store {
     pub registered: BTreeMap<MemberId, Life>,
@@ -97,19 +97,19 @@
     pub store: Store,
     processes: Vec<Process>,
     lives: Vec<u64>,
-    last_extended_ms: Vec<u64>,
-    /// A new process sends heartbeats from its start, and registers only then.
+    lease_extended_ms: Vec<u64>,
+    /// When a member's process may register. A new process sends heartbeats from its start, but may register only later.
     registers_from_ms: Vec<u64>,
-    /// Its present life has registered.
+    /// Whether the member's current incarnation has registered.
     was_registered: Vec<bool>,
-    wrong_verdicts: Vec<String>,
+    false_confirmations: Vec<String>,
     cut: BTreeSet<(usize, usize)>,
     events: Vec<(u64, usize, Event)>,
     policy: Policy,
-    /// Heartbeats under way: when they arrive, and at whom.
-    under_way: BTreeMap<(u64, u64), (usize, Heartbeat)>,
-    sent: u64,
-    most_delay_ms: u64,
+    /// Heartbeats in flight, by arrival time and send order, each with the index of its receiver.
+    in_flight: BTreeMap<(u64, u64), (usize, Heartbeat)>,
+    sent_messages: u64,
+    max_delay_ms: u64,
     random: fastrand::Rng,
 }
 
@@ -121,16 +121,16 @@
             store: Store::absent(0),
             processes: vec![Process::Running; size],
             lives: (0..size as u64).map(|i| 100 * (i + 1)).collect(),
-            last_extended_ms: vec![0; size],
+            lease_extended_ms: vec![0; size],
             registers_from_ms: vec![0; size],
             was_registered: vec![false; size],
-            wrong_verdicts: Vec::new(),
+            false_confirmations: Vec::new(),
             cut: BTreeSet::new(),
             events: Vec::new(),
             policy,
-            under_way: BTreeMap::new(),
-            sent: 0,
-            most_delay_ms: 0,
+            in_flight: BTreeMap::new(),
+            sent_messages: 0,
+            max_delay_ms: 0,
             random: fastrand::Rng::with_seed(0),
         };
         for index in 0..size {
@@ -143,7 +143,8 @@
     fn new_detector(&self, index: usize) -> FailureDetector {
         let names = (0..self.lives.len()).map(name_of);
         let life = Life(self.lives[index]);
-        FailureDetector::new(name_of(index), life, names, TIMING, self.policy, self.now_ms).expect("in order")
+        FailureDetector::new(name_of(index), life, names, TIMING, self.policy, self.now_ms)
+            .expect("the settings are valid")
     }
 
     pub fn life(&self, index: usize) -> u64 {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Every process runs, every way is open, and the store can be reached.
+    /// Restores everything: every process runs, all network links work, and the store can be reached.
     pub fn heal_all(&mut self) {
         self.cut.clear();
         self.store.reachable = true;
@@ -187,22 +188,22 @@
         }
     }
 
-    /// Heartbeats are under way for a random time from now on.
-    pub fn delay_up_to(&mut self, most_delay_ms: u64, seed: u64) {
-        self.most_delay_ms = most_delay_ms;
+    /// From now on, every heartbeat is delayed by a random time of at most `max_delay_ms`.
+    pub fn delay_up_to(&mut self, max_delay_ms: u64, seed: u64) {
+        self.max_delay_ms = max_delay_ms;
         self.random = fastrand::Rng::with_seed(seed);
     }
 
     fn next_delay_ms(&mut self) -> u64 {
-        self.random.u64(0..=self.most_delay_ms)
+        self.random.u64(0..=self.max_delay_ms)
     }
 
-    /// Lives that were confirmed as gone while the store listed them.
-    pub fn wrong_verdicts(&self) -> &[String] {
-        &self.wrong_verdicts
+    /// Descriptions of members that were confirmed as gone while the store listed the same incarnation.
+    pub fn false_confirmations(&self) -> &[String] {
+        &self.false_confirmations
     }
 
-    fn judge(&mut self, observer: usize, event: &Event) {
+    fn check_confirmation(&mut self, observer: usize, event: &Event) {
         if let Event::Confirmed {
             member,
             life: Some(life),
@@ -211,12 +212,13 @@
             && self.store.registered.get(member) == Some(life)
         {
             let now_ms = self.now_ms;
-            self.wrong_verdicts
-                .push(format!("{now_ms}: m{observer} confirms {member}, which is registered"));
+            self.false_confirmations.push(format!(
+                "{now_ms}: m{observer} confirms {member} as gone, which is still registered"
+            ));
         }
     }
 
-    /// A new process under the same name, at once.
+    /// Starts a new process under the same name at once.
     pub fn restart(&mut self, index: usize) {
         self.lives[index] += 1;
         self.was_registered[index] = false;
@@ -224,7 +226,7 @@
         self.processes[index] = Process::Running;
     }
 
-    /// A new process under the same name, at once; it comes to register only some time later.
+    /// Starts a new process under the same name at once. It registers only `after_ms` later.
     pub fn restart_unregistered(&mut self, index: usize, after_ms: u64) {
         self.restart(index);
         self.registers_from_ms[index] = self.now_ms + after_ms;
@@ -235,7 +237,7 @@
         self.processes[index] = Process::Crashed;
     }
 
-    /// Nothing that `from` sends reaches `to` any more.
+    /// Drops every message from `from` to `to` from now on.
     pub fn cut_one_way(&mut self, from: usize, to: usize) {
         self.cut.insert((from, to));
     }
@@ -249,24 +251,24 @@
     }
 
     pub fn run(&mut self, ms: u64) {
-        let until = self.now_ms + ms;
-        while self.now_ms < until {
+        let until_ms = self.now_ms + ms;
+        while self.now_ms < until_ms {
             self.now_ms += TICK_MS;
-            self.keep_store();
-            self.deliver_due();
+            self.update_store();
+            self.deliver_due_heartbeats();
             for index in 0..self.detectors.len() {
                 if self.processes[index] == Process::Running {
-                    self.step(index);
+                    self.step_member(index);
                 }
             }
         }
     }
 
-    fn step(&mut self, index: usize) {
+    fn step_member(&mut self, index: usize) {
         let now_ms = self.now_ms;
         let events = self.detectors[index].tick(now_ms, &self.store);
-        self.note(index, events);
-        // Not all at the same moment.
+        self.record_events(index, events);
+        // Members send at different moments of the heartbeat interval.
         if !(now_ms + index as u64 * 300).is_multiple_of(HEARTBEAT_MS) {
             return;
         }
@@ -278,44 +280,44 @@
             if self.cut.contains(&(index, to)) {
                 continue;
             }
-            let arrives = now_ms + self.next_delay_ms();
-            self.sent += 1;
-            self.under_way.insert((arrives, self.sent), (to, message));
+            let arrives_ms = now_ms + self.next_delay_ms();
+            self.sent_messages += 1;
+            self.in_flight.insert((arrives_ms, self.sent_messages), (to, message));
         }
-        self.deliver_due();
+        self.deliver_due_heartbeats();
     }
 
-    fn deliver_due(&mut self) {
-        while let Some(((arrives, _), _)) = self.under_way.first_key_value() {
-            if *arrives > self.now_ms {
+    fn deliver_due_heartbeats(&mut self) {
+        while let Some(((arrives_ms, _), _)) = self.in_flight.first_key_value() {
+            if *arrives_ms > self.now_ms {
                 break;
             }
-            let Some((_, (to, message))) = self.under_way.pop_first() else {
+            let Some((_, (to, message))) = self.in_flight.pop_first() else {
                 break;
             };
             if self.processes[to] == Process::Running {
                 let events = self.detectors[to].on_heartbeat(self.now_ms, Channel::Scheduled, &message);
-                self.note(to, events.unwrap_or_default());
+                self.record_events(to, events.unwrap_or_default());
             }
         }
     }
 
-    fn note(&mut self, index: usize, events: Vec<Event>) {
+    fn record_events(&mut self, index: usize, events: Vec<Event>) {
         for event in &events {
-            self.judge(index, event);
+            self.check_confirmation(index, event);
         }
         let now_ms = self.now_ms;
         self.events
             .extend(events.into_iter().map(|event| (now_ms, index, event)));
     }
 
-    /// Running members extend their leases; the registrations of the others end.
-    fn keep_store(&mut self) {
+    /// Running members extend their leases. The registrations of the others end with their leases.
+    fn update_store(&mut self) {
         for index in 0..self.lives.len() {
-            let registers = self.now_ms >= self.registers_from_ms[index];
-            if self.processes[index] == Process::Running && registers {
+            let can_register = self.now_ms >= self.registers_from_ms[index];
+            if self.processes[index] == Process::Running && can_register {
                 self.register(index);
-            } else if self.now_ms >= self.last_extended_ms[index] + LEASE_MS {
+            } else if self.now_ms >= self.lease_extended_ms[index] + LEASE_MS {
                 self.store.registered.remove(&name_of(index));
             }
         }
@@ -324,7 +326,7 @@
         }
     }
 
-    /// A member that runs extends its lease; one that has lost it joins as another life.
+    /// Extends a running member's lease. A member that has lost its lease registers again as a new incarnation.
     fn register(&mut self, index: usize) {
         let registered = self.store.registered.contains_key(&name_of(index));
         if self.was_registered[index] && !registered {
@@ -332,18 +334,18 @@
             self.detectors[index].begin_life(Life(self.lives[index]));
         }
         self.was_registered[index] = true;
-        self.last_extended_ms[index] = self.now_ms;
+        self.lease_extended_ms[index] = self.now_ms;
         self.store.registered.insert(name_of(index), Life(self.lives[index]));
     }
 
-    /// When an observer first saw such an event.
-    pub fn first(&self, observer: usize, which: impl Fn(&Event) -> bool) -> Option<u64> {
-        let mut found = self.events.iter().filter(|(_, at, e)| *at == observer && which(e));
+    /// Returns when an observer first reported an event that `matches` accepts.
+    pub fn first_event_ms(&self, observer: usize, matches: impl Fn(&Event) -> bool) -> Option<u64> {
+        let mut found = self.events.iter().filter(|(_, at, e)| *at == observer && matches(e));
         found.next().map(|(ms, _, _)| *ms)
     }
 
-    pub fn count(&self, which: impl Fn(&Event) -> bool) -> usize {
-        self.events.iter().filter(|(_, _, e)| which(e)).count()
+    pub fn count_events(&self, matches: impl Fn(&Event) -> bool) -> usize {
+        self.events.iter().filter(|(_, _, e)| matches(e)).count()
     }
 }
 
