--- a/crates/tidelatch-core/tests/failure_detection.rs
+++ b/crates/tidelatch-core/tests/failure_detection.rs
@@ -100,9 +100,9 @@
     ];
     strange.probe = Some(MemberId::new("x".repeat(100_000)));
     for (from, message, reason) in [
-        ("stranger", liveness(1, 1), "is no member"),
+        ("stranger", liveness(1, 1), "is not a member"),
         ("berth-0", liveness(7, 1), "came back"),
-        ("berth-1", liveness(0, 9), "tells no life"),
+        ("berth-1", liveness(0, 9), "sent no incarnation"),
         ("berth-1", liveness(11, 5), "has come before"),
         ("berth-1", many, "are taken"),
         ("berth-1", strange, "counts as no evidence"),
--- a/crates/tidelatch-failure-detector/src/message.rs
+++ b/crates/tidelatch-failure-detector/src/message.rs
@@ -91,13 +91,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Rejection {
     /// Its sender is not a member.
-    #[error("`{0}` is no member")]
+    #[error("`{0}` is not a member")]
     UnknownSender(MemberId),
     /// It names its receiver as its sender.
     #[error("this member's own heartbeat came back")]
     OwnMessage,
     /// It carries no incarnation, because the sender's version does not support them.
-    #[error("{0} tells no life")]
+    #[error("{0} sent no incarnation")]
     MissingIncarnation(MemberId),
     /// It carries more claims than there are members.
     #[error("{from} sent {claims} claims, at most {max_claims} are taken")]
@@ -133,7 +133,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum ClaimRejection {
     /// It is about a name that is not a member.
-    #[error("the claim is about a name that is not a member")]
+    #[error("the claim is about an unknown member")]
     UnknownMember,
     /// It is about the member that sent it.
     #[error("the claim is about its own sender")]
