--- a/crates/tidelatch-disruption/tests/model.rs
+++ b/crates/tidelatch-disruption/tests/model.rs
@@ -261,10 +261,9 @@
             self.requester.drop_superseded(|_, _, tenure| tenure == current);
             self.stopping.retain(|_, tenure| *tenure == current);
         }
-        let on_machine = self.replicas;
-        let is_on_machine = |index: u32, attempt: u64| {
-            on_machine[index as usize].attempt == attempt && on_machine[index as usize].is_running
-        };
+        let actual = self.replicas;
+        let is_on_machine =
+            |index: u32, attempt: u64| actual[index as usize].attempt == attempt && actual[index as usize].is_running;
         self.stopping
             .retain(|(index, attempt), _| is_on_machine(*index, *attempt));
         self.requester
--- a/crates/tidelatch-failure-detector/tests/support/mod.rs
+++ b/crates/tidelatch-failure-detector/tests/support/mod.rs
@@ -98,7 +98,7 @@
     processes: Vec<Process>,
     lives: Vec<u64>,
     lease_extended_ms: Vec<u64>,
-    /// When a member's process may register. A new process sends heartbeats from its start, but may register only later.
+    /// When a member's process may register. A new process sends heartbeats from its start, but may register later.
     registers_from_ms: Vec<u64>,
     /// Whether the member's current incarnation has registered.
     was_registered: Vec<bool>,
