--- a/crates/tidelatch-failure-detector/src/detector.rs
+++ b/crates/tidelatch-failure-detector/src/detector.rs
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Starts a new incarnation of this member, after it has registered anew with the arbiter.
+    /// Starts a new incarnation of this member, after it has registered again with the arbiter.
     pub fn begin_life(&mut self, life: Life) {
         if self.incarnation.life != life {
             self.incarnation = Incarnation { life, refutation: 0 };
--- a/crates/tidelatch-failure-detector/src/member.rs
+++ b/crates/tidelatch-failure-detector/src/member.rs
@@ -138,7 +138,7 @@
         self.earlier_incarnations.contains(&listed) && observed_ms < self.incarnation_began_ms.saturating_add(lease_ms)
     }
 
-    /// Starts another incarnation. No state of the one before is applied to it.
+    /// Starts another incarnation. Evidence from the one before does not count for it.
     pub(crate) fn begin_incarnation(&mut self, incarnation: Incarnation, now_ms: u64) {
         self.earlier_incarnations.retain(|earlier| *earlier != incarnation.life);
         self.incarnation_began_ms = now_ms;
