--- a/crates/tidelatch-core/tests/failure_detection.rs
+++ b/crates/tidelatch-core/tests/failure_detection.rs
@@ -103,9 +103,9 @@
     ];
     impossible_claims.probe = Some(MemberId::new("x".repeat(100_000)));
     for (from, message, reason) in [
-        ("stranger", heartbeat(1, 1), "is no member"),
+        ("stranger", heartbeat(1, 1), "is not a member"),
         ("berth-0", heartbeat(7, 1), "came back"),
-        ("berth-1", heartbeat(0, 9), "tells no life"),
+        ("berth-1", heartbeat(0, 9), "sent no incarnation"),
         ("berth-1", heartbeat(11, 5), "has come before"),
         ("berth-1", too_many_claims, "are taken"),
         ("berth-1", impossible_claims, "counts as no evidence"),
