--- a/crates/tidelatch-standin/src/cloud.rs
+++ b/crates/tidelatch-standin/src/cloud.rs
@@ -1,36 +1,36 @@
-//! The cloud: one machine type in two zones.
+//! A simulated cloud with one machine type, `m2`, in two zones, `a` and `b`.
 
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The cloud and what it rents.
+/// The cloud and the machines that it has rented out.
 #[derive(Debug)]
 pub struct Cloud {
-    requests: BTreeMap<String, Vec<String>>,
-    next: u32,
-    /// Machines that exist: zone, spot.
+    names_by_request: BTreeMap<String, Vec<String>>,
+    next_number: u32,
+    /// Machines that exist, by name: the zone, and whether it is a spot machine.
     pub machines: BTreeMap<String, (String, bool)>,
-    /// Machines that were deleted.
+    /// Names of the machines that were deleted.
     pub deleted: BTreeSet<String>,
-    /// Most machines at a time.
+    /// Maximum number of machines at a time.
     pub most: usize,
-    /// Most machines at a time in a zone, where there is a limit.
+    /// Maximum number of machines at a time by zone, for zones with a limit of their own.
     pub most_in_zone: BTreeMap<String, usize>,
-    /// Boot time of machines that `next_boots` says nothing of.
+    /// Boot time in milliseconds of machines that have no entry in `next_boots`.
     pub boot_ms: u64,
-    /// Boot times of the machines rented next, in order; none: the machine never comes up.
+    /// Boot times in milliseconds of the machines rented next, in order. `None`: the machine never boots.
     pub next_boots: VecDeque<Option<u64>>,
-    /// All requests get 503.
+    /// Whether the cloud is down: all requests get status 503.
     pub down: bool,
-    /// What machines' names begin with.
+    /// Prefix of machine names.
     pub prefix: String,
 }
 
 impl Default for Cloud {
     fn default() -> Self {
         Self {
-            requests: BTreeMap::new(),
-            next: 0,
+            names_by_request: BTreeMap::new(),
+            next_number: 0,
             machines: BTreeMap::new(),
             deleted: BTreeSet::new(),
             most: 20,
@@ -44,17 +44,17 @@
 }
 
 impl Cloud {
-    /// Usual boot time of its machines.
+    /// Default boot time of machines, in milliseconds.
     pub const BOOT_MS: u64 = 3000;
-    /// Most machines in a page of its list.
+    /// Maximum number of machines in one page of the list.
     pub const PAGE: usize = 500;
 
-    /// Boot time of the machine that was rented next; none: it never comes up.
-    pub fn next_boot(&mut self) -> Option<u64> {
+    /// Removes and returns the boot time in milliseconds of the next rented machine. `None`: it never boots.
+    pub fn take_next_boot_ms(&mut self) -> Option<u64> {
         self.next_boots.pop_front().unwrap_or(Some(self.boot_ms))
     }
 
-    /// Carries out one request; the machines rented by it come second.
+    /// Executes one HTTP request. Returns the status, the body, and the names of the machines that it rented.
     pub fn request(&mut self, method: &str, path: &str, body: &str) -> (u16, Value, Vec<String>) {
         if self.down {
             return (503, json!({ "error": "trouble" }), Vec::new());
@@ -79,40 +79,40 @@
         }]})
     }
 
-    /// Rents machines, as many as there is room for; a repeated request gets those that it has.
+    /// Rents machines, up to the free capacity. The request is idempotent: a repeated one gets the same machines.
     fn rent(&mut self, body: &Value) -> (u16, Value, Vec<String>) {
         let request = body["charter"].as_str().unwrap_or_default().to_owned();
-        if let Some(names) = self.requests.get(&request) {
+        if let Some(names) = self.names_by_request.get(&request) {
             return (200, json!({ "berths": names }), Vec::new());
         }
         let zone = body["yard"].as_str().unwrap_or_default().to_owned();
         let wanted = body["number"].as_u64().unwrap_or(0) as usize;
-        let count = wanted.min(self.room_in(&zone));
+        let count = wanted.min(self.free_capacity_in(&zone));
         if count == 0 {
             return (503, json!({ "error": "no capacity" }), Vec::new());
         }
         let spot = body["standby"].as_bool().unwrap_or(false);
         let names: Vec<String> = (0..count)
             .map(|_| {
-                self.next += 1;
-                format!("{}{:06}", self.prefix, self.next)
+                self.next_number += 1;
+                format!("{}{:06}", self.prefix, self.next_number)
             })
             .collect();
         for name in &names {
             self.machines.insert(name.clone(), (zone.clone(), spot));
         }
-        self.requests.insert(request, names.clone());
+        self.names_by_request.insert(request, names.clone());
         (200, json!({ "berths": names }), names)
     }
 
-    /// How many more machines can be rented in a zone.
-    fn room_in(&self, zone: &str) -> usize {
-        let room = self.most.saturating_sub(self.machines.len());
+    /// Returns how many more machines can be rented in a zone.
+    fn free_capacity_in(&self, zone: &str) -> usize {
+        let free = self.most.saturating_sub(self.machines.len());
         let Some(most) = self.most_in_zone.get(zone) else {
-            return room;
+            return free;
         };
-        let here = self.machines.values().filter(|(z, _)| z == zone).count();
-        room.min(most.saturating_sub(here))
+        let in_zone = self.machines.values().filter(|(z, _)| z == zone).count();
+        free.min(most.saturating_sub(in_zone))
     }
 
     fn delete(&mut self, body: &Value) {
@@ -123,13 +123,13 @@
         }
     }
 
-    /// A page of the list of machines, after the one that the path names.
+    /// Returns the page of the machine list that follows the machine named in the path.
     fn list(&self, path: &str) -> Value {
         let since = path.split("since=").nth(1).and_then(|p| p.split('&').next());
         let since = since.unwrap_or_default();
-        let after = self.machines.iter().filter(|(id, _)| id.as_str() > since);
-        let more = after.clone().count() > Self::PAGE;
-        let list: Vec<Value> = after
+        let following = self.machines.iter().filter(|(id, _)| id.as_str() > since);
+        let more = following.clone().count() > Self::PAGE;
+        let list: Vec<Value> = following
             .take(Self::PAGE)
             .map(|(id, (zone, spot))| {
                 json!({ "uid": id, "addr": "", "model": "m2", "yard": zone, "standby": spot,
--- a/crates/tidelatch-standin/src/faults.rs
+++ b/crates/tidelatch-standin/src/faults.rs
@@ -1,52 +1,52 @@
-//! Faults for [`World::meddle`](crate::World::meddle), which can be combined: what becomes of messages on
-//! networks and at services that fail. With one seed, all are the same every time.
+//! Fault injectors for [`World::meddle`](crate::World::meddle): network faults and failing services. They can be
+//! combined. The random ones are deterministic for a given seed.
 
 use crate::world::{Delivery, Message};
 use std::ops::Range;
 
-/// Decides what becomes of messages.
+/// Decides the delivery of each message.
 pub type FaultInjector = Box<dyn FnMut(&Message<'_>) -> Delivery>;
 
-/// Several faults at once: the first that does anything to a message decides.
+/// Combines several injectors: the first one that does not pass a message decides its delivery.
 pub fn all(mut injectors: Vec<FaultInjector>) -> FaultInjector {
-    Box::new(move |l| {
-        // Each is asked, so that none depends on what the others did.
-        let deliveries: Vec<Delivery> = injectors.iter_mut().map(|m| m(l)).collect();
+    Box::new(move |message| {
+        // Every injector sees every message, so that its random sequence does not depend on the other injectors.
+        let deliveries: Vec<Delivery> = injectors.iter_mut().map(|injector| injector(message)).collect();
         deliveries
             .into_iter()
-            .find(|f| *f != Delivery::Pass)
+            .find(|delivery| *delivery != Delivery::Pass)
             .unwrap_or(Delivery::Pass)
     })
 }
 
-/// A fault for some time, in milliseconds since the beginning.
+/// Limits an injector to a time range, in milliseconds since the beginning of the simulation.
 pub fn during(time: Range<u64>, mut injector: FaultInjector) -> FaultInjector {
-    Box::new(move |l| {
-        if time.contains(&l.at) {
-            injector(l)
+    Box::new(move |message| {
+        if time.contains(&message.at) {
+            injector(message)
         } else {
             Delivery::Pass
         }
     })
 }
 
-/// A share of transactions gets no answer, and is carried out 2 to 12 s later.
+/// Delays a share (0 to 1) of the transactions: they get no answer and are carried out 2 to 12 s later.
 pub fn late_writes(seed: u64, share: f64) -> FaultInjector {
-    let mut rng = fastrand::Rng::with_seed(seed);
-    Box::new(move |l| {
-        if l.what == "POST /txn" && rng.f64() < share {
-            Delivery::Late(rng.u64(2_000..12_000))
+    let mut random = fastrand::Rng::with_seed(seed);
+    Box::new(move |message| {
+        if message.what == "POST /txn" && random.f64() < share {
+            Delivery::Late(random.u64(2_000..12_000))
         } else {
             Delivery::Pass
         }
     })
 }
 
-/// A share of transactions is carried out at once, and its answer is lost.
+/// Loses the answers to a share (0 to 1) of the transactions, which are carried out at once.
 pub fn lost_answers(seed: u64, share: f64) -> FaultInjector {
-    let mut rng = fastrand::Rng::with_seed(seed);
-    Box::new(move |l| {
-        if l.what == "POST /txn" && rng.f64() < share {
+    let mut random = fastrand::Rng::with_seed(seed);
+    Box::new(move |message| {
+        if message.what == "POST /txn" && random.f64() < share {
             Delivery::AnswerLost
         } else {
             Delivery::Pass
@@ -54,25 +54,26 @@
     })
 }
 
-/// A copy of a share of reports comes late: from 2 s to well over two leases.
+/// Duplicates a share (0 to 1) of the reports: the copy arrives 2 to 45 s late, the latter well over two worker leases.
 pub fn late_copies(seed: u64, share: f64) -> FaultInjector {
-    let mut rng = fastrand::Rng::with_seed(seed);
-    Box::new(move |l| {
-        if l.what == "POST /agent/beat" && rng.f64() < share {
-            Delivery::Copied(rng.u64(2_000..45_000))
+    let mut random = fastrand::Rng::with_seed(seed);
+    Box::new(move |message| {
+        if message.what == "POST /agent/beat" && random.f64() < share {
+            Delivery::Copied(random.u64(2_000..45_000))
         } else {
             Delivery::Pass
         }
     })
 }
 
-/// A machine's reports arrive; answers and direct commands do not reach it. It still tells its state.
+/// Loses the answers to a machine's reports and the direct commands to it. Its reports arrive, and it still answers
+/// status requests.
 pub fn deaf(machine: &str) -> FaultInjector {
-    let deaf = machine.to_owned();
-    Box::new(move |l| {
-        if l.from == deaf {
+    let machine = machine.to_owned();
+    Box::new(move |message| {
+        if message.from == machine {
             Delivery::AnswerLost
-        } else if l.to == deaf && l.what != "GET /status" {
+        } else if message.to == machine && message.what != "GET /status" {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -80,27 +81,38 @@
     })
 }
 
-/// A machine's reports reach no controller; direct commands reach it, and are answered.
+/// Loses all reports of a machine. Direct commands reach it and are answered.
 pub fn mute(machine: &str) -> FaultInjector {
-    let mute = machine.to_owned();
-    Box::new(move |l| if l.from == mute { Delivery::Lost } else { Delivery::Pass })
+    let machine = machine.to_owned();
+    Box::new(move |message| {
+        if message.from == machine {
+            Delivery::Lost
+        } else {
+            Delivery::Pass
+        }
+    })
 }
 
-/// A controller is cut off from the state service and its peers, and has its workers and users still.
-pub fn cut_off(node: usize) -> FaultInjector {
-    let name = format!("berth-{node}");
-    Box::new(move |l| {
-        let out = l.from == name && (l.to == "state" || l.to.starts_with("berth-"));
-        let back = l.to == name && l.from.starts_with("berth-");
-        if out || back { Delivery::Lost } else { Delivery::Pass }
+/// Isolates a controller from the state service and from its peers, in both directions. Its workers and users still
+/// reach it.
+pub fn cut_off(controller: usize) -> FaultInjector {
+    let name = format!("berth-{controller}");
+    Box::new(move |message| {
+        let is_outgoing = message.from == name && (message.to == "state" || message.to.starts_with("berth-"));
+        let is_from_peer = message.to == name && message.from.starts_with("berth-");
+        if is_outgoing || is_from_peer {
+            Delivery::Lost
+        } else {
+            Delivery::Pass
+        }
     })
 }
 
-/// The state service answers 503 to one controller alone.
-pub fn refused(node: usize) -> FaultInjector {
-    let name = format!("berth-{node}");
-    Box::new(move |l| {
-        if l.from == name && l.to == "state" {
+/// Makes the state service answer 503 to one controller, and only to this one.
+pub fn refused(controller: usize) -> FaultInjector {
+    let name = format!("berth-{controller}");
+    Box::new(move |message| {
+        if message.from == name && message.to == "state" {
             Delivery::Refused
         } else {
             Delivery::Pass
@@ -108,31 +120,32 @@
     })
 }
 
-/// Which side of a split network the state service is on.
+/// The side of a network partition that the state service is on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateServiceSide {
-    /// Only the named controllers reach it.
+    /// Only the named controllers reach the state service.
     Named,
-    /// All reach it: the cut is between the controllers alone.
+    /// All controllers reach it: only the links between controllers are cut.
     Both,
-    /// Nobody reaches it.
+    /// No controller reaches it.
     Neither,
 }
 
-/// The network splits: the named controllers reach each other, and so do the others.
+/// Partitions the network: the named controllers reach each other, and so do the others, but no named controller reaches
+/// one of the others.
 pub fn split(named: &[usize], state: StateServiceSide) -> FaultInjector {
-    let named: Vec<String> = named.iter().map(|node| format!("berth-{node}")).collect();
+    let named: Vec<String> = named.iter().map(|controller| format!("berth-{controller}")).collect();
     Box::new(move |message| {
         let is_named = |name: &str| named.iter().any(|n| n == name);
         let between_controllers = message.from.starts_with("berth-") && message.to.starts_with("berth-");
-        let parted = between_controllers && is_named(message.from) != is_named(message.to);
+        let crosses_split = between_controllers && is_named(message.from) != is_named(message.to);
         let cut_from_state = message.to == "state"
             && match state {
                 StateServiceSide::Named => !is_named(message.from),
                 StateServiceSide::Both => false,
                 StateServiceSide::Neither => true,
             };
-        if parted || cut_from_state {
+        if crosses_split || cut_from_state {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -140,7 +153,7 @@
     })
 }
 
-/// Nothing that one controller sends reaches another; the other way is open.
+/// Cuts the network from one controller to another. Messages in the other direction arrive, but their answers are lost.
 pub fn one_way(from: usize, to: usize) -> FaultInjector {
     let (from, to) = (format!("berth-{from}"), format!("berth-{to}"));
     Box::new(move |message| {
@@ -154,7 +167,7 @@
     })
 }
 
-/// Messages between controllers are delayed, lost, copied and overtaken.
+/// Delays, loses, duplicates and reorders messages between controllers.
 pub fn rough_peer_network(seed: u64) -> FaultInjector {
     let mut random = fastrand::Rng::with_seed(seed);
     Box::new(move |message| {
--- a/crates/tidelatch-standin/src/gang.rs
+++ b/crates/tidelatch-standin/src/gang.rs
@@ -1,123 +1,131 @@
-//! How workers play gangs: the phases of one attempt, as the operators' page has them.
+//! Simulates gangs on workers: the phases of one attempt of a gang, as the operators' specification of workers describes them.
 
 use crate::worker::Worker;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time after which a task that waits for the others gives up.
-pub const WAIT_MS: u64 = 35_000;
-/// Time within which tasks notice that one is gone, and within which all must be told to stop.
-pub const PEER_MS: u64 = 5_000;
-/// Time that a stopped task needs to save.
-pub const SAVE_MS: u64 = 2_000;
+/// Milliseconds after which a task that waits for the other tasks of its gang exits.
+pub const GANG_WAIT_MS: u64 = 35_000;
+/// Milliseconds after which the tasks of a running gang exit because a task is missing. After the first stop order the
+/// other tasks must get theirs within the same time.
+pub const GANG_PEER_TIMEOUT_MS: u64 = 5_000;
+/// Milliseconds that a stopped task needs to save its progress.
+pub const GANG_SAVE_MS: u64 = 2_000;
 
-/// One attempt of a gang.
+/// The state of one attempt of a gang.
 #[derive(Debug, Clone, Default)]
-pub struct Play {
-    /// All of its tasks have started together.
-    running: bool,
-    /// Since when one of them has been missing.
-    broken: Option<u64>,
-    /// When the first was told to stop.
-    stop_at: Option<u64>,
-    /// Who was told in time, with time enough.
-    told: BTreeSet<String>,
-    /// A task was stopped with too little grace.
-    spoilt: bool,
-    /// Its progress is safe.
-    saved: bool,
-    /// Progress of this attempt when it was last looked at, and when that was.
-    ran_ms: u64,
-    seen_at: u64,
+pub struct GangAttempt {
+    /// Whether all its tasks have started together.
+    is_running: bool,
+    /// Since when a task has been missing.
+    incomplete_since: Option<u64>,
+    /// When the first task got a stop order.
+    first_stop_ms: Option<u64>,
+    /// Tasks that got their stop orders in time and with enough grace to save.
+    saving: BTreeSet<String>,
+    /// Whether a task was stopped too late or with too little grace, so that the gang cannot save.
+    cannot_save: bool,
+    /// Whether its progress is saved.
+    is_saved: bool,
+    /// Progress of this attempt since the last checkpoint, and when it was last updated.
+    progress_ms: u64,
+    updated_ms: u64,
 }
 
-/// What all gangs have come to.
+/// The state of all gangs.
 #[derive(Debug, Default)]
 pub struct Gangs {
-    plays: BTreeMap<(String, u64), Play>,
-    /// Progress that is stored, by job.
+    attempts: BTreeMap<(String, u64), GangAttempt>,
+    /// Saved progress in milliseconds, by job.
     pub saved_ms: BTreeMap<String, u64>,
-    /// Tasks that have completed.
+    /// Tasks that have completed and were not yet reported to the world.
     pub done: Vec<String>,
-    /// What happened, for the trace.
-    pub news: Vec<String>,
-    /// Workers on which something has changed.
-    pub changed: BTreeSet<String>,
+    /// Lines for the trace that were not yet written.
+    pub trace_lines: Vec<String>,
+    /// Names of workers whose attempts have changed since their last report.
+    pub changed_workers: BTreeSet<String>,
 }
 
-/// A gang, as the world knows it from its submission.
+/// The properties of a gang that its submission specifies.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
-    /// Its tasks.
+pub struct GangTerms {
+    /// Number of tasks.
     pub tasks: usize,
-    /// Milliseconds that it runs.
+    /// Milliseconds of progress after which it is done.
     pub run_ms: u64,
-    /// Milliseconds between checkpoints; 0: none.
+    /// Milliseconds of progress between checkpoints; 0: it writes none.
     pub checkpoint_ms: u64,
 }
 
-/// A worker's name and a task on it.
+/// The name of a worker, and a task on it.
 type WorkerTask = (String, String);
 
-/// One look at an attempt of a gang.
-struct Round<'a> {
+/// The inputs of one simulation step of one attempt.
+struct Step<'a> {
     job: &'a str,
     attempt: u64,
-    terms: Terms,
+    terms: GangTerms,
     workers: &'a mut BTreeMap<String, Worker>,
     now: u64,
 }
 
 impl Gangs {
-    /// A task was told to stop. True: it saves first.
-    pub fn told(&mut self, job: &str, attempt: u64, task: &str, grace_s: f64, now: u64) -> bool {
-        let play = self.plays.entry((job.to_owned(), attempt)).or_default();
-        if !play.running {
+    /// Handles a stop order for a task. Returns whether the task saves its progress before it ends.
+    pub fn begin_stop(&mut self, job: &str, attempt: u64, task: &str, grace_s: f64, now: u64) -> bool {
+        let gang = self.attempts.entry((job.to_owned(), attempt)).or_default();
+        if !gang.is_running {
             return false;
         }
-        let first = *play.stop_at.get_or_insert(now);
-        if grace_s * 1000.0 < SAVE_MS as f64 || now > first + PEER_MS {
-            play.spoilt |= !play.saved;
+        let first = *gang.first_stop_ms.get_or_insert(now);
+        if grace_s * 1000.0 < GANG_SAVE_MS as f64 || now > first + GANG_PEER_TIMEOUT_MS {
+            gang.cannot_save |= !gang.is_saved;
             return false;
         }
-        play.told.insert(task.to_owned());
+        gang.saving.insert(task.to_owned());
         true
     }
 
-    /// Lets one attempt go on, on all workers that have tasks of it.
-    pub fn go_on(&mut self, key: &(String, u64), terms: Terms, workers: &mut BTreeMap<String, Worker>, now: u64) {
-        let mut play = self.plays.remove(key).unwrap_or_default();
-        let mut round = Round {
+    /// Advances one attempt on all workers that have tasks of it.
+    pub fn advance_attempt(
+        &mut self,
+        key: &(String, u64),
+        terms: GangTerms,
+        workers: &mut BTreeMap<String, Worker>,
+        now: u64,
+    ) {
+        let mut gang = self.attempts.remove(key).unwrap_or_default();
+        let mut step = Step {
             job: &key.0,
             attempt: key.1,
             terms,
             workers,
             now,
         };
-        let mut tasks = self.tasks_by_state(&mut round);
-        let mut in_state = |state: &str| tasks.remove(state).unwrap_or_default();
-        if play.running {
-            let mut left = in_state("running");
-            left.extend(in_state("flushing"));
-            self.proceed(&mut play, &mut round, &left);
+        let mut tasks = self.tasks_by_state(&mut step);
+        let mut take_in_state = |state: &str| tasks.remove(state).unwrap_or_default();
+        if gang.is_running {
+            let mut active = take_in_state("running");
+            active.extend(take_in_state("flushing"));
+            self.advance_running(&mut gang, &mut step, &active);
         } else {
-            self.start_or_give_up(&mut play, &mut round, in_state("gathering"));
+            self.start_or_time_out(&mut gang, &mut step, take_in_state("gathering"));
         }
-        self.plays.insert(key.clone(), play);
+        self.attempts.insert(key.clone(), gang);
     }
 
-    /// The attempt's tasks on workers that do not hang. What has been fetched waits; its time begins.
-    fn tasks_by_state(&mut self, round: &mut Round<'_>) -> BTreeMap<&'static str, Vec<WorkerTask>> {
-        let prefix = format!("{}/", round.job);
+    /// Returns the attempt's tasks on workers that do not hang, by state. A task whose image has been fetched begins to
+    /// wait for the others, and its waiting time starts.
+    fn tasks_by_state(&mut self, step: &mut Step<'_>) -> BTreeMap<&'static str, Vec<WorkerTask>> {
+        let prefix = format!("{}/", step.job);
         let mut tasks: BTreeMap<&'static str, Vec<WorkerTask>> = BTreeMap::new();
-        for (name, w) in round.workers.iter_mut().filter(|(_, w)| !w.hanging) {
+        for (name, w) in step.workers.iter_mut().filter(|(_, w)| !w.hanging) {
             for ((task, n), a) in &mut w.tasks {
-                if *n != round.attempt || !task.starts_with(&prefix) {
+                if *n != step.attempt || !task.starts_with(&prefix) {
                     continue;
                 }
-                if a.state == "pulling" && a.next.is_some_and(|t| t <= round.now) {
+                if a.state == "pulling" && a.transition_ms.is_some_and(|t| t <= step.now) {
                     a.state = "gathering";
-                    a.next = Some(round.now + WAIT_MS);
-                    self.changed.insert(name.clone());
+                    a.transition_ms = Some(step.now + GANG_WAIT_MS);
+                    self.changed_workers.insert(name.clone());
                 }
                 tasks.entry(a.state).or_default().push((name.clone(), task.clone()));
             }
@@ -125,98 +133,101 @@
         tasks
     }
 
-    /// All tasks start together once all wait; one that has waited for too long exits.
-    fn start_or_give_up(&mut self, play: &mut Play, round: &mut Round<'_>, waiting: Vec<WorkerTask>) {
-        let (job, attempt, now) = (round.job, round.attempt, round.now);
+    /// Starts all tasks together once all of them wait. A task that has waited for too long exits.
+    fn start_or_time_out(&mut self, gang: &mut GangAttempt, step: &mut Step<'_>, waiting: Vec<WorkerTask>) {
+        let (job, attempt, now) = (step.job, step.attempt, step.now);
         let distinct: BTreeSet<&String> = waiting.iter().map(|(_, t)| t).collect();
-        if distinct.len() == round.terms.tasks {
-            play.running = true;
-            play.seen_at = now;
-            self.set_state(round, &waiting, "running", "");
-            let text = format!("{job}: all {} tasks of attempt {attempt} run", round.terms.tasks);
-            self.news.push(text);
+        if distinct.len() == step.terms.tasks {
+            gang.is_running = true;
+            gang.updated_ms = now;
+            self.set_state(step, &waiting, "running", "");
+            let text = format!("{job}: all {} tasks of attempt {attempt} run", step.terms.tasks);
+            self.trace_lines.push(text);
             return;
         }
-        let late: Vec<WorkerTask> = waiting
+        let timed_out: Vec<WorkerTask> = waiting
             .into_iter()
             .filter(|(name, task)| {
-                let worker = round.workers.get(name);
+                let worker = step.workers.get(name);
                 let a = worker.and_then(|w| w.tasks.get(&(task.clone(), attempt)));
-                a.is_some_and(|a| a.next.is_some_and(|t| t <= now))
+                a.is_some_and(|a| a.transition_ms.is_some_and(|t| t <= now))
             })
             .collect();
-        if !late.is_empty() {
-            let text = format!("{job}: {} tasks of attempt {attempt} exit: incomplete", late.len());
-            self.news.push(text);
-            self.set_state(round, &late, "ended", "incomplete");
+        if !timed_out.is_empty() {
+            let text = format!("{job}: {} tasks of attempt {attempt} exit: incomplete", timed_out.len());
+            self.trace_lines.push(text);
+            self.set_state(step, &timed_out, "ended", "incomplete");
         }
     }
 
-    /// A gang that runs makes progress, until it is done, is saved, or falls apart.
-    fn proceed(&mut self, play: &mut Play, round: &mut Round<'_>, left: &[WorkerTask]) {
-        if left.is_empty() {
+    /// Advances a running gang until it is done, has saved its progress, or exits because tasks are missing.
+    fn advance_running(&mut self, gang: &mut GangAttempt, step: &mut Step<'_>, active: &[WorkerTask]) {
+        if active.is_empty() {
             return;
         }
-        let (job, attempt, now) = (round.job, round.attempt, round.now);
-        let whole = left.len() == round.terms.tasks;
-        self.add_progress(play, round, whole);
+        let (job, attempt, now) = (step.job, step.attempt, step.now);
+        let is_complete = active.len() == step.terms.tasks;
+        self.add_progress(gang, step, is_complete);
         let stored = self.saved_ms.get(job).copied().unwrap_or(0);
-        let progress = stored + play.ran_ms;
-        if whole && play.stop_at.is_none() && progress >= round.terms.run_ms {
-            self.news.push(format!("{job}: done"));
-            self.done.extend(left.iter().map(|(_, task)| task.clone()));
-            self.set_state(round, left, "ended", "done");
+        let progress = stored + gang.progress_ms;
+        if is_complete && gang.first_stop_ms.is_none() && progress >= step.terms.run_ms {
+            self.trace_lines.push(format!("{job}: done"));
+            self.done.extend(active.iter().map(|(_, task)| task.clone()));
+            self.set_state(step, active, "ended", "done");
             return;
         }
-        if let Some(at) = play.stop_at.filter(|_| whole && !play.spoilt && !play.saved)
-            && play.told.len() == round.terms.tasks
-            && now >= at + SAVE_MS
+        if let Some(stopped_ms) = gang
+            .first_stop_ms
+            .filter(|_| is_complete && !gang.cannot_save && !gang.is_saved)
+            && gang.saving.len() == step.terms.tasks
+            && now >= stopped_ms + GANG_SAVE_MS
         {
-            play.saved = true;
+            gang.is_saved = true;
             self.saved_ms.insert(job.to_owned(), progress);
-            self.news
+            self.trace_lines
                 .push(format!("{job}: attempt {attempt} is saved at {progress} ms"));
-            self.set_state(round, left, "ended", "stopped");
+            self.set_state(step, active, "ended", "stopped");
             return;
         }
-        let untold = play.stop_at.is_some_and(|at| now > at + PEER_MS);
-        if !whole || untold {
-            let since = *play.broken.get_or_insert(now);
-            if now > since + PEER_MS || untold {
-                let text = format!("{job}: {} tasks of attempt {attempt} exit: peers", left.len());
-                self.news.push(text);
-                self.set_state(round, left, "ended", "peers");
+        let stop_timed_out = gang.first_stop_ms.is_some_and(|at| now > at + GANG_PEER_TIMEOUT_MS);
+        if !is_complete || stop_timed_out {
+            let since = *gang.incomplete_since.get_or_insert(now);
+            if now > since + GANG_PEER_TIMEOUT_MS || stop_timed_out {
+                let text = format!("{job}: {} tasks of attempt {attempt} exit: peers", active.len());
+                self.trace_lines.push(text);
+                self.set_state(step, active, "ended", "peers");
             }
         }
     }
 
-    /// Counts progress, which stops with the first stop and with the loss of a task, and stores checkpoints.
-    fn add_progress(&mut self, play: &mut Play, round: &Round<'_>, whole: bool) {
-        if whole && play.stop_at.is_none() && play.broken.is_none() {
-            play.ran_ms += round.now - play.seen_at;
+    /// Adds the time since the last update to the progress and stores checkpoints. Progress ends with the first stop
+    /// order and with the loss of a task.
+    fn add_progress(&mut self, gang: &mut GangAttempt, step: &Step<'_>, is_complete: bool) {
+        if is_complete && gang.first_stop_ms.is_none() && gang.incomplete_since.is_none() {
+            gang.progress_ms += step.now - gang.updated_ms;
         }
-        play.seen_at = round.now;
-        let stored = self.saved_ms.get(round.job).copied().unwrap_or(0);
-        let checkpoint_ms = round.terms.checkpoint_ms;
-        if let Some(passed) = (stored + play.ran_ms).checked_div(checkpoint_ms) {
-            let at = passed * checkpoint_ms;
-            if at > stored {
-                play.ran_ms = stored + play.ran_ms - at;
-                self.saved_ms.insert(round.job.to_owned(), at);
+        gang.updated_ms = step.now;
+        let stored = self.saved_ms.get(step.job).copied().unwrap_or(0);
+        let checkpoint_ms = step.terms.checkpoint_ms;
+        if let Some(checkpoints) = (stored + gang.progress_ms).checked_div(checkpoint_ms) {
+            let checkpoint_at_ms = checkpoints * checkpoint_ms;
+            if checkpoint_at_ms > stored {
+                gang.progress_ms = stored + gang.progress_ms - checkpoint_at_ms;
+                self.saved_ms.insert(step.job.to_owned(), checkpoint_at_ms);
             }
         }
     }
 
-    /// Puts tasks of the attempt into a state in which they stay by themselves.
-    fn set_state(&mut self, round: &mut Round<'_>, tasks: &[WorkerTask], state: &'static str, why: &'static str) {
+    /// Puts tasks of the attempt into a state that they do not leave by themselves.
+    fn set_state(&mut self, step: &mut Step<'_>, tasks: &[WorkerTask], state: &'static str, cause: &'static str) {
         for (name, task) in tasks {
-            let worker = round.workers.get_mut(name);
-            let a = worker.and_then(|w| w.tasks.get_mut(&(task.clone(), round.attempt)));
+            let worker = step.workers.get_mut(name);
+            let a = worker.and_then(|w| w.tasks.get_mut(&(task.clone(), step.attempt)));
             if let Some(a) = a {
                 a.state = state;
-                a.why = why;
-                a.next = None;
-                self.changed.insert(name.clone());
+                a.cause = cause;
+                a.transition_ms = None;
+                self.changed_workers.insert(name.clone());
             }
         }
     }
--- a/crates/tidelatch-standin/src/interruptions.rs
+++ b/crates/tidelatch-standin/src/interruptions.rs
@@ -1,78 +1,79 @@
-//! Watches which replicas run, and finds interruptions beyond budgets.
+//! Records which replicas run, and detects interruptions that exceed disruption budgets.
 //!
-//! The recorder knows nothing of controllers or of permits. It is told which units run where, and which machines the
-//! test itself has lost; whatever else stops was stopped by choice.
+//! A unit is one task or replica, such as `job-000001/3`. The recorder does not know the controllers or their permits.
+//! It is given the machine of each running unit, and the machines that the test itself has taken away. Every other stop
+//! counts as voluntary, that is, as a decision of a controller.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Units that share a budget.
+/// Jobs whose units share a disruption budget.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Group {
-    /// Most of them that may be away at a time.
-    most_away: usize,
-    /// Jobs whose units belong to it.
+    /// Maximum number of its units that may be voluntarily stopped at a time.
+    max_stopped: usize,
+    /// The jobs of the group.
     jobs: BTreeSet<String>,
 }
 
-/// An interruption that no budget allowed.
+/// A voluntary interruption that the budget did not allow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Excess {
-    /// More units were stopped by choice, and did not run again yet, than may be away.
+    /// More units were voluntarily stopped, and did not run again yet, than the budget allows.
     TooMany {
-        /// The group.
+        /// The group whose budget was exceeded.
         group: String,
-        /// When, in milliseconds.
+        /// Time of the stop, in milliseconds.
         at_ms: u64,
-        /// The units.
+        /// The units that were stopped.
         away: Vec<String>,
     },
-    /// A unit was stopped by choice although lost machines had used up the budget for longer than permits last.
+    /// A unit was voluntarily stopped although lost machines had used up the budget for longer than permits are valid.
     WhileSpent {
-        /// The group.
+        /// The group whose budget was exceeded.
         group: String,
-        /// When, in milliseconds.
+        /// Time of the stop, in milliseconds.
         at_ms: u64,
-        /// The unit.
+        /// The unit that was stopped.
         unit: String,
     },
 }
 
-/// An interruption by choice.
+/// A voluntary interruption of a unit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Interruption {
-    /// When, in milliseconds.
+    /// Time of the stop, in milliseconds.
     pub at_ms: u64,
-    /// The unit.
+    /// The unit that was stopped.
     pub unit: String,
-    /// The machine that it left.
+    /// The machine that the unit ran on.
     pub machine: String,
 }
 
-/// What runs, what is away and why.
+/// Records which units run, which do not, and why.
 #[derive(Debug, Clone, Default)]
 pub struct InterruptionRecorder {
     groups: BTreeMap<String, Group>,
     running: BTreeMap<String, String>,
     lost_machines: BTreeSet<String>,
-    /// Machines on which all that ran was lost since the last sample.
+    /// Machines whose session was lost since the last sample, with all units on them.
     lost_sessions: BTreeSet<String>,
-    /// Units that are away by choice.
+    /// Units that were voluntarily stopped and do not run again yet.
     stopped: BTreeSet<String>,
-    /// Units that are away because a machine was lost, and since when.
+    /// Units that do not run because a machine was lost, and since when.
     lost: BTreeMap<String, u64>,
-    /// Time for which permits that were granted before a loss may still be used.
+    /// Milliseconds for which permits that were granted before a loss may still be used.
     grace_ms: u64,
     interruptions: Vec<Interruption>,
     excesses: Vec<Excess>,
 }
 
-/// The job of a unit such as `job-000001/3`.
+/// Returns the job of a unit such as `job-000001/3`.
 fn job_of(unit: &str) -> &str {
     unit.split('/').next().unwrap_or(unit)
 }
 
 impl InterruptionRecorder {
-    /// A recorder that allows for permits that were granted up to `grace_ms` before a loss.
+    /// Creates a recorder that tolerates the use of permits for up to `grace_ms` after a loss.
     pub fn new(grace_ms: u64) -> Self {
         Self {
             grace_ms,
@@ -80,37 +81,38 @@
         }
     }
 
-    /// Of some jobs together at most so many units may be away at a time.
-    pub fn limit(&mut self, group: &str, jobs: &[&str], most_away: usize) {
+    /// Sets a budget: at most `max_stopped` units of these jobs together may be voluntarily stopped at a time.
+    pub fn limit(&mut self, group: &str, jobs: &[&str], max_stopped: usize) {
         let jobs = jobs.iter().map(|job| (*job).to_owned()).collect();
-        self.groups.insert(group.to_owned(), Group { most_away, jobs });
+        self.groups.insert(group.to_owned(), Group { max_stopped, jobs });
     }
 
-    /// A machine is lost with all that runs on it: nobody chose to stop that.
+    /// Records that a machine is lost. The stops of the units on it are involuntary.
     pub fn machine_lost(&mut self, machine: &str) {
         self.lost_machines.insert(machine.to_owned());
     }
 
-    /// What ran on a machine until now was lost; what runs there from now on was not.
+    /// Records that a worker's session is lost: the stops of the units that ran on it until now are involuntary. Units
+    /// that start there later are not affected.
     pub fn session_lost(&mut self, machine: &str) {
         self.lost_sessions.insert(machine.to_owned());
     }
 
-    /// The units that run at a moment, each with its machine.
+    /// Records the units that run at a time, each with its machine.
     pub fn sample(&mut self, at_ms: u64, running: BTreeMap<String, String>) {
-        let before = std::mem::replace(&mut self.running, running);
+        let previous = std::mem::replace(&mut self.running, running);
         for unit in self.running.keys() {
             self.stopped.remove(unit);
             self.lost.remove(unit);
         }
-        let chosen = self.interruptions.len();
-        for (unit, machine) in before {
+        let interruptions_before = self.interruptions.len();
+        for (unit, machine) in previous {
             if !self.running.contains_key(&unit) {
                 self.unit_stopped(at_ms, unit, machine);
             }
         }
         self.lost_sessions.clear();
-        if self.interruptions.len() > chosen {
+        if self.interruptions.len() > interruptions_before {
             self.check_groups(at_ms);
         }
     }
@@ -122,10 +124,10 @@
         }
         for (name, group) in self.groups.iter().filter(|(_, g)| g.jobs.contains(job_of(&unit))) {
             let mut lost = self.lost.iter().filter(|(unit, _)| group.jobs.contains(job_of(unit)));
-            let long = lost
+            let long_lost = lost
                 .by_ref()
                 .filter(|(_, since)| at_ms.saturating_sub(**since) > self.grace_ms);
-            if long.count() >= group.most_away {
+            if long_lost.count() >= group.max_stopped {
                 self.excesses.push(Excess::WhileSpent {
                     group: name.clone(),
                     at_ms,
@@ -141,7 +143,7 @@
         for (name, group) in &self.groups {
             let away = self.stopped.iter().filter(|unit| group.jobs.contains(job_of(unit)));
             let away: Vec<String> = away.cloned().collect();
-            if away.len() > group.most_away {
+            if away.len() > group.max_stopped {
                 self.excesses.push(Excess::TooMany {
                     group: name.clone(),
                     at_ms,
@@ -151,19 +153,19 @@
         }
     }
 
-    /// A job is over: its units are wanted no longer.
+    /// Records that a job has ended: its units need not run any more.
     pub fn job_over(&mut self, job: &str) {
         self.running.retain(|unit, _| job_of(unit) != job);
         self.stopped.retain(|unit| job_of(unit) != job);
         self.lost.retain(|unit, _| job_of(unit) != job);
     }
 
-    /// All interruptions by choice so far.
+    /// Returns all voluntary interruptions so far.
     pub fn interruptions(&self) -> &[Interruption] {
         &self.interruptions
     }
 
-    /// All that went beyond a budget.
+    /// Returns all interruptions that exceeded a budget.
     pub fn excesses(&self) -> &[Excess] {
         &self.excesses
     }
--- a/crates/tidelatch-standin/src/lib.rs
+++ b/crates/tidelatch-standin/src/lib.rs
@@ -1,8 +1,9 @@
-//! Test-only stand-ins for everything round a controller: state service, cloud, workers, network and
-//! users, all in one deterministic world.
+//! Test doubles for everything that a controller talks to: the state service, the cloud, the workers, the network and
+//! the users, all in one deterministic simulation, the [`World`].
 //!
-//! The world is written from the protocol's text alone. It checks the rules as it goes: a broken one
-//! is listed in [`World::broken`]. What happens is written down in a trace that people can read.
+//! The world is implemented from the protocol specification only, not from the controllers' code. It checks the
+//! protocol's rules while it runs and lists each broken rule in [`World::broken`]. It writes a human-readable trace of
+//! all events. The module [`loopback`] offers the same services on 127.0.0.1 for real controller processes.
 
 #![warn(clippy::too_many_lines)]
 
--- a/crates/tidelatch-standin/src/loopback/services.rs
+++ b/crates/tidelatch-standin/src/loopback/services.rs
@@ -4,7 +4,7 @@
 use super::workers::{Fleet, ReplicaEvent, start_worker};
 use super::{Clock, Recorder, lock};
 use crate::cloud::Cloud;
-use crate::state::{Said, Store};
+use crate::state::{Store, StoreReply};
 use serde_json::json;
 use std::io;
 use std::net::SocketAddr;
@@ -129,7 +129,7 @@
     let store = store.clone();
     thread::spawn(move || {
         loop {
-            lock(&store).expire(clock.now_ms());
+            lock(&store).expire_leases(clock.now_ms());
             thread::sleep(LOOK_INTERVAL);
         }
     });
@@ -140,8 +140,8 @@
         let Request { method, path, body } = request;
         let said = lock(&store).request(clock.now_ms(), &method, &path, &body);
         match said {
-            Said::Now(status, body) => (status, body.to_string()),
-            Said::Later(prefix, since, until) => watch(&store, clock, &prefix, since, until),
+            StoreReply::Immediate(status, body) => (status, body.to_string()),
+            StoreReply::Watch(prefix, since, until) => watch(&store, clock, &prefix, since, until),
         }
     })
 }
@@ -150,7 +150,7 @@
     loop {
         let (news, revision) = {
             let store = lock(store);
-            (store.news(prefix, since), store.revision())
+            (store.changes_since(prefix, since), store.revision())
         };
         if let Some(news) = news {
             return (200, news.to_string());
--- a/crates/tidelatch-standin/src/loopback/workers.rs
+++ b/crates/tidelatch-standin/src/loopback/workers.rs
@@ -126,10 +126,10 @@
     fn step(&self, name: &str) -> Option<()> {
         let now_ms = self.clock.now_ms();
         let finished = self.change(name, |worker, jobs| {
-            if now_ms > worker.answered + WORKER_LEASE_MS {
+            if now_ms > worker.lease_start_ms + WORKER_LEASE_MS {
                 let machine = name.to_owned();
                 self.note(ReplicaEvent::SessionEnded { machine });
-                worker.next_session(now_ms);
+                worker.start_next_session(now_ms);
             }
             let pace = Pace {
                 run_ms: RUN_MS,
@@ -148,7 +148,7 @@
         let now_ms = self.clock.now_ms();
         self.change(name, |worker, _| {
             for order in orders.as_array().into_iter().flatten() {
-                worker.order(order, now_ms, &mut |_, _, _| false);
+                worker.execute_order(order, now_ms, &mut |_, _, _| false);
             }
         });
     }
@@ -196,7 +196,7 @@
                     let taken = token >= worker.token && token > 0 && worker.session == session;
                     if taken {
                         worker.token = token;
-                        worker.answered = sent_ms;
+                        worker.lease_start_ms = sent_ms;
                     }
                     taken
                 })?;
@@ -260,7 +260,7 @@
         let now_ms = fleet.clock.now_ms();
         let node = lock(&fleet.workers).len();
         let mut worker = Worker::new(&name, &zone, spot, node, now_ms);
-        worker.address = Some(address.to_string());
+        worker.command_address = Some(address.to_string());
         lock(&fleet.workers).insert(name.clone(), worker);
         let (stepping, stepped_name) = (fleet.clone(), name.clone());
         thread::spawn(move || {
--- a/crates/tidelatch-standin/src/support.rs
+++ b/crates/tidelatch-standin/src/support.rs
@@ -1,19 +1,19 @@
-//! What the tests of several files share: worlds to begin with, and checks at the end.
+//! Helpers shared by several test files: prepared worlds, and assertions for the end of a test.
 
 use crate::world::{World, job};
 use std::path::Path;
 
-/// Checks that no rule was broken.
+/// Asserts that no rule was broken.
 ///
 /// # Panics
 ///
-/// If one was: with the breaches and the trace.
+/// If a rule was broken. The message contains the breaches and the trace.
 pub fn assert_no_breaches(world: &World) {
     assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
 }
 
-/// Compares a world's trace with the one kept in `traces/` under this name, and checks that no rule was broken.
-/// With `UPDATE_TRACES` in the environment the trace is written anew.
+/// Asserts that a world's trace equals the stored one, `traces/NAME.txt`, and that no rule was broken. If the
+/// environment variable `UPDATE_TRACES` is set, writes the stored trace first.
 ///
 /// # Panics
 ///
@@ -24,21 +24,21 @@
         .join("traces")
         .join(format!("{name}.txt"));
     if std::env::var_os("UPDATE_TRACES").is_some() {
-        std::fs::write(&path, world.trace()).expect("the trace is written");
+        std::fs::write(&path, world.trace()).expect("the trace file can be written");
     }
-    let kept = std::fs::read_to_string(&path).expect("the trace is kept");
+    let stored = std::fs::read_to_string(&path).expect("the trace file can be read");
     assert_eq!(
-        kept,
+        stored,
         world.trace(),
-        "the trace {name} differs; UPDATE_TRACES=1 writes it anew"
+        "the trace {name} differs from the stored one; UPDATE_TRACES=1 replaces the stored one"
     );
 }
 
-/// A world in which a team's service of two replicas, `job-000001`, runs.
+/// Returns a world in which `job-000001`, a service of a team with two replicas, runs.
 ///
 /// # Panics
 ///
-/// If it does not run within 30 s.
+/// If the service does not run within 30 s.
 pub fn with_service(team: u32) -> World {
     let mut world = World::new();
     world.run(3000);
@@ -51,7 +51,7 @@
     world
 }
 
-/// Whether a job is stored as done.
+/// Returns whether the state service stores a job as done.
 pub fn is_done(world: &World, id: &str) -> bool {
     world.store.get(&format!("t/j/{id}")).is_some_and(|j| j["st"] == "done")
 }
--- a/crates/tidelatch-standin/src/worker.rs
+++ b/crates/tidelatch-standin/src/worker.rs
@@ -1,109 +1,113 @@
-//! A worker: its tasks, its token, its session and its lease.
+//! A simulated worker: its tasks, its fencing token, its session and its lease.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// One attempt on a worker.
+/// One attempt of a task on a worker.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     /// `pulling`, `gathering`, `running`, `flushing` or `ended`.
     pub state: &'static str,
-    /// Why it ended.
-    pub why: &'static str,
-    /// When it goes on to the next state by itself.
-    pub next: Option<u64>,
+    /// The cause of its end.
+    pub cause: &'static str,
+    /// When it moves to the next state by itself, in milliseconds.
+    pub transition_ms: Option<u64>,
 }
 
-/// A worker.
+/// A worker and the state that it reports.
 #[derive(Debug, Clone)]
 pub struct Worker {
-    /// The machine's name.
+    /// The name of its machine.
     pub name: String,
-    /// Zone.
+    /// The zone of its machine.
     pub zone: String,
-    /// Spot machine.
+    /// Whether its machine is a spot machine.
     pub spot: bool,
-    /// Session.
+    /// Number of its current session. A session ends with the worker's lease.
     pub session: u64,
-    /// Sequence number of its last message.
-    pub seq: u64,
-    /// Highest token seen.
+    /// Sequence number of its last report in this session.
+    pub sequence: u64,
+    /// Highest fencing token seen; orders with a lower one are ignored.
     pub token: u64,
-    /// What it has, by task and attempt.
+    /// Its attempts, by task and attempt number.
     pub tasks: BTreeMap<(String, u64), Attempt>,
-    /// When the last answered report was sent, or its session began.
-    pub answered: u64,
-    /// The controller that it reports to.
+    /// Start of its current lease, in milliseconds: when its session began or its last report was answered. On the
+    /// loopback interface the time at which that report was sent counts.
+    pub lease_start_ms: u64,
+    /// Number of the controller that it reports to.
     pub node: usize,
-    /// It does nothing while it hangs.
+    /// Whether it hangs: it makes no progress, sends nothing and answers nothing.
     pub hanging: bool,
-    /// Number of the report that is under way.
+    /// Sequence number of the report whose answer it waits for.
     pub waiting: Option<u64>,
-    /// It fails every task that it starts.
+    /// Whether it fails every task that it starts.
     pub sick: bool,
-    /// Where it takes commands; none: a made-up address by its name.
-    pub address: Option<String>,
+    /// Address at which it accepts commands. `None`: an address made from its name, for the simulated network.
+    pub command_address: Option<String>,
 }
 
 impl Worker {
     /// Machine type of all workers.
     pub const MODEL: &'static str = "m2";
-    /// Time to fetch an image.
+    /// Milliseconds that fetching an image takes.
     pub const FETCH_MS: u64 = 1000;
 
-    /// A worker that has just come up.
+    /// Creates a worker that has just booted and reports to this controller first.
     pub fn new(name: &str, zone: &str, spot: bool, node: usize, now: u64) -> Self {
         Self {
             name: name.to_owned(),
             zone: zone.to_owned(),
             spot,
             session: 1,
-            seq: 0,
+            sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
-            answered: now,
+            lease_start_ms: now,
             node,
             hanging: false,
             waiting: None,
             sick: false,
-            address: None,
+            command_address: None,
         }
     }
 
-    /// Its report; each has a number of its own.
+    /// Builds its next report, which has a new sequence number.
     pub fn report(&mut self) -> Value {
-        self.seq += 1;
+        self.sequence += 1;
         let tasks: Vec<Value> = self
             .tasks
             .iter()
             .map(|((task, attempt), a)| {
                 let mut v = json!({ "wagon": task, "run": attempt, "status": a.state });
                 if a.state == "ended" {
-                    v["cause"] = json!(a.why);
+                    v["cause"] = json!(a.cause);
                 }
                 v
             })
             .collect();
-        let address = self.address.clone().unwrap_or_else(|| format!("{}:9000", self.name));
+        let command_address = self
+            .command_address
+            .clone()
+            .unwrap_or_else(|| format!("{}:9000", self.name));
         json!({
-            "berth": self.name, "addr": address, "model": Self::MODEL, "yard": self.zone,
-            "standby": self.spot, "shift": self.session, "tally": self.seq, "baton": self.token,
+            "berth": self.name, "addr": command_address, "model": Self::MODEL, "yard": self.zone,
+            "standby": self.spot, "shift": self.session, "tally": self.sequence, "baton": self.token,
             "warningS": null, "wagons": tasks
         })
     }
 
-    /// Whether it has a task that has not ended.
-    pub fn has(&self, task: &str) -> bool {
+    /// Returns whether it has an attempt of the task that has not ended.
+    pub fn has_active_task(&self, task: &str) -> bool {
         self.tasks.iter().any(|((t, _), a)| t == task && a.state != "ended")
     }
 
-    /// Carries out one order; a start that begins is returned. `saves` says whether a task that is told to
-    /// stop, with this grace, saves first.
-    pub fn order(
+    /// Executes one order. Returns the task and attempt if the order starts one. `begin_save` decides whether a running task
+    /// that is stopped saves its progress first; it gets the task, the attempt and the grace in seconds.
+    pub fn execute_order(
         &mut self,
         order: &Value,
         now: u64,
-        saves: &mut dyn FnMut(&str, u64, f64) -> bool,
+        begin_save: &mut dyn FnMut(&str, u64, f64) -> bool,
     ) -> Option<(String, u64)> {
         let task = order["wagon"].as_str().unwrap_or_default().to_owned();
         let key = (task.clone(), order["run"].as_u64().unwrap_or(0));
@@ -112,16 +116,16 @@
                 if self.tasks.contains_key(&key) {
                     return None;
                 }
-                let busy = self.has(&task);
+                let already_running = self.has_active_task(&task);
                 self.tasks.insert(
                     key.clone(),
                     Attempt {
-                        state: if busy { "ended" } else { "pulling" },
-                        why: "busy",
-                        next: (!busy).then_some(now + Self::FETCH_MS),
+                        state: if already_running { "ended" } else { "pulling" },
+                        cause: "busy",
+                        transition_ms: (!already_running).then_some(now + Self::FETCH_MS),
                     },
                 );
-                (!busy).then_some(key)
+                (!already_running).then_some(key)
             }
             Some("kill") => {
                 let grace_s = order["leewayS"].as_f64().unwrap_or(0.0);
@@ -129,14 +133,14 @@
                     if a.state == "flushing" && grace_s > 0.0 {
                         return None;
                     }
-                    if a.state == "running" && saves(&task, key.1, grace_s) {
+                    if a.state == "running" && begin_save(&task, key.1, grace_s) {
                         a.state = "flushing";
-                        a.next = None;
+                        a.transition_ms = None;
                         return None;
                     }
                     a.state = "ended";
-                    a.why = "stopped";
-                    a.next = None;
+                    a.cause = "stopped";
+                    a.transition_ms = None;
                 }
                 None
             }
@@ -150,11 +154,11 @@
         }
     }
 
-    /// Its lease has ended: everything is killed and forgotten.
-    pub fn next_session(&mut self, now: u64) {
+    /// Begins the next session after its lease has ended: all its attempts are killed and forgotten.
+    pub fn start_next_session(&mut self, now: u64) {
         self.tasks.clear();
         self.session += 1;
-        self.seq = 0;
-        self.answered = now;
+        self.sequence = 0;
+        self.lease_start_ms = now;
     }
 }
--- a/crates/tidelatch-standin/src/world/calls.rs
+++ b/crates/tidelatch-standin/src/world/calls.rs
@@ -3,7 +3,7 @@
 use super::World;
 use super::event::{Caller, Event, ServiceRequest, Watch};
 use super::network::Delivery;
-use crate::state::Said;
+use crate::state::StoreReply;
 use serde_json::{Value, json};
 use tidelatch_core::{Input, Method, Target};
 
@@ -86,8 +86,8 @@
                 .store
                 .request(self.now, request.method, &request.path, &request.body)
             {
-                Said::Now(status, body) => Some((status, body.to_string())),
-                Said::Later(prefix, since, until) => {
+                StoreReply::Immediate(status, body) => Some((status, body.to_string())),
+                StoreReply::Watch(prefix, since, until) => {
                     let watch = Watch { prefix, since, until };
                     self.schedule(1, Event::Watch { from, watch });
                     None
@@ -105,7 +105,7 @@
     fn request_at_cloud(&mut self, request: &ServiceRequest) -> (u16, String) {
         let (status, body, rented) = self.cloud.request(request.method, &request.path, &request.body);
         for name in rented {
-            if let Some(after) = self.cloud.next_boot() {
+            if let Some(after) = self.cloud.take_next_boot_ms() {
                 self.schedule(after, Event::Boot(name));
             }
         }
@@ -139,7 +139,7 @@
         let news = if waits {
             None
         } else {
-            self.store.news(&watch.prefix, watch.since)
+            self.store.changes_since(&watch.prefix, watch.since)
         };
         let over = self.now >= watch.until && !waits;
         if news.is_none() && !over {
--- a/crates/tidelatch-standin/src/world/deployment.rs
+++ b/crates/tidelatch-standin/src/world/deployment.rs
@@ -1,6 +1,6 @@
 //! The deployment that a world simulates: its size, its settings and the jobs that users submit.
 
-use crate::gang::{PEER_MS, SAVE_MS, WAIT_MS};
+use crate::gang::{GANG_PEER_TIMEOUT_MS, GANG_SAVE_MS, GANG_WAIT_MS};
 use serde_json::{Value, json};
 use tidelatch_core::settings::{Features, Operator, Platform, Settings};
 
@@ -64,7 +64,7 @@
         "facts": {
             "nodes": size.controllers, "zones": ["a", "b"], "skew_ms": 25.0, "teams": teams, "objectives": objectives,
             "workers": { "report_s": 2.5, "lease_s": 18.0, "cancel_s": 38.0,
-                "gang_wait_s": WAIT_MS as f64 / 1000.0, "gang_peer_s": PEER_MS as f64 / 1000.0 },
+                "gang_wait_s": GANG_WAIT_MS as f64 / 1000.0, "gang_peer_s": GANG_PEER_TIMEOUT_MS as f64 / 1000.0 },
             "state": { "rps": 250.0, "write_rps": size.write_rps, "value_kb": size.value_kb, "txn_ops": 16,
                 "next": size.next.map(|(rps, kb, ops)| json!({ "write_rps": rps, "value_kb": kb, "txn_ops": ops })) },
             "cloud": { "rps": 4.0, "list_lag_s": 8.0 },
@@ -95,7 +95,7 @@
     job["ramGb"] = json!(10.0);
     job["together"] = json!(true);
     job["waypointS"] = json!(2.0);
-    job["stowS"] = json!(SAVE_MS as f64 / 1000.0);
+    job["stowS"] = json!(GANG_SAVE_MS as f64 / 1000.0);
     job
 }
 
--- a/crates/tidelatch-standin/src/world/gangs.rs
+++ b/crates/tidelatch-standin/src/world/gangs.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use super::event::Event;
-use crate::gang::{Gangs, Terms};
+use crate::gang::{GangTerms, Gangs};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,20 +16,20 @@
     pub(super) fn step_gangs(&mut self) {
         for key in self.gangs_on_machines() {
             let Some(job) = self.jobs.get(&key.0) else { continue };
-            let terms = Terms {
+            let terms = GangTerms {
                 tasks: job["wagons"].as_u64().unwrap_or(0) as usize,
                 run_ms: self.run_ms,
                 checkpoint_ms: (job["waypointS"].as_f64().unwrap_or(0.0) * 1000.0) as u64,
             };
-            self.gangs.go_on(&key, terms, &mut self.workers, self.now);
+            self.gangs.advance_attempt(&key, terms, &mut self.workers, self.now);
         }
-        for name in self.gangs.changed.clone() {
+        for name in self.gangs.changed_workers.clone() {
             self.observe_machine(&name, &[]);
         }
         for task in std::mem::take(&mut self.gangs.done) {
             self.completed(&task);
         }
-        for text in std::mem::take(&mut self.gangs.news) {
+        for text in std::mem::take(&mut self.gangs.trace_lines) {
             self.note(&text);
         }
         self.report_changed_gangs();
@@ -53,30 +53,35 @@
     /// Workers on which a gang has changed report, unless they did so a moment ago.
     fn report_changed_gangs(&mut self) {
         let now = self.now;
-        let changed = std::mem::take(&mut self.gangs.changed);
+        let changed = std::mem::take(&mut self.gangs.changed_workers);
         for name in changed {
-            let lately = self
+            let reported_recently = self
                 .gang_reported_at
                 .get(&name)
                 .is_some_and(|t| now < t + CHANGE_REPORT_MS);
-            let free = self
+            let can_report = self
                 .workers
                 .get(&name)
                 .is_some_and(|w| !w.hanging && w.waiting.is_none());
-            if free && !lately {
+            if can_report && !reported_recently {
                 self.gang_reported_at.insert(name.clone(), now);
                 self.send_report(&name);
             } else if self.workers.contains_key(&name) {
-                self.gangs.changed.insert(name);
+                self.gangs.changed_workers.insert(name);
             }
         }
     }
 }
 
 /// A task was told to stop: only a gang's that runs saves first.
-pub(super) fn begin_stop(gangs: &mut Gangs, jobs: &BTreeMap<String, Value>, stop: (&str, u64, f64), now: u64) -> bool {
+pub(super) fn begin_task_stop(
+    gangs: &mut Gangs,
+    jobs: &BTreeMap<String, Value>,
+    stop: (&str, u64, f64),
+    now: u64,
+) -> bool {
     let (task, attempt, grace_s) = stop;
     let job = task.split('/').next().unwrap_or_default();
     let gang = jobs.get(job).is_some_and(|j| j["shape"] == "group");
-    gang && gangs.told(job, attempt, task, grace_s, now)
+    gang && gangs.begin_stop(job, attempt, task, grace_s, now)
 }
--- a/crates/tidelatch-standin/src/world/mod.rs
+++ b/crates/tidelatch-standin/src/world/mod.rs
@@ -210,7 +210,7 @@
 
     fn expire_leases(&mut self) {
         let now = self.now;
-        self.store.expire(now);
+        self.store.expire_leases(now);
     }
 
     fn handle_event(&mut self, event: Event) {
--- a/crates/tidelatch-standin/src/world/reports.rs
+++ b/crates/tidelatch-standin/src/world/reports.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use super::event::{Asked, Event, Report};
-use super::gangs::begin_stop;
+use super::gangs::begin_task_stop;
 use super::network::Delivery;
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -18,7 +18,7 @@
     pub(super) fn send_report(&mut self, name: &str) {
         let Some(w) = self.workers.get_mut(name) else { return };
         let body = w.report().to_string();
-        let (node, beat) = (w.node, w.seq);
+        let (node, beat) = (w.node, w.sequence);
         w.waiting = Some(beat);
         let to = format!("berth-{node}");
         let delivery = self.deliver(name, &to, "POST /agent/beat", &body);
@@ -87,13 +87,14 @@
                 let token = body["baton"].as_u64().unwrap_or(0);
                 if token >= w.token && token > 0 {
                     w.token = token;
-                    w.answered = now;
+                    w.lease_start_ms = now;
                     let gangs = &mut self.gangs;
                     let jobs = &self.jobs;
-                    let mut saves =
-                        |task: &str, attempt: u64, grace_s: f64| begin_stop(gangs, jobs, (task, attempt, grace_s), now);
+                    let mut begin_save = |task: &str, attempt: u64, grace_s: f64| {
+                        begin_task_stop(gangs, jobs, (task, attempt, grace_s), now)
+                    };
                     for order in body["orders"].as_array().into_iter().flatten() {
-                        started.extend(w.order(order, now, &mut saves));
+                        started.extend(w.execute_order(order, now, &mut begin_save));
                     }
                 }
             }
--- a/crates/tidelatch-standin/src/world/workers.rs
+++ b/crates/tidelatch-standin/src/world/workers.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use super::event::Event;
-use super::gangs::begin_stop;
+use super::gangs::begin_task_stop;
 use crate::worker::{Attempt, Worker};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -42,9 +42,10 @@
         w.token = token;
         let mut started = Vec::new();
         let (gangs, jobs) = (&mut self.gangs, &self.jobs);
-        let mut saves = |task: &str, attempt: u64, grace_s: f64| begin_stop(gangs, jobs, (task, attempt, grace_s), now);
+        let mut begin_save =
+            |task: &str, attempt: u64, grace_s: f64| begin_task_stop(gangs, jobs, (task, attempt, grace_s), now);
         for order in body["orders"].as_array().into_iter().flatten() {
-            started.extend(w.order(order, now, &mut saves));
+            started.extend(w.execute_order(order, now, &mut begin_save));
         }
         let report = w.report().to_string();
         self.started(machine, &started);
@@ -57,8 +58,8 @@
         let Some(w) = self.workers.get_mut(name) else { return };
         let mut finished = Vec::new();
         if !w.hanging {
-            if now > w.answered + LEASE_MS {
-                w.next_session(now);
+            if now > w.lease_start_ms + LEASE_MS {
+                w.start_next_session(now);
                 w.waiting = None;
             }
             let pace = Pace {
@@ -85,11 +86,12 @@
     pub fn stop_on(&mut self, machine: &str, grace_s: f64) {
         let now = self.now;
         let (gangs, jobs) = (&mut self.gangs, &self.jobs);
-        let mut saves = |task: &str, attempt: u64, grace_s: f64| begin_stop(gangs, jobs, (task, attempt, grace_s), now);
+        let mut begin_save =
+            |task: &str, attempt: u64, grace_s: f64| begin_task_stop(gangs, jobs, (task, attempt, grace_s), now);
         if let Some(w) = self.workers.get_mut(machine) {
             for (task, attempt) in w.tasks.keys().cloned().collect::<Vec<_>>() {
                 let order = json!({ "order": "kill", "wagon": task, "run": attempt, "leewayS": grace_s });
-                w.order(&order, now, &mut saves);
+                w.execute_order(&order, now, &mut begin_save);
             }
         }
         self.note(&format!("{machine} was told to stop all"));
@@ -167,13 +169,13 @@
         if sick && attempt.state != "ended" {
             end(attempt, "error");
         }
-        if gang || attempt.next.is_none_or(|at| at > now) {
+        if gang || attempt.transition_ms.is_none_or(|at| at > now) {
             continue;
         }
         if attempt.state == "pulling" {
             let service = job.is_some_and(|j| j["shape"] == "standing");
             attempt.state = "running";
-            attempt.next = (!service).then(|| now + pace.of(task));
+            attempt.transition_ms = (!service).then(|| now + pace.of(task));
         } else if job.is_some_and(|j| j["broken"] == true) {
             end(attempt, "error");
         } else {
@@ -186,6 +188,6 @@
 
 fn end(attempt: &mut Attempt, why: &'static str) {
     attempt.state = "ended";
-    attempt.why = why;
-    attempt.next = None;
+    attempt.cause = why;
+    attempt.transition_ms = None;
 }
