--- a/crates/tidelatch-standin/src/checker.rs
+++ b/crates/tidelatch-standin/src/checker.rs
@@ -92,8 +92,8 @@
 }
 
 impl Checker {
-    /// Creates a checker for an empty history. No task of a cancelled job may remain `cancel_ms` after the user received
-    /// the confirmation.
+    /// Creates a checker for an empty history. No task of a cancelled job may remain `cancel_ms` after the user
+    /// received the confirmation.
     pub fn new(cancel_ms: u64) -> Self {
         Self {
             cancel_ms,
@@ -106,8 +106,8 @@
         &self.breaches
     }
 
-    /// Counts the starts of a job's tasks after its cancellation was confirmed. A command that was in flight at that time
-    /// may still be carried out, so such a start is counted and is not a breach.
+    /// Counts the starts of a job's tasks after its cancellation was confirmed. A command that was in flight at that
+    /// time may still be carried out, so such a start is counted and is not a breach.
     pub fn started_after(&self, job: &str) -> u64 {
         self.confirmations.get(job).map_or(0, |c| c.starts)
     }
@@ -170,7 +170,8 @@
         }
     }
 
-    /// Records that a user submits a job. The submission that was accepted defines the job; later ones do not change it.
+    /// Records that a user submits a job. The submission that was accepted defines the job; later ones do not change
+    /// it.
     pub fn submitted(&mut self, body: &Value) {
         let job = body["uid"].as_str().unwrap_or_default();
         if !self.last_status.contains_key(job) {
@@ -204,7 +205,8 @@
         self.questions += 1;
     }
 
-    /// Records the answer to a user's request about a job: the HTTP status, and the job's status word or an empty string.
+    /// Records the answer to a user's request about a job: the HTTP status, and the job's status word or an empty
+    /// string.
     pub fn answered(&mut self, now: u64, job: &str, status: u16, job_status: &str) {
         self.passes(now);
         let previous = self.last_status.get(job).cloned();
@@ -364,8 +366,8 @@
         }
     }
 
-    /// Checks the start of a task: it may be on no other machine, its placement constraints must hold, and its team must
-    /// stay within its limit.
+    /// Checks the start of a task: it may be on no other machine, its placement constraints must hold, and its team
+    /// must stay within its limit.
     fn check_start(&mut self, machine: &str, task: &str, job: &str) {
         let job_attempts = self.attempts_by_job.get(job).cloned().unwrap_or_default();
         if job_attempts.iter().any(|(m, (t, _))| t == task && m != machine) {
--- a/crates/tidelatch-standin/src/faults.rs
+++ b/crates/tidelatch-standin/src/faults.rs
@@ -131,8 +131,8 @@
     Neither,
 }
 
-/// Partitions the network: the named controllers reach each other, and so do the others, but no named controller reaches
-/// one of the others.
+/// Partitions the network: the named controllers reach each other, and so do the others, but no named controller
+/// reaches one of the others.
 pub fn split(named: &[usize], state: StateServiceSide) -> FaultInjector {
     let named: Vec<String> = named.iter().map(|controller| format!("berth-{controller}")).collect();
     Box::new(move |message| {
--- a/crates/tidelatch-standin/src/gang.rs
+++ b/crates/tidelatch-standin/src/gang.rs
@@ -1,4 +1,5 @@
-//! Simulates gangs on workers: the phases of one attempt of a gang, as the operators' specification of workers describes them.
+//! Simulates gangs on workers: the phases of one attempt of a gang, as the operators' specification of workers
+//! describes them.
 
 use crate::worker::Worker;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/tidelatch-standin/src/loopback/workers.rs
+++ b/crates/tidelatch-standin/src/loopback/workers.rs
@@ -3,7 +3,7 @@
 use super::http::{Request, Response, request, serve};
 use super::{Clock, REPORT_MS, Recorder, WORKER_LEASE_MS, lock};
 use crate::worker::Worker;
-use crate::world::{Pace, continue_tasks};
+use crate::world::{ArrayRunTime, step_tasks};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -131,11 +131,11 @@
                 self.note(ReplicaEvent::SessionEnded { machine });
                 worker.start_next_session(now_ms);
             }
-            let pace = Pace {
+            let run_time = ArrayRunTime {
                 run_ms: RUN_MS,
                 uneven: true,
             };
-            continue_tasks(worker, jobs, pace, now_ms)
+            step_tasks(worker, jobs, run_time, now_ms)
         })?;
         let mut recorder = lock(&self.recorder);
         for task in finished {
--- a/crates/tidelatch-standin/src/state.rs
+++ b/crates/tidelatch-standin/src/state.rs
@@ -29,8 +29,8 @@
     pub kept_from: u64,
     /// Whether the service is down: all requests get status 503, and no lease expires.
     pub down: bool,
-    /// Maximum bytes of a value and maximum changes of a transaction. Larger transactions get status 400, and so do those
-    /// with more than four times as many conditions as changes are allowed.
+    /// Maximum bytes of a value and maximum changes of a transaction. Larger transactions get status 400, and so do
+    /// those with more than four times as many conditions as changes are allowed.
     pub limits: Option<(usize, usize)>,
     /// The largest value written, in bytes, and the most changes in one transaction, since the test last cleared this.
     pub largest: (usize, usize),
--- a/crates/tidelatch-standin/src/worker.rs
+++ b/crates/tidelatch-standin/src/worker.rs
@@ -101,8 +101,8 @@
         self.tasks.iter().any(|((t, _), a)| t == task && a.state != "ended")
     }
 
-    /// Executes one order. Returns the task and attempt if the order starts one. `begin_save` decides whether a running task
-    /// that is stopped saves its progress first; it gets the task, the attempt and the grace in seconds.
+    /// Executes one order. Returns the task and attempt if the order starts one. `begin_save` decides whether a running
+    /// task that is stopped saves its progress first; it gets the task, the attempt and the grace in seconds.
     pub fn execute_order(
         &mut self,
         order: &Value,
--- a/crates/tidelatch-standin/src/world/calls.rs
+++ b/crates/tidelatch-standin/src/world/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the controllers to the state service, the cloud and the workers.
+//! Delivers the controllers' calls to the state service, the cloud and the workers.
 
 use super::World;
 use super::event::{Caller, Event, ServiceRequest, Watch};
@@ -7,11 +7,11 @@
 use serde_json::{Value, json};
 use tidelatch_core::{Input, Method, Target};
 
-/// Milliseconds between two looks of an open watch.
-const WATCH_MS: u64 = 5;
+/// Milliseconds between two checks of an open watch for changes.
+const WATCH_CHECK_INTERVAL_MS: u64 = 5;
 
 impl World {
-    /// A call as it goes over the network.
+    /// Converts a call of a controller into a request on the simulated network.
     pub(super) fn service_request(target: &Target, method: Method, path: String, body: String) -> ServiceRequest {
         let to = match target {
             Target::State => "state".to_owned(),
@@ -26,15 +26,15 @@
         ServiceRequest { to, method, path, body }
     }
 
-    /// A controller makes a call.
-    pub(super) fn call(&mut self, from: Caller, target: &Target, request: ServiceRequest, timeout_ms: u64) {
+    /// Sends a controller's call over the network, with the faults that the injector decides.
+    pub(super) fn send_call(&mut self, from: Caller, target: &Target, request: ServiceRequest, timeout_ms: u64) {
         self.count_call(target, &request.body);
         let what = format!("{} {}", request.method, request.path);
-        let delivery = self.deliver(&format!("berth-{}", from.node), &request.to, &what, &request.body);
-        if let Some(n) = self.nodes.get_mut(from.node) {
-            n.open.insert(from.call);
+        let delivery = self.decide_delivery(&format!("berth-{}", from.controller), &request.to, &what, &request.body);
+        if let Some(process) = self.controllers.get_mut(from.controller) {
+            process.pending_calls.insert(from.call);
             if *target == Target::State {
-                n.refused = delivery == Delivery::Refused;
+                process.is_refused_by_state = delivery == Delivery::Refused;
             }
         }
         if delivery == Delivery::Refused {
@@ -46,23 +46,24 @@
             let copy = Event::RequestArrives {
                 from,
                 request: request.clone(),
-                answered: None,
+                answer_delay_ms: None,
             };
             self.schedule(late, copy);
         }
         if let Some(after) = delivery.request_delay() {
-            let answered = delivery.answer_delay();
+            let answer_delay_ms = delivery.answer_delay();
             self.schedule(
                 after,
                 Event::RequestArrives {
                     from,
                     request,
-                    answered,
+                    answer_delay_ms,
                 },
             );
         }
     }
 
+    /// Adds a call to the statistics of sent requests.
     fn count_call(&mut self, target: &Target, body: &str) {
         match target {
             Target::State => {
@@ -74,13 +75,13 @@
             Target::Cloud => self.sent.cloud_calls += 1,
             Target::Worker(_) => {
                 self.sent.commands += 1;
-                self.count_starts(body);
+                self.count_start_orders(body);
             }
         }
     }
 
-    /// A call has come to its receiver.
-    pub(super) fn request_arrives(&mut self, from: Caller, request: &ServiceRequest, answered: Option<u64>) {
+    /// Executes a request at its receiver and schedules the answer.
+    pub(super) fn receive_request(&mut self, from: Caller, request: &ServiceRequest, answer_delay_ms: Option<u64>) {
         let result = match request.to.as_str() {
             "state" => match self
                 .store
@@ -89,24 +90,25 @@
                 StoreReply::Immediate(status, body) => Some((status, body.to_string())),
                 StoreReply::Watch(prefix, since, until) => {
                     let watch = Watch { prefix, since, until };
-                    self.schedule(1, Event::Watch { from, watch });
+                    self.schedule(1, Event::CheckWatch { from, watch });
                     None
                 }
             },
             "cloud" => Some(self.request_at_cloud(request)),
             machine => self.direct_command(machine, &request.path, &request.body),
         };
-        if let (Some(result), Some(after)) = (result, answered) {
+        if let (Some(result), Some(after)) = (result, answer_delay_ms) {
             let result = Some(result);
             self.schedule(after, Event::RequestAnswered { to: from, result });
         }
     }
 
+    /// Executes a request at the cloud, schedules the boots of rented machines and removes the workers of deleted ones.
     fn request_at_cloud(&mut self, request: &ServiceRequest) -> (u16, String) {
         let (status, body, rented) = self.cloud.request(request.method, &request.path, &request.body);
         for name in rented {
             if let Some(after) = self.cloud.take_next_boot_ms() {
-                self.schedule(after, Event::Boot(name));
+                self.schedule(after, Event::BootMachine(name));
             }
         }
         let gone: Vec<String> = self
@@ -122,32 +124,37 @@
         (status, body.to_string())
     }
 
-    /// The result of a call, or the end of the time for it, has come to the controller.
-    pub(super) fn request_answered(&mut self, to: Caller, result: Option<(u16, String)>) {
-        if self.ends_call(to) {
+    /// Hands the result of a call, or `None` after its timeout, to the controller.
+    pub(super) fn receive_result(&mut self, to: Caller, result: Option<(u16, String)>) {
+        if self.complete_call(to) {
             let result = result.map(|(status, body)| (status, body.into_bytes()));
-            self.feed_input(to.node, Input::Reply { call: to.call, result });
+            self.deliver_input(to.controller, Input::Reply { call: to.call, result });
         }
     }
 
-    /// An open watch looks whether there is news, and waits on if there is none.
-    pub(super) fn watch(&mut self, from: Caller, watch: Watch) {
-        if !self.alive(from.node, from.life) {
+    /// Checks an open watch for changes. Without changes the watch stays open until its end; it also stays open while
+    /// the state service is down or refuses this controller's requests.
+    pub(super) fn check_watch(&mut self, from: Caller, watch: Watch) {
+        if !self.is_current(from.controller, from.incarnation) {
             return;
         }
-        let waits = self.store.down || self.nodes.get(from.node).is_some_and(|n| n.refused);
-        let news = if waits {
+        let is_blocked = self.store.down
+            || self
+                .controllers
+                .get(from.controller)
+                .is_some_and(|process| process.is_refused_by_state);
+        let changes = if is_blocked {
             None
         } else {
             self.store.changes_since(&watch.prefix, watch.since)
         };
-        let over = self.now >= watch.until && !waits;
-        if news.is_none() && !over {
-            self.schedule(WATCH_MS, Event::Watch { from, watch });
+        let has_timed_out = self.now >= watch.until && !is_blocked;
+        if changes.is_none() && !has_timed_out {
+            self.schedule(WATCH_CHECK_INTERVAL_MS, Event::CheckWatch { from, watch });
             return;
         }
-        let news = news.unwrap_or_else(|| json!({ "ledger": self.store.revision(), "news": [] }));
-        let result = Some((200, news.to_string()));
+        let changes = changes.unwrap_or_else(|| json!({ "ledger": self.store.revision(), "news": [] }));
+        let result = Some((200, changes.to_string()));
         self.schedule(2, Event::RequestAnswered { to: from, result });
     }
 }
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -1,155 +1,166 @@
-//! The three controllers: their lives, what is fed into them and what they want carried out.
+//! Runs the simulated controllers: starts, crashes and pauses them, passes inputs to them and executes their outputs.
 
 use super::World;
-use super::event::{Asked, Caller, Event};
+use super::event::{Caller, Event, PendingRequest};
 use std::collections::HashSet;
 use tidelatch_core::ids::{Incarnation, Partition};
 use tidelatch_core::settings::{Features, Operator, Settings};
 use tidelatch_core::{Answer, Controller, Input, Level, Now, Output};
 
 /// Milliseconds between two ticks of a controller.
-const TICK_MS: u64 = 100;
+const TICK_INTERVAL_MS: u64 = 100;
 
-/// One controller's process.
-pub(super) struct Node {
-    /// None: it has crashed.
+/// One simulated controller process.
+pub(super) struct SimulatedController {
+    /// The controller itself; `None` before its first start and after a crash.
     pub(super) core: Option<Controller>,
-    /// How often it has been started or has crashed.
-    pub(super) life: u64,
+    /// Incarnation of the process: the number of its starts and crashes so far.
+    pub(super) incarnation: u64,
     pub(super) settings: Settings,
-    /// Calls that have no result yet.
-    pub(super) open: HashSet<u64>,
-    /// While it stands still: what has come in since.
-    pub(super) frozen_inputs: Option<Vec<Input>>,
-    /// The state service answered its last request with 503, and only its.
-    pub(super) refused: bool,
+    /// Numbers of the calls that have no result yet.
+    pub(super) pending_calls: HashSet<u64>,
+    /// While it is paused: the inputs that have arrived since; otherwise `None`.
+    pub(super) paused_inputs: Option<Vec<Input>>,
+    /// Whether a fault injector made the state service answer its last request with 503.
+    pub(super) is_refused_by_state: bool,
 }
 
-impl Node {
-    /// A controller that has not been started.
+impl SimulatedController {
+    /// Creates a controller that has not been started.
     pub(super) fn new(settings: Settings) -> Self {
         Self {
             core: None,
-            life: 0,
+            incarnation: 0,
             settings,
-            open: HashSet::new(),
-            frozen_inputs: None,
-            refused: false,
+            pending_calls: HashSet::new(),
+            paused_inputs: None,
+            is_refused_by_state: false,
         }
     }
 }
 
 impl World {
-    /// From its next start on, a controller knows what the version before gangs did, or what this one does.
-    pub fn version(&mut self, node: usize, features: Features) {
-        if let Some(n) = self.nodes.get_mut(node) {
-            n.settings.features = features;
+    /// Sets the features of a controller from its next start on, to simulate an older or the current version of the
+    /// program, for example the version before gangs.
+    pub fn version(&mut self, controller: usize, features: Features) {
+        if let Some(process) = self.controllers.get_mut(controller) {
+            process.settings.features = features;
         }
     }
 
-    /// From its next start on, a controller has these settings of the operators'.
-    pub fn operator(&mut self, node: usize, operator: &Operator) {
-        if let Some(n) = self.nodes.get_mut(node) {
-            n.settings.operator = operator.clone();
+    /// Sets the operators' settings of a controller from its next start on.
+    pub fn operator(&mut self, controller: usize, operator: &Operator) {
+        if let Some(process) = self.controllers.get_mut(controller) {
+            process.settings.operator = operator.clone();
         }
     }
 
-    /// Starts a controller, as a new life.
-    pub fn start(&mut self, node: usize) {
+    /// Starts a controller as a new incarnation.
+    pub fn start(&mut self, controller: usize) {
         let now = Now {
             ms: self.now,
             wall_ms: self.now,
         };
-        let Some(n) = self.nodes.get_mut(node) else { return };
-        n.life += 1;
-        n.open.clear();
-        n.frozen_inputs = None;
-        n.refused = false;
-        let inc = Incarnation((node as u64 + 1) * 1_000_000 + n.life * 1000);
-        n.core = Some(Controller::new(n.settings.clone(), inc, now));
-        let life = n.life;
-        self.note(&format!("berth-{node} starts"));
-        self.schedule(1, Event::Tick(node, life));
-    }
-
-    /// A controller stands still while its clocks run on; what comes in stays in its buffers.
-    pub fn freeze(&mut self, node: usize) {
-        self.note(&format!("berth-{node} stands still"));
-        if let Some(n) = self.nodes.get_mut(node) {
-            n.frozen_inputs = Some(Vec::new());
+        let Some(process) = self.controllers.get_mut(controller) else {
+            return;
+        };
+        process.incarnation += 1;
+        process.pending_calls.clear();
+        process.paused_inputs = None;
+        process.is_refused_by_state = false;
+        let id = Incarnation((controller as u64 + 1) * 1_000_000 + process.incarnation * 1000);
+        process.core = Some(Controller::new(process.settings.clone(), id, now));
+        let incarnation = process.incarnation;
+        self.note(&format!("berth-{controller} starts"));
+        self.schedule(1, Event::Tick(controller, incarnation));
+    }
+
+    /// Pauses a controller. Its clocks run on, and its inputs are buffered.
+    pub fn freeze(&mut self, controller: usize) {
+        self.note(&format!("berth-{controller} stands still"));
+        if let Some(process) = self.controllers.get_mut(controller) {
+            process.paused_inputs = Some(Vec::new());
         }
     }
 
-    /// It goes on, with all that has come in meanwhile.
-    pub fn thaw(&mut self, node: usize) {
-        self.note(&format!("berth-{node} goes on"));
-        let inputs = self.nodes.get_mut(node).and_then(|n| n.frozen_inputs.take());
+    /// Resumes a paused controller, which first receives the buffered inputs.
+    pub fn thaw(&mut self, controller: usize) {
+        self.note(&format!("berth-{controller} goes on"));
+        let inputs = self
+            .controllers
+            .get_mut(controller)
+            .and_then(|process| process.paused_inputs.take());
         for input in inputs.unwrap_or_default() {
-            self.feed_input(node, input);
+            self.deliver_input(controller, input);
         }
-        self.check_owners();
+        self.check_partition_owners();
     }
 
-    /// Ends a controller with no warning.
-    pub fn crash(&mut self, node: usize) {
-        if let Some(n) = self.nodes.get_mut(node) {
-            n.core = None;
-            n.life += 1;
+    /// Crashes a controller without warning.
+    pub fn crash(&mut self, controller: usize) {
+        if let Some(process) = self.controllers.get_mut(controller) {
+            process.core = None;
+            process.incarnation += 1;
         }
-        self.note(&format!("berth-{node} crashes"));
+        self.note(&format!("berth-{controller} crashes"));
     }
 
-    /// A controller's timer fires, and is set again.
-    pub(super) fn tick(&mut self, node: usize, life: u64) {
-        if self.alive(node, life) {
-            self.feed_input(node, Input::Tick);
-            self.schedule(TICK_MS, Event::Tick(node, life));
+    /// Fires a controller's timer and schedules the next tick.
+    pub(super) fn fire_timer(&mut self, controller: usize, incarnation: u64) {
+        if self.is_current(controller, incarnation) {
+            self.deliver_input(controller, Input::Tick);
+            self.schedule(TICK_INTERVAL_MS, Event::Tick(controller, incarnation));
         }
     }
 
-    /// Whether a controller is still in the life that it was in.
-    pub(super) fn alive(&self, node: usize, life: u64) -> bool {
-        self.nodes.get(node).is_some_and(|n| n.core.is_some() && n.life == life)
+    /// Returns whether a controller still runs in this incarnation.
+    pub(super) fn is_current(&self, controller: usize, incarnation: u64) -> bool {
+        self.controllers
+            .get(controller)
+            .is_some_and(|process| process.core.is_some() && process.incarnation == incarnation)
     }
 
-    /// Whether a call still waits for its result, which has come now.
-    pub(super) fn ends_call(&mut self, caller: Caller) -> bool {
-        self.alive(caller.node, caller.life)
+    /// Removes a call from the pending ones. Returns whether it was pending and its controller still runs in the
+    /// incarnation that made the call.
+    pub(super) fn complete_call(&mut self, caller: Caller) -> bool {
+        self.is_current(caller.controller, caller.incarnation)
             && self
-                .nodes
-                .get_mut(caller.node)
-                .is_some_and(|n| n.open.remove(&caller.call))
+                .controllers
+                .get_mut(caller.controller)
+                .is_some_and(|process| process.pending_calls.remove(&caller.call))
     }
 
-    /// Hands an input to a controller and carries out what it wants.
-    pub(super) fn feed_input(&mut self, node: usize, input: Input) {
+    /// Passes an input to a controller and executes its outputs. The input of a paused controller is buffered.
+    pub(super) fn deliver_input(&mut self, controller: usize, input: Input) {
         let now = Now {
             ms: self.now,
             wall_ms: self.now,
         };
-        let Some(n) = self.nodes.get_mut(node) else { return };
-        if let Some(frozen_inputs) = &mut n.frozen_inputs {
-            frozen_inputs.push(input);
+        let Some(process) = self.controllers.get_mut(controller) else {
+            return;
+        };
+        if let Some(paused_inputs) = &mut process.paused_inputs {
+            paused_inputs.push(input);
             return;
         }
-        let life = n.life;
-        let outputs = match &mut n.core {
+        let incarnation = process.incarnation;
+        let outputs = match &mut process.core {
             Some(core) => core.step(now, input),
             None => return,
         };
         for output in outputs {
-            self.carry_out(node, life, output);
+            self.execute_output(controller, incarnation, output);
         }
     }
 
-    fn carry_out(&mut self, node: usize, life: u64, output: Output) {
+    fn execute_output(&mut self, controller: usize, incarnation: u64, output: Output) {
         match output {
             Output::Log {
                 level: Level::Debug, ..
             } => {}
-            Output::Log { text, .. } => self.note(&format!("berth-{node}: {text}")),
-            Output::Answer { id, answer } => self.answer(node, id, answer),
-            Output::Tell { id, reply } => self.answer_peer(id, reply),
+            Output::Log { text, .. } => self.note(&format!("berth-{controller}: {text}")),
+            Output::Answer { id, answer } => self.deliver_answer(controller, id, answer),
+            Output::Tell { id, reply } => self.reply_to_peer(id, reply),
             Output::Call {
                 id: call,
                 target,
@@ -159,60 +170,91 @@
                 timeout_ms,
             } => {
                 let request = Self::service_request(&target, method, path, body);
-                self.call(Caller { node, life, call }, &target, request, timeout_ms);
+                self.send_call(
+                    Caller {
+                        controller,
+                        incarnation,
+                        call,
+                    },
+                    &target,
+                    request,
+                    timeout_ms,
+                );
             }
             Output::Ask {
                 id: call,
                 to,
                 request,
                 timeout_ms,
-            } => self.ask_peer(Caller { node, life, call }, to.as_str(), request, timeout_ms),
+            } => self.send_peer_request(
+                Caller {
+                    controller,
+                    incarnation,
+                    call,
+                },
+                to.as_str(),
+                request,
+                timeout_ms,
+            ),
             Output::Connect { .. } => self.sent.connections_ahead += 1,
         }
     }
 
-    /// A controller answers a user or a worker.
-    fn answer(&mut self, node: usize, id: u64, answer: Answer) {
-        match self.asked.remove(&id) {
-            Some(Asked::User) => self.answer_user(node, id, answer),
-            Some(Asked::Worker {
+    /// Delivers a controller's answer to a user or a worker.
+    fn deliver_answer(&mut self, controller: usize, id: u64, answer: Answer) {
+        match self.pending_requests.remove(&id) {
+            Some(PendingRequest::User) => self.answer_user(controller, id, answer),
+            Some(PendingRequest::Worker {
                 worker,
-                beat,
-                answered: Some(after),
+                sequence,
+                answer_delay_ms: Some(after),
             }) => {
-                self.count_starts(&answer.body);
+                self.count_start_orders(&answer.body);
                 let result = Some((answer.status, answer.body));
-                self.schedule(after, Event::ReportAnswered { worker, beat, result });
+                self.schedule(
+                    after,
+                    Event::ReportAnswered {
+                        worker,
+                        sequence,
+                        result,
+                    },
+                );
             }
             _ => {}
         }
     }
 
-    /// No two controllers may act for a partition at a time.
-    pub(super) fn check_owners(&mut self) {
-        for p in 0..self.nodes.len() as u32 {
-            let acts = |n: &Node| n.core.as_ref().is_some_and(|c| c.acts_at(self.now, Partition(p)));
-            if self.nodes.iter().filter(|n| acts(n)).count() > 1 {
-                self.breach(format!("two controllers act for partition {p}"));
+    /// Checks that at most one controller acts for each partition at a time.
+    pub(super) fn check_partition_owners(&mut self) {
+        for p in 0..self.controllers.len() as u32 {
+            let is_acting = |process: &SimulatedController| {
+                process.core.as_ref().is_some_and(|c| c.acts_at(self.now, Partition(p)))
+            };
+            if self.controllers.iter().filter(|process| is_acting(process)).count() > 1 {
+                self.record_breach(format!("two controllers act for partition {p}"));
             }
         }
     }
 
-    /// How often controllers looked at a machine for a task.
+    /// Returns how often the controllers evaluated a machine as a place for a task.
     pub fn evaluations(&self) -> u64 {
-        self.nodes
+        self.controllers
             .iter()
-            .flat_map(|n| &n.core)
+            .flat_map(|process| &process.core)
             .map(Controller::evaluations)
             .sum()
     }
 
-    /// How often controllers counted what runs of the jobs that share a disruption budget.
+    /// Returns how often the controllers counted the running units of the jobs that share a disruption budget.
     pub fn censuses(&self) -> u64 {
-        self.nodes.iter().flat_map(|n| &n.core).map(Controller::censuses).sum()
+        self.controllers
+            .iter()
+            .flat_map(|process| &process.core)
+            .map(Controller::censuses)
+            .sum()
     }
 
-    /// The controller that owns a team, by the stored epoch.
+    /// Returns the number of the controller that owns a team's partition, by the stored epoch record.
     pub fn owner_of_team(&self, team: usize) -> usize {
         let owner = self
             .store
@@ -222,18 +264,18 @@
         owner.strip_prefix("berth-").and_then(|n| n.parse().ok()).unwrap_or(0)
     }
 
-    /// The controller that leads, by its key.
+    /// Returns the number of the leading controller, by the stored leader key.
     pub fn leader(&self) -> Option<usize> {
         let name = self.store.get("t/c/leader")?["name"].as_str()?;
         name.strip_prefix("berth-")?.parse().ok()
     }
 
-    /// The epoch.
+    /// Returns the number of the stored epoch.
     pub fn epoch(&self) -> u64 {
         self.store.get("t/c/epoch").and_then(|e| e["n"].as_u64()).unwrap_or(0)
     }
 
-    /// The machines in the stored roster.
+    /// Returns the machines in the stored roster.
     pub fn roster(&self) -> Vec<String> {
         let groups = self.store.keys("t/m/");
         let machines = groups.iter().filter_map(|k| self.store.get(k)?["m"].as_object());
--- a/crates/tidelatch-standin/src/world/deployment.rs
+++ b/crates/tidelatch-standin/src/world/deployment.rs
@@ -1,29 +1,29 @@
-//! The deployment that a world simulates: its size, its settings and the jobs that users submit.
+//! The simulated deployment: its size, the controllers' settings, and submissions for tests.
 
 use crate::gang::{GANG_PEER_TIMEOUT_MS, GANG_SAVE_MS, GANG_WAIT_MS};
 use serde_json::{Value, json};
 use tidelatch_core::settings::{Features, Operator, Platform, Settings};
 
-/// The size of a world.
+/// The size and the limits of a simulated deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: usize,
-    /// Teams.
+    /// Number of teams.
     pub teams: u32,
-    /// Accelerators guaranteed to each.
+    /// Accelerators guaranteed to each team.
     pub guarantee: f64,
-    /// Most accelerators of each.
+    /// Maximum number of accelerators of each team.
     pub limit: f64,
-    /// Changes a second that the state service takes.
+    /// Changes per second that the state service accepts, by the settings.
     pub write_rps: f64,
-    /// Largest value that it takes, in KiB.
+    /// Largest value that the state service accepts, in KiB, by the settings.
     pub value_kb: f64,
-    /// Limits that it will have: changes a second, KiB in a value, changes in a transaction.
+    /// Future limits of the state service: changes per second, KiB per value, changes per transaction.
     pub next: Option<(f64, f64, u32)>,
-    /// Bytes of each team's name, at least.
+    /// Minimum length of team names in bytes. Shorter names are padded.
     pub long_names: usize,
-    /// Seconds within which tasks of the class `c` should start, by the objectives; 0: none says so.
+    /// Objective for the start of tasks of the class `c`, in seconds; 0: there is no such objective.
     pub start_within_s: f64,
 }
 
@@ -43,8 +43,8 @@
     }
 }
 
-/// The settings of one of the controllers.
-pub(super) fn settings(index: usize, operator: &Operator, size: &Size) -> Settings {
+/// Builds the settings of one controller.
+pub(super) fn controller_settings(index: usize, operator: &Operator, size: &Size) -> Settings {
     let siblings: Vec<Value> = (0..size.controllers)
         .filter(|i| *i != index)
         .map(|i| json!({ "host_name": format!("berth-{i}"), "area": "a", "address": format!("10.0.0.{}:8081", i + 1) }))
@@ -71,8 +71,12 @@
             "machine_limits": { "cores": 0.1, "ram_mb": 100.0, "sockets": 1000 }
         }
     });
-    let platform: Platform = serde_json::from_value(platform).expect("the stand-in's own settings are in form");
-    assert!(platform.faults().is_empty(), "the stand-in's own settings are in order");
+    let platform: Platform =
+        serde_json::from_value(platform).expect("the simulated deployment's settings can be parsed");
+    assert!(
+        platform.faults().is_empty(),
+        "the simulated deployment's settings are valid"
+    );
     Settings {
         platform,
         operator: operator.clone(),
@@ -80,14 +84,14 @@
     }
 }
 
-/// The name of a team, as long as the size asks for.
+/// Returns the name of a team, padded to the minimum length.
 pub(super) fn team_name(i: u32, size: &Size) -> String {
     let name = format!("team-{i}");
     format!("{name:x<width$}", width = size.long_names)
 }
 
-/// A submission: a gang of tasks in one zone that need processors only, six to a machine, with a checkpoint
-/// every two seconds.
+/// Builds the submission of a gang in one zone. Its tasks need CPUs but no accelerators, six of them fit on a machine,
+/// and the gang writes a checkpoint every two seconds.
 pub fn gang(id: u32, team: u32, tasks: u32) -> Value {
     let mut job = job(id, team, "group", tasks);
     job["accelerators"] = json!(0.0);
@@ -99,7 +103,7 @@
     job
 }
 
-/// A submission: an array or a service of tasks with one accelerator each.
+/// Builds the submission of an array (`sweep`) or a service (`standing`) whose tasks need one accelerator each.
 pub fn job(id: u32, team: u32, shape: &str, tasks: u32) -> Value {
     json!({
         "uid": format!("job-{id:06}"), "consist": "c", "crew": format!("team-{team}"), "shape": shape,
--- a/crates/tidelatch-standin/src/world/gangs.rs
+++ b/crates/tidelatch-standin/src/world/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs on the workers: they go on together, whichever machines they are on.
+//! Advances the gangs on the workers. All tasks of a gang advance in the same step, on whichever machines they are.
 
 use super::World;
 use super::event::Event;
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Milliseconds between two steps of all gangs.
-pub(super) const GANG_STEP_MS: u64 = 100;
-/// Least milliseconds between two reports that a worker sends because a gang has changed.
-const CHANGE_REPORT_MS: u64 = 500;
+pub(super) const GANG_STEP_INTERVAL_MS: u64 = 100;
+/// Minimum milliseconds between two reports that a worker sends because a gang on it has changed.
+const MIN_GANG_REPORT_INTERVAL_MS: u64 = 500;
 
 impl World {
-    /// Lets all gangs go on; a worker whose tasks have changed reports at once.
+    /// Advances all gangs by one step. Workers whose tasks have changed report at once.
     pub(super) fn step_gangs(&mut self) {
         for key in self.gangs_on_machines() {
             let Some(job) = self.jobs.get(&key.0) else { continue };
@@ -27,16 +27,16 @@
             self.observe_machine(&name, &[]);
         }
         for task in std::mem::take(&mut self.gangs.done) {
-            self.completed(&task);
+            self.record_completion(&task);
         }
         for text in std::mem::take(&mut self.gangs.trace_lines) {
             self.note(&text);
         }
         self.report_changed_gangs();
-        self.schedule(GANG_STEP_MS, Event::Gangs);
+        self.schedule(GANG_STEP_INTERVAL_MS, Event::StepGangs);
     }
 
-    /// The gangs that have tasks on machines, by job and attempt.
+    /// Returns the gangs that have tasks on machines, by job and attempt.
     fn gangs_on_machines(&self) -> BTreeSet<(String, u64)> {
         let mut keys = BTreeSet::new();
         for w in self.workers.values() {
@@ -50,7 +50,8 @@
         keys
     }
 
-    /// Workers on which a gang has changed report, unless they did so a moment ago.
+    /// Sends the reports of workers on which a gang has changed. A worker that hangs, waits for an answer, or sent such
+    /// a report less than [`MIN_GANG_REPORT_INTERVAL_MS`] ago reports later.
     fn report_changed_gangs(&mut self) {
         let now = self.now;
         let changed = std::mem::take(&mut self.gangs.changed_workers);
@@ -58,7 +59,7 @@
             let reported_recently = self
                 .gang_reported_at
                 .get(&name)
-                .is_some_and(|t| now < t + CHANGE_REPORT_MS);
+                .is_some_and(|t| now < t + MIN_GANG_REPORT_INTERVAL_MS);
             let can_report = self
                 .workers
                 .get(&name)
@@ -73,7 +74,8 @@
     }
 }
 
-/// A task was told to stop: only a gang's that runs saves first.
+/// Handles a stop order for a task (task, attempt, grace in seconds). Returns whether it saves its progress first: only
+/// tasks of a running gang do.
 pub(super) fn begin_task_stop(
     gangs: &mut Gangs,
     jobs: &BTreeMap<String, Value>,
--- a/crates/tidelatch-standin/src/world/mod.rs
+++ b/crates/tidelatch-standin/src/world/mod.rs
@@ -1,7 +1,8 @@
-//! The world: three controllers, the services round them, and a network that can delay, lose and copy messages.
+//! A deterministic simulation of a deployment: the controllers, the services that they use, and a network that can
+//! delay, lose and duplicate messages.
 //!
-//! This module holds the state of a world and its queue of events. Each of the modules below it holds what one
-//! part of the world does.
+//! This module holds the state of the simulation and its event queue. Each submodule simulates one part of the
+//! deployment.
 
 mod calls;
 mod controllers;
@@ -18,90 +19,90 @@
 
 pub use deployment::{Size, gang, job};
 pub use network::{Delivery, Message};
-pub(crate) use workers::{Pace, continue_tasks};
+pub(crate) use workers::{ArrayRunTime, step_tasks};
 
 use crate::checker::Checker;
 use crate::cloud::Cloud;
 use crate::gang::Gangs;
 use crate::state::Store;
 use crate::worker::Worker;
-use controllers::Node;
-use event::{Asked, Event};
+use controllers::SimulatedController;
+use event::{Event, PendingRequest};
 use network::FaultInjector;
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 use tidelatch_core::Answer;
 use tidelatch_core::settings::Operator;
 
-/// Milliseconds that a cancelled job's tasks have to end.
+/// Milliseconds within which all tasks of a cancelled job must have ended.
 pub const CANCEL_MS: u64 = 38_000;
 
-/// What the controllers have sent, all together.
+/// Counts of the messages that all controllers have sent and received.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sent {
     /// Requests to the state service.
     pub state_requests: u64,
-    /// Puts and deletes in transactions.
+    /// Writes and deletes in transactions.
     pub changes: u64,
-    /// Bytes of transactions.
+    /// Bytes of the bodies of requests to the state service.
     pub state_bytes: u64,
     /// Requests to the cloud.
     pub cloud_calls: u64,
     /// Requests to workers.
     pub commands: u64,
-    /// Reports passed on from one controller to another.
+    /// Workers' reports that one controller relayed to another.
     pub relays: u64,
-    /// Connections to workers that were opened ahead of calls.
+    /// Connections to workers that were opened before a call needed them.
     pub connections_ahead: u64,
-    /// Requests between controllers that are no relays: heartbeats and questions passed on.
+    /// Requests between controllers other than relays: heartbeats, forwarded requests and forwarded submissions.
     pub peer_requests: u64,
-    /// Reports that came in.
+    /// Reports that workers sent.
     pub beats: u64,
 }
 
-/// Everything, at one moment.
+/// A simulated deployment at one point in time.
 pub struct World {
-    /// Milliseconds since the beginning.
+    /// Current time, in milliseconds since the beginning.
     pub now: u64,
     /// The state service.
     pub store: Store,
     /// The cloud.
     pub cloud: Cloud,
-    /// Workers that are up.
+    /// Workers that are up, by machine name.
     pub workers: BTreeMap<String, Worker>,
-    /// Rules that were broken.
+    /// Breaches of the rules so far.
     pub broken: Vec<String>,
-    /// Answers that users got, by request.
+    /// Answers that users received, with the time of receipt, by request number.
     pub answers: BTreeMap<u64, (u64, Answer)>,
     /// Milliseconds that a task of an array runs.
     pub run_ms: u64,
-    /// An array's tasks run for up to twice as long, each by its number.
+    /// Whether an array's tasks run for up to twice as long, depending on their index.
     pub uneven: bool,
-    nodes: Vec<Node>,
+    controllers: Vec<SimulatedController>,
     queue: BTreeMap<(u64, u64), Event>,
-    order: u64,
-    asked: BTreeMap<u64, Asked>,
+    event_order: u64,
+    pending_requests: BTreeMap<u64, PendingRequest>,
     next_request: u64,
     injector: FaultInjector,
     jobs: BTreeMap<String, Value>,
-    /// How workers play gangs.
+    /// The state of the gangs on the workers.
     pub gangs: Gangs,
     gangs_scheduled: bool,
     gang_reported_at: BTreeMap<String, u64>,
-    asked_about: BTreeMap<u64, (String, &'static str)>,
+    request_subjects: BTreeMap<u64, (String, &'static str)>,
     checker: Checker,
-    /// How many of the checker's breaches are in `broken`.
+    /// Number of the checker's breaches that are already in `broken`.
     recorded_breaches: usize,
-    /// Jobs to be cancelled when their last task ends: at which controller, and how much later.
+    /// Jobs whose users cancel them after the last task has ended: the controller, and the delay in milliseconds.
     cancel_at_end: BTreeMap<String, (usize, u64)>,
-    /// Cancellations that were asked for when a job's last task had ended, by job.
+    /// Numbers of the cancellation requests that users sent after a job's last task had ended, by job.
     pub cancelled_at_end: BTreeMap<String, u64>,
-    /// Copies of reports that wait for the next epoch, while they are kept.
-    kept: Option<VecDeque<String>>,
+    /// Copies of reports that are delivered again in the next epoch; `None`: none are kept.
+    kept_reports: Option<VecDeque<String>>,
     kept_epoch: u64,
     trace: String,
     size: Size,
-    /// What the controllers have sent so far.
+    /// Message counts so far.
     pub sent: Sent,
 }
 
@@ -112,17 +113,17 @@
 }
 
 impl World {
-    /// Three controllers that have just been started.
+    /// Creates a world with three controllers that have just been started.
     pub fn new() -> Self {
         Self::with(&Operator::default())
     }
 
-    /// Three controllers with settings of the operators' own.
+    /// Creates a world with three controllers and these operators' settings.
     pub fn with(operator: &Operator) -> Self {
         Self::sized(operator, Size::default())
     }
 
-    /// Three controllers of a deployment of some size.
+    /// Creates a world with these operators' settings and this size.
     pub fn sized(operator: &Operator, size: Size) -> Self {
         let mut world = Self {
             now: 0,
@@ -133,22 +134,22 @@
             answers: BTreeMap::new(),
             run_ms: 5000,
             uneven: false,
-            nodes: Vec::new(),
+            controllers: Vec::new(),
             queue: BTreeMap::new(),
-            order: 0,
-            asked: BTreeMap::new(),
+            event_order: 0,
+            pending_requests: BTreeMap::new(),
             next_request: 1,
             injector: Box::new(|_| Delivery::Pass),
             jobs: BTreeMap::new(),
             gangs: Gangs::default(),
             gangs_scheduled: false,
             gang_reported_at: BTreeMap::new(),
-            asked_about: BTreeMap::new(),
+            request_subjects: BTreeMap::new(),
             checker: Checker::new(CANCEL_MS),
             recorded_breaches: 0,
             cancel_at_end: BTreeMap::new(),
             cancelled_at_end: BTreeMap::new(),
-            kept: None,
+            kept_reports: None,
             kept_epoch: 0,
             trace: String::new(),
             size,
@@ -158,22 +159,26 @@
             world.checker.limit(&deployment::team_name(i, &size), size.limit);
         }
         for i in 0..size.controllers {
-            world.nodes.push(Node::new(deployment::settings(i, operator, &size)));
+            world
+                .controllers
+                .push(SimulatedController::new(deployment::controller_settings(
+                    i, operator, &size,
+                )));
             world.start(i);
         }
         world
     }
 
-    /// Lets something happen after some milliseconds.
+    /// Schedules an event after this many milliseconds. Events of the same time keep the order of scheduling.
     fn schedule(&mut self, after: u64, event: Event) {
-        self.order += 1;
-        self.queue.insert((self.now + after, self.order), event);
+        self.event_order += 1;
+        self.queue.insert((self.now + after, self.event_order), event);
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for this many milliseconds.
     pub fn run(&mut self, ms: u64) {
         let until = self.now + ms;
-        // A test may have changed machines.
+        // The test may have changed the state of machines since the last run.
         self.observe_machines();
         while let Some(((at, _), _)) = self.queue.first_key_value() {
             if *at > until {
@@ -185,10 +190,10 @@
             self.now = at;
             self.expire_leases();
             self.handle_event(event);
-            self.check_owners();
+            self.check_partition_owners();
             self.checker.passes(self.now);
             self.record_breaches();
-            self.deliver_kept();
+            self.deliver_kept_reports();
         }
         self.now = until;
         self.expire_leases();
@@ -196,7 +201,7 @@
         self.record_breaches();
     }
 
-    /// Lets time pass until something holds, for at most `ms`; whether it came to hold.
+    /// Runs the simulation until the condition holds, for at most `ms` milliseconds. Returns whether it holds.
     pub fn run_until(&mut self, ms: u64, mut holds: impl FnMut(&Self) -> bool) -> bool {
         let until = self.now + ms;
         while self.now < until {
@@ -215,27 +220,35 @@
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Tick(node, life) => self.tick(node, life),
+            Event::Tick(controller, incarnation) => self.fire_timer(controller, incarnation),
             Event::RequestArrives {
                 from,
                 request,
-                answered,
-            } => self.request_arrives(from, &request, answered),
-            Event::RequestAnswered { to, result } => self.request_answered(to, result),
-            Event::Watch { from, watch } => self.watch(from, watch),
+                answer_delay_ms,
+            } => self.receive_request(from, &request, answer_delay_ms),
+            Event::RequestAnswered { to, result } => self.receive_result(to, result),
+            Event::CheckWatch { from, watch } => self.check_watch(from, watch),
             Event::PeerRequestArrives {
                 from,
                 to,
                 request,
-                answered,
-            } => self.peer_request_arrives(from, to, request, answered),
-            Event::PeerRequestAnswered { to, result } => self.peer_request_answered(to, result),
-            Event::Boot(name) => self.boot(name),
-            Event::Work(name) => self.work(&name),
-            Event::Gangs => self.step_gangs(),
-            Event::Withdraw { node, job } => self.withdraw_at_end(node, job),
-            Event::ReportArrives { node, report, answered } => self.report_arrives(node, report, answered),
-            Event::ReportAnswered { worker, beat, result } => self.report_answered(&worker, beat, result),
+                answer_delay_ms,
+            } => self.receive_peer_request(from, to, request, answer_delay_ms),
+            Event::PeerRequestAnswered { to, result } => self.receive_peer_reply(to, result),
+            Event::BootMachine(name) => self.boot_machine(name),
+            Event::StepWorker(name) => self.step_worker(&name),
+            Event::StepGangs => self.step_gangs(),
+            Event::CancelEndedJob { controller, job } => self.cancel_ended_job(controller, job),
+            Event::ReportArrives {
+                controller,
+                report,
+                answer_delay_ms,
+            } => self.receive_report(controller, report, answer_delay_ms),
+            Event::ReportAnswered {
+                worker,
+                sequence,
+                result,
+            } => self.receive_report_answer(&worker, sequence, result),
         }
     }
 }
--- a/crates/tidelatch-standin/src/world/network.rs
+++ b/crates/tidelatch-standin/src/world/network.rs
@@ -1,52 +1,52 @@
-//! The network between all parts of a world: what becomes of each message.
+//! The simulated network between all parts of a deployment: decides the delivery of each message.
 
 use super::World;
 
-/// What becomes of a message.
+/// The delivery of a message and of its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// It arrives, and so does its answer.
+    /// The message arrives, and so does its answer.
     Pass,
-    /// It never arrives.
+    /// The message is lost.
     Lost,
-    /// It arrives and is carried out; the answer is lost.
+    /// The message arrives and is executed; its answer is lost.
     AnswerLost,
-    /// It arrives this many milliseconds late; nobody waits for the answer by then.
+    /// The message arrives after this many milliseconds; its answer is lost.
     Late(u64),
-    /// It arrives this many milliseconds late, and is answered then.
+    /// The message arrives after this many milliseconds; its answer arrives as usual.
     Slow(u64),
-    /// It arrives and is carried out; the answer comes this many milliseconds late.
+    /// The message arrives and is executed; its answer arrives after this many milliseconds.
     AnswerLate(u64),
-    /// It arrives, and so does its answer; a copy of it comes this many milliseconds late.
+    /// The message arrives, and so does its answer; a duplicate of the message arrives after this many milliseconds.
     Copied(u64),
-    /// It is answered with 503 and not carried out. Where the state service does so, the sender's open
-    /// watches wait as in an outage until a request of it gets through again.
+    /// The receiver answers 503 and does not execute the message. If the receiver is the state service, the sender's
+    /// open watches wait as in an outage until the state service accepts a request of the sender again.
     Refused,
 }
 
-/// A message on its way.
+/// A message that is about to be delivered.
 #[derive(Debug)]
 pub struct Message<'a> {
-    /// Time of sending.
+    /// Time of sending, in milliseconds.
     pub at: u64,
     /// Sender: a controller or a machine.
     pub from: &'a str,
     /// Receiver: `state`, `cloud`, a controller or a machine.
     pub to: &'a str,
-    /// Method and path, or the kind of a peer's question.
+    /// Method and path, or the kind of a peer request: `relay`, `forward`, `submit` or `hello`.
     pub what: &'a str,
-    /// Body.
+    /// Body; empty for peer requests.
     pub body: &'a str,
 }
 
-/// Decides what becomes of each message.
+/// Decides the delivery of each message.
 pub(super) type FaultInjector = Box<dyn FnMut(&Message<'_>) -> Delivery>;
 
-/// Milliseconds that a message is under way when nothing delays it.
+/// Milliseconds that a message is in transit when no fault delays it.
 const TRANSIT_MS: u64 = 2;
 
 impl Delivery {
-    /// How long the answer is under way, if it is delivered.
+    /// Returns the milliseconds that the answer is in transit; `None`: it is not delivered.
     pub(super) fn answer_delay(self) -> Option<u64> {
         match self {
             Self::Pass | Self::Copied(_) | Self::Slow(_) => Some(TRANSIT_MS),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// How long the message itself is under way, if it is delivered.
+    /// Returns the milliseconds that the message itself is in transit; `None`: it is not delivered.
     pub(super) fn request_delay(self) -> Option<u64> {
         match self {
             Self::Pass | Self::AnswerLost | Self::AnswerLate(_) | Self::Copied(_) => Some(TRANSIT_MS),
@@ -66,18 +66,19 @@
 }
 
 impl World {
-    /// Decides the delivery of every message from now on.
+    /// Installs a fault injector, which decides the delivery of every message from now on.
     pub fn meddle(&mut self, injector: impl FnMut(&Message<'_>) -> Delivery + 'static) {
         self.injector = Box::new(injector);
     }
 
-    /// Lets every message pass again.
+    /// Removes the fault injector: all messages are delivered again.
     pub fn calm(&mut self) {
         self.injector = Box::new(|_| Delivery::Pass);
     }
 
-    /// Asks what becomes of a message, and notes it in the trace unless it is delivered.
-    pub(super) fn deliver(&mut self, from: &str, to: &str, what: &str, body: &str) -> Delivery {
+    /// Asks the fault injector for the delivery of a message. Writes lost, late and refused messages to the trace,
+    /// except heartbeats.
+    pub(super) fn decide_delivery(&mut self, from: &str, to: &str, what: &str, body: &str) -> Delivery {
         let message = Message {
             at: self.now,
             from,
--- a/crates/tidelatch-standin/src/world/peers.rs
+++ b/crates/tidelatch-standin/src/world/peers.rs
@@ -1,13 +1,13 @@
-//! Requests of the controllers to each other.
+//! Delivers requests between controllers.
 
 use super::World;
-use super::event::{Asked, Caller, Event};
+use super::event::{Caller, Event, PendingRequest};
 use super::network::Delivery;
 use tidelatch_core::{Input, PeerReply, PeerRequest};
 
 impl World {
-    /// A controller asks another one.
-    pub(super) fn ask_peer(&mut self, from: Caller, to: &str, request: PeerRequest, timeout_ms: u64) {
+    /// Sends a controller's request to a peer.
+    pub(super) fn send_peer_request(&mut self, from: Caller, to: &str, request: PeerRequest, timeout_ms: u64) {
         let kind = match &request {
             PeerRequest::Relay { .. } => {
                 self.sent.relays += 1;
@@ -20,10 +20,10 @@
         if kind != "relay" {
             self.sent.peer_requests += 1;
         }
-        let delivery = self.deliver(&format!("berth-{}", from.node), to, kind, "");
+        let delivery = self.decide_delivery(&format!("berth-{}", from.controller), to, kind, "");
         let timeout_ms = if delivery == Delivery::Refused { 2 } else { timeout_ms };
-        if let Some(n) = self.nodes.get_mut(from.node) {
-            n.open.insert(from.call);
+        if let Some(process) = self.controllers.get_mut(from.controller) {
+            process.pending_calls.insert(from.call);
         }
         self.schedule(timeout_ms, Event::PeerRequestAnswered { to: from, result: None });
         let to = to.strip_prefix("berth-").and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -32,7 +32,7 @@
                 from,
                 to,
                 request: request.clone(),
-                answered: None,
+                answer_delay_ms: None,
             };
             self.schedule(late, copy);
         }
@@ -41,40 +41,40 @@
                 from,
                 to,
                 request,
-                answered: delivery.answer_delay(),
+                answer_delay_ms: delivery.answer_delay(),
             };
             self.schedule(after, arrival);
         }
     }
 
-    /// A peer's request has come to a controller.
-    pub(super) fn peer_request_arrives(
+    /// Passes a peer's request to a controller.
+    pub(super) fn receive_peer_request(
         &mut self,
         from: Caller,
         to: usize,
         request: PeerRequest,
-        answered: Option<u64>,
+        answer_delay_ms: Option<u64>,
     ) {
-        let id = self.new_request(Asked::Peer { from, answered });
-        self.feed_input(to, Input::PeerRequest { id, request });
+        let id = self.new_request(PendingRequest::Peer { from, answer_delay_ms });
+        self.deliver_input(to, Input::PeerRequest { id, request });
     }
 
-    /// A controller answers another one.
-    pub(super) fn answer_peer(&mut self, id: u64, reply: PeerReply) {
-        if let Some(Asked::Peer {
+    /// Sends a controller's reply back to the peer that made the request.
+    pub(super) fn reply_to_peer(&mut self, id: u64, reply: PeerReply) {
+        if let Some(PendingRequest::Peer {
             from,
-            answered: Some(after),
-        }) = self.asked.remove(&id)
+            answer_delay_ms: Some(after),
+        }) = self.pending_requests.remove(&id)
         {
             let result = Some(reply);
             self.schedule(after, Event::PeerRequestAnswered { to: from, result });
         }
     }
 
-    /// A peer's answer, or the end of the time for it, has come to the controller that asked.
-    pub(super) fn peer_request_answered(&mut self, to: Caller, result: Option<PeerReply>) {
-        if self.ends_call(to) {
-            self.feed_input(to.node, Input::PeerReply { call: to.call, result });
+    /// Hands a peer's reply, or `None` after the timeout, to the controller that made the request.
+    pub(super) fn receive_peer_reply(&mut self, to: Caller, result: Option<PeerReply>) {
+        if self.complete_call(to) {
+            self.deliver_input(to.controller, Input::PeerReply { call: to.call, result });
         }
     }
 }
--- a/crates/tidelatch-standin/src/world/reports.rs
+++ b/crates/tidelatch-standin/src/world/reports.rs
@@ -1,67 +1,77 @@
-//! Workers' reports: how they reach the controllers, and what the workers do with the answers.
+//! Delivers workers' reports to the controllers, and applies the answers at the workers.
 
 use super::World;
-use super::event::{Asked, Event, Report};
+use super::event::{Event, PendingRequest, Report};
 use super::gangs::begin_task_stop;
 use super::network::Delivery;
 use serde_json::Value;
 use std::collections::VecDeque;
 use tidelatch_core::{Input, Method};
 
-/// Most copies of reports that are kept for the next epoch.
-const KEPT_REPORTS: usize = 60;
+/// Maximum number of report copies that are kept for the next epoch.
+const MAX_KEPT_REPORTS: usize = 60;
 /// Milliseconds that a worker waits for the answer to a report.
 const REPORT_TIMEOUT_MS: u64 = 4000;
 
 impl World {
-    /// A worker sends a report to the controller that it reports to.
+    /// Sends a worker's report to the controller that it reports to.
     pub(super) fn send_report(&mut self, name: &str) {
         let Some(w) = self.workers.get_mut(name) else { return };
         let body = w.report().to_string();
-        let (node, beat) = (w.node, w.sequence);
-        w.waiting = Some(beat);
-        let to = format!("berth-{node}");
-        let delivery = self.deliver(name, &to, "POST /agent/beat", &body);
+        let (controller, sequence) = (w.node, w.sequence);
+        w.waiting = Some(sequence);
+        let to = format!("berth-{controller}");
+        let delivery = self.decide_delivery(name, &to, "POST /agent/beat", &body);
         self.sent.beats += 1;
-        self.keep_copy(&body);
-        let up = self.nodes.get(node).is_some_and(|n| n.core.is_some());
+        self.keep_report_copy(&body);
+        let up = self
+            .controllers
+            .get(controller)
+            .is_some_and(|process| process.core.is_some());
         let report = Report {
             worker: name.to_owned(),
-            beat,
+            sequence,
             body,
         };
         if let Delivery::Copied(late) = delivery {
             let copy = Event::ReportArrives {
-                node,
+                controller,
                 report: report.clone(),
-                answered: None,
+                answer_delay_ms: None,
             };
             self.schedule(late, copy);
         }
         if let Some(after) = delivery.request_delay().filter(|_| up) {
-            let answered = delivery.answer_delay();
-            self.schedule(after, Event::ReportArrives { node, report, answered });
+            let answer_delay_ms = delivery.answer_delay();
+            self.schedule(
+                after,
+                Event::ReportArrives {
+                    controller,
+                    report,
+                    answer_delay_ms,
+                },
+            );
         }
-        // A refused connection shows at once, and so does a 503; silence after the time for an answer.
-        let patience = if up && delivery != Delivery::Refused {
+        // The worker notices a refused connection or a 503 at once, and a missing answer only after the timeout.
+        let answer_wait_ms = if up && delivery != Delivery::Refused {
             REPORT_TIMEOUT_MS
         } else {
             2
         };
         let timeout = Event::ReportAnswered {
             worker: name.to_owned(),
-            beat,
+            sequence,
             result: None,
         };
-        self.schedule(patience, timeout);
+        self.schedule(answer_wait_ms, timeout);
     }
 
-    /// A report has come to a controller.
-    pub(super) fn report_arrives(&mut self, node: usize, report: Report, answered: Option<u64>) {
-        let id = self.new_request(Asked::Worker {
+    /// Passes a report to a controller.
+    pub(super) fn receive_report(&mut self, controller: usize, report: Report, answer_delay_ms: Option<u64>) {
+        let id = self.new_request(PendingRequest::Worker {
             worker: report.worker,
-            beat: report.beat,
-            answered,
+            sequence: report.sequence,
+            answer_delay_ms,
         });
         let request = Input::Request {
             id,
@@ -69,14 +79,15 @@
             path: "/agent/beat".into(),
             body: report.body.into_bytes(),
         };
-        self.feed_input(node, request);
+        self.deliver_input(controller, request);
     }
 
-    /// The answer to a report, or the end of the time for it, has come to the worker.
-    pub(super) fn report_answered(&mut self, name: &str, beat: u64, result: Option<(u16, String)>) {
+    /// Applies the answer to a report, or its timeout, at the worker. After status 421 the worker reports to the
+    /// controller that the answer names; after any other failure, to the next controller.
+    pub(super) fn receive_report_answer(&mut self, name: &str, sequence: u64, result: Option<(u16, String)>) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(name) else { return };
-        if w.waiting != Some(beat) || w.hanging {
+        if w.waiting != Some(sequence) || w.hanging {
             return;
         }
         w.waiting = None;
@@ -102,32 +113,33 @@
                 let to = serde_json::from_str::<Value>(&body)
                     .ok()
                     .and_then(|v| v["dispatcher"].as_str()?.strip_prefix("berth-")?.parse().ok());
-                w.node = to.unwrap_or((w.node + 1) % self.nodes.len());
+                w.node = to.unwrap_or((w.node + 1) % self.controllers.len());
             }
-            _ => w.node = (w.node + 1) % self.nodes.len(),
+            _ => w.node = (w.node + 1) % self.controllers.len(),
         }
-        self.started(name, &started);
+        self.record_starts(name, &started);
     }
 
-    /// From now on copies of the last reports are kept. Whenever an epoch begins, every controller gets those
-    /// that were kept before it, and new ones are kept.
+    /// From now on keeps copies of the last reports. Whenever a new epoch begins, all controllers receive the copies
+    /// kept during the previous one again, and new copies are kept.
     pub fn keep_reports(&mut self) {
-        self.kept = Some(VecDeque::new());
+        self.kept_reports = Some(VecDeque::new());
         self.kept_epoch = self.epoch();
     }
 
-    fn keep_copy(&mut self, body: &str) {
-        if let Some(kept) = &mut self.kept {
+    /// Keeps a copy of a report if copies are kept, and drops the oldest ones beyond the maximum.
+    fn keep_report_copy(&mut self, body: &str) {
+        if let Some(kept) = &mut self.kept_reports {
             kept.push_back(body.to_owned());
-            while kept.len() > KEPT_REPORTS {
+            while kept.len() > MAX_KEPT_REPORTS {
                 kept.pop_front();
             }
         }
     }
 
-    /// Delivers the kept reports once an epoch has begun.
-    pub(super) fn deliver_kept(&mut self) {
-        if self.kept.is_none() {
+    /// Delivers the kept copies to all controllers if a new epoch has begun.
+    pub(super) fn deliver_kept_reports(&mut self) {
+        if self.kept_reports.is_none() {
             return;
         }
         let epoch = self.epoch();
@@ -135,19 +147,19 @@
             return;
         }
         self.kept_epoch = epoch;
-        let bodies = self.kept.replace(VecDeque::new()).unwrap_or_default();
+        let bodies = self.kept_reports.replace(VecDeque::new()).unwrap_or_default();
         self.note(&format!("epoch {epoch}: {} reports of before come again", bodies.len()));
         for body in bodies {
-            for node in 0..self.nodes.len() {
+            for controller in 0..self.controllers.len() {
                 let report = Report {
                     worker: String::new(),
-                    beat: 0,
+                    sequence: 0,
                     body: body.clone(),
                 };
                 let arrival = Event::ReportArrives {
-                    node,
+                    controller,
                     report,
-                    answered: None,
+                    answer_delay_ms: None,
                 };
                 self.schedule(1, arrival);
             }
--- a/crates/tidelatch-standin/src/world/rules.rs
+++ b/crates/tidelatch-standin/src/world/rules.rs
@@ -1,4 +1,4 @@
-//! What the checker of the protocol's rules is told, and what it finds.
+//! Reports events to the checker of the protocol's rules, and records the breaches that it finds.
 
 use super::World;
 use super::event::Event;
@@ -8,22 +8,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl World {
-    /// The protocol's checker, which has seen all that happened.
+    /// Returns the rule checker, which has seen all events so far.
     pub fn checker(&self) -> &Checker {
         &self.checker
     }
 
-    /// Milliseconds from the confirmation of a cancellation until the job's last task was gone.
+    /// Returns the milliseconds from the confirmation of a cancellation until the job's last task was gone; see
+    /// [`Checker::gone_after_confirmation`].
     pub fn gone_after_confirmation(&self, job: &str) -> Option<u64> {
         self.checker.gone_after_confirmation(job)
     }
 
-    /// Starts of a job's tasks after its user was told that it is cancelled.
+    /// Counts the starts of a job's tasks after its cancellation was confirmed to its user.
     pub fn started_after(&self, job: &str) -> u64 {
         self.checker.started_after(job)
     }
 
-    /// Writes down what the checker has found since it was last asked.
+    /// Records the breaches that the checker has found since the last call.
     pub(super) fn record_breaches(&mut self) {
         let new = self
             .checker
@@ -33,12 +34,12 @@
             .to_vec();
         self.recorded_breaches += new.len();
         for text in new {
-            self.breach(text);
+            self.record_breach(text);
         }
     }
 
-    /// A controller sends orders to a worker: the checker counts the starts among them.
-    pub(super) fn count_starts(&mut self, body: &str) {
+    /// Reports the start orders in a message from a controller to a worker to the checker.
+    pub(super) fn count_start_orders(&mut self, body: &str) {
         if !body.contains("\"start\"") {
             return;
         }
@@ -50,19 +51,20 @@
         }
     }
 
-    /// A task has completed; its user may have waited for that to cancel the job.
-    pub(super) fn completed(&mut self, task: &str) {
+    /// Records that a task has completed. Schedules the cancellation of the job if its user wanted to cancel it after
+    /// the last task.
+    pub(super) fn record_completion(&mut self, task: &str) {
         self.checker.task_done(task);
         let job = task.split('/').next().unwrap_or_default().to_owned();
         if self.cancel_at_end.contains_key(&job)
             && self.checker.all_done(&job)
-            && let Some((node, after)) = self.cancel_at_end.remove(&job)
+            && let Some((controller, after)) = self.cancel_at_end.remove(&job)
         {
-            self.schedule(after, Event::Withdraw { node, job });
+            self.schedule(after, Event::CancelEndedJob { controller, job });
         }
     }
 
-    /// The checker is told what has changed on all machines.
+    /// Reports the changes on all machines to the checker.
     pub(super) fn observe_machines(&mut self) {
         let known = self.checker.machines().map(str::to_owned);
         let names: BTreeSet<String> = known.chain(self.workers.keys().cloned()).collect();
@@ -71,8 +73,8 @@
         }
     }
 
-    /// The checker is told what has changed on a machine: what has ended, what has just been started there,
-    /// in whatever state it is by now, and what has got its image.
+    /// Reports the changes on a machine to the checker: the attempts that have ended, those that have just been started
+    /// (whatever state they are in by now), and those whose image has been fetched.
     pub(super) fn observe_machine(&mut self, name: &str, started: &[(String, u64)]) {
         let now = self.now;
         let Some(w) = self.workers.get(name) else {
@@ -85,13 +87,13 @@
             zone: w.zone.clone(),
             spot: w.spot,
         };
-        let lives = |key: &(String, u64)| w.tasks.get(key).is_some_and(|a| a.state != "ended");
+        let is_active = |key: &(String, u64)| w.tasks.get(key).is_some_and(|a| a.state != "ended");
         let known: BTreeMap<(String, u64), bool> = self
             .checker
             .on_machine(name)
             .map(|(task, attempt, image)| ((task.to_owned(), attempt), image))
             .collect();
-        for (task, attempt) in known.keys().filter(|k| !lives(k)) {
+        for (task, attempt) in known.keys().filter(|k| !is_active(k)) {
             self.checker.ended(now, name, task, *attempt);
         }
         self.checker.machine(name, place);
@@ -117,8 +119,8 @@
         self.record_breaches();
     }
 
-    /// A rule is broken.
-    pub(super) fn breach(&mut self, text: String) {
+    /// Records a breach of a rule and writes it to the trace.
+    pub(super) fn record_breach(&mut self, text: String) {
         self.note(&format!("RULE BROKEN: {text}"));
         self.broken.push(text);
     }
--- a/crates/tidelatch-standin/src/world/trace.rs
+++ b/crates/tidelatch-standin/src/world/trace.rs
@@ -1,16 +1,16 @@
-//! The trace: what has happened, one line each, for people to read.
+//! The human-readable trace: one line for each event, with its time in seconds.
 
 use super::World;
 use std::fmt::Write as _;
 
 impl World {
-    /// Writes a line into the trace.
+    /// Appends a line to the trace.
     pub fn note(&mut self, text: &str) {
         let (s, ms) = (self.now / 1000, self.now % 1000);
         let _ = writeln!(self.trace, "{s:4}.{ms:03}  {text}");
     }
 
-    /// The trace so far.
+    /// Returns the trace so far.
     pub fn trace(&self) -> &str {
         &self.trace
     }
--- a/crates/tidelatch-standin/src/world/users.rs
+++ b/crates/tidelatch-standin/src/world/users.rs
@@ -1,31 +1,37 @@
-//! The users: what they ask of the controllers, and the answers that they get.
+//! Simulates the users: their requests to the controllers, and the answers that they receive.
 
 use super::World;
-use super::event::{Asked, Event};
-use super::gangs::GANG_STEP_MS;
+use super::event::{Event, PendingRequest};
+use super::gangs::GANG_STEP_INTERVAL_MS;
 use crate::checker::Question;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use tidelatch_core::{Answer, Input, Method};
 
 impl World {
-    /// Submits a job to a controller.
-    pub fn submit(&mut self, node: usize, body: &Value) -> u64 {
+    /// Submits a job to a controller. Returns the request number.
+    pub fn submit(&mut self, controller: usize, body: &Value) -> u64 {
         let id = body["uid"].as_str().unwrap_or_default().to_owned();
         self.jobs.insert(id.clone(), body.clone());
         self.checker.submitted(body);
-        self.note(&format!("a user submits {id} to berth-{node}"));
+        self.note(&format!("a user submits {id} to berth-{controller}"));
         if body["shape"] == "group" && !self.gangs_scheduled {
             self.gangs_scheduled = true;
-            self.schedule(GANG_STEP_MS, Event::Gangs);
+            self.schedule(GANG_STEP_INTERVAL_MS, Event::StepGangs);
         }
-        self.user(node, Method::Post, "/submissions", &body.to_string(), (id, "submit"))
+        self.user(
+            controller,
+            Method::Post,
+            "/submissions",
+            &body.to_string(),
+            (id, "submit"),
+        )
     }
 
-    /// Asks a controller about a job.
-    pub fn poll(&mut self, node: usize, id: &str) -> u64 {
+    /// Queries the status of a job at a controller. Returns the request number.
+    pub fn poll(&mut self, controller: usize, id: &str) -> u64 {
         self.user(
-            node,
+            controller,
             Method::Get,
             &format!("/submissions/{id}"),
             "",
@@ -33,16 +39,24 @@
         )
     }
 
-    /// Cancels a job.
-    pub fn withdraw(&mut self, node: usize, id: &str) -> u64 {
-        self.note(&format!("a user cancels {id} at berth-{node}"));
+    /// Sends a cancellation request for a job to a controller. Returns the request number.
+    pub fn withdraw(&mut self, controller: usize, id: &str) -> u64 {
+        self.note(&format!("a user cancels {id} at berth-{controller}"));
         let path = format!("/submissions/{id}/withdraw");
-        self.user(node, Method::Post, &path, "", (id.to_owned(), "withdraw"))
+        self.user(controller, Method::Post, &path, "", (id.to_owned(), "withdraw"))
     }
 
-    /// Any request of a user.
-    pub fn user(&mut self, node: usize, method: Method, path: &str, body: &str, about: (String, &'static str)) -> u64 {
-        let id = self.new_request(Asked::User);
+    /// Sends any user request to a controller. `about` is the job and the kind of request, for the trace and the
+    /// checker. Returns the request number.
+    pub fn user(
+        &mut self,
+        controller: usize,
+        method: Method,
+        path: &str,
+        body: &str,
+        about: (String, &'static str),
+    ) -> u64 {
+        let id = self.new_request(PendingRequest::User);
         let cancels = path
             .strip_prefix("/submissions/")
             .and_then(|p| p.strip_suffix("/withdraw"));
@@ -53,9 +67,9 @@
         } else if about.1 == "poll" {
             self.checker.asked(self.now, &about.0, Question::Poll);
         }
-        self.asked_about.insert(id, about);
-        self.feed_input(
-            node,
+        self.request_subjects.insert(id, about);
+        self.deliver_input(
+            controller,
             Input::Request {
                 id,
                 method,
@@ -66,20 +80,20 @@
         id
     }
 
-    /// Gives a number to a request that a controller is to answer.
-    pub(super) fn new_request(&mut self, asked: Asked) -> u64 {
+    /// Assigns a number to a request and registers its sender, who waits for the answer.
+    pub(super) fn new_request(&mut self, sender: PendingRequest) -> u64 {
         let id = self.next_request;
         self.next_request += 1;
-        self.asked.insert(id, asked);
+        self.pending_requests.insert(id, sender);
         id
     }
 
-    /// Status of a user's answer; 0: none yet.
+    /// Returns the HTTP status of the answer to a request; 0: there is no answer yet.
     pub fn status(&self, request: u64) -> u16 {
         self.answers.get(&request).map_or(0, |(_, a)| a.status)
     }
 
-    /// The `status` field of a user's answer.
+    /// Returns the `status` field of the answer to a request, or an empty string.
     pub fn said(&self, request: u64) -> String {
         self.answers
             .get(&request)
@@ -88,10 +102,14 @@
             .unwrap_or_default()
     }
 
-    /// Submits and waits until the job is accepted.
-    pub fn accepted(&mut self, node: usize, body: &Value) {
+    /// Submits a job repeatedly until it is accepted.
+    ///
+    /// # Panics
+    ///
+    /// If 20 submissions were not accepted.
+    pub fn accepted(&mut self, controller: usize, body: &Value) {
         for _ in 0..20 {
-            let request = self.submit(node, body);
+            let request = self.submit(controller, body);
             self.run(500);
             if matches!(self.status(request), 200 | 201) {
                 return;
@@ -101,57 +119,61 @@
         panic!("not accepted:\n{}", self.trace());
     }
 
-    /// Lets time pass while users ask about jobs, one controller after the other, and returns the
-    /// jobs that nobody answered for.
+    /// Runs the simulation for `ms` milliseconds while users poll the jobs at one controller after the other. Returns
+    /// the jobs for which no poll was answered with 200.
     pub fn unanswered(&mut self, ms: u64, jobs: &[&str]) -> Vec<String> {
         let until = self.now + ms;
-        let mut open: BTreeMap<String, Vec<u64>> = jobs.iter().map(|j| ((*j).to_owned(), Vec::new())).collect();
-        let mut node = 0;
+        let mut polls_by_job: BTreeMap<String, Vec<u64>> = jobs.iter().map(|j| ((*j).to_owned(), Vec::new())).collect();
+        let mut controller = 0;
         while self.now < until {
-            for (job, asked) in &mut open {
-                let polled = self.poll(node, job);
-                asked.push(polled);
-                node = (node + 1) % self.nodes.len();
+            for (job, polls) in &mut polls_by_job {
+                let polled = self.poll(controller, job);
+                polls.push(polled);
+                controller = (controller + 1) % self.controllers.len();
             }
             self.run(3000);
         }
         let answered = |r: &u64| self.status(*r) == 200;
-        open.into_iter()
-            .filter(|(_, asked)| !asked.iter().any(answered))
+        polls_by_job
+            .into_iter()
+            .filter(|(_, polls)| !polls.iter().any(answered))
             .map(|(job, _)| job)
             .collect()
     }
 
-    /// A user will cancel a job, at some controller, so many milliseconds after its last task has ended.
-    /// The request is in [`World::cancelled_at_end`] from then on.
-    pub fn cancel_at_end(&mut self, node: usize, job: &str, after: u64) {
-        self.cancel_at_end.insert(job.to_owned(), (node, after));
+    /// Makes a user cancel a job at a controller, this many milliseconds after the job's last task has ended. The
+    /// request number is then in [`World::cancelled_at_end`].
+    pub fn cancel_at_end(&mut self, controller: usize, job: &str, after: u64) {
+        self.cancel_at_end.insert(job.to_owned(), (controller, after));
     }
 
-    /// A user whose job's last task has ended cancels it.
-    pub(super) fn withdraw_at_end(&mut self, node: usize, job: String) {
-        let request = self.withdraw(node, &job);
+    /// Sends the cancellation of a job whose last task has ended.
+    pub(super) fn cancel_ended_job(&mut self, controller: usize, job: String) {
+        let request = self.withdraw(controller, &job);
         self.cancelled_at_end.insert(job, request);
     }
 
-    /// A user gets an answer; the checker judges it.
-    pub(super) fn answer_user(&mut self, node: usize, id: u64, answer: Answer) {
-        let Some((job, kind)) = self.asked_about.get(&id).cloned() else {
+    /// Delivers an answer to a user and reports it to the checker. Answers to health checks are not checked.
+    pub(super) fn answer_user(&mut self, controller: usize, id: u64, answer: Answer) {
+        let Some((job, kind)) = self.request_subjects.get(&id).cloned() else {
             return;
         };
-        let said = serde_json::from_str::<Value>(&answer.body)
+        let status_word = serde_json::from_str::<Value>(&answer.body)
             .ok()
             .and_then(|v| v["status"].as_str().map(str::to_owned))
             .unwrap_or_default();
-        self.note(&format!("berth-{node} answers {kind} {job}: {} {said}", answer.status));
+        self.note(&format!(
+            "berth-{controller} answers {kind} {job}: {} {status_word}",
+            answer.status
+        ));
         if kind != "health" {
-            self.checker.answered(self.now, &job, answer.status, &said);
+            self.checker.answered(self.now, &job, answer.status, &status_word);
             self.record_breaches();
         }
         self.answers.insert(id, (self.now, answer));
     }
 
-    /// A team's name.
+    /// Returns the name of a team.
     pub fn team(&self, at: usize) -> String {
         super::deployment::team_name(at as u32, &self.size)
     }
--- a/crates/tidelatch-standin/src/world/workers.rs
+++ b/crates/tidelatch-standin/src/world/workers.rs
@@ -1,4 +1,4 @@
-//! The workers: booting, going on with tasks, and commands sent to them directly.
+//! Simulates the workers: they boot, advance their tasks, report, and accept direct commands.
 
 use super::World;
 use super::event::Event;
@@ -7,25 +7,25 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Milliseconds without an answered report after which a worker ends its session.
-const LEASE_MS: u64 = 18_000;
-/// Milliseconds between two reports of a worker.
-const REPORT_MS: u64 = 2_500;
+/// Length of a worker's lease: a worker ends its session if no report was answered for this many milliseconds.
+const WORKER_LEASE_MS: u64 = 18_000;
+/// Milliseconds between two periodic reports of a worker.
+const REPORT_INTERVAL_MS: u64 = 2_500;
 
 impl World {
-    /// A machine has booted: its worker begins to report.
-    pub(super) fn boot(&mut self, name: String) {
+    /// Creates the worker of a machine that has booted, and schedules its first report.
+    pub(super) fn boot_machine(&mut self, name: String) {
         let Some((zone, spot)) = self.cloud.machines.get(&name).cloned() else {
             return;
         };
-        let node = self.workers.len() % self.nodes.len();
-        let worker = Worker::new(&name, &zone, spot, node, self.now);
+        let controller = self.workers.len() % self.controllers.len();
+        let worker = Worker::new(&name, &zone, spot, controller, self.now);
         self.workers.insert(name.clone(), worker);
         self.observe_machine(&name, &[]);
-        self.schedule(1, Event::Work(name));
+        self.schedule(1, Event::StepWorker(name));
     }
 
-    /// A direct command at a worker.
+    /// Executes a direct command at a worker. Returns status and body, or `None` if the worker does not answer.
     pub(super) fn direct_command(&mut self, machine: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let now = self.now;
         let w = self.workers.get_mut(machine).filter(|w| !w.hanging)?;
@@ -48,29 +48,29 @@
             started.extend(w.execute_order(order, now, &mut begin_save));
         }
         let report = w.report().to_string();
-        self.started(machine, &started);
+        self.record_starts(machine, &started);
         Some((200, report))
     }
 
-    /// A worker goes on with its tasks, and reports.
-    pub(super) fn work(&mut self, name: &str) {
+    /// Advances a worker's tasks, ends its session if the lease has expired, and sends its report.
+    pub(super) fn step_worker(&mut self, name: &str) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(name) else { return };
         let mut finished = Vec::new();
         if !w.hanging {
-            if now > w.lease_start_ms + LEASE_MS {
+            if now > w.lease_start_ms + WORKER_LEASE_MS {
                 w.start_next_session(now);
                 w.waiting = None;
             }
-            let pace = Pace {
+            let run_time = ArrayRunTime {
                 run_ms: self.run_ms,
                 uneven: self.uneven,
             };
-            finished = continue_tasks(w, &self.jobs, pace, now);
+            finished = step_tasks(w, &self.jobs, run_time, now);
         }
         self.observe_machine(name, &[]);
         for task in finished {
-            self.completed(&task);
+            self.record_completion(&task);
         }
         let due = self
             .workers
@@ -79,10 +79,11 @@
         if due {
             self.send_report(name);
         }
-        self.schedule(REPORT_MS, Event::Work(name.to_owned()));
+        self.schedule(REPORT_INTERVAL_MS, Event::StepWorker(name.to_owned()));
     }
 
-    /// Tells a machine to stop all that runs on it, with some grace, as a controller did that has ended since.
+    /// Gives a machine stop orders for all its tasks, with a grace in seconds, as if a controller had sent them and
+    /// crashed afterwards.
     pub fn stop_on(&mut self, machine: &str, grace_s: f64) {
         let now = self.now;
         let (gangs, jobs) = (&mut self.gangs, &self.jobs);
@@ -98,15 +99,15 @@
         self.observe_machine(machine, &[]);
     }
 
-    /// Tasks have started on a machine: the rules are checked.
-    pub(super) fn started(&mut self, machine: &str, started: &[(String, u64)]) {
+    /// Records the starts of tasks on a machine in the trace and reports them to the checker.
+    pub(super) fn record_starts(&mut self, machine: &str, started: &[(String, u64)]) {
         for (task, _) in started {
             self.note(&format!("{machine} starts {task}"));
         }
         self.observe_machine(machine, started);
     }
 
-    /// Number of a job's tasks that run.
+    /// Returns the number of a job's tasks that run.
     pub fn running(&self, id: &str) -> usize {
         let prefix = format!("{id}/");
         self.workers
@@ -116,7 +117,7 @@
             .count()
     }
 
-    /// All tasks that run, each with its machine.
+    /// Returns all tasks that run, each with its machine.
     pub fn running_units(&self) -> BTreeMap<String, String> {
         let mut units = BTreeMap::new();
         for worker in self.workers.values() {
@@ -126,7 +127,7 @@
         units
     }
 
-    /// The machines that have a job's tasks.
+    /// Returns the machines that have tasks of a job that have not ended.
     pub fn machines_of(&self, id: &str) -> Vec<String> {
         let prefix = format!("{id}/");
         self.workers
@@ -141,33 +142,38 @@
     }
 }
 
-/// How long tasks of arrays run.
+/// Run time of the tasks of arrays.
 #[derive(Clone, Copy)]
-pub(crate) struct Pace {
+pub(crate) struct ArrayRunTime {
     pub(crate) run_ms: u64,
-    /// Each runs for up to twice as long, by its number.
+    /// Whether tasks run for up to twice as long, depending on their index.
     pub(crate) uneven: bool,
 }
 
-impl Pace {
-    /// How long a task runs, by its full name.
-    fn of(self, task: &str) -> u64 {
-        let number: u64 = task.split('/').nth(1).and_then(|n| n.parse().ok()).unwrap_or(0);
-        let more = if self.uneven { number * 1300 % self.run_ms } else { 0 };
-        self.run_ms + more
+impl ArrayRunTime {
+    /// Returns the milliseconds for which a task runs, by its full name.
+    fn task_run_ms(self, task: &str) -> u64 {
+        let index: u64 = task.split('/').nth(1).and_then(|n| n.parse().ok()).unwrap_or(0);
+        let extra_ms = if self.uneven { index * 1300 % self.run_ms } else { 0 };
+        self.run_ms + extra_ms
     }
 }
 
-/// Lets a worker's tasks go on, and returns those that have finished. Gangs are left out: they are played
-/// by themselves.
-pub(crate) fn continue_tasks(worker: &mut Worker, jobs: &BTreeMap<String, Value>, pace: Pace, now: u64) -> Vec<String> {
+/// Advances a worker's tasks and returns those that have completed. Tasks of gangs are skipped: `World::step_gangs`
+/// advances them.
+pub(crate) fn step_tasks(
+    worker: &mut Worker,
+    jobs: &BTreeMap<String, Value>,
+    run_time: ArrayRunTime,
+    now: u64,
+) -> Vec<String> {
     let mut finished = Vec::new();
-    let sick = worker.sick;
+    let is_faulty = worker.sick;
     for ((task, _), attempt) in &mut worker.tasks {
         let job = task.split('/').next().and_then(|j| jobs.get(j));
         let gang = job.is_some_and(|j| j["shape"] == "group");
-        if sick && attempt.state != "ended" {
-            end(attempt, "error");
+        if is_faulty && attempt.state != "ended" {
+            end_attempt(attempt, "error");
         }
         if gang || attempt.transition_ms.is_none_or(|at| at > now) {
             continue;
@@ -175,19 +181,19 @@
         if attempt.state == "pulling" {
             let service = job.is_some_and(|j| j["shape"] == "standing");
             attempt.state = "running";
-            attempt.transition_ms = (!service).then(|| now + pace.of(task));
+            attempt.transition_ms = (!service).then(|| now + run_time.task_run_ms(task));
         } else if job.is_some_and(|j| j["broken"] == true) {
-            end(attempt, "error");
+            end_attempt(attempt, "error");
         } else {
-            end(attempt, "done");
+            end_attempt(attempt, "done");
             finished.push(task.clone());
         }
     }
     finished
 }
 
-fn end(attempt: &mut Attempt, why: &'static str) {
+fn end_attempt(attempt: &mut Attempt, cause: &'static str) {
     attempt.state = "ended";
-    attempt.cause = why;
+    attempt.cause = cause;
     attempt.transition_ms = None;
 }
