--- a/crates/tidelatch-standin/examples/take_over.rs
+++ b/crates/tidelatch-standin/examples/take_over.rs
@@ -1,25 +1,27 @@
-//! Measures take-overs in the stand-in's world: without the failure detector, with it, and with its preparation.
+//! Measures takeovers in the simulated world: without the failure detector, with it, and with takeover preparation.
 //!
 //!     cargo run --release -p tidelatch-standin --example take_over
 //!
-//! In each round the owner of a partition with stored bitmaps crashes, comes back after a minute, and is given its
-//! partition again. Prints a table in Markdown; all times are simulated.
+//! In each round the owner of a partition with stored completion bitmaps crashes, restarts after a minute, and gets its
+//! partition back. Prints a table in Markdown; all times are simulated.
 
 use hdrhistogram::Histogram;
 use tidelatch_core::settings::{FailureDetection, Operator};
 use tidelatch_standin::{Size, World, job};
 
-/// Owners that crash.
+/// Number of rounds, and of crashes, in each configuration.
 const ROUNDS: usize = 20;
-/// Arrays of each team, with done tasks on record.
-const ARRAYS: u32 = 12;
-/// Time that a round has until the owner comes back.
+/// Number of arrays of each team. Completed tasks of each are stored when the measurement starts.
+const ARRAYS_PER_TEAM: u32 = 12;
+/// Time from the crash until the owner restarts, and time over which messages are counted before the first crash, in
+/// milliseconds.
 const ROUND_MS: u64 = 60_000;
-/// Step in which conditions are looked at.
-const STEP_MS: u64 = 10;
+/// Interval at which conditions are checked, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 10;
 
-type Failure = Box<dyn std::error::Error>;
+type MeasurementError = Box<dyn std::error::Error>;
 
+/// Times since the crash, in milliseconds.
 struct Times {
     suspected: Histogram<u64>,
     confirmed: Histogram<u64>,
@@ -28,7 +30,7 @@
 }
 
 impl Times {
-    fn new() -> Result<Self, Failure> {
+    fn new() -> Result<Self, MeasurementError> {
         Ok(Self {
             suspected: Histogram::new(3)?,
             confirmed: Histogram::new(3)?,
@@ -38,7 +40,8 @@
     }
 }
 
-fn busy_world(operator: &Operator) -> World {
+/// Creates a world whose teams have arrays running.
+fn start_loaded_world(operator: &Operator) -> World {
     let size = Size {
         limit: 60.0,
         write_rps: 200.0,
@@ -50,7 +53,7 @@
     world.uneven = true;
     world.run(3_000);
     for team in 0..3 {
-        for array in 0..ARRAYS {
+        for array in 0..ARRAYS_PER_TEAM {
             let mut body = job(team * 100 + array, team, "sweep", 600);
             body["precedence"] = "low".into();
             world.accepted(0, &body);
@@ -60,7 +63,8 @@
     world
 }
 
-/// Times, in milliseconds since the crash, of the first line after it with each text.
+/// Returns the time of the first trace line after the offset `from` that contains a text, in milliseconds since
+/// `since_ms`.
 fn first_line_ms(world: &World, from: usize, text: &str, since_ms: u64) -> Option<u64> {
     let trace = world.trace().get(from..)?;
     let line = trace.lines().find(|line| line.contains(text))?;
@@ -68,22 +72,23 @@
     Some(((time * 1000.0) as u64).saturating_sub(since_ms))
 }
 
-fn play_round(world: &mut World, team: usize, times: &mut Times) -> Result<(), Failure> {
+/// Crashes the owner of a team's partition, records the times of the takeover, and restarts the owner.
+fn measure_round(world: &mut World, team: usize, times: &mut Times) -> Result<(), MeasurementError> {
     let owner = world.owner_of_team(team);
     let (from, crashed_ms) = (world.trace().len(), world.now);
     world.crash(owner);
-    let asked_job = format!("job-{:06}", team * 100);
+    let polled_job = format!("job-{:06}", team * 100);
     let mut answered = None;
-    let mut questions = Vec::new();
+    let mut polls = Vec::new();
     while world.now < crashed_ms + ROUND_MS {
-        world.run(STEP_MS);
+        world.run(CHECK_INTERVAL_MS);
         let acting = first_line_ms(world, from, &format!("acting for partition {team}"), crashed_ms);
         if acting.is_some() && answered.is_none() {
-            let node = world.owner_of_team(team);
-            questions.push(world.poll(node, &asked_job));
-            answered = questions
+            let controller = world.owner_of_team(team);
+            polls.push(world.poll(controller, &polled_job));
+            answered = polls
                 .iter()
-                .find(|question| world.status(**question) == 200)
+                .find(|poll| world.status(**poll) == 200)
                 .map(|_| world.now - crashed_ms);
         }
     }
@@ -105,8 +110,9 @@
     Ok(())
 }
 
-fn row(name: &str, operator: &Operator) -> Result<String, Failure> {
-    let mut world = busy_world(operator);
+/// Measures one configuration and returns its row of the table.
+fn measure_row(name: &str, operator: &Operator) -> Result<String, MeasurementError> {
+    let mut world = start_loaded_world(operator);
     let (sent, from_ms) = (world.sent, world.now);
     world.run(ROUND_MS);
     let minutes = (world.now - from_ms) as f64 / 60_000.0;
@@ -114,26 +120,26 @@
     let reads = (world.sent.state_requests - sent.state_requests) as f64 / minutes;
     let mut times = Times::new()?;
     for round in 0..ROUNDS {
-        play_round(&mut world, round % 3, &mut times)?;
+        measure_round(&mut world, round % 3, &mut times)?;
     }
     if !world.broken.is_empty() {
         return Err(format!("rules were broken: {:?}", world.broken).into());
     }
-    let shown = |times: &Histogram<u64>| match times.len() {
+    let format_times = |times: &Histogram<u64>| match times.len() {
         0 => "-".to_owned(),
         _ => format!("{} / {}", times.value_at_quantile(0.5), times.max()),
     };
     Ok(format!(
         "| {name} | {} | {} | {} | {} | {messages:.0} | {reads:.0} |",
-        shown(&times.suspected),
-        shown(&times.confirmed),
-        shown(&times.acting),
-        shown(&times.answered),
+        format_times(&times.suspected),
+        format_times(&times.confirmed),
+        format_times(&times.acting),
+        format_times(&times.answered),
     ))
 }
 
-fn main() -> Result<(), Failure> {
-    let detecting = |prepare| Operator {
+fn main() -> Result<(), MeasurementError> {
+    let with_detector = |prepare| Operator {
         failure_detection: Some(FailureDetection {
             prepare,
             ..FailureDetection::default()
@@ -144,8 +150,8 @@
         "| ms since the crash, p50 / most | suspected | confirmed | acting | first answer | peer messages a minute | state requests a minute |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    println!("{}", row("without the detector", &Operator::default())?);
-    println!("{}", row("detector", &detecting(false))?);
-    println!("{}", row("detector with preparation", &detecting(true))?);
+    println!("{}", measure_row("without the detector", &Operator::default())?);
+    println!("{}", measure_row("detector", &with_detector(false))?);
+    println!("{}", measure_row("detector with preparation", &with_detector(true))?);
     Ok(())
 }
--- a/crates/tidelatch-standin/src/bin/playground.rs
+++ b/crates/tidelatch-standin/src/bin/playground.rs
@@ -1,5 +1,6 @@
-//! A deployment on 127.0.0.1 to try tidelatch with: state service, cloud and workers are the tests' stand-ins, the three
-//! controllers are real processes. Prints a line a second, and leaves no process when it ends.
+//! Runs a demo deployment on 127.0.0.1: the state service, the cloud and the workers are the simulated ones of the
+//! tests, the three controllers are real processes. Prints a status line every second, and ends all its processes when
+//! it ends.
 
 use clap::Parser;
 use serde_json::{Value, json};
@@ -11,42 +12,45 @@
 use tidelatch_standin::job;
 use tidelatch_standin::loopback::{Clock, Controllers, Services, Users};
 
+/// Number of controllers, and of teams.
 const CONTROLLERS: usize = 3;
-/// Services that each team starts with, and their replicas.
-const SERVICES_OF_A_TEAM: u32 = 2;
-const REPLICAS: u32 = 3;
-/// Tasks of each array, and seconds between two of them.
-const ARRAY_TASKS: u32 = 4;
-const ARRAY_EVERY_S: u64 = 10;
-/// Seconds after which a killed leader is started again.
-const RESTART_AFTER_S: u64 = 15;
-/// Name of the drain that `--drain` asks for.
-const DRAIN: &str = "playground";
+/// Number of services that each team starts with.
+const SERVICES_PER_TEAM: u32 = 2;
+/// Number of replicas of each service.
+const REPLICAS_PER_SERVICE: u32 = 3;
+/// Number of tasks of each array.
+const TASKS_PER_ARRAY: u32 = 4;
+/// Interval between the submissions of two arrays, in seconds.
+const ARRAY_INTERVAL_S: u64 = 10;
+/// Delay in seconds after which a killed leader is started again.
+const RESTART_DELAY_S: u64 = 15;
+/// Name of the drain that `--drain` requests.
+const DRAIN_NAME: &str = "playground";
 
-/// Starts a tidelatch deployment on this machine, to play with.
+/// Starts a tidelatch demo deployment on this machine.
 #[derive(Parser)]
 #[command(version, about)]
 struct Options {
-    /// The controllers' program; by default the one beside this program.
+    /// Path of the controller program; by default `tidelatch` in the directory of this program.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Drain all workers of a machine type (the stand-in cloud has one: m2), two at a time.
+    /// Drain all workers of a machine type (the simulated cloud has one: m2), two at a time.
     #[arg(long, value_name = "TYPE")]
     drain: Option<String>,
-    /// Kill the leader after so many seconds, and start it again later.
+    /// Kill the leader after this many seconds, and start it again 15 s later.
     #[arg(long, value_name = "SECONDS")]
     kill_leader_after: Option<u64>,
-    /// End after so many seconds; without it on Ctrl-C only.
+    /// End after this many seconds; without this option, only on Ctrl-C.
     #[arg(long = "for", value_name = "SECONDS")]
     end_after: Option<u64>,
 }
 
-/// What cannot be had.
+/// The reasons for which the playground fails.
 #[derive(Debug, thiserror::Error)]
 enum PlaygroundError {
-    #[error("{0} is no program: build it by `cargo build --release`, or name it by --program")]
-    NoProgram(PathBuf),
-    #[error("nobody accepts {0}")]
+    #[error("{0} is not a program: build it with `cargo build --release`, or pass its path with --program")]
+    ProgramNotFound(PathBuf),
+    #[error("no controller accepted {0}")]
     NotAccepted(String),
     #[error(transparent)]
     Io(#[from] std::io::Error),
@@ -54,34 +58,36 @@
     Signal(#[from] ctrlc::Error),
 }
 
-/// The operators' settings, with a drain if one is asked for. It begins when the first replicas run.
-fn operator(drain: Option<&str>) -> Value {
+/// Builds the operators' settings, with a drain if one is requested. The drain starts after 15 s, when the first
+/// replicas run.
+fn operator_settings(drain: Option<&str>) -> Value {
     let rule = |machine_type: &str| {
-        json!({ "name": DRAIN, "machine_type": machine_type, "surge": 2, "max_machines": 2,
+        json!({ "name": DRAIN_NAME, "machine_type": machine_type, "surge": 2, "max_machines": 2,
                 "patience_s": 20.0, "delay_s": 15.0 })
     };
     let drains: Vec<Value> = drain.map(rule).into_iter().collect();
     json!({ "failure_detection": {}, "disruption": { "drains": drains } })
 }
 
+/// The running demo deployment.
 struct Playground {
     services: Services,
     controllers: Controllers,
     users: Users,
     next_job: u32,
-    /// The jobs of each team.
+    /// The submitted jobs, each with its team.
     jobs: Vec<(usize, String)>,
 }
 
 impl Playground {
     fn start(options: &Options) -> Result<Self, PlaygroundError> {
-        let beside = std::env::current_exe()?.with_file_name("tidelatch");
-        let program = options.program.clone().unwrap_or(beside);
+        let default_program = std::env::current_exe()?.with_file_name("tidelatch");
+        let program = options.program.clone().unwrap_or(default_program);
         if !program.is_file() {
-            return Err(PlaygroundError::NoProgram(program));
+            return Err(PlaygroundError::ProgramNotFound(program));
         }
         let services = Services::start(Clock::start())?;
-        let settings = operator(options.drain.as_deref()).to_string();
+        let settings = operator_settings(options.drain.as_deref()).to_string();
         let controllers = Controllers::start(&program, &settings, CONTROLLERS, &services)?;
         let users = Users::start(&controllers.addresses, &services);
         Ok(Self {
@@ -106,14 +112,14 @@
 
     fn submit_services(&mut self) -> Result<(), PlaygroundError> {
         for team in 0..CONTROLLERS {
-            for _ in 0..SERVICES_OF_A_TEAM {
-                self.submit(team, "standing", REPLICAS)?;
+            for _ in 0..SERVICES_PER_TEAM {
+                self.submit(team, "standing", REPLICAS_PER_SERVICE)?;
             }
         }
         Ok(())
     }
 
-    fn introduce(&self) {
+    fn print_instructions(&self) {
         let mut example = job(900_001, 0, "sweep", 2);
         example["consist"] = json!("example");
         for (number, address) in self.controllers.addresses.iter().enumerate() {
@@ -123,12 +129,13 @@
             println!("submit a job of your own:\n  curl -d '{example}' http://{address}/submissions");
             println!("  curl http://{address}/submissions/job-900001");
         }
-        // A worker runs what it has been told of; the stand-ins learn of jobs from their users here.
-        self.services.upload(&example);
+        // The simulated workers need the submission of each job. The user submits this job with curl, so it is
+        // registered here.
+        self.services.register_job(&example);
     }
 
-    /// One line on how things stand.
-    fn status(&self) -> String {
+    /// Builds the status line: leader, epoch, machines, running tasks, and the state of the drain and of the budgets.
+    fn status_line(&self) -> String {
         let running = |team: usize| -> usize {
             let of_team = self.jobs.iter().filter(|(t, _)| *t == team);
             of_team.map(|(_, job)| self.services.running(job)).sum()
@@ -146,7 +153,10 @@
             self.services.roster().len(),
             teams.join(", ")
         );
-        for (what, text) in [("drain", format!("drain {DRAIN}")), ("budget", "; left: ".to_owned())] {
+        for (what, text) in [
+            ("drain", format!("drain {DRAIN_NAME}")),
+            ("budget", "; left: ".to_owned()),
+        ] {
             if let Some(last) = self.last_line(&text) {
                 line += &format!("; {what}: {last}");
             }
@@ -154,7 +164,7 @@
         line
     }
 
-    /// What follows a text in the latest line that has it, of all logs.
+    /// Returns the part after `text` of the latest log line of all controllers that contains it.
     fn last_line(&self, text: &str) -> Option<String> {
         let logs = self.controllers.logs();
         let lines = logs.lines().filter(|line| line.contains(text));
@@ -163,20 +173,20 @@
     }
 }
 
-fn play(options: &Options) -> Result<(), PlaygroundError> {
+fn run(options: &Options) -> Result<(), PlaygroundError> {
     let stop = Arc::new(AtomicBool::new(false));
     let on_signal = stop.clone();
     ctrlc::set_handler(move || on_signal.store(true, Ordering::SeqCst))?;
     let mut playground = Playground::start(options)?;
-    playground.introduce();
+    playground.print_instructions();
     playground.submit_services()?;
-    let began = Instant::now();
+    let started = Instant::now();
     let mut killed: Option<(usize, u64)> = None;
     let mut second = 0;
     while !stop.load(Ordering::SeqCst) && options.end_after.is_none_or(|end| second < end) {
-        if second % ARRAY_EVERY_S == 0 {
-            let team = (second / ARRAY_EVERY_S) as usize % CONTROLLERS;
-            playground.submit(team, "sweep", ARRAY_TASKS)?;
+        if second % ARRAY_INTERVAL_S == 0 {
+            let team = (second / ARRAY_INTERVAL_S) as usize % CONTROLLERS;
+            playground.submit(team, "sweep", TASKS_PER_ARRAY)?;
         }
         if options.kill_leader_after.is_some_and(|after| second >= after)
             && killed.is_none()
@@ -186,24 +196,24 @@
             playground.controllers.kill(leader)?;
             killed = Some((leader, second));
         }
-        if let Some((leader, at)) = killed.filter(|(_, at)| second == at + RESTART_AFTER_S) {
+        if let Some((leader, at)) = killed.filter(|(_, at)| second == at + RESTART_DELAY_S) {
             println!("starting berth-{leader} again, {} s later", second - at);
             playground.controllers.restart(leader)?;
         }
-        println!("{second:4} s  {}", playground.status());
+        println!("{second:4} s  {}", playground.status_line());
         second += 1;
         let next = Duration::from_secs(second);
-        while began.elapsed() < next && !stop.load(Ordering::SeqCst) {
+        while started.elapsed() < next && !stop.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(50));
         }
-        // A slow machine shows fewer lines.
-        second = second.max(began.elapsed().as_secs());
+        // On a slow machine, skip the seconds that have already passed.
+        second = second.max(started.elapsed().as_secs());
     }
     Ok(())
 }
 
 fn main() -> ExitCode {
-    match play(&Options::parse()) {
+    match run(&Options::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
--- a/crates/tidelatch-standin/src/loopback/controllers.rs
+++ b/crates/tidelatch-standin/src/loopback/controllers.rs
@@ -1,4 +1,4 @@
-//! Real controller processes, with a proxy on each way between them and to the state service.
+//! Runs real controller processes, with a proxy on each connection between two of them and to the state service.
 
 use super::http::request;
 use super::proxy::Proxy;
@@ -13,12 +13,12 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 
-/// Time within which a controller must come up.
+/// Time within which all controllers must become healthy.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for a health check.
+/// Timeout of a health check.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One controller process. It ends with this value.
+/// One controller process. It is killed when this value is dropped.
 pub struct Process {
     child: Child,
 }
@@ -28,20 +28,20 @@
         kill_process(Pid::from_child(&self.child), signal).map_err(io::Error::from)
     }
 
-    /// The process stands still; its clocks and its sockets do not.
+    /// Pauses the process. Its clocks run on and its sockets stay open.
     ///
     /// # Errors
     ///
-    /// It has ended.
+    /// If the process has ended.
     pub fn freeze(&self) -> io::Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// The process goes on.
+    /// Resumes the process.
     ///
     /// # Errors
     ///
-    /// It has ended.
+    /// If the process has ended.
     pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
@@ -49,7 +49,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // A stopped process ends by this as well.
+        // SIGKILL also ends a process that is paused.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -57,31 +57,32 @@
 
 /// The controllers of a deployment.
 pub struct Controllers {
-    /// The processes, by the controllers' numbers.
+    /// The processes, in the order of the controllers' numbers.
     pub processes: Vec<Process>,
-    /// Where users and workers find them.
+    /// The addresses at which controllers serve users and workers, in the order of their numbers.
     pub addresses: Vec<SocketAddr>,
-    between: BTreeMap<(usize, usize), Proxy>,
-    to_state: Vec<Proxy>,
+    peer_proxies: BTreeMap<(usize, usize), Proxy>,
+    state_proxies: Vec<Proxy>,
     directory: PathBuf,
     program: PathBuf,
     configs: Vec<String>,
 }
 
-/// Ports for controllers: below those that systems hand out by themselves. One of those could be given to a proxy or to
-/// an outgoing connection before its controller listens on it, or while its controller is being restarted.
+/// First port for controllers. The range is below the ephemeral ports: the system could give an ephemeral port to a
+/// proxy or to an outgoing connection before its controller listens on it, or while its controller is being restarted.
 const FIRST_PORT: u16 = 20_000;
-const PORTS: u16 = 12_000;
+const PORT_COUNT: u16 = 12_000;
 
-/// How many ports of this process have been tried.
+/// Number of ports that this process has tried.
 static TRIED_PORTS: AtomicU16 = AtomicU16::new(0);
 
-/// An address that nobody listens on now. Processes begin at different ports, and no process gives one twice.
+/// Returns an address on which no process listens now. Different processes start at different ports, and a process
+/// never returns the same port twice.
 fn free_address() -> io::Result<SocketAddr> {
-    let begin = u64::from(std::process::id()) * 64;
-    for _ in 0..PORTS {
+    let first_offset = u64::from(std::process::id()) * 64;
+    for _ in 0..PORT_COUNT {
         let tried = TRIED_PORTS.fetch_add(1, Ordering::SeqCst);
-        let offset = (begin + u64::from(tried)) % u64::from(PORTS);
+        let offset = (first_offset + u64::from(tried)) % u64::from(PORT_COUNT);
         let port = FIRST_PORT + u16::try_from(offset).unwrap_or(0);
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
             return listener.local_addr();
@@ -94,16 +95,17 @@
     directory.join("operator.json")
 }
 
-fn name(index: usize) -> String {
+fn controller_name(index: usize) -> String {
     format!("berth-{index}")
 }
 
 impl Controllers {
-    /// Starts controllers of `program`, with settings of the operators' own, and waits until all are healthy.
+    /// Starts `count` controllers of `program` with these operators' settings (JSON), and waits until all are healthy.
     ///
     /// # Errors
     ///
-    /// A port or a file cannot be had, or a process does not start.
+    /// If no port is free, a file cannot be written, a process does not start, or a controller does not become healthy
+    /// within 30 s.
     pub fn start(program: &Path, operator: &str, count: usize, services: &Services) -> io::Result<Self> {
         let directory = std::env::temp_dir().join(format!("tidelatch-loopback-{}", std::process::id()));
         fs::create_dir_all(&directory)?;
@@ -117,39 +119,46 @@
         let mut controllers = Self {
             processes: Vec::new(),
             addresses,
-            between: BTreeMap::new(),
-            to_state: Vec::new(),
+            peer_proxies: BTreeMap::new(),
+            state_proxies: Vec::new(),
             directory,
             program: program.to_owned(),
             configs: Vec::new(),
         };
         for from in 0..count {
-            controllers.to_state.push(Proxy::start(services.state)?);
+            controllers.state_proxies.push(Proxy::start(services.state)?);
             for to in (0..count).filter(|to| *to != from) {
                 let peer = peers.get(to).copied().ok_or(io::ErrorKind::NotFound)?;
-                controllers.between.insert((from, to), Proxy::start(peer)?);
+                controllers.peer_proxies.insert((from, to), Proxy::start(peer)?);
             }
         }
         for (index, peer) in peers.iter().enumerate() {
-            let config = controllers.config(index, *peer, services);
+            let config = controllers.platform_settings(index, *peer, services);
             controllers.configs.push(config);
             let process = controllers.spawn(index)?;
             controllers.processes.push(process);
         }
         let named = controllers.addresses.iter().enumerate();
-        services.set_controllers(named.map(|(index, address)| (name(index), *address)).collect());
+        services.set_controllers(
+            named
+                .map(|(index, address)| (controller_name(index), *address))
+                .collect(),
+        );
         if wait_until(START_TIMEOUT, || controllers.all_healthy()) {
             Ok(controllers)
         } else {
-            Err(io::Error::other(format!("not healthy: {}", controllers.logs())))
+            Err(io::Error::other(format!(
+                "the controllers are not healthy: {}",
+                controllers.logs()
+            )))
         }
     }
 
     fn spawn(&self, index: usize) -> io::Result<Process> {
-        let config_file = self.directory.join(format!("{}.toml", name(index)));
+        let config_file = self.directory.join(format!("{}.toml", controller_name(index)));
         let config = self.configs.get(index).ok_or(io::ErrorKind::NotFound)?;
         fs::write(&config_file, config)?;
-        // A controller that begins again goes on with its log.
+        // A restarted controller appends to its log.
         let log = File::options().create(true).append(true).open(self.log_path(index))?;
         let child = Command::new(&self.program)
             .args(["serve", "--config"])
@@ -163,20 +172,20 @@
         Ok(Process { child })
     }
 
-    /// From its next start on, each controller has these settings of the operators'.
+    /// Sets the operators' settings (JSON) of all controllers from their next start on.
     ///
     /// # Errors
     ///
-    /// The file cannot be written.
+    /// If the file cannot be written.
     pub fn set_operator(&self, operator: &str) -> io::Result<()> {
         fs::write(operator_path(&self.directory), operator)
     }
 
-    /// Kills a controller.
+    /// Kills a controller and waits for its end.
     ///
     /// # Errors
     ///
-    /// It has ended by itself.
+    /// If there is no such controller, or it cannot be killed.
     pub fn kill(&mut self, index: usize) -> io::Result<()> {
         let process = self.processes.get_mut(index).ok_or(io::ErrorKind::NotFound)?;
         process.child.kill()?;
@@ -188,32 +197,36 @@
     ///
     /// # Errors
     ///
-    /// The process does not start.
+    /// If there is no such controller, or the process does not start.
     pub fn restart(&mut self, index: usize) -> io::Result<()> {
         let process = self.spawn(index)?;
         *self.processes.get_mut(index).ok_or(io::ErrorKind::NotFound)? = process;
         Ok(())
     }
 
-    /// A controller alone loses the state service.
+    /// Cuts the connection of one controller to the state service.
     pub fn cut_from_state(&self, index: usize) {
-        if let Some(proxy) = self.to_state.get(index) {
+        if let Some(proxy) = self.state_proxies.get(index) {
             proxy.cut();
         }
     }
 
-    fn config(&self, index: usize, peer: SocketAddr, services: &Services) -> String {
+    /// Builds the platform settings of a controller, as TOML.
+    fn platform_settings(&self, index: usize, peer: SocketAddr, services: &Services) -> String {
         let count = self.addresses.len();
         let address = self.addresses.get(index).map_or_else(String::new, ToString::to_string);
-        let state = self.to_state.get(index).map_or(services.state, |proxy| proxy.address);
+        let state = self
+            .state_proxies
+            .get(index)
+            .map_or(services.state, |proxy| proxy.address);
         let mut text = format!(
             "host_name = \"{}\"\narea = \"a\"\napi_addr = \"{address}\"\npeer_listen = \"{peer}\"\n",
-            name(index)
+            controller_name(index)
         );
-        for ((_, to), proxy) in self.between.range((index, 0)..(index + 1, 0)) {
+        for ((_, to), proxy) in self.peer_proxies.range((index, 0)..(index + 1, 0)) {
             text += &format!(
                 "[[siblings]]\nhost_name = \"{}\"\narea = \"a\"\naddress = \"{}\"\n",
-                name(*to),
+                controller_name(*to),
                 proxy.address
             );
         }
@@ -234,7 +247,7 @@
     }
 
     fn log_path(&self, index: usize) -> PathBuf {
-        self.directory.join(format!("{}.log", name(index)))
+        self.directory.join(format!("{}.log", controller_name(index)))
     }
 
     fn all_healthy(&self) -> bool {
@@ -245,35 +258,39 @@
         self.addresses.iter().all(healthy)
     }
 
-    /// The log of one controller.
+    /// Returns the log of one controller.
     pub fn log(&self, index: usize) -> String {
         fs::read_to_string(self.log_path(index)).unwrap_or_default()
     }
 
-    /// All logs, for the message of a test that fails.
+    /// Returns all logs, for the message of a failing test.
     pub fn logs(&self) -> String {
         (0..self.addresses.len())
-            .map(|index| format!("{}:\n{}", name(index), self.log(index)))
+            .map(|index| format!("{}:\n{}", controller_name(index), self.log(index)))
             .collect()
     }
 
-    /// The network between these controllers and the others splits; with `state`, the others lose the state service.
+    /// Partitions the network between these controllers and the others. With `state`, the others also lose the state
+    /// service.
     pub fn split(&self, side: &[usize], state: bool) {
-        for ((from, to), proxy) in &self.between {
+        for ((from, to), proxy) in &self.peer_proxies {
             if side.contains(from) != side.contains(to) {
                 proxy.cut();
             }
         }
-        for (index, proxy) in self.to_state.iter().enumerate() {
+        for (index, proxy) in self.state_proxies.iter().enumerate() {
             if state && !side.contains(&index) {
                 proxy.cut();
             }
         }
     }
 
-    /// The whole network works again.
+    /// Restores all connections.
     pub fn heal(&self) {
-        self.between.values().chain(&self.to_state).for_each(Proxy::heal);
+        self.peer_proxies
+            .values()
+            .chain(&self.state_proxies)
+            .for_each(Proxy::heal);
     }
 }
 
--- a/crates/tidelatch-standin/src/loopback/http.rs
+++ b/crates/tidelatch-standin/src/loopback/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 with blocking sockets: a server with a thread for each connection, and a client for single requests.
+//! A minimal HTTP/1.1 server and client with blocking sockets. The server uses a thread for each connection, the client
+//! a connection for each request.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,12 +7,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// Most header lines of a message.
-const MOST_HEADERS: usize = 32;
-/// Bytes that are read at a time.
-const CHUNK: usize = 16 * 1024;
+/// Maximum number of header lines of a message.
+const MAX_HEADERS: usize = 32;
+/// Maximum number of bytes of one read.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// A request as it came in.
+/// A received request.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) method: String,
@@ -19,12 +20,13 @@
     pub(super) body: String,
 }
 
-/// Status and body.
+/// The status and the body of a response.
 pub(super) type Response = (u16, String);
 
+/// Computes the response to a request.
 pub(super) type Handler = Arc<dyn Fn(Request) -> Response + Send + Sync>;
 
-/// Serves on a free port of 127.0.0.1, until the process ends.
+/// Starts a server on a free port of 127.0.0.1. It runs until the process ends. Returns its address.
 pub(super) fn serve(handler: Handler) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
     let address = listener.local_addr()?;
@@ -49,9 +51,10 @@
     }
 }
 
+/// Reads the next request; `None` at the end of the stream. `buffer` holds the bytes read beyond the previous request.
 fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<Request>> {
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let parsed = request.parse(buffer).map_err(io::Error::other)?;
         if let httparse::Status::Complete(head) = parsed {
@@ -72,8 +75,9 @@
     }
 }
 
+/// Reads once and appends to the buffer. Returns false at the end of the stream.
 fn read_more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<bool> {
-    let mut chunk = [0; CHUNK];
+    let mut chunk = [0; READ_CHUNK_BYTES];
     let read = stream.read(&mut chunk)?;
     buffer.extend_from_slice(&chunk[..read]);
     Ok(read > 0)
@@ -87,7 +91,7 @@
     value.and_then(|value| value.trim().parse().ok()).unwrap_or(0)
 }
 
-/// Makes one request on a connection of its own.
+/// Sends one request on a new connection and returns the response. The timeout holds for each socket operation.
 pub(super) fn request(to: SocketAddr, method: &str, path: &str, body: &str, timeout: Duration) -> io::Result<Response> {
     let mut stream = TcpStream::connect_timeout(&to, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
@@ -100,7 +104,7 @@
     stream.write_all((head + body).as_bytes())?;
     let mut buffer = Vec::new();
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         let parsed = response.parse(&buffer).map_err(io::Error::other)?;
         if let httparse::Status::Complete(head) = parsed {
--- a/crates/tidelatch-standin/src/loopback/proxy.rs
+++ b/crates/tidelatch-standin/src/loopback/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on 127.0.0.1 that can be cut: while it is, bytes are held back, and delivered late once it is healed.
+//! A TCP proxy on 127.0.0.1 that can be cut. While it is cut it holds bytes back; once it is healed it delivers them.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,23 +7,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a connection looks whether the proxy has been healed.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which a connection checks whether the proxy has been healed.
+const HEAL_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One way from a client to a server.
+/// A proxy from clients to one server.
 #[derive(Debug, Clone)]
 pub struct Proxy {
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
 }
 
 impl Proxy {
-    /// A proxy before a server.
+    /// Starts a proxy to a server.
     ///
     /// # Errors
     ///
-    /// No port can be listened on.
+    /// If it cannot listen on any port.
     pub fn start(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let address = listener.local_addr()?;
@@ -38,25 +38,25 @@
         Ok(Self { address, cut })
     }
 
-    /// Holds back everything from now on.
+    /// Holds all bytes back from now on, in both directions.
     pub fn cut(&self) {
         self.cut.store(true, Ordering::SeqCst);
     }
 
-    /// Delivers what was held back, and everything from now on.
+    /// Delivers the bytes that were held back, and all later ones.
     pub fn heal(&self) {
         self.cut.store(false, Ordering::SeqCst);
     }
 }
 
-fn wait_while(cut: &AtomicBool) {
+fn wait_until_healed(cut: &AtomicBool) {
     while cut.load(Ordering::SeqCst) {
-        thread::sleep(LOOK_INTERVAL);
+        thread::sleep(HEAL_CHECK_INTERVAL);
     }
 }
 
 fn forward_connection(client: TcpStream, to: SocketAddr, cut: &Arc<AtomicBool>) {
-    wait_while(cut);
+    wait_until_healed(cut);
     let Ok(server) = TcpStream::connect(to) else { return };
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
@@ -64,14 +64,14 @@
         return;
     };
     let back = cut.clone();
-    thread::spawn(move || copy(server_reader, client, &back));
-    copy(client_reader, server, cut);
+    thread::spawn(move || copy_bytes(server_reader, client, &back));
+    copy_bytes(client_reader, server, cut);
 }
 
-fn copy(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
+fn copy_bytes(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
     let mut chunk = [0; 16 * 1024];
     while let Ok(read) = from.read(&mut chunk) {
-        wait_while(cut);
+        wait_until_healed(cut);
         if read == 0 || to.write_all(&chunk[..read]).is_err() {
             break;
         }
--- a/crates/tidelatch-standin/src/loopback/recorder.rs
+++ b/crates/tidelatch-standin/src/loopback/recorder.rs
@@ -1,21 +1,21 @@
-//! Counts watch gaps and duplicate final answers, from what workers do and what users are told.
+//! Detects watch gaps and duplicate final answers, from the states of workers and the answers to users.
 //!
-//! * A **watch gap** is any time in which a replica that has once run runs on no machine, though no machine that held
-//!   it was lost since. A machine that a controller gives up by itself is not lost: that is a gap.
-//! * A **duplicate final answer** is a task of an array that completes twice, or a job that users are told has ended in
-//!   two ways.
+//! * A **watch gap** is any time in which a replica that has run before runs on no machine although none of its
+//!   machines was lost. A machine that a controller returns by its own decision does not count as lost: the gap is a breach.
+//! * A **duplicate final answer** is a task of an array that completes twice, or a job that is reported to users with
+//!   two different final statuses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Something that must not happen.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Breach {
-    /// A replica ran nowhere.
+    /// A replica runs on no machine.
     WatchGap {
         /// The replica.
         replica: String,
-        /// When it stopped.
+        /// When it stopped running, in milliseconds.
         from_ms: u64,
     },
     /// A task has completed more than once.
@@ -23,13 +23,13 @@
         /// The task.
         task: String,
     },
-    /// A job has ended in two ways.
+    /// A job has been reported with two final statuses.
     EndedTwice {
         /// The job.
         job: String,
-        /// What was told first.
+        /// The status that was reported first.
         first: String,
-        /// What was told then.
+        /// The status that was reported later.
         then: String,
     },
 }
@@ -44,41 +44,42 @@
     }
 }
 
-/// What workers and users have seen.
+/// Records the states of replicas and the answers to users, and collects the breaches.
 #[derive(Debug, Default)]
 pub struct Recorder {
-    /// Machines on which each replica runs.
+    /// The machines that each replica runs on.
     running: BTreeMap<String, BTreeSet<String>>,
-    /// Replicas whose last machine was lost: they are lawfully being replaced.
+    /// Replicas whose last machine was lost. That they do not run is no breach.
     being_replaced: BTreeSet<String>,
     cancelled: BTreeSet<String>,
     completions: BTreeMap<String, u32>,
-    ends: BTreeMap<String, String>,
+    final_statuses: BTreeMap<String, String>,
     breaches: Vec<Breach>,
     /// Replicas that have ever run.
-    watched: BTreeSet<String>,
+    seen_replicas: BTreeSet<String>,
 }
 
 impl Recorder {
-    /// All that must not have happened.
+    /// Returns all breaches so far.
     pub fn breaches(&self) -> &[Breach] {
         &self.breaches
     }
 
-    /// Replicas that have ever run, and tasks that have completed: what the counts are about.
+    /// Returns the number of replicas that have ever run and the number of tasks that have completed, as a measure of
+    /// what was observed.
     pub fn observed(&self) -> (usize, usize) {
-        (self.watched.len(), self.completions.len())
+        (self.seen_replicas.len(), self.completions.len())
     }
 
-    /// A replica runs on a machine.
+    /// Records that a replica runs on a machine.
     pub fn replica_runs(&mut self, replica: &str, machine: &str) {
-        self.watched.insert(replica.to_owned());
+        self.seen_replicas.insert(replica.to_owned());
         self.being_replaced.remove(replica);
         let machines = self.running.entry(replica.to_owned()).or_default();
         machines.insert(machine.to_owned());
     }
 
-    /// A replica does not run on a machine any more, which is still there.
+    /// Records that a replica no longer runs on a machine that still exists.
     pub fn replica_stops(&mut self, now_ms: u64, replica: &str, machine: &str) {
         let Some(machines) = self.running.get_mut(replica) else {
             return;
@@ -93,7 +94,7 @@
         }
     }
 
-    /// A machine was lost by no doing of the controllers.
+    /// Records that a machine was lost, not by a decision of a controller.
     pub fn machine_lost(&mut self, machine: &str) {
         for (replica, machines) in &mut self.running {
             if machines.remove(machine) && machines.is_empty() {
@@ -102,12 +103,12 @@
         }
     }
 
-    /// A user asks to cancel a job: its replicas may stop.
+    /// Records that a user has requested the cancellation of a job, so that its replicas may stop.
     pub fn cancel_asked(&mut self, job: &str) {
         self.cancelled.insert(job.to_owned());
     }
 
-    /// A task of an array has completed.
+    /// Records that a task of an array has completed.
     pub fn task_completed(&mut self, task: &str) {
         let completions = self.completions.entry(task.to_owned()).or_default();
         *completions += 1;
@@ -116,11 +117,11 @@
         }
     }
 
-    /// A user is told how a job stands.
+    /// Records the status of a job that a user has received.
     pub fn told(&mut self, job: &str, status: &str) {
-        let first = match (self.ends.get(job), status) {
+        let first = match (self.final_statuses.get(job), status) {
             (None, "done" | "withdrawn") => {
-                self.ends.insert(job.to_owned(), status.to_owned());
+                self.final_statuses.insert(job.to_owned(), status.to_owned());
                 return;
             }
             (Some(first), _) if first != status => first.clone(),
--- a/crates/tidelatch-standin/src/loopback/services.rs
+++ b/crates/tidelatch-standin/src/loopback/services.rs
@@ -1,4 +1,4 @@
-//! State service and cloud on 127.0.0.1, and the machines that the cloud rents.
+//! The state service and the cloud as HTTP servers on 127.0.0.1, and the machines that the cloud rents out.
 
 use super::http::{Handler, Request, Response, serve};
 use super::workers::{Fleet, ReplicaEvent, start_worker};
@@ -12,14 +12,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often leases are looked at, and open watches look for news.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// Boot time of machines.
+/// Interval at which leases are checked for expiry and open watches for changes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Boot time of machines, in milliseconds.
 const BOOT_MS: u64 = 200;
-/// Most machines at a time.
-const MOST_MACHINES: usize = 40;
+/// Maximum number of machines at a time.
+const MAX_MACHINES: usize = 40;
 
-/// The services round the controllers.
+/// The services that controllers use: state service, cloud and workers.
 #[derive(Clone)]
 pub struct Services {
     /// Address of the state service.
@@ -31,15 +31,15 @@
 }
 
 impl Services {
-    /// Starts state service and cloud.
+    /// Starts the state service and the cloud.
     ///
     /// # Errors
     ///
-    /// No port can be listened on.
+    /// If a server cannot listen on any port.
     pub fn start(clock: Clock) -> io::Result<Self> {
         let store = Arc::new(Mutex::new(Store::default()));
         let fleet = Arc::new(Fleet::new(clock));
-        keep_leases(&store, clock);
+        spawn_lease_expiry(&store, clock);
         let state = serve(state_handler(store.clone(), clock))?;
         let cloud = serve(cloud_handler(fleet.clone()))?;
         Ok(Self {
@@ -50,23 +50,23 @@
         })
     }
 
-    /// Where workers find the controllers.
+    /// Sets the names and addresses of the controllers that workers report to.
     pub fn set_controllers(&self, controllers: Vec<(String, SocketAddr)>) {
         *lock(&self.fleet.controllers) = controllers;
     }
 
-    /// Workers learn of a job: its shape and how long its tasks run.
-    pub fn upload(&self, job: &serde_json::Value) {
+    /// Makes a job's submission known to the workers, which need its shape to simulate its tasks.
+    pub fn register_job(&self, job: &serde_json::Value) {
         let id = job["uid"].as_str().unwrap_or_default().to_owned();
         lock(&self.fleet.jobs).insert(id, job.clone());
     }
 
-    /// What has been seen of workers and users.
+    /// Returns the recorder of the events at workers and users.
     pub fn recorder(&self) -> Arc<Mutex<Recorder>> {
         self.fleet.recorder.clone()
     }
 
-    /// The epoch in the state service.
+    /// Returns the number of the stored epoch.
     pub fn epoch(&self) -> u64 {
         let store = lock(&self.store);
         store
@@ -75,33 +75,33 @@
             .unwrap_or(0)
     }
 
-    /// The number of the controller that leads.
+    /// Returns the number of the leading controller.
     pub fn leader(&self) -> Option<usize> {
         let store = lock(&self.store);
         let name = store.get("t/c/leader")?["name"].as_str()?.to_owned();
         name.strip_prefix("berth-")?.parse().ok()
     }
 
-    /// The number of the controller that owns a team.
+    /// Returns the number of the controller that owns a team's partition.
     pub fn owner_of_team(&self, team: usize) -> Option<usize> {
         let store = lock(&self.store);
         let owner = store.get("t/c/epoch")?["parts"][team]["owner"].as_str()?.to_owned();
         owner.strip_prefix("berth-")?.parse().ok()
     }
 
-    /// The numbers of the controllers that are members: their keys live as long as their leases.
+    /// Returns the numbers of the controllers that are members. Their member keys exist as long as their leases.
     pub fn members(&self) -> Vec<usize> {
         let keys = lock(&self.store).keys("t/c/member/");
         let numbers = keys.iter().filter_map(|key| key.strip_prefix("t/c/member/berth-"));
         numbers.filter_map(|number| number.parse().ok()).collect()
     }
 
-    /// A drain as stored.
+    /// Returns the stored record of a drain.
     pub fn drain(&self, name: &str) -> Option<serde_json::Value> {
         lock(&self.store).get(&format!("t/d/{name}")).cloned()
     }
 
-    /// The machines in the stored roster.
+    /// Returns the machines in the stored roster.
     pub fn roster(&self) -> Vec<String> {
         let store = lock(&self.store);
         let groups = store.keys("t/m/");
@@ -109,28 +109,28 @@
         machines.flat_map(|machines| machines.keys().cloned()).collect()
     }
 
-    /// What replicas of services have run where, in order.
+    /// Returns the events of replicas of services, in order.
     pub fn replica_history(&self) -> Vec<ReplicaEvent> {
         self.fleet.history()
     }
 
-    /// Number of tasks of a job that run.
+    /// Returns the number of a job's tasks that run.
     pub fn running(&self, job: &str) -> usize {
         self.fleet.running(job)
     }
 
-    /// The reports and tokens of all workers, for the message of a test that fails.
+    /// Returns the state of all workers as text, for the message of a failing test.
     pub fn describe(&self) -> String {
         self.fleet.describe()
     }
 }
 
-fn keep_leases(store: &Arc<Mutex<Store>>, clock: Clock) {
+fn spawn_lease_expiry(store: &Arc<Mutex<Store>>, clock: Clock) {
     let store = store.clone();
     thread::spawn(move || {
         loop {
             lock(&store).expire_leases(clock.now_ms());
-            thread::sleep(LOOK_INTERVAL);
+            thread::sleep(CHECK_INTERVAL);
         }
     });
 }
@@ -138,33 +138,33 @@
 fn state_handler(store: Arc<Mutex<Store>>, clock: Clock) -> Handler {
     Arc::new(move |request| {
         let Request { method, path, body } = request;
-        let said = lock(&store).request(clock.now_ms(), &method, &path, &body);
-        match said {
+        let reply = lock(&store).request(clock.now_ms(), &method, &path, &body);
+        match reply {
             StoreReply::Immediate(status, body) => (status, body.to_string()),
-            StoreReply::Watch(prefix, since, until) => watch(&store, clock, &prefix, since, until),
+            StoreReply::Watch(prefix, since, until) => wait_for_changes(&store, clock, &prefix, since, until),
         }
     })
 }
 
-fn watch(store: &Mutex<Store>, clock: Clock, prefix: &str, since: u64, until_ms: u64) -> Response {
+fn wait_for_changes(store: &Mutex<Store>, clock: Clock, prefix: &str, since: u64, until_ms: u64) -> Response {
     loop {
-        let (news, revision) = {
+        let (changes, revision) = {
             let store = lock(store);
             (store.changes_since(prefix, since), store.revision())
         };
-        if let Some(news) = news {
-            return (200, news.to_string());
+        if let Some(changes) = changes {
+            return (200, changes.to_string());
         }
         if clock.now_ms() >= until_ms {
             return (200, json!({ "ledger": revision, "news": [] }).to_string());
         }
-        thread::sleep(LOOK_INTERVAL);
+        thread::sleep(CHECK_INTERVAL);
     }
 }
 
 fn cloud_handler(fleet: Arc<Fleet>) -> Handler {
     let mut cloud = Cloud::default();
-    cloud.most = MOST_MACHINES;
+    cloud.most = MAX_MACHINES;
     let cloud = Mutex::new(cloud);
     Arc::new(move |request| {
         let mut cloud = lock(&cloud);
--- a/crates/tidelatch-standin/src/loopback/users.rs
+++ b/crates/tidelatch-standin/src/loopback/users.rs
@@ -1,4 +1,4 @@
-//! Users on 127.0.0.1: they submit jobs, and ask all controllers about them all the time.
+//! Simulates users on 127.0.0.1: they submit jobs and poll all controllers for the status of each job.
 
 use super::http::request;
 use super::{Recorder, Services, lock, wait_until};
@@ -10,12 +10,12 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Time that a user waits for an answer.
-const TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two rounds of questions.
+/// Timeout of a user's request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between two rounds of polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Time within which a submission must be accepted.
-const ACCEPT_WITHIN: Duration = Duration::from_secs(60);
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The users of a deployment.
 pub struct Users {
@@ -27,7 +27,7 @@
 }
 
 impl Users {
-    /// Users that ask each controller about all jobs.
+    /// Starts users that poll each controller for the status of all jobs, in a thread for each controller.
     pub fn start(controllers: &[SocketAddr], services: &Services) -> Self {
         let mut users = Self {
             controllers: controllers.to_vec(),
@@ -37,20 +37,20 @@
             pollers: Vec::new(),
         };
         for controller in controllers {
-            let poller = users.poll(*controller, services.recorder());
+            let poller = users.start_poller(*controller, services.recorder());
             users.pollers.push(poller);
         }
         users
     }
 
-    fn poll(&self, controller: SocketAddr, recorder: Arc<Mutex<Recorder>>) -> JoinHandle<()> {
+    fn start_poller(&self, controller: SocketAddr, recorder: Arc<Mutex<Recorder>>) -> JoinHandle<()> {
         let (jobs, done, stop) = (self.jobs.clone(), self.done.clone(), self.stop.clone());
         thread::spawn(move || {
             while !stop.load(Ordering::SeqCst) {
-                let asked: Vec<String> = lock(&jobs).iter().cloned().collect();
-                for job in asked {
-                    let answer = request(controller, "GET", &format!("/submissions/{job}"), "", TIMEOUT);
-                    if let Some(status) = status_of(answer) {
+                let polled_jobs: Vec<String> = lock(&jobs).iter().cloned().collect();
+                for job in polled_jobs {
+                    let answer = request(controller, "GET", &format!("/submissions/{job}"), "", REQUEST_TIMEOUT);
+                    if let Some(status) = parse_status(answer) {
                         lock(&recorder).told(&job, &status);
                         if status == "done" {
                             lock(&done).insert(job);
@@ -62,13 +62,13 @@
         })
     }
 
-    /// Submits a job to one controller after the other until it is accepted; false if nobody accepts it.
+    /// Submits a job to one controller after the other until one accepts it. Returns false if none does within 60 s.
     pub fn submit(&self, services: &Services, job: &Value) -> bool {
-        services.upload(job);
+        services.register_job(job);
         let body = job.to_string();
-        let accepted = wait_until(ACCEPT_WITHIN, || {
+        let accepted = wait_until(ACCEPT_TIMEOUT, || {
             self.controllers.iter().any(|controller| {
-                let answer = request(*controller, "POST", "/submissions", &body, TIMEOUT);
+                let answer = request(*controller, "POST", "/submissions", &body, REQUEST_TIMEOUT);
                 matches!(answer, Ok((200 | 201, _)))
             })
         });
@@ -77,13 +77,13 @@
         accepted
     }
 
-    /// Whether users were told that a job is done.
+    /// Returns whether a controller has reported the job as done.
     pub fn is_done(&self, job: &str) -> bool {
         lock(&self.done).contains(job)
     }
 }
 
-fn status_of(answer: std::io::Result<(u16, String)>) -> Option<String> {
+fn parse_status(answer: std::io::Result<(u16, String)>) -> Option<String> {
     let (200, body) = answer.ok()? else { return None };
     let body: Value = serde_json::from_str(&body).ok()?;
     Some(body["status"].as_str()?.to_owned())
--- a/crates/tidelatch-standin/src/loopback/workers.rs
+++ b/crates/tidelatch-standin/src/loopback/workers.rs
@@ -1,4 +1,4 @@
-//! Workers on 127.0.0.1: each reports to the controllers and takes commands on a port of its own.
+//! Simulates workers on 127.0.0.1. Each one reports to the controllers and accepts commands on its own port.
 
 use super::http::{Request, Response, request, serve};
 use super::{Clock, REPORT_MS, Recorder, WORKER_LEASE_MS, lock};
@@ -11,42 +11,43 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a worker's tasks go on, and it looks whether a report is due.
-const STEP: Duration = Duration::from_millis(20);
-/// Time that a worker waits for the answer to a report: shorter than the protocol's, as its lease is.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time for which a task of an array runs.
-const RUN_MS: u64 = 1_500;
-/// No two reports come closer together.
-const REPORT_GAP_MS: u64 = 100;
+/// Interval at which a worker advances its tasks and checks whether a report is due.
+const STEP_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a report. It is shorter than the protocol's timeout because the lease is shorter, too.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Minimum run time of a task of an array, in milliseconds. Tasks run for up to twice as long, depending on their
+/// index.
+const TASK_RUN_MS: u64 = 1_500;
+/// Minimum interval between two reports, in milliseconds.
+const MIN_REPORT_INTERVAL_MS: u64 = 100;
 
-/// All workers, and what they need to know.
+/// All workers, and the state that they share.
 pub(super) struct Fleet {
     clock: Clock,
     pub(super) controllers: Mutex<Vec<(String, SocketAddr)>>,
     pub(super) jobs: Mutex<BTreeMap<String, Value>>,
     pub(super) recorder: Arc<Mutex<Recorder>>,
     workers: Mutex<BTreeMap<String, Worker>>,
-    /// What has run where, in order.
+    /// The events of replicas, in order.
     history: Mutex<Vec<ReplicaEvent>>,
 }
 
-/// Something that happened to replicas of services.
+/// An event that affects replicas of services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaEvent {
-    /// From a moment on these run, each on a machine.
+    /// The set of running replicas has changed.
     Running {
         /// Milliseconds since the beginning.
         at_ms: u64,
-        /// The replicas and their machines.
+        /// All running replicas, each with its machine.
         replicas: BTreeMap<String, String>,
     },
-    /// A worker's session ends, and with it what it ran.
+    /// A worker's session has ended, and with it all its tasks.
     SessionEnded {
-        /// Its machine.
+        /// The worker's machine.
         machine: String,
     },
-    /// A controller returns a machine.
+    /// A controller has returned a machine to the cloud.
     Deleted {
         /// The machine.
         machine: String,
@@ -65,12 +66,12 @@
         }
     }
 
-    /// What has run where, in order.
+    /// Returns the events of replicas, in order.
     pub(super) fn history(&self) -> Vec<ReplicaEvent> {
         lock(&self.history).clone()
     }
 
-    fn note(&self, event: ReplicaEvent) {
+    fn record_event(&self, event: ReplicaEvent) {
         lock(&self.history).push(event);
     }
 
@@ -85,54 +86,59 @@
         format!("{:#?}", lock(&self.workers))
     }
 
-    /// Machines that a controller has returned are gone with all that is on them.
+    /// Removes the workers of machines that a controller has returned, with all their tasks.
     pub(super) fn remove_deleted(&self, deleted: &BTreeSet<String>) {
         for name in deleted {
             if !lock(&self.workers).contains_key(name) {
                 continue;
             }
             let machine = name.clone();
-            self.note(ReplicaEvent::Deleted { machine });
-            self.change(name, |worker, _| worker.tasks.clear());
+            self.record_event(ReplicaEvent::Deleted { machine });
+            self.update_worker(name, |worker, _| worker.tasks.clear());
             lock(&self.workers).remove(name);
         }
     }
 
-    /// Changes a worker, and tells the recorder what has come of it; none: it is gone.
-    fn change<T>(&self, name: &str, change: impl FnOnce(&mut Worker, &BTreeMap<String, Value>) -> T) -> Option<T> {
+    /// Applies a change to a worker, and reports the replicas that start or stop by it to the recorder. Returns `None`
+    /// if the worker is gone.
+    fn update_worker<T>(
+        &self,
+        name: &str,
+        change: impl FnOnce(&mut Worker, &BTreeMap<String, Value>) -> T,
+    ) -> Option<T> {
         let jobs = lock(&self.jobs);
         let mut workers = lock(&self.workers);
         let worker = workers.get_mut(name)?;
-        let before = running_replicas(worker, &jobs);
+        let replicas_before = running_replicas(worker, &jobs);
         let result = change(worker, &jobs);
-        let after = running_replicas(worker, &jobs);
+        let replicas_after = running_replicas(worker, &jobs);
         let mut recorder = lock(&self.recorder);
-        for replica in after.difference(&before) {
+        for replica in replicas_after.difference(&replicas_before) {
             recorder.replica_runs(replica, name);
         }
         let now_ms = self.clock.now_ms();
-        for replica in before.difference(&after) {
+        for replica in replicas_before.difference(&replicas_after) {
             recorder.replica_stops(now_ms, replica, name);
         }
-        if before != after {
+        if replicas_before != replicas_after {
             let replicas = all_replicas(&workers, &jobs);
             let at_ms = now_ms;
-            self.note(ReplicaEvent::Running { at_ms, replicas });
+            self.record_event(ReplicaEvent::Running { at_ms, replicas });
         }
         Some(result)
     }
 
-    /// Tasks go on, and the session ends if no report was answered for too long.
-    fn step(&self, name: &str) -> Option<()> {
+    /// Advances a worker's tasks, and ends its session if its lease has expired. Returns `None` if the worker is gone.
+    fn step_worker(&self, name: &str) -> Option<()> {
         let now_ms = self.clock.now_ms();
-        let finished = self.change(name, |worker, jobs| {
+        let finished = self.update_worker(name, |worker, jobs| {
             if now_ms > worker.lease_start_ms + WORKER_LEASE_MS {
                 let machine = name.to_owned();
-                self.note(ReplicaEvent::SessionEnded { machine });
+                self.record_event(ReplicaEvent::SessionEnded { machine });
                 worker.start_next_session(now_ms);
             }
             let run_time = ArrayRunTime {
-                run_ms: RUN_MS,
+                run_ms: TASK_RUN_MS,
                 uneven: true,
             };
             step_tasks(worker, jobs, run_time, now_ms)
@@ -144,79 +150,79 @@
         Some(())
     }
 
-    fn carry_out(&self, name: &str, orders: &Value) {
+    fn execute_orders(&self, name: &str, orders: &Value) {
         let now_ms = self.clock.now_ms();
-        self.change(name, |worker, _| {
+        self.update_worker(name, |worker, _| {
             for order in orders.as_array().into_iter().flatten() {
                 worker.execute_order(order, now_ms, &mut |_, _, _| false);
             }
         });
     }
 
-    /// A command that a controller sent straight to the worker.
-    fn command(&self, name: &str, request: &Request) -> Response {
+    /// Handles a command that a controller has sent directly to a worker.
+    fn handle_command(&self, name: &str, request: &Request) -> Response {
         let report = |worker: &mut Worker| worker.report().to_string();
         if request.path == "/status" {
-            let body = self.change(name, |worker, _| report(worker));
+            let body = self.update_worker(name, |worker, _| report(worker));
             return body.map_or((404, String::new()), |body| (200, body));
         }
         let body: Value = serde_json::from_str(&request.body).unwrap_or(Value::Null);
         let (Some(token), Some(session)) = (body["baton"].as_u64(), body["shift"].as_u64()) else {
             return (400, "{}".to_owned());
         };
-        let taken = self.change(name, |worker, _| {
-            let taken = token >= worker.token && session == worker.session;
-            if taken {
+        let accepted = self.update_worker(name, |worker, _| {
+            let accepted = token >= worker.token && session == worker.session;
+            if accepted {
                 worker.token = token;
             }
-            taken
+            accepted
         });
-        if taken == Some(true) {
-            self.carry_out(name, &body["orders"]);
+        if accepted == Some(true) {
+            self.execute_orders(name, &body["orders"]);
         }
-        let status = if taken == Some(true) { 200 } else { 409 };
-        let body = self.change(name, |worker, _| report(worker)).unwrap_or_default();
+        let status = if accepted == Some(true) { 200 } else { 409 };
+        let body = self.update_worker(name, |worker, _| report(worker)).unwrap_or_default();
         (status, body)
     }
 
-    /// Sends a report, and does what the answer says.
-    fn report(&self, name: &str) -> Option<()> {
+    /// Sends a worker's report and applies the answer. Returns `None` if the worker is gone or has no controller.
+    fn send_report(&self, name: &str) -> Option<()> {
         let sent_ms = self.clock.now_ms();
-        let (body, session, node) = self.change(name, |worker, _| {
+        let (body, session, controller) = self.update_worker(name, |worker, _| {
             (worker.report().to_string(), worker.session, worker.node)
         })?;
         let controllers = lock(&self.controllers).clone();
-        let (_, address) = controllers.get(node % controllers.len().max(1))?;
-        let answer = request(*address, "POST", "/agent/beat", &body, ANSWER_TIMEOUT);
+        let (_, address) = controllers.get(controller % controllers.len().max(1))?;
+        let answer = request(*address, "POST", "/agent/beat", &body, REPORT_TIMEOUT);
         match answer {
             Ok((200, body)) => {
                 let body: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
                 let token = body["baton"].as_u64().unwrap_or(0);
-                let taken = self.change(name, |worker, _| {
-                    let taken = token >= worker.token && token > 0 && worker.session == session;
-                    if taken {
+                let accepted = self.update_worker(name, |worker, _| {
+                    let accepted = token >= worker.token && token > 0 && worker.session == session;
+                    if accepted {
                         worker.token = token;
                         worker.lease_start_ms = sent_ms;
                     }
-                    taken
+                    accepted
                 })?;
-                if taken {
-                    self.carry_out(name, &body["orders"]);
+                if accepted {
+                    self.execute_orders(name, &body["orders"]);
                 }
             }
             Ok((421, body)) => {
                 let body: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
                 let named = controllers.iter().position(|(name, _)| body["dispatcher"] == **name);
-                self.change(name, |worker, _| worker.node = named.unwrap_or(worker.node + 1))?;
+                self.update_worker(name, |worker, _| worker.node = named.unwrap_or(worker.node + 1))?;
             }
-            _ => self.change(name, |worker, _| worker.node += 1)?,
+            _ => self.update_worker(name, |worker, _| worker.node += 1)?,
         }
         Some(())
     }
 
-    /// What a report says of the tasks and the token: a change of it is reported at once.
+    /// Returns the session, the token and the tasks as text. The worker reports at once when it changes.
     fn reported_state(&self, name: &str) -> Option<String> {
-        self.change(name, |worker, _| {
+        self.update_worker(name, |worker, _| {
             let tasks: Vec<(&String, u64, &str)> = worker
                 .tasks
                 .iter()
@@ -227,7 +233,7 @@
     }
 }
 
-/// Replicas of services that run on a worker.
+/// Returns the replicas of services that run on a worker.
 fn running_replicas(worker: &Worker, jobs: &BTreeMap<String, Value>) -> BTreeSet<String> {
     let running = worker.tasks.iter().filter(|(_, attempt)| attempt.state == "running");
     let of_service = |task: &&String| {
@@ -237,7 +243,7 @@
     running.map(|((task, _), _)| task).filter(of_service).cloned().collect()
 }
 
-/// All replicas of services that run, each with its machine.
+/// Returns all replicas of services that run, each with its machine.
 fn all_replicas(workers: &BTreeMap<String, Worker>, jobs: &BTreeMap<String, Value>) -> BTreeMap<String, String> {
     let mut replicas = BTreeMap::new();
     for worker in workers.values() {
@@ -247,44 +253,45 @@
     replicas
 }
 
-/// A machine boots; its worker runs until the machine is deleted.
+/// Starts a machine: its worker appears after the boot time and runs until the machine is deleted.
 pub(super) fn start_worker(fleet: &Arc<Fleet>, name: String, zone: String, spot: bool, boot: Duration) {
     let fleet = fleet.clone();
     thread::spawn(move || {
         thread::sleep(boot);
         let commands = fleet.clone();
         let own_name = name.clone();
-        let Ok(address) = serve(Arc::new(move |request| commands.command(&own_name, &request))) else {
+        let Ok(address) = serve(Arc::new(move |request| commands.handle_command(&own_name, &request))) else {
             return;
         };
         let now_ms = fleet.clock.now_ms();
-        let node = lock(&fleet.workers).len();
-        let mut worker = Worker::new(&name, &zone, spot, node, now_ms);
+        let controller = lock(&fleet.workers).len();
+        let mut worker = Worker::new(&name, &zone, spot, controller, now_ms);
         worker.command_address = Some(address.to_string());
         lock(&fleet.workers).insert(name.clone(), worker);
         let (stepping, stepped_name) = (fleet.clone(), name.clone());
         thread::spawn(move || {
-            while stepping.step(&stepped_name).is_some() {
-                thread::sleep(STEP);
+            while stepping.step_worker(&stepped_name).is_some() {
+                thread::sleep(STEP_INTERVAL);
             }
         });
-        run_reports(&fleet, &name);
+        send_reports(&fleet, &name);
     });
 }
 
-fn run_reports(fleet: &Fleet, name: &str) {
+/// Sends a worker's reports until it is gone: periodically, and at once when the reported state changes.
+fn send_reports(fleet: &Fleet, name: &str) {
     let mut reported = String::new();
     let mut last_ms = 0;
     while let Some(state) = fleet.reported_state(name) {
-        let since_ms = fleet.clock.now_ms().saturating_sub(last_ms);
-        let changed = state != reported && since_ms >= REPORT_GAP_MS;
-        if changed || since_ms >= REPORT_MS {
+        let elapsed_ms = fleet.clock.now_ms().saturating_sub(last_ms);
+        let has_changed = state != reported && elapsed_ms >= MIN_REPORT_INTERVAL_MS;
+        if has_changed || elapsed_ms >= REPORT_MS {
             last_ms = fleet.clock.now_ms();
             reported = state;
-            if fleet.report(name).is_none() {
+            if fleet.send_report(name).is_none() {
                 return;
             }
         }
-        thread::sleep(STEP);
+        thread::sleep(STEP_INTERVAL);
     }
 }
