--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -77,7 +77,7 @@
 
     /// Pauses a controller. Its clocks run on, and its inputs are buffered.
     pub fn freeze(&mut self, controller: usize) {
-        self.note(&format!("berth-{controller} stands still"));
+        self.note(&format!("berth-{controller} is paused"));
         if let Some(process) = self.controllers.get_mut(controller) {
             process.paused_inputs = Some(Vec::new());
         }
@@ -85,7 +85,7 @@
 
     /// Resumes a paused controller, which first receives the buffered inputs.
     pub fn thaw(&mut self, controller: usize) {
-        self.note(&format!("berth-{controller} goes on"));
+        self.note(&format!("berth-{controller} resumes"));
         let inputs = self
             .controllers
             .get_mut(controller)
--- a/crates/tidelatch-standin/src/world/workers.rs
+++ b/crates/tidelatch-standin/src/world/workers.rs
@@ -95,7 +95,7 @@
                 w.execute_order(&order, now, &mut begin_save);
             }
         }
-        self.note(&format!("{machine} was told to stop all"));
+        self.note(&format!("{machine} gets stop orders for all its tasks"));
         self.observe_machine(machine, &[]);
     }
 
