--- a/crates/tidelatch-standin/src/checker.rs
+++ b/crates/tidelatch-standin/src/checker.rs
@@ -6,7 +6,8 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job counts as forgotten if no request about it was answered for this long.
+/// A job counts as forgotten if no request about it was answered for this long although its users kept asking, and more
+/// than half of the requests about other jobs were answered in that time.
 pub const SILENCE_MS: u64 = 75_000;
 /// Longest time between two requests about a job that still belong to one series of repeated requests.
 pub const MAX_QUESTION_GAP_MS: u64 = 20_000;
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Records that a user submits a job. The submission that was accepted defines the job; later ones do not change
-    /// it.
+    /// Records that a user submits a job. The last submission before the acceptance defines the job; later ones
+    /// do not change it.
     pub fn submitted(&mut self, body: &Value) {
         let job = body["uid"].as_str().unwrap_or_default();
         if !self.last_status.contains_key(job) {
