--- a/crates/tidelatch-standin/src/loopback/controllers.rs
+++ b/crates/tidelatch-standin/src/loopback/controllers.rs
@@ -71,6 +71,7 @@
 /// First port for controllers. The range is below the ephemeral ports: the system could give an ephemeral port to a
 /// proxy or to an outgoing connection before its controller listens on it, or while its controller is being restarted.
 const FIRST_PORT: u16 = 20_000;
+/// Number of ports in the range.
 const PORT_COUNT: u16 = 12_000;
 
 /// Number of ports that this process has tried.
--- a/crates/tidelatch-standin/src/state.rs
+++ b/crates/tidelatch-standin/src/state.rs
@@ -53,7 +53,7 @@
 }
 
 /// Returns the value of a query parameter.
-fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
+fn parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     path.split_once('?')?
         .1
         .split('&')
@@ -166,11 +166,9 @@
             };
         }
         if route == "/changes" {
-            let prefix = query_parameter(path, "prefix").unwrap_or("").to_owned();
-            let since = query_parameter(path, "since").and_then(|s| s.parse().ok()).unwrap_or(0);
-            let wait: u64 = query_parameter(path, "waitMs")
-                .and_then(|s| s.parse().ok())
-                .unwrap_or(0);
+            let prefix = parameter(path, "prefix").unwrap_or("").to_owned();
+            let since = parameter(path, "since").and_then(|s| s.parse().ok()).unwrap_or(0);
+            let wait: u64 = parameter(path, "waitMs").and_then(|s| s.parse().ok()).unwrap_or(0);
             if since < self.kept_from {
                 return StoreReply::Immediate(410, json!({ "error": "too old" }));
             }
@@ -180,9 +178,9 @@
             };
         }
         if route == "/store" {
-            let prefix = query_parameter(path, "prefix").unwrap_or("");
-            let since = query_parameter(path, "since").unwrap_or("");
-            let page_limit = query_parameter(path, "most")
+            let prefix = parameter(path, "prefix").unwrap_or("");
+            let since = parameter(path, "since").unwrap_or("");
+            let page_limit = parameter(path, "most")
                 .and_then(|s| s.parse().ok())
                 .unwrap_or(1000usize);
             let all: Vec<Value> = self
