--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -196,7 +196,7 @@
         let relevant_ms = self.settings.cancel_ms() + self.settings.worker_lease_ms();
         let is_recent = |since_ms: u64| self.now.ms.saturating_sub(since_ms) <= relevant_ms;
         let matches_partition = |id: &JobId| {
-            let team = self.over.get(id).map(|ended_job| ended_job.team.as_str());
+            let team = self.ended_jobs.get(id).map(|ended_job| ended_job.team.as_str());
             team.is_none_or(|team| self.settings.partition_of_team(team) == Some(partition))
         };
         let known = self.cancellations.known.iter();
@@ -214,10 +214,10 @@
         }
         let unacknowledged = self.cancellations.unacknowledged(to);
         let notice = CancellationNotice {
-            life: self.member.inc.0,
+            life: self.membership.inc.0,
             cancelled: unacknowledged.cancelled,
             asked: unacknowledged.requested,
-            unread: self.member.ledger == 0,
+            unread: self.membership.ledger == 0,
         };
         (notice, unacknowledged.sequence_range, unacknowledged.is_complete)
     }
@@ -284,7 +284,11 @@
         let Some(known) = self.cancellations.known.get(id).filter(|k| k.is_stored) else {
             return true;
         };
-        let others = self.member.members.iter().filter(|(name, _)| **name != self.me);
+        let others = self
+            .membership
+            .members
+            .iter()
+            .filter(|(name, _)| **name != self.own_name);
         let mut exchanging_peers = others.filter(|(_, m)| m.knows >= 2).peekable();
         let mut acknowledged = self
             .cancellations
@@ -293,7 +297,7 @@
             .filter(|(_, t)| t.up_to >= known.sequence);
         known.is_shared
             || exchanging_peers.peek().is_none()
-            || acknowledged.any(|(name, _)| self.member.peers.get(name).is_some_and(|p| p.reachable))
+            || acknowledged.any(|(name, _)| self.membership.peers.get(name).is_some_and(|p| p.reachable))
             // The state service has served this controller since. Either it has served the peers' watches too, or it
             // refuses only them, and they need a grant of a controller that knows of the cancellation.
             || self.cancellations.lease_extension_sent_ms > known.since_ms
@@ -303,7 +307,7 @@
     /// knows of the cancellation.
     pub(crate) fn tell_over(&mut self, requester: Asker, id: &JobId) {
         if self.may_confirm_cancellation(id) {
-            let status_body = self.over.get(id).map(|ended_job| ended_job.status_body(id));
+            let status_body = self.ended_jobs.get(id).map(|ended_job| ended_job.status_body(id));
             let answer = match status_body {
                 Some(status_body) => Answer::new(200, status_body),
                 None => Answer::later(503, 1, "try again"),
--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -216,7 +216,7 @@
                 self.cloud.digests.insert(digest.partition, (digest, now));
             }
             self.allocate_machines();
-            let me = self.me.clone();
+            let me = self.own_name.clone();
             let moves = self.cloud.moves_to_send.remove(&me).unwrap_or_default();
             self.execute_moves(moves);
             self.adopt_unregistered_machines();
@@ -238,7 +238,7 @@
     fn request_machine_types(&mut self) {
         let now = self.now.ms;
         let is_leader = self.is_leader();
-        let interval_ms = if self.types.is_empty() {
+        let interval_ms = if self.machine_types.is_empty() {
             self.settings.report_ms()
         } else if is_leader {
             2 * self.settings.worker_lease_ms()
@@ -263,8 +263,8 @@
         };
         let now = self.now.ms;
         self.cloud.types_received_at = now;
-        let is_first = self.types.is_empty();
-        self.types = types.types.clone();
+        let is_first = self.machine_types.is_empty();
+        self.machine_types = types.types.clone();
         if is_first {
             self.want_batch();
         }
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -45,7 +45,7 @@
     /// The timeline of free capacity on a machine, for planning. None for a machine that takes no more tasks.
     pub(super) fn machine_timeline(&self, m: &Machine) -> Option<Lane> {
         let now = self.now.ms;
-        let t = self.types.iter().find(|t| t.name == m.model)?;
+        let t = self.machine_types.iter().find(|t| t.name == m.model)?;
         let is_usable = m.usable(now, 3 * self.settings.report_ms());
         let is_booting = m.is_booting() && m.moving.is_none() && !m.cordoned;
         if m.reserved || (!is_usable && !is_booting) {
@@ -100,7 +100,7 @@
         let grace_ms = 2 * self.settings.report_ms();
         self.cloud
             .boot_times
-            .discounted(&booting, &self.types, self.now.ms, grace_ms)
+            .discounted(&booting, &self.machine_types, self.now.ms, grace_ms)
     }
 
     /// Digests of the partitions that this controller is active for.
@@ -121,11 +121,17 @@
         absorb(
             &mut unplaced,
             &mut supply.timelines,
-            &self.types,
+            &self.machine_types,
             &refused,
             self.guarantee_s(),
         );
-        let mut needs = plan(&unplaced, Vec::new(), &self.types, &refused, &supply.machines_per_zone);
+        let mut needs = plan(
+            &unplaced,
+            Vec::new(),
+            &self.machine_types,
+            &refused,
+            &supply.machines_per_zone,
+        );
         needs.extend(self.replacements_wanted(partition));
         supply.preemptible.sort_by(|a, b| a.0.total_cmp(&b.0));
         let has_no_local_use = |room: &SpareRoom| {
@@ -136,7 +142,7 @@
         supply.spare_room.retain(has_no_local_use);
         Digest {
             partition,
-            ledger: self.member.ledger,
+            ledger: self.membership.ledger,
             demand: supply.running_demand + waiting_demand,
             needs,
             wants,
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -117,7 +117,7 @@
     fn prune_pending_hand_overs(&mut self) {
         let now = self.now.ms;
         let timeout_ms = 4 * self.settings.report_ms();
-        let revision = self.member.ledger;
+        let revision = self.membership.ledger;
         let mut pending = std::mem::take(&mut self.cloud.pending_hand_overs);
         pending.retain(|l| {
             let current = self.machines.get(&l.machine.machine).map(|m| m.partition);
@@ -247,7 +247,7 @@
         if !tasks.takes(machine) {
             return None;
         }
-        let model = self.types.iter().find(|t| t.name == machine.model)?;
+        let model = self.machine_types.iter().find(|t| t.name == machine.model)?;
         let capacity = [model.cpus, model.gpus, model.memory_gb];
         Some(room_for(&tasks.size, &capacity)).filter(|n| *n > 0)
     }
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -17,7 +17,7 @@
     pub(crate) fn greet(&mut self, at_once: bool) {
         let now = self.now.ms;
         let interval_ms = self.settings.heartbeat_ms();
-        let leader = self.member.leader.as_ref().map(|(l, _)| l.name.clone());
+        let leader = self.membership.leader.as_ref().map(|(l, _)| l.name.clone());
         let wants_grant = self.wants_grants();
         let names: Vec<String> = self
             .settings
@@ -30,7 +30,7 @@
             let to = ControllerId::new(name);
             let urgent = (at_once && self.lacks_cancellations(&to)) || self.contact_due(&to);
             let (told, told_span, _) = self.tell_cancellations(&to);
-            let peer = self.member.peers.entry(to.clone()).or_default();
+            let peer = self.membership.peers.entry(to.clone()).or_default();
             let due = peer.asked == 0 || now >= peer.asked + interval_ms;
             if peer.asking || !(due || urgent) {
                 continue;
@@ -49,7 +49,7 @@
             let liveness = self.liveness_for(&to);
             let permits = self.permit_listing(&to);
             let request = PeerRequest::Heartbeat {
-                name: self.me.as_str().to_owned(),
+                name: self.own_name.as_str().to_owned(),
                 entitled: self.entitled(),
                 wants_grant,
                 relies: self.relies_on(&to),
@@ -84,7 +84,7 @@
         let granted = wants_grant && is_complete && self.give_grant();
         self.note_reliance(&from, relies || granted);
         let is_leader = self.is_leader();
-        if let Some(peer) = self.member.peers.get_mut(&from) {
+        if let Some(peer) = self.membership.peers.get_mut(&from) {
             peer.entitled = entitled;
             peer.heard = Some(now);
         }
@@ -116,7 +116,7 @@
         let entitled = self.entitled();
         let relies = self.relies_on(&from);
         let liveness = self.liveness_for(&from);
-        self.out.push(crate::messages::Output::Tell {
+        self.outputs.push(crate::messages::Output::Tell {
             id,
             reply: PeerReply::Heartbeat {
                 entitled,
@@ -133,7 +133,7 @@
 
     /// Handles the machines to hand over and the refused kinds in the leader's reply to a heartbeat.
     pub(crate) fn on_moves(&mut self, from: &ControllerId, moves: Vec<Move>, refused: Vec<MachineRequest>) {
-        let is_from_leader = self.member.leader.as_ref().is_some_and(|(l, _)| l.name == *from);
+        let is_from_leader = self.membership.leader.as_ref().is_some_and(|(l, _)| l.name == *from);
         if !is_from_leader || self.is_leader() {
             return;
         }
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -24,7 +24,7 @@
         if self.cloud.rentals_in_flight > 0 || !self.cloud.pending_registration.is_empty() {
             return;
         }
-        let Some((_, leader_revision)) = self.member.leader.clone() else {
+        let Some((_, leader_revision)) = self.membership.leader.clone() else {
             return;
         };
         let now = self.now.ms;
@@ -194,10 +194,14 @@
             if m.has_unstored_results(jobs) {
                 continue;
             }
-            let boot_s = self.types.iter().find(|t| t.name == m.model).map_or(60.0, |t| t.boot_s);
+            let boot_s = self
+                .machine_types
+                .iter()
+                .find(|t| t.name == m.model)
+                .map_or(60.0, |t| t.boot_s);
             // If a spot machine is returned, an on-demand machine may have to replace it. The more that one costs by
             // comparison, the longer the spot machine is kept.
-            let t = self.types.iter().find(|t| t.name == m.model);
+            let t = self.machine_types.iter().find(|t| t.name == m.model);
             let price_ratio = match t {
                 Some(t) if m.spot => (t.price / t.spot_price.max(1e-9)).clamp(1.0, 5.0),
                 _ => 1.0,
--- a/crates/tidelatch-core/src/capacity/spare_room.rs
+++ b/crates/tidelatch-core/src/capacity/spare_room.rs
@@ -36,7 +36,7 @@
         if machine.held.is_empty() || machine.reserved || !self.may_share_machines() || !self.may_go_occupied(machine) {
             return None;
         }
-        let model = self.types.iter().find(|t| t.name == machine.model)?;
+        let model = self.machine_types.iter().find(|t| t.name == machine.model)?;
         let mut free = [model.cpus, model.gpus, model.memory_gb];
         free.iter_mut().zip(machine.taken()).for_each(|(f, used)| *f -= used);
         let machine = IdleMachine {
@@ -96,7 +96,7 @@
     /// Whether the cloud has recently refused every kind of machine that the tasks could use.
     fn all_kinds_refused(&self, tasks: &WaitingTasks) -> bool {
         let is_large_enough = |t: &&MachineType| tasks.fits(&[t.cpus, t.gpus, t.memory_gb]) > 0;
-        let kinds = self.types.iter().filter(is_large_enough).flat_map(|t| {
+        let kinds = self.machine_types.iter().filter(is_large_enough).flat_map(|t| {
             let kinds_in_zone = |zone: &String| [false, true].map(|spot| (t.name.clone(), zone.clone(), spot));
             t.zones.iter().flat_map(kinds_in_zone).collect::<Vec<MachineKind>>()
         });
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -26,11 +26,11 @@
 pub struct Controller {
     pub(crate) settings: Settings,
     /// Name of this controller.
-    pub(crate) me: ControllerId,
+    pub(crate) own_name: ControllerId,
     /// Time of the input that is being handled.
     pub(crate) now: Now,
     /// Outputs of the input that is being handled.
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
     next_call_id: u64,
     /// When the last input arrived.
     last_input_ms: u64,
@@ -38,24 +38,24 @@
     /// and other controllers may have reported newer state to users meanwhile.
     first_fresh_call: u64,
     /// The reply that is being handled belongs to such a call.
-    pub(crate) stale: bool,
+    pub(crate) is_reply_stale: bool,
     /// Purposes of the calls in progress, by call number.
     pending_calls: BTreeMap<u64, Purpose>,
-    pub(crate) member: Membership,
+    pub(crate) membership: Membership,
     pub(crate) tenures: BTreeMap<Partition, Tenure>,
-    pub(crate) types: Vec<MachineType>,
+    pub(crate) machine_types: Vec<MachineType>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Jobs that have ended.
-    pub(crate) over: BTreeMap<JobId, EndedJob>,
+    pub(crate) ended_jobs: BTreeMap<JobId, EndedJob>,
     /// The ended jobs, in the order in which they ended.
-    pub(crate) over_order: VecDeque<JobId>,
+    pub(crate) ended_job_order: VecDeque<JobId>,
     pub(crate) status_reads: StatusReads,
     pub(crate) machines: BTreeMap<MachineId, Machine>,
     pub(crate) cloud: Cloud,
     pub(crate) roster: Roster,
     pub(crate) state_reads: TokenBucket,
     pub(crate) state_writes: TokenBucket,
-    pub(crate) limits: WriteLimits,
+    pub(crate) write_limits: WriteLimits,
     pub(crate) admission: Admission,
     /// When the next placement batch is due; `None`: none is needed.
     pub(crate) batch_due: Option<u64>,
@@ -98,31 +98,31 @@
         let state_reads = TokenBucket::new(state.rps / controllers, state.rps / controllers);
         let state_writes = TokenBucket::new(state.write_rps / controllers, state.write_rps / controllers);
         let cloud = Cloud::new(&settings);
-        let me = ControllerId::new(settings.platform.host_name.clone());
+        let own_name = ControllerId::new(settings.platform.host_name.clone());
         let detection = FailureDetection::new(&settings, incarnation, now.ms);
         let disruption = Disruption::new(&settings, now.ms);
         Self {
-            me,
+            own_name,
             now,
-            out: Vec::new(),
+            outputs: Vec::new(),
             next_call_id: 1,
             last_input_ms: now.ms,
             first_fresh_call: 0,
-            stale: false,
+            is_reply_stale: false,
             pending_calls: BTreeMap::new(),
-            member: Membership::new(incarnation, now.ms + settings.lease_ms()),
+            membership: Membership::new(incarnation, now.ms + settings.lease_ms()),
             tenures: BTreeMap::new(),
-            types: Vec::new(),
+            machine_types: Vec::new(),
             jobs: BTreeMap::new(),
-            over: BTreeMap::new(),
-            over_order: VecDeque::new(),
+            ended_jobs: BTreeMap::new(),
+            ended_job_order: VecDeque::new(),
             status_reads: StatusReads::default(),
             machines: BTreeMap::new(),
             cloud,
             roster: Roster::default(),
             state_reads,
             state_writes,
-            limits: WriteLimits {
+            write_limits: WriteLimits {
                 value: settings.value_bytes(),
                 ops: settings.txn_ops(),
             },
@@ -157,7 +157,7 @@
             self.first_fresh_call = self.next_call_id;
             self.record_pause(paused_ms);
         }
-        self.stale = match &input {
+        self.is_reply_stale = match &input {
             Input::Reply { call, .. } | Input::PeerReply { call, .. } => *call < self.first_fresh_call,
             _ => false,
         };
@@ -178,7 +178,7 @@
         }
         self.send_direct();
         self.send_cancellations();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// Number of pairs of a task and a machine that the placement search has evaluated, as a measure of its cost.
@@ -209,7 +209,7 @@
 
     /// Logs a line for the operators.
     pub(crate) fn log(&mut self, level: Level, text: impl Into<String>) {
-        self.out.push(Output::Log {
+        self.outputs.push(Output::Log {
             level,
             text: text.into(),
         });
@@ -217,7 +217,7 @@
 
     /// Answers a requester.
     pub(crate) fn answer(&mut self, to: Asker, answer: Answer) {
-        self.out.push(match to {
+        self.outputs.push(match to {
             Asker::Request(id) => Output::Answer { id, answer },
             Asker::Peer(id) => Output::Tell {
                 id,
@@ -239,7 +239,7 @@
         let id = self.next_call_id;
         self.next_call_id += 1;
         self.pending_calls.insert(id, purpose);
-        self.out.push(Output::Call {
+        self.outputs.push(Output::Call {
             id,
             target,
             method,
@@ -259,7 +259,7 @@
         let id = self.next_call_id;
         self.next_call_id += 1;
         self.pending_calls.insert(id, purpose);
-        self.out.push(Output::Ask {
+        self.outputs.push(Output::Ask {
             id,
             to,
             request,
@@ -358,14 +358,14 @@
         }
         if *status == 400 && !is_lost_lease(body) {
             if can_split {
-                self.limits.halve();
+                self.write_limits.halve();
             }
             let text = String::from_utf8_lossy(body).into_owned();
             self.log(
                 Level::Error,
                 format!(
                     "the state service refused {what}: {text}; limits now: {} bytes per value, {} changes",
-                    self.limits.value, self.limits.ops
+                    self.write_limits.value, self.write_limits.ops
                 ),
             );
         }
@@ -427,7 +427,7 @@
                     permits,
                 }),
             ) => {
-                if self.stale {
+                if self.is_reply_stale {
                     // The reply shows the peer's state before this process was paused, not its present state.
                     self.ask_peer_again(&to);
                 } else {
@@ -453,8 +453,10 @@
             (Purpose::Relay { asker, report }, result) => self.on_relayed(asker, &report, result),
             (Purpose::ForwardStatus { asker, job }, result) => match result {
                 // The watch may have delivered the end of the job since its owner answered.
-                _ if self.over.contains_key(&job) => self.tell_over(asker, &job),
-                Some(PeerReply::Answer(answer)) if answer.status == 200 && !self.stale => self.answer(asker, answer),
+                _ if self.ended_jobs.contains_key(&job) => self.tell_over(asker, &job),
+                Some(PeerReply::Answer(answer)) if answer.status == 200 && !self.is_reply_stale => {
+                    self.answer(asker, answer)
+                }
                 _ => self.read_status(asker, job),
             },
             (Purpose::ForwardSubmission { asker, job }, result) => self.on_passed_on(asker, job, result),
--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -143,7 +143,7 @@
         if self.disruption.is_none() {
             return;
         }
-        let since: BTreeMap<Partition, Epoch> = match &self.member.epoch {
+        let since: BTreeMap<Partition, Epoch> = match &self.membership.epoch {
             Some((record, _)) => (0..).map(Partition).zip(record.parts.iter().map(|p| p.since)).collect(),
             None => return,
         };
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -189,7 +189,7 @@
     /// Whether whoever holds a permit can no longer stop its attempt: it has lost the machine, and the machine has
     /// reported under the present token since.
     fn is_fenced(&self, machine: &Machine, permit: &SpentPermit) -> bool {
-        let Some((record, _)) = &self.controller.member.epoch else {
+        let Some((record, _)) = &self.controller.membership.epoch else {
             return false;
         };
         let owns = record.parts.iter().any(|part| {
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -215,7 +215,7 @@
     pub(crate) fn lead_drains(&mut self) {
         let now = self.now.ms;
         let again = now + self.settings.report_ms() / LOOKS_PER_REPORT;
-        let ledger = self.member.ledger;
+        let ledger = self.membership.ledger;
         let Some(rules) = self.settings.operator.disruption.as_ref().map(|d| d.drains.clone()) else {
             return;
         };
@@ -277,7 +277,7 @@
     }
 
     fn delete_drain(&mut self, name: &str) {
-        let most = self.limits.ops.max(1);
+        let most = self.write_limits.ops.max(1);
         let keys = self.disruption.as_ref().map_or(Vec::new(), |d| d.records.keys(name));
         let changes = keys.iter().take(most).map(|key| json!({ "delete": key })).collect();
         self.log(
@@ -321,7 +321,7 @@
 
     /// Writes the next parts of the drain that begins, and its head after the last; false: none begins.
     fn write_beginning(&mut self) -> bool {
-        let most = self.limits.ops.max(1);
+        let most = self.write_limits.ops.max(1);
         let Some(beginning) = self.disruption.as_ref().and_then(|d| d.records.beginning.as_ref()) else {
             return false;
         };
@@ -426,7 +426,7 @@
     fn may_drain(&self, id: &MachineId) -> bool {
         let partition = self.machines.get(id).map(|m| m.partition);
         let owner = partition.and_then(|p| self.holding(p)).map(|h| &h.owner);
-        owner.is_some_and(|owner| (*owner == self.me || self.grants_permits(owner)) && !self.suspects(owner))
+        owner.is_some_and(|owner| (*owner == self.own_name || self.grants_permits(owner)) && !self.suspects(owner))
     }
 
     /// A write of the leader's has an answer, or none.
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -143,7 +143,7 @@
             return false;
         }
         let spec = &job.spec;
-        let machine_type = self.types.iter().find(|t| t.name == m.model);
+        let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
         let fetch_rate = machine_type.map_or(1.0, |t| t.fetch_gb_per_s.max(1e-3));
         let ran_s = held
             .running_since
--- a/crates/tidelatch-core/src/disruption/exchange.rs
+++ b/crates/tidelatch-core/src/disruption/exchange.rs
@@ -12,7 +12,7 @@
     pub(crate) fn permit_listing(&mut self, to: &ControllerId) -> Option<Box<PermitListing>> {
         let granter = controller_name(to);
         let known = self.grants_permits(to);
-        let life = self.member.inc.0;
+        let life = self.membership.inc.0;
         let holder = &mut self.disruption.as_mut()?.holder;
         if !known || !holder.needs_message(&granter) {
             return None;
@@ -29,7 +29,7 @@
         from: &ControllerId,
         listing: &PermitListing,
     ) -> Option<Box<PermitGrants>> {
-        let registered = self.member.members.get(from).map(|member| member.inc.0);
+        let registered = self.membership.members.get(from).map(|member| member.inc.0);
         if registered != Some(listing.life) || !self.entitled() {
             return None;
         }
@@ -58,7 +58,7 @@
         let partition = self.jobs.get(&task.job)?.partition;
         self.acting(partition)?;
         let machine = MachineId::new(wanted.machine.as_str());
-        let (epoch, _) = self.member.epoch.as_ref()?;
+        let (epoch, _) = self.membership.epoch.as_ref()?;
         let owns_machine = epoch
             .parts
             .iter()
--- a/crates/tidelatch-core/src/disruption/gate.rs
+++ b/crates/tidelatch-core/src/disruption/gate.rs
@@ -152,7 +152,10 @@
         let first = candidates.first().ok_or(Blocked::NoOwner)?;
         let census = self.census(&first.task.job).ok_or(Blocked::NoOwner)?;
         self.evaluated += census.units();
-        let requests: Vec<PermitRequest> = candidates.iter().map(|candidate| candidate.request(&self.me)).collect();
+        let requests: Vec<PermitRequest> = candidates
+            .iter()
+            .map(|candidate| candidate.request(&self.own_name))
+            .collect();
         let (now_ms, valid_for_ms) = (self.now.ms, self.permit_ms());
         let ledger = self.disruption.as_mut().and_then(|d| d.ledgers.get_mut(&partition));
         let ledger = ledger.ok_or(Blocked::NoOwner)?;
@@ -197,7 +200,7 @@
 
     /// Whether another controller grants permits: its version knows them, and they are turned on there.
     pub(super) fn grants_permits(&self, owner: &ControllerId) -> bool {
-        self.member
+        self.membership
             .members
             .get(owner)
             .is_some_and(|member| member.knows >= DISRUPTION_LEVEL)
--- a/crates/tidelatch-core/src/failure_detection.rs
+++ b/crates/tidelatch-core/src/failure_detection.rs
@@ -153,7 +153,7 @@
         let Some(detection) = self.detection.as_mut() else {
             return;
         };
-        let registrations = Registrations::of(&self.member);
+        let registrations = Registrations::of(&self.membership);
         let events = detection.detector.tick(now_ms, &registrations);
         self.handle_detector_events(events);
         self.continue_preparations();
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -72,7 +72,7 @@
 impl Controller {
     /// The partitions that this controller would take over if all suspected controllers were gone.
     fn partitions_to_prepare(&self) -> BTreeSet<Partition> {
-        let Some((epoch, _)) = &self.member.epoch else {
+        let Some((epoch, _)) = &self.membership.epoch else {
             return BTreeSet::new();
         };
         let mut members = self.members_for_partitions();
@@ -80,7 +80,7 @@
         let names = self.settings.names();
         let next = next_epoch(&names, &members, Some(epoch), self.settings.partitions());
         let planned = next.map_or(Vec::new(), |next| next.parts);
-        let is_own = |owner: &ControllerId| *owner == self.me;
+        let is_own = |owner: &ControllerId| *owner == self.own_name;
         // Handing a partition back from a live owner to its home controller needs no preparation.
         let at_risk = |owner: &ControllerId| !is_own(owner) && !members.contains_key(owner);
         (0..)
@@ -180,7 +180,7 @@
         let connections = addresses_to_connect
             .into_iter()
             .map(|address| Output::Connect { address });
-        self.out.extend(connections);
+        self.outputs.extend(connections);
         for (partition, attempt, cursor) in reads {
             self.read_ahead(partition, attempt, &cursor);
         }
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -189,7 +189,7 @@
 
     /// Adds a job from its record, updates its revision, or closes it if the record says that it has ended.
     pub(crate) fn apply_job_record(&mut self, id: JobId, record: JobRecord, stamp: Stamp) {
-        if self.over.contains_key(&id) {
+        if self.ended_jobs.contains_key(&id) {
             return;
         }
         if let Some(ended_job) = EndedJob::from_record(&record) {
@@ -228,11 +228,11 @@
     fn remember_ended_job(&mut self, id: &JobId, ended_job: EndedJob) {
         // A fifth of the memory, at about 300 bytes per job.
         let limit = (self.settings.platform.facts.machine_limits.ram_mb * 1e6 / 5.0 / 300.0) as usize;
-        self.over.insert(id.clone(), ended_job);
-        self.over_order.push_back(id.clone());
-        while self.over_order.len() > limit.max(1000) {
-            if let Some(oldest) = self.over_order.pop_front() {
-                self.over.remove(&oldest);
+        self.ended_jobs.insert(id.clone(), ended_job);
+        self.ended_job_order.push_back(id.clone());
+        while self.ended_job_order.len() > limit.max(1000) {
+            if let Some(oldest) = self.ended_job_order.pop_front() {
+                self.ended_jobs.remove(&oldest);
             }
         }
     }
@@ -290,7 +290,7 @@
         let key = format!("{JOB_PREFIX}{id}");
         let mut conditions = vec![json!({ "k": key, "stamp": job.stamp })];
         let mut changes = vec![json!({ "write": key, "value": record })];
-        let deletions_in_txn = self.limits.ops.saturating_sub(1);
+        let deletions_in_txn = self.write_limits.ops.saturating_sub(1);
         let partition = job.partition;
         let mut keys = job.stored_pieces.iter().map(|c| c.key(partition, id));
         changes.extend(keys.by_ref().take(deletions_in_txn).map(|k| json!({ "delete": k })));
@@ -351,14 +351,14 @@
             Purpose::CheckExisting { requester, id, .. } if self.can_answer_without_read(&id) => {
                 self.on_status(requester, id.as_str(), true);
             }
-            Purpose::CancelRead { requester, id } if self.can_answer_without_read(&id) || self.stale => {
+            Purpose::CancelRead { requester, id } if self.can_answer_without_read(&id) || self.is_reply_stale => {
                 self.on_withdraw(requester, id.as_str(), true);
             }
             Purpose::CheckExisting {
                 requester,
                 id,
                 answer_if_absent,
-            } if self.stale => self.check_existing_job(requester, id, answer_if_absent),
+            } if self.is_reply_stale => self.check_existing_job(requester, id, answer_if_absent),
             // The 404 predates the job, which the watch has reported since.
             Purpose::CheckExisting { requester, id, .. }
                 if matches!(result, Some((404, _))) && self.jobs.contains_key(&id) =>
@@ -382,7 +382,7 @@
                 Some((404, _)) => self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#)),
                 Some((200, body)) => {
                     self.apply_read_record(&id, &body);
-                    if self.over.contains_key(&id) {
+                    if self.ended_jobs.contains_key(&id) {
                         self.tell_over(requester, &id);
                     } else {
                         self.answer(requester, Answer::later(503, 1, "try again"));
--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -180,7 +180,7 @@
         // transaction would overdraw the budget for seconds, and acceptances would be deferred meanwhile: they may
         // use the reserved share, but not overdraw the budget that far.
         let max_changes = self
-            .limits
+            .write_limits
             .ops
             .min(self.state_writes.spare(self.now.ms, FLUSH_RESERVED_SHARE));
         if max_changes == 0 {
@@ -263,7 +263,7 @@
     /// Deletes keys that are not used any more, such as bitmaps of ended jobs, as far as the write budget allows.
     pub(super) fn delete_stale_keys(&mut self) {
         let max_keys = self.state_writes.spare(self.now.ms, CLEANUP_RESERVED_SHARE);
-        let key_count = self.cloud.stale_keys.len().min(self.limits.ops).min(max_keys);
+        let key_count = self.cloud.stale_keys.len().min(self.write_limits.ops).min(max_keys);
         if key_count == 0 {
             return;
         }
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -45,7 +45,7 @@
             self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
             return;
         };
-        if self.over.contains_key(&id) {
+        if self.ended_jobs.contains_key(&id) {
             self.tell_over(requester, &id);
             return;
         }
@@ -79,7 +79,7 @@
     /// can be reached and the request has not been forwarded before.
     fn reachable_owner(&self, partition: Partition, may_forward: bool) -> Option<ControllerId> {
         let owner = &self.holding(partition)?.owner;
-        (may_forward && *owner != self.me && self.reachable(owner)).then(|| owner.clone())
+        (may_forward && *owner != self.own_name && self.reachable(owner)).then(|| owner.clone())
     }
 
     /// JSON body of the status answer for an unfinished job of this controller.
@@ -105,7 +105,7 @@
             self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
             return;
         };
-        if self.over.contains_key(&id) {
+        if self.ended_jobs.contains_key(&id) {
             self.tell_over(requester, &id);
             return;
         }
@@ -144,7 +144,7 @@
     /// the controller has come to own the job since the read was sent.
     pub(super) fn can_answer_without_read(&self, id: &JobId) -> bool {
         let is_own = |j: &Job| j.ending.is_none() && self.acting(j.partition).is_some();
-        self.over.contains_key(id) || self.jobs.get(id).is_some_and(is_own)
+        self.ended_jobs.contains_key(id) || self.jobs.get(id).is_some_and(is_own)
     }
 
     /// Applies the job record that a read returned and returns its status, or `None` if the body cannot be parsed.
@@ -172,7 +172,7 @@
         };
         let answer = match state {
             None => Answer::later(503, 1, "the state service does not answer"),
-            Some(_) if self.over.contains_key(id) => {
+            Some(_) if self.ended_jobs.contains_key(id) => {
                 self.tell_over(requester, id);
                 return;
             }
--- a/crates/tidelatch-core/src/jobs/status_reads.rs
+++ b/crates/tidelatch-core/src/jobs/status_reads.rs
@@ -86,7 +86,7 @@
             return;
         }
         // An answer that stayed in buffers while this process was paused may be outdated, so the read is repeated.
-        if self.stale {
+        if self.is_reply_stale {
             requesters.extend(next_requesters);
             self.begin_status_read(id, requesters);
             return;
@@ -104,7 +104,7 @@
                 requesters.extend(next_requesters);
                 self.answer_all(requesters, &Answer::later(503, 1, "the state service does not answer"));
             }
-            Some(_) if self.over.contains_key(&id) => {
+            Some(_) if self.ended_jobs.contains_key(&id) => {
                 requesters.extend(next_requesters);
                 requesters
                     .into_iter()
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -36,9 +36,9 @@
             if self.answer_with_stops(asker, &report, epoch) {
                 return;
             }
-            let to = self.member.leader.as_ref().map(|(l, _)| l.name.clone());
+            let to = self.membership.leader.as_ref().map(|(l, _)| l.name.clone());
             match to {
-                Some(to) if direct && to != self.me && self.reachable(&to) => self.redirect_worker(asker, &to),
+                Some(to) if direct && to != self.own_name && self.reachable(&to) => self.redirect_worker(asker, &to),
                 _ => self.answer_orders(asker, epoch, Vec::new()),
             }
             return;
@@ -49,12 +49,12 @@
         }
         let owner = self.holding(partition).map(|h| h.owner.clone());
         match owner {
-            Some(owner) if owner != self.me && direct => {
+            Some(owner) if owner != self.own_name && direct => {
                 if !self.answer_with_stops(asker, &report, epoch) {
                     self.relay_report(asker, report, &owner, body);
                 }
             }
-            Some(owner) if owner != self.me => {
+            Some(owner) if owner != self.own_name => {
                 // A relayed report reached a controller that is not the owner: the sender does not know the new owner
                 // yet.
                 let _ = owner;
@@ -99,9 +99,9 @@
         let is_up = self.machines.get(&report.machine).is_some_and(Machine::up);
         // The owner may be unreachable from this controller only; a third controller may still reach it.
         let third_controller = || {
-            let mut members = self.member.members.keys();
+            let mut members = self.membership.members.keys();
             members
-                .find(|m| **m != self.me && *m != owner && self.reachable(m))
+                .find(|m| **m != self.own_name && *m != owner && self.reachable(m))
                 .cloned()
         };
         let to = if reachable {
@@ -171,7 +171,8 @@
             .iter()
             .filter(|t| t.state != TaskState::Exited)
             .filter(|t| {
-                let must_stop = |id: TaskId| self.over.contains_key(&id.job) || self.cancellations.calls_off(&id.job);
+                let must_stop =
+                    |id: TaskId| self.ended_jobs.contains_key(&id.job) || self.cancellations.calls_off(&id.job);
                 TaskId::parse(&t.task).is_some_and(must_stop)
             })
             .map(|t| Command::Stop {
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -22,7 +22,7 @@
         let Some(m) = self.machines.get(id) else { return };
         // Machines found at the takeover were rented at an unknown earlier time.
         let was_rented_before = self.acting(m.partition).is_none_or(|t| m.known_since <= t.active_at);
-        let machine_type = self.types.iter().find(|t| t.name == m.model);
+        let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
         if let Some(machine_type) = machine_type.filter(|_| !was_rented_before) {
             self.cloud.boot_times.note(machine_type, m.known_since, self.now.ms);
         }
@@ -252,7 +252,7 @@
         let cache_gb = self
             .machines
             .get(id)
-            .and_then(|m| self.types.iter().find(|t| t.name == m.model))
+            .and_then(|m| self.machine_types.iter().find(|t| t.name == m.model))
             .map_or(0.0, |t| t.cache_gb);
         let image = self
             .jobs
@@ -288,7 +288,7 @@
     /// Adds a task that was not booked in this tenure: one found after a takeover, or one that should not be there.
     fn adopt_task(&mut self, id: &MachineId, task: TaskId, attempt: Attempt, state: TaskState) {
         let now = self.now.ms;
-        let (size, team) = match (self.jobs.get(&task.job), self.over.get(&task.job)) {
+        let (size, team) = match (self.jobs.get(&task.job), self.ended_jobs.get(&task.job)) {
             (Some(j), _) => (Self::size(&j.spec), j.spec.team.clone()),
             (None, Some(over)) => (over.size, over.team.clone()),
             _ => ([0.0; 3], String::new()),
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -42,14 +42,14 @@
 impl Controller {
     /// Whether every member controller supports machines that hold tasks of several partitions.
     pub(crate) fn all_members_support_shared_machines(&self) -> bool {
-        let mut members = self.member.members.values();
+        let mut members = self.membership.members.values();
         self.settings.features.shared_machines && members.all(|m| m.knows >= SHARED_MACHINES_LEVEL)
     }
 
     /// Whether machines may be handed over with their tasks: every controller of the deployment is a member and
     /// supports such machines. An absent controller might come back with a version that does not.
     pub(crate) fn may_share_machines(&self) -> bool {
-        let members = &self.member.members;
+        let members = &self.membership.members;
         let names = self.settings.names();
         let is_present = |name: &String| members.keys().any(|member| member.as_str() == name);
         self.all_members_support_shared_machines() && names.iter().all(is_present)
@@ -254,7 +254,7 @@
         if let Some(job) = self.jobs.get(&task.job) {
             return Some(job.partition);
         }
-        let over = self.over.get(&task.job)?;
+        let over = self.ended_jobs.get(&task.job)?;
         self.settings.partition_of_team(&over.team)
     }
 
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -230,7 +230,7 @@
             .filter_map(|m| m.heard_directly)
             .any(|t| t >= from);
         let is_peer_reachable = |name: &str| {
-            let peer = self.member.peers.get(&ControllerId::new(name));
+            let peer = self.membership.peers.get(&ControllerId::new(name));
             peer.is_some_and(|p| p.reachable && p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) <= report_ms))
         };
         let mut peers = platform.siblings.iter().filter(|s| s.area == *zone);
@@ -360,7 +360,7 @@
 
     /// Time after which a machine that has not come up is given up.
     fn boot_limit_ms(&self, m: &Machine) -> u64 {
-        let machine_type = self.types.iter().find(|t| t.name == m.model);
+        let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
         let give_up_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_LIMIT_S, |t| {
             self.cloud.boot_times.give_up_after_s(t, m.known_since)
         });
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -190,9 +190,9 @@
     pub(crate) fn tick_membership(&mut self) {
         let now = self.now.ms;
         let quarter = self.settings.lease_ms() / 4;
-        match self.member.lease_id {
-            None if !self.member.is_requesting_lease && now >= self.member.retry_ms => {
-                self.member.is_requesting_lease = true;
+        match self.membership.lease_id {
+            None if !self.membership.is_requesting_lease && now >= self.membership.retry_ms => {
+                self.membership.is_requesting_lease = true;
                 let body = json!({ "ttlMs": self.settings.lease_ms() }).to_string();
                 self.state_reads.force(now, 1.0);
                 self.call(
@@ -204,9 +204,11 @@
                     Purpose::NewLease { sent: now },
                 );
             }
-            Some(lease_id) if !self.member.is_extending_lease && now >= self.member.last_extension_ms + quarter => {
-                self.member.is_extending_lease = true;
-                self.member.last_extension_ms = now;
+            Some(lease_id)
+                if !self.membership.is_extending_lease && now >= self.membership.last_extension_ms + quarter =>
+            {
+                self.membership.is_extending_lease = true;
+                self.membership.last_extension_ms = now;
                 self.state_reads.force(now, 1.0);
                 self.call(
                     Target::State,
@@ -219,10 +221,10 @@
             }
             _ => {}
         }
-        if !self.member.has_listed_keys && !self.member.is_listing_keys && now >= self.member.retry_ms {
+        if !self.membership.has_listed_keys && !self.membership.is_listing_keys && now >= self.membership.retry_ms {
             self.list_shared_keys(String::new(), 0);
         }
-        if self.member.has_listed_keys && !self.member.is_watching && now >= self.member.retry_ms {
+        if self.membership.has_listed_keys && !self.membership.is_watching && now >= self.membership.retry_ms {
             self.watch_shared_keys();
         }
         self.log_entitlement_loss();
--- a/crates/tidelatch-core/src/membership/entitlement.rs
+++ b/crates/tidelatch-core/src/membership/entitlement.rs
@@ -15,7 +15,7 @@
 
     /// Milliseconds until this controller's entitlement to act expires.
     pub(crate) fn entitlement_left_ms(&self) -> u64 {
-        let until = self.member.entitled_until_ms.max(self.all_grants_until_ms());
+        let until = self.membership.entitled_until_ms.max(self.all_grants_until_ms());
         until.saturating_sub(self.now.ms)
     }
 
@@ -23,7 +23,7 @@
     pub(crate) fn entitled_peer(&self) -> Option<ControllerId> {
         let entitled = |(name, peer): &(&ControllerId, &PeerStatus)| peer.entitled && self.reachable(name);
         let peers: Vec<&ControllerId> = self
-            .member
+            .membership
             .peers
             .iter()
             .filter(entitled)
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn is_entitled_at(&self, now: u64) -> bool {
-        self.member.lease_id.is_some() && now < self.member.entitled_until_ms.max(self.all_grants_until_ms())
+        self.membership.lease_id.is_some() && now < self.membership.entitled_until_ms.max(self.all_grants_until_ms())
     }
 
     /// Time until which every peer has promised not to change the membership; 0: a grant is missing.
@@ -43,7 +43,7 @@
     /// that have ended since then may have confirmed cancellations to users that no other controller knows of.
     pub(super) fn all_grants_until_ms(&self) -> u64 {
         let siblings = &self.settings.platform.siblings;
-        let grant = |name: &str| self.member.received_grants.get(&ControllerId::new(name)).copied();
+        let grant = |name: &str| self.membership.received_grants.get(&ControllerId::new(name)).copied();
         let grants: Option<Vec<Grant>> = siblings.iter().map(|s| grant(&s.host_name)).collect();
         let grants = grants.unwrap_or_default();
         let read = grants
@@ -58,17 +58,17 @@
     /// Whether to request grants from the peers. Only the peers can tell an outage of the state service from
     /// a failure that affects this controller alone.
     pub(crate) fn wants_grants(&self) -> bool {
-        self.member.has_extension_failed && self.entitled()
+        self.membership.has_extension_failed && self.entitled()
     }
 
     /// Gives a grant if the state service does not serve this controller either. A controller that is served
     /// refuses: the failure then affects only the requester, which steps down when its lease expires.
     pub(crate) fn give_grant(&mut self) -> bool {
-        if !self.member.has_lease_call_failed {
+        if !self.membership.has_lease_call_failed {
             return false;
         }
         let until = self.now.ms + self.settings.lease_ms();
-        self.member.given_grants_until_ms = self.member.given_grants_until_ms.max(until);
+        self.membership.given_grants_until_ms = self.membership.given_grants_until_ms.max(until);
         true
     }
 
@@ -82,7 +82,7 @@
             let valid_until_ms = sent + self.settings.entitlement_ms();
             if self.now.ms
                 >= self
-                    .member
+                    .membership
                     .entitled_until_ms
                     .saturating_sub(self.settings.lease_ms() / 4)
             {
@@ -91,7 +91,7 @@
                     format!("grant received: {from} promises not to change the membership"),
                 );
             }
-            self.member.received_grants.insert(
+            self.membership.received_grants.insert(
                 from.clone(),
                 Grant {
                     valid_until_ms,
@@ -104,19 +104,19 @@
     /// Whether this controller holds an unexpired grant of a peer, or has an unanswered request for one.
     pub(crate) fn relies_on(&self, peer: &ControllerId) -> bool {
         let holds_grant = self
-            .member
+            .membership
             .received_grants
             .get(peer)
             .is_some_and(|g| self.now.ms < g.valid_until_ms);
-        holds_grant || self.member.peers.get(peer).is_some_and(|p| p.asked_grant)
+        holds_grant || self.membership.peers.get(peer).is_some_and(|p| p.asked_grant)
     }
 
     /// Records whether a peer relies on a grant that this controller, or an earlier incarnation of it, gave.
     pub(crate) fn note_reliance(&mut self, peer: &ControllerId, relies: bool) {
         if relies {
-            self.member.peers_relying_on_no_grant.remove(peer);
+            self.membership.peers_relying_on_no_grant.remove(peer);
         } else {
-            self.member.peers_relying_on_no_grant.insert(peer.clone());
+            self.membership.peers_relying_on_no_grant.insert(peer.clone());
         }
     }
 
@@ -125,19 +125,22 @@
     /// doubles the pause after each removal.
     pub(crate) fn accepts_requests(&self) -> bool {
         if self.entitled() {
-            return self.member.ledger > 0;
+            return self.membership.ledger > 0;
         }
         let recent_ms = 2 * self.settings.report_ms();
         let heard = |p: &&PeerStatus| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms);
-        let mut peers = self.member.peers.values().filter(heard).peekable();
+        let mut peers = self.membership.peers.values().filter(heard).peekable();
         // A controller that reaches neither the state service nor any peer has lost its own network connection.
         let is_isolated = peers.peek().is_none() && !self.settings.platform.siblings.is_empty();
-        self.member.has_been_entitled && self.member.lease_id.is_some() && !is_isolated && !peers.any(|p| p.entitled)
+        self.membership.has_been_entitled
+            && self.membership.lease_id.is_some()
+            && !is_isolated
+            && !peers.any(|p| p.entitled)
     }
 
     /// Handles the reply to a request for a new lease, which was sent at `sent`.
     pub(crate) fn on_new_lease(&mut self, sent: u64, result: Option<(u16, Vec<u8>)>) {
-        self.member.is_requesting_lease = false;
+        self.membership.is_requesting_lease = false;
         let failure = LeaseFailure::from_result(result.as_ref());
         let granted = match result {
             Some((200, body)) => serde_json::from_slice::<Granted>(&body).ok(),
@@ -145,21 +148,21 @@
         };
         match granted {
             Some(granted) => {
-                self.member.has_lease_call_failed = false;
-                self.member.lease_id = Some(granted.permit);
-                self.member.last_extension_ms = sent;
-                self.member.entitled_until_ms = sent + self.settings.entitlement_ms();
-                self.member.lease_requested_ms = sent;
+                self.membership.has_lease_call_failed = false;
+                self.membership.lease_id = Some(granted.permit);
+                self.membership.last_extension_ms = sent;
+                self.membership.entitled_until_ms = sent + self.settings.entitlement_ms();
+                self.membership.lease_requested_ms = sent;
                 self.clear_lease_failures();
                 self.note_served(sent);
-                self.member.written_record = None;
-                self.member.has_been_entitled = true;
-                let inc = self.member.inc;
+                self.membership.written_record = None;
+                self.membership.has_been_entitled = true;
+                let inc = self.membership.inc;
                 self.log(Level::Info, format!("lease taken, life {inc}"));
                 self.tick_membership();
             }
             None => {
-                self.member.has_lease_call_failed = true;
+                self.membership.has_lease_call_failed = true;
                 self.record_lease_failure(failure);
                 self.back_off();
             }
@@ -168,15 +171,15 @@
 
     /// Handles the reply to a request to extend the lease, which was sent at `sent`.
     pub(crate) fn on_lease_extension(&mut self, sent: u64, lease_id: u64, result: Option<(u16, Vec<u8>)>) {
-        self.member.is_extending_lease = false;
-        if self.member.lease_id != Some(lease_id) {
+        self.membership.is_extending_lease = false;
+        if self.membership.lease_id != Some(lease_id) {
             return;
         }
         let failure = LeaseFailure::from_result(result.as_ref());
         match result {
             Some((200, _)) => {
                 let until = sent + self.settings.entitlement_ms();
-                self.member.has_lease_call_failed = false;
+                self.membership.has_lease_call_failed = false;
                 // A reply that waited in this process's buffers may be about a lease that has expired by now.
                 if !self.entitled() && self.now.ms < until {
                     let history = self.describe_lease_history();
@@ -188,21 +191,21 @@
                 if self.now.ms < until {
                     self.clear_lease_failures();
                 }
-                self.member.lease_requested_ms = self.member.lease_requested_ms.max(sent);
-                self.member.entitled_until_ms = self.member.entitled_until_ms.max(until);
+                self.membership.lease_requested_ms = self.membership.lease_requested_ms.max(sent);
+                self.membership.entitled_until_ms = self.membership.entitled_until_ms.max(until);
                 self.note_served(sent);
-                if std::mem::take(&mut self.member.has_extension_failed) && self.member.has_listed_keys {
+                if std::mem::take(&mut self.membership.has_extension_failed) && self.membership.has_listed_keys {
                     // The connection works again, but a watch that was sent before may never be answered.
                     self.watch_shared_keys();
                 }
             }
             Some((404, _)) => self.handle_lost_lease(),
             _ => {
-                self.member.has_extension_failed = true;
-                self.member.has_lease_call_failed = true;
+                self.membership.has_extension_failed = true;
+                self.membership.has_lease_call_failed = true;
                 // Retry soon: keeping the lease matters more than saving requests.
                 let retry_delay_ms = self.settings.report_ms() / 4;
-                self.member.last_extension_ms =
+                self.membership.last_extension_ms =
                     (self.now.ms + retry_delay_ms).saturating_sub(self.settings.lease_ms() / 4);
                 self.record_lease_failure(failure);
             }
@@ -218,18 +221,18 @@
             format!("lease lost: giving up all partitions and rejoining as a new incarnation; {history}"),
         );
         self.clear_lease_failures();
-        self.member.lease_id = None;
-        self.member.entitled_until_ms = 0;
-        self.member.received_grants.clear();
-        self.member.has_lease_call_failed = false;
-        self.member.inc = Incarnation(self.member.inc.0 + 1);
-        self.set_detector_incarnation(self.member.inc);
+        self.membership.lease_id = None;
+        self.membership.entitled_until_ms = 0;
+        self.membership.received_grants.clear();
+        self.membership.has_lease_call_failed = false;
+        self.membership.inc = Incarnation(self.membership.inc.0 + 1);
+        self.set_detector_incarnation(self.membership.inc);
         self.forget_wishes();
-        self.member.written_record = None;
-        self.member.retry_ms = self.now.ms;
+        self.membership.written_record = None;
+        self.membership.retry_ms = self.now.ms;
         // The network failure that cost the lease may also have broken the watch.
-        self.member.is_watching = false;
-        self.member.has_extension_failed = false;
+        self.membership.is_watching = false;
+        self.membership.has_extension_failed = false;
         for partition in std::mem::take(&mut self.tenures).into_keys() {
             self.reset_partition(partition);
         }
@@ -238,7 +241,7 @@
     /// Records the outcome of a heartbeat to a peer.
     pub(crate) fn record_peer_contact(&mut self, name: &ControllerId, reachable: bool, entitled: bool) {
         let now = self.now.ms;
-        let peer = self.member.peers.entry(name.clone()).or_default();
+        let peer = self.membership.peers.entry(name.clone()).or_default();
         peer.asking = false;
         peer.asked_grant = false;
         peer.reachable = reachable;
@@ -250,7 +253,7 @@
 
     /// A peer's answer came too late to tell its present state: sends it another heartbeat with the next tick.
     pub(crate) fn ask_peer_again(&mut self, name: &ControllerId) {
-        let peer = self.member.peers.entry(name.clone()).or_default();
+        let peer = self.membership.peers.entry(name.clone()).or_default();
         peer.asking = false;
         peer.asked_grant = false;
         peer.asked = 0;
@@ -259,7 +262,7 @@
     /// Whether the last heartbeat to a peer was answered and the peer was heard from within two report intervals.
     pub(crate) fn reachable(&self, name: &ControllerId) -> bool {
         let recent_ms = 2 * self.settings.report_ms();
-        self.member
+        self.membership
             .peers
             .get(name)
             .is_some_and(|p| p.reachable && p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms))
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -95,37 +95,37 @@
 impl Controller {
     /// The latest known epoch.
     pub(crate) fn epoch(&self) -> Option<Epoch> {
-        self.member.epoch.as_ref().map(|(e, _)| e.n)
+        self.membership.epoch.as_ref().map(|(e, _)| e.n)
     }
 
     /// The transaction condition that the stored epoch is still the one that this controller knows.
     pub(crate) fn epoch_condition(&self) -> Value {
-        let stamp = self.member.epoch.as_ref().map_or(Stamp(0), |(_, s)| *s);
+        let stamp = self.membership.epoch.as_ref().map_or(Stamp(0), |(_, s)| *s);
         json!({ "k": EPOCH_KEY, "stamp": stamp })
     }
 
     /// As the leader, raises the epoch if the members require other partition owners.
     pub(super) fn raise_epoch(&mut self) {
         if !self.is_leader()
-            || self.member.is_writing_epoch
-            || !self.member.is_watching
+            || self.membership.is_writing_epoch
+            || !self.membership.is_watching
             || !self.may_change_membership()
         {
             return;
         }
         let names = self.settings.names();
         // When the cluster starts for the first time, the leader waits a quarter of the lease for the others to join.
-        let is_first_epoch = self.member.epoch.is_none();
-        let has_waited = self.now.ms.saturating_sub(self.member.leader_since_ms) >= self.settings.lease_ms() / 4;
-        if is_first_epoch && !has_waited && self.member.members.len() < names.len() {
+        let is_first_epoch = self.membership.epoch.is_none();
+        let has_waited = self.now.ms.saturating_sub(self.membership.leader_since_ms) >= self.settings.lease_ms() / 4;
+        if is_first_epoch && !has_waited && self.membership.members.len() < names.len() {
             return;
         }
-        let old = self.member.epoch.as_ref().map(|(e, _)| e);
+        let old = self.membership.epoch.as_ref().map(|(e, _)| e);
         let members = self.members_for_partitions();
         let Some(next) = next_epoch(&names, &members, old, self.settings.partitions()) else {
             return;
         };
-        self.member.is_writing_epoch = true;
+        self.membership.is_writing_epoch = true;
         let conditions = vec![self.leader_condition(), self.epoch_condition()];
         let change = json!({ "write": EPOCH_KEY, "value": next });
         self.log(
@@ -139,7 +139,7 @@
     /// machine, these are only the members whose version supports such machines: others would start those tasks a
     /// second time.
     pub(crate) fn members_for_partitions(&self) -> BTreeMap<ControllerId, MemberRecord> {
-        let mut members = self.member.members.clone();
+        let mut members = self.membership.members.clone();
         if self.any_shared_machine() {
             members.retain(|_, member| member.knows >= SHARED_MACHINES_LEVEL);
         }
@@ -148,7 +148,7 @@
 
     /// Handles the reply to the write of a new epoch.
     pub(crate) fn on_epoch_write(&mut self, result: Option<(u16, Vec<u8>)>) {
-        self.member.is_writing_epoch = false;
+        self.membership.is_writing_epoch = false;
         self.await_change_outcome(&result);
         if let Some((status, _)) = result
             && status != 200
--- a/crates/tidelatch-core/src/membership/leadership.rs
+++ b/crates/tidelatch-core/src/membership/leadership.rs
@@ -13,57 +13,63 @@
     /// incarnation may have given, have expired or are not relied on, and no earlier attempt is pending.
     pub(super) fn may_change_membership(&self) -> bool {
         let now = self.now.ms;
-        let (until, revision) = self.member.next_membership_change;
-        if now < until && self.member.ledger < revision {
+        let (until, revision) = self.membership.next_membership_change;
+        if now < until && self.membership.ledger < revision {
             return false;
         }
         let siblings = &self.settings.platform.siblings;
-        let relies_on_none = |name: &str| self.member.peers_relying_on_no_grant.contains(&ControllerId::new(name));
+        let relies_on_none = |name: &str| {
+            self.membership
+                .peers_relying_on_no_grant
+                .contains(&ControllerId::new(name))
+        };
         let may_have_forgotten_grants =
-            now < self.member.forgotten_grants_until_ms && !siblings.iter().all(|s| relies_on_none(&s.host_name));
-        now >= self.member.given_grants_until_ms && !may_have_forgotten_grants
+            now < self.membership.forgotten_grants_until_ms && !siblings.iter().all(|s| relies_on_none(&s.host_name));
+        now >= self.membership.given_grants_until_ms && !may_have_forgotten_grants
     }
 
     /// Whether this controller is the leader and entitled to act.
     pub(crate) fn is_leader(&self) -> bool {
         self.entitled()
             && self
-                .member
+                .membership
                 .leader
                 .as_ref()
-                .is_some_and(|(l, _)| l.name == self.me && l.inc == self.member.inc)
+                .is_some_and(|(l, _)| l.name == self.own_name && l.inc == self.membership.inc)
     }
 
     /// The transaction condition that the stored leader is still the one that this controller knows.
     pub(crate) fn leader_condition(&self) -> Value {
-        let stamp = self.member.leader.as_ref().map_or(Stamp(0), |(_, s)| *s);
+        let stamp = self.membership.leader.as_ref().map_or(Stamp(0), |(_, s)| *s);
         json!({ "k": LEADER_KEY, "stamp": stamp })
     }
 
     /// Tries to become leader if there is none, or if an earlier incarnation of this controller was the leader.
     pub(super) fn take_leadership(&mut self) {
-        let Some(lease_id) = self.member.lease_id else { return };
-        if self.member.is_taking_leadership
+        let Some(lease_id) = self.membership.lease_id else {
+            return;
+        };
+        if self.membership.is_taking_leadership
             || !self.entitled()
-            || !self.member.is_watching
+            || !self.membership.is_watching
             || !self.may_change_membership()
         {
             return;
         }
         // A leader must be registered as a member, so that the other controllers see it.
-        if self.member.members.get(&self.me).map(|m| m.inc) != Some(self.member.inc) {
+        if self.membership.members.get(&self.own_name).map(|m| m.inc) != Some(self.membership.inc) {
             return;
         }
-        let stamp = match &self.member.leader {
+        let stamp = match &self.membership.leader {
             None => Stamp(0),
             // The stored leader is an earlier incarnation of this controller and has ended.
-            Some((leader, stamp)) if leader.name == self.me && leader.inc != self.member.inc => *stamp,
+            Some((leader, stamp)) if leader.name == self.own_name && leader.inc != self.membership.inc => *stamp,
             Some(_) => return,
         };
-        self.member.is_taking_leadership = true;
+        self.membership.is_taking_leadership = true;
         let record = LeaderRecord {
-            name: self.me.clone(),
-            inc: self.member.inc,
+            name: self.own_name.clone(),
+            inc: self.membership.inc,
         };
         self.txn(
             vec![json!({ "k": LEADER_KEY, "stamp": stamp })],
@@ -74,11 +80,11 @@
 
     /// Handles the reply to the write of the leader's key.
     pub(crate) fn on_leader_write(&mut self, result: Option<(u16, Vec<u8>)>) {
-        self.member.is_taking_leadership = false;
+        self.membership.is_taking_leadership = false;
         self.await_change_outcome(&result);
         if let Some((200, _)) = result {
             self.log(Level::Info, "became leader");
-            self.member.leader_since_ms = self.now.ms;
+            self.membership.leader_since_ms = self.now.ms;
         }
     }
 
@@ -89,6 +95,6 @@
             .as_ref()
             .and_then(|(_, body)| serde_json::from_slice::<TxnAnswer>(body).ok());
         let revision = answer.map_or(u64::MAX, |a| a.ledger);
-        self.member.next_membership_change = (self.now.ms + self.settings.lease_ms() / 4, revision);
+        self.membership.next_membership_change = (self.now.ms + self.settings.lease_ms() / 4, revision);
     }
 }
--- a/crates/tidelatch-core/src/membership/lease_failures.rs
+++ b/crates/tidelatch-core/src/membership/lease_failures.rs
@@ -78,7 +78,7 @@
     /// Records that this process did not run for a while although its clocks advanced, as a possible cause of
     /// later lease failures.
     pub(crate) fn record_pause(&mut self, ms: u64) {
-        self.member.lease_failures.paused_ms += ms;
+        self.membership.lease_failures.paused_ms += ms;
         if ms > self.settings.report_ms() {
             self.log(Level::Info, format!("no input for {ms} ms: this process was paused"));
         }
@@ -86,8 +86,8 @@
 
     /// Counts a failed request to obtain or extend the lease, and logs the first one.
     pub(super) fn record_lease_failure(&mut self, failure: LeaseFailure) {
-        if self.member.lease_failures.record(failure) {
-            let what = match self.member.lease_id {
+        if self.membership.lease_failures.record(failure) {
+            let what = match self.membership.lease_id {
                 Some(_) => "lease not extended",
                 None => "lease not obtained",
             };
@@ -98,25 +98,28 @@
 
     /// Resets the failures after the lease was extended or a new one obtained.
     pub(super) fn clear_lease_failures(&mut self) {
-        self.member.lease_failures = LeaseFailures::default();
+        self.membership.lease_failures = LeaseFailures::default();
     }
 
     /// Logs once that this controller is no longer entitled to act, and why.
     pub(super) fn log_entitlement_loss(&mut self) {
-        if self.member.lease_id.is_none() || self.entitled() || self.member.lease_failures.is_entitlement_loss_logged {
+        if self.membership.lease_id.is_none()
+            || self.entitled()
+            || self.membership.lease_failures.is_entitlement_loss_logged
+        {
             return;
         }
-        self.member.lease_failures.is_entitlement_loss_logged = true;
+        self.membership.lease_failures.is_entitlement_loss_logged = true;
         let (history, peers) = (self.describe_lease_history(), self.describe_peers());
         self.log(Level::Info, format!("not entitled to act: {history}; {peers}"));
     }
 
     /// Describes the lease requests since the last successful one, for the log.
     pub(super) fn describe_lease_history(&self) -> String {
-        let ms = self.now.ms.saturating_sub(self.member.lease_requested_ms);
+        let ms = self.now.ms.saturating_sub(self.membership.lease_requested_ms);
         format!(
             "{ms} ms since the last successful extension was requested; {}",
-            self.member.lease_failures
+            self.membership.lease_failures
         )
     }
 
@@ -125,7 +128,7 @@
         let recent_ms = 2 * self.settings.report_ms();
         let descriptions = self.settings.platform.siblings.iter().map(|sibling| {
             let name = ControllerId::new(sibling.host_name.clone());
-            let peer = self.member.peers.get(&name);
+            let peer = self.membership.peers.get(&name);
             let heard = peer.filter(|p| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms));
             match heard {
                 Some(p) if p.entitled => format!("{name} is entitled"),
--- a/crates/tidelatch-core/src/membership/registration.rs
+++ b/crates/tidelatch-core/src/membership/registration.rs
@@ -10,46 +10,48 @@
 impl Controller {
     /// Writes this controller's member record if the stored one differs.
     pub(super) fn write_member_record(&mut self) {
-        let Some(lease_id) = self.member.lease_id else { return };
-        if self.member.is_writing_record
+        let Some(lease_id) = self.membership.lease_id else {
+            return;
+        };
+        if self.membership.is_writing_record
             || !self.entitled()
-            || !self.member.has_listed_keys
-            || self.now.ms < self.member.next_record_write_ms
+            || !self.membership.has_listed_keys
+            || self.now.ms < self.membership.next_record_write_ms
         {
             return;
         }
         let record = MemberRecord {
-            inc: self.member.inc,
+            inc: self.membership.inc,
             ack: self.epoch().map_or(0, |e| e.0),
             knows: self.settings.level(),
         };
-        if self.member.written_record.as_ref() == Some(&record) {
+        if self.membership.written_record.as_ref() == Some(&record) {
             return;
         }
-        self.member.is_writing_record = true;
-        let key = format!("{MEMBER_PREFIX}{}", self.me);
+        self.membership.is_writing_record = true;
+        let key = format!("{MEMBER_PREFIX}{}", self.own_name);
         let ack = record.ack;
         self.txn(
-            vec![json!({ "k": key, "stamp": self.member.own_revision })],
+            vec![json!({ "k": key, "stamp": self.membership.own_revision })],
             vec![json!({ "write": key, "value": record, "permit": lease_id })],
             Purpose::MemberWrite { ack },
         );
-        self.member.written_record = Some(record);
+        self.membership.written_record = Some(record);
     }
 
     /// Handles the reply to the write of this controller's member record.
     pub(crate) fn on_member_write(&mut self, _ack: u64, result: Option<(u16, Vec<u8>)>) {
-        self.member.is_writing_record = false;
+        self.membership.is_writing_record = false;
         match result {
             Some((200, body)) => {
                 let revision = serde_json::from_slice::<TxnAnswer>(&body).map_or(0, |a| a.ledger);
-                self.member.own_revision = self.member.own_revision.max(Stamp(revision));
+                self.membership.own_revision = self.membership.own_revision.max(Stamp(revision));
             }
             Some((400, body)) if is_lost_lease(&body) => self.handle_lost_lease(),
             _ => {
                 // The outcome is unknown: the watch delivers the record that is stored now.
-                self.member.written_record = None;
-                self.member.next_record_write_ms = self.now.ms + self.settings.report_ms() / 16;
+                self.membership.written_record = None;
+                self.membership.next_record_write_ms = self.now.ms + self.settings.report_ms() / 16;
             }
         }
     }
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -15,7 +15,7 @@
 impl Controller {
     /// Requests a page of the shared keys, after the key `cursor`. `first_revision` is the revision of the first page.
     pub(super) fn list_shared_keys(&mut self, cursor: String, first_revision: u64) {
-        self.member.is_listing_keys = true;
+        self.membership.is_listing_keys = true;
         self.state_reads.force(self.now.ms, 1.0);
         let mut path = format!("/store?prefix={SHARED_PREFIX}&most=500");
         if !cursor.is_empty() {
@@ -34,9 +34,9 @@
 
     /// Requests the next changes of the shared keys as a long poll, whose wait is as long as the lease.
     pub(super) fn watch_shared_keys(&mut self) {
-        self.member.is_watching = true;
-        self.member.watch_number += 1;
-        let number = self.member.watch_number;
+        self.membership.is_watching = true;
+        self.membership.watch_number += 1;
+        let number = self.membership.watch_number;
         self.state_reads.force(self.now.ms, 1.0);
         let wait = self.settings.lease_ms();
         self.call(
@@ -44,7 +44,7 @@
             Method::Get,
             format!(
                 "/changes?prefix={SHARED_PREFIX}&since={}&waitMs={wait}",
-                self.member.ledger
+                self.membership.ledger
             ),
             String::new(),
             wait + wait / 4,
@@ -54,12 +54,12 @@
 
     /// Delays the next request to the state service after one has failed.
     pub(super) fn back_off(&mut self) {
-        self.member.retry_ms = self.now.ms + self.settings.report_ms() / 8;
+        self.membership.retry_ms = self.now.ms + self.settings.report_ms() / 8;
     }
 
     /// Handles a page of the shared keys.
     pub(crate) fn on_shared_keys(&mut self, cursor: String, first_revision: u64, result: Option<(u16, Vec<u8>)>) {
-        self.member.is_listing_keys = false;
+        self.membership.is_listing_keys = false;
         let page = match result {
             Some((200, body)) => serde_json::from_slice::<Items>(&body).ok(),
             _ => None,
@@ -70,9 +70,9 @@
         };
         if cursor.is_empty() {
             // A new listing replaces everything that was known, so that deleted keys do not remain.
-            self.member.members.clear();
-            self.member.own_revision = Stamp(0);
-            self.member.leader = None;
+            self.membership.members.clear();
+            self.membership.own_revision = Stamp(0);
+            self.membership.leader = None;
             self.roster_listing_begins();
             self.drain_listing_begins();
         }
@@ -88,8 +88,8 @@
         match last {
             Some(last) if page.more => self.list_shared_keys(last, listing_revision),
             _ => {
-                self.member.has_listed_keys = true;
-                self.member.ledger = listing_revision;
+                self.membership.has_listed_keys = true;
+                self.membership.ledger = listing_revision;
                 self.record_view_time();
                 self.roster_listed(listing_revision);
                 self.drains_listed();
@@ -101,14 +101,14 @@
 
     /// Handles the reply to a watch: applies the changes and sends the next watch.
     pub(crate) fn on_watch(&mut self, number: u64, result: Option<(u16, Vec<u8>)>) {
-        if number != self.member.watch_number {
+        if number != self.membership.watch_number {
             return;
         }
-        self.member.is_watching = false;
+        self.membership.is_watching = false;
         match result {
             Some((200, body)) => match serde_json::from_slice::<Changes>(&body) {
                 Ok(changes) => {
-                    self.member.watch_failures = 0;
+                    self.membership.watch_failures = 0;
                     for change in changes.news {
                         if let Some(key) = change.write {
                             self.apply_shared_key(&key, Some(change.value), change.stamp);
@@ -116,7 +116,7 @@
                             self.apply_shared_key(&key, None, change.stamp);
                         }
                     }
-                    self.member.ledger = self.member.ledger.max(changes.ledger);
+                    self.membership.ledger = self.membership.ledger.max(changes.ledger);
                     self.record_view_time();
                     self.watch_shared_keys();
                     self.apply_epoch();
@@ -127,16 +127,16 @@
             },
             // The state service no longer has the changes since the requested revision.
             Some((410, _)) => {
-                self.member.has_listed_keys = false;
+                self.membership.has_listed_keys = false;
                 self.tick_membership();
             }
             _ => {
                 // The size of a reply is not limited, and one that is too large for this controller would be too
                 // large again. So after the second failure the keys are listed anew, in pages.
-                self.member.watch_failures += 1;
-                if self.member.watch_failures >= 2 {
-                    self.member.watch_failures = 0;
-                    self.member.has_listed_keys = false;
+                self.membership.watch_failures += 1;
+                if self.membership.watch_failures >= 2 {
+                    self.membership.watch_failures = 0;
+                    self.membership.has_listed_keys = false;
                 }
                 self.back_off();
             }
@@ -145,8 +145,8 @@
 
     /// Records that the shared keys are up to date, unless the reply waited in this process's buffers.
     fn record_view_time(&mut self) {
-        if !self.stale {
-            self.member.last_view_ms = self.now.ms;
+        if !self.is_reply_stale {
+            self.membership.last_view_ms = self.now.ms;
         }
     }
 
@@ -166,45 +166,45 @@
             self.apply_boot_batch(name, value);
         } else if let Some(name) = key.strip_prefix(MEMBER_PREFIX) {
             let name = ControllerId::new(name);
-            if name == self.me {
-                self.member.own_revision = match value {
-                    Some(_) => self.member.own_revision.max(stamp),
+            if name == self.own_name {
+                self.membership.own_revision = match value {
+                    Some(_) => self.membership.own_revision.max(stamp),
                     // Deleted at this revision. A greater known revision comes from this controller's own later write.
-                    None if stamp >= self.member.own_revision => Stamp(0),
-                    None => self.member.own_revision,
+                    None if stamp >= self.membership.own_revision => Stamp(0),
+                    None => self.membership.own_revision,
                 };
             }
             let record = value.and_then(|v| serde_json::from_value::<MemberRecord>(v).ok());
             // A delayed duplicate of an earlier incarnation's write may have replaced the present record.
-            if name == self.me
-                && record.as_ref().map(|r| r.inc) != Some(self.member.inc)
-                && !self.member.is_writing_record
+            if name == self.own_name
+                && record.as_ref().map(|r| r.inc) != Some(self.membership.inc)
+                && !self.membership.is_writing_record
             {
-                self.member.written_record = None;
+                self.membership.written_record = None;
             }
             match record {
                 Some(record) => {
-                    self.member.members.insert(name, record);
+                    self.membership.members.insert(name, record);
                 }
                 None => {
                     self.log(Level::Info, format!("controller {name} has left the membership"));
-                    self.member.members.remove(&name);
+                    self.membership.members.remove(&name);
                 }
             }
         } else if key == LEADER_KEY {
-            self.member.leader = value
+            self.membership.leader = value
                 .and_then(|v| serde_json::from_value(v).ok())
                 .map(|record| (record, stamp));
         } else if key == EPOCH_KEY {
             if let Some(record) = value.and_then(|v| serde_json::from_value::<EpochRecord>(v).ok())
-                && self.member.epoch.as_ref().is_none_or(|(e, _)| e.n < record.n)
+                && self.membership.epoch.as_ref().is_none_or(|(e, _)| e.n < record.n)
             {
-                self.member.epoch = Some((record, stamp));
+                self.membership.epoch = Some((record, stamp));
             }
         } else if key == TYPES_KEY
             && let Some(types) = value.and_then(|v| serde_json::from_value::<MachineTypes>(v).ok())
         {
-            self.types = types.types;
+            self.machine_types = types.types;
         }
     }
 }
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -50,7 +50,7 @@
 
     /// The owner of a partition in the latest known epoch.
     pub(crate) fn holding(&self, partition: Partition) -> Option<&PartitionOwner> {
-        self.member.epoch.as_ref()?.0.parts.get(partition.0 as usize)
+        self.membership.epoch.as_ref()?.0.parts.get(partition.0 as usize)
     }
 
     /// The partition's ownership record if this controller acts for the partition now.
@@ -70,13 +70,13 @@
     /// Applies the latest epoch: gives up partitions that this controller no longer owns, and starts the takeover
     /// of those that it owns now.
     pub(super) fn apply_epoch(&mut self) {
-        let Some((epoch, _)) = self.member.epoch.clone() else {
+        let Some((epoch, _)) = self.membership.epoch.clone() else {
             return;
         };
-        let inc = self.member.inc;
+        let inc = self.membership.inc;
         for (i, assignment) in epoch.parts.iter().enumerate() {
             let partition = Partition(i as u32);
-            let is_own = assignment.owner == self.me && assignment.inc == inc;
+            let is_own = assignment.owner == self.own_name && assignment.inc == inc;
             let owned_since = self.tenures.get(&partition).map(|t| t.since);
             if !is_own {
                 if self.tenures.remove(&partition).is_some() {
@@ -124,7 +124,7 @@
             };
             if tenure.stage == Stage::Waiting {
                 let may_load = assignment.wait.iter().all(|w| {
-                    self.member
+                    self.membership
                         .members
                         .get(&w.name)
                         .is_none_or(|m| m.inc != w.inc || m.ack >= assignment.since.0)
@@ -137,7 +137,7 @@
                 .tenures
                 .get(&partition)
                 .is_some_and(|t| t.stage == Stage::Loading && !t.loading);
-            if needs_loading && self.entitled() && self.now.ms >= self.member.retry_ms {
+            if needs_loading && self.entitled() && self.now.ms >= self.membership.retry_ms {
                 self.load_records(partition);
             }
         }
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -107,7 +107,7 @@
                 (p == m.partition && !m.confirmed && m.may_hold()) || (m.unaccounted.contains(&p) && !m.gone)
             };
             if (!m.confirmed || !m.unaccounted.is_empty())
-                && let Some(t) = self.types.iter().find(|t| t.name == m.model)
+                && let Some(t) = self.machine_types.iter().find(|t| t.name == m.model)
             {
                 for (i, u) in used.iter_mut().enumerate() {
                     if may_be_full_for(Partition(i as u32 % self.settings.partitions())) {
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -290,7 +290,12 @@
         for (id, m) in self.machines.iter().filter(|(_, m)| m.partition == partition) {
             let is_usable =
                 m.usable(self.now.ms, 3 * self.settings.report_ms()) && terms.admits(&m.model, &m.zone, m.spot);
-            let Some(t) = self.types.iter().find(|t| t.name == m.model).filter(|_| is_usable) else {
+            let Some(t) = self
+                .machine_types
+                .iter()
+                .find(|t| t.name == m.model)
+                .filter(|_| is_usable)
+            else {
                 continue;
             };
             let mut room = [t.cpus, t.gpus, t.memory_gb];
@@ -351,7 +356,7 @@
                     && terms.admits(&t.name, zone, false)
                     && t.zones.contains(zone)
             };
-            let mut suitable_types = self.types.iter().filter(fits).peekable();
+            let mut suitable_types = self.machine_types.iter().filter(fits).peekable();
             if suitable_types.peek().is_none() {
                 continue;
             }
@@ -381,7 +386,7 @@
             if m.partition != partition || !m.usable(self.now.ms, max_report_age_ms) {
                 continue;
             }
-            let Some(t) = self.types.iter().find(|t| t.name == m.model) else {
+            let Some(t) = self.machine_types.iter().find(|t| t.name == m.model) else {
                 continue;
             };
             let total = [t.cpus, t.gpus, t.memory_gb];
@@ -431,7 +436,7 @@
         let cheapest = self.cheapest_task_price(spec);
         // The restriction to cheap zones holds for as long as machines rented for the job take to boot. After that,
         // any room is better than none.
-        let boot_s = self.types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
+        let boot_s = self.machine_types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
         let cheap_zones = match most_per_zone {
             Some(_) if spec.shape == Shape::Service && age_s < CHEAP_ZONE_BOOT_TIMES * boot_s => {
                 self.find_cheap_zones(spec, cheapest)
@@ -477,7 +482,7 @@
         let size = Self::size(spec);
         let mut cheap: BTreeSet<&String> = BTreeSet::new();
         let mut all: BTreeSet<&String> = BTreeSet::new();
-        for t in &self.types {
+        for t in &self.machine_types {
             let fit = crate::capacity::room_for(&size, &[t.cpus, t.gpus, t.memory_gb]);
             if fit == 0 || !spec.models.as_ref().is_none_or(|m| m.contains(&t.name)) {
                 continue;
@@ -501,7 +506,7 @@
     pub(super) fn cheapest_task_price(&self, spec: &JobSpec) -> f64 {
         let size = Self::size(spec);
         let mut best = f64::MAX;
-        for t in &self.types {
+        for t in &self.machine_types {
             let fit = crate::capacity::room_for(&size, &[t.cpus, t.gpus, t.memory_gb]);
             let is_allowed = spec.models.as_ref().is_none_or(|m| m.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
--- a/crates/tidelatch-core/src/queue/cached_image_preemption.rs
+++ b/crates/tidelatch-core/src/queue/cached_image_preemption.rs
@@ -53,7 +53,7 @@
     fn needs_cached_image(&self, w: &WaitingJob, terms: &JobTerms) -> bool {
         let can_still_wait = terms.wait_left_s > (1.0 - HOLD_BACK_FRACTION) * terms.within_s;
         let fetch_s = self
-            .types
+            .machine_types
             .iter()
             .map(|t| terms.image_gb / t.fetch_gb_per_s.max(1e-3))
             .fold(f64::MAX, f64::min);
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -91,7 +91,7 @@
                 })
             })
             .filter_map(|(id, m)| {
-                let t = self.types.iter().find(|t| t.name == m.model)?;
+                let t = self.machine_types.iter().find(|t| t.name == m.model)?;
                 let price = if m.spot { t.spot_price } else { t.price };
                 Some((m.held.len() as f64 / price.max(1e-9), id.clone()))
             })
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -139,7 +139,7 @@
 
     /// Boot time of the slowest machine type, in seconds.
     fn longest_boot_s(&self) -> f64 {
-        self.types.iter().map(|t| t.boot_s).fold(0.0, f64::max)
+        self.machine_types.iter().map(|t| t.boot_s).fold(0.0, f64::max)
     }
 
     /// Guarantee of each team, in the unit in which the team is accounted.
--- a/crates/tidelatch-core/src/queue/victims.rs
+++ b/crates/tidelatch-core/src/queue/victims.rs
@@ -80,7 +80,7 @@
     }
 
     fn candidate_machine(&self, id: &MachineId, m: &Machine) -> Option<CandidateMachine> {
-        let t = self.types.iter().find(|t| t.name == m.model)?;
+        let t = self.machine_types.iter().find(|t| t.name == m.model)?;
         let mut free = [t.cpus, t.gpus, t.memory_gb];
         let mut free_now = free;
         subtract(&mut free_now, &m.taken());
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -152,7 +152,7 @@
     /// A unique name for a boot batch, from its first machine, this controller's incarnation and a counter.
     fn boot_batch_key(&mut self, first: &MachineId) -> String {
         self.roster.boot_batch_count += 1;
-        let (incarnation, number) = (self.member.inc.0, self.roster.boot_batch_count);
+        let (incarnation, number) = (self.membership.inc.0, self.roster.boot_batch_count);
         format!("{first}.{incarnation:x}.{number}")
     }
 
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -100,7 +100,7 @@
     /// Whether the outcome of all earlier writes of a machine group is known, so that it can be written again. Once the
     /// watch has reached the revision at which a write was refused, the hand-overs in that write are cancelled.
     fn is_ready_to_write(&mut self, name: &str) -> bool {
-        let revision = self.member.ledger;
+        let revision = self.membership.ledger;
         let Some(group) = self.roster.groups.get_mut(name) else {
             self.roster.due_writes.remove(name);
             return false;
@@ -169,7 +169,7 @@
         let mut also_holds = self.partitions_on(machine);
         also_holds.remove(&to);
         let destination = (to, also_holds);
-        if !division.moving.contains_key(&destination) && division.moving.len() + 1 >= self.limits.ops {
+        if !division.moving.contains_key(&destination) && division.moving.len() + 1 >= self.write_limits.ops {
             return;
         }
         let record = division
@@ -195,7 +195,7 @@
     fn plan_group_change(&mut self, name: &str, revision: Stamp, division: Division) -> GroupChange {
         let Division { staying, moving } = division;
         let mut pieces = split_group(&staying, self.fill());
-        if pieces.len() > 1 && moving.len() + pieces.len() > self.limits.ops {
+        if pieces.len() > 1 && moving.len() + pieces.len() > self.write_limits.ops {
             self.log(
                 Level::Info,
                 format!("machine group {name}: larger than a value may be, splitting it in steps"),
@@ -228,7 +228,9 @@
         let mut not_moving = staying.clone();
         not_moving.m.retain(|id, _| is_staying(id));
         let to_split = if not_moving.m.is_empty() { staying } else { &not_moving };
-        let pieces = split_group(to_split, self.fill()).into_iter().take(self.limits.ops - 1);
+        let pieces = split_group(to_split, self.fill())
+            .into_iter()
+            .take(self.write_limits.ops - 1);
         GroupChange {
             created: pieces
                 .map(|piece| (new_group_name(name, revision, &piece, "s"), piece))
--- a/crates/tidelatch-core/src/roster/rentals.rs
+++ b/crates/tidelatch-core/src/roster/rentals.rs
@@ -46,11 +46,11 @@
 
     /// Assigns rented machines to new machine groups, as many as fit in one transaction.
     fn plan_new_groups(&mut self) {
-        let (max_groups, max_bytes) = (self.limits.ops, self.fill());
+        let (max_groups, max_bytes) = (self.write_limits.ops, self.fill());
         let wall_ms = self.now.wall_ms;
         let mut groups: Vec<(String, GroupRecord)> = Vec::new();
         let mut bytes: Vec<usize> = Vec::new();
-        let revision = self.member.ledger;
+        let revision = self.membership.ledger;
         for rented in &self.cloud.pending_registration {
             if self.machines.contains_key(&rented.machine) {
                 continue;
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -15,7 +15,7 @@
 impl Controller {
     /// Whether a task of the job fits an empty machine of some type that the job allows.
     fn fits_allowed_machine_type(&self, spec: &JobSpec) -> bool {
-        self.types.iter().any(|t| {
+        self.machine_types.iter().any(|t| {
             spec.models.as_ref().is_none_or(|m| m.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
                 && t.cpus >= spec.cpus
@@ -30,13 +30,13 @@
         let id = submission_id(body);
         // A submission of a known job is answered with the job's state, whatever the rest of the body says.
         if let Some(id) = &id
-            && (self.over.contains_key(id) || self.jobs.contains_key(id))
+            && (self.ended_jobs.contains_key(id) || self.jobs.contains_key(id))
         {
             self.on_status(requester, id.as_str(), true);
             return;
         }
         let submission = may_forward.then(|| body.to_vec());
-        if !self.entitled() || self.member.epoch.is_none() {
+        if !self.entitled() || self.membership.epoch.is_none() {
             let refusal = Answer::later(503, 1, "not entitled to act at present");
             self.forward_submission(requester, id, submission, refusal);
             return;
@@ -72,7 +72,7 @@
         if !self.state_reads.take(self.now.ms, 0.0, -0.5) {
             return Some(Answer::later(503, 1, "too many requests at present"));
         }
-        let controllers = self.member.members.len();
+        let controllers = self.membership.members.len();
         let admitted = self
             .admission
             .admit(self.now.ms, spec, &mut self.state_writes, controllers);
@@ -107,7 +107,7 @@
                 return unprocessable("more than the team's limit");
             }
         }
-        if self.types.is_empty() {
+        if self.machine_types.is_empty() {
             return Some(Answer::later(503, 1, "the machine types are not known yet"));
         }
         if !self.fits_allowed_machine_type(spec) {
@@ -218,7 +218,7 @@
                     self.log(Level::Debug, text);
                 }
                 self.apply_job_record(id.clone(), record, Stamp(stamp));
-                if self.over.contains_key(&id) || self.stale {
+                if self.ended_jobs.contains_key(&id) || self.is_reply_stale {
                     // Another controller may have told a user of the job's end since.
                     self.on_status(requester, id.as_str(), true);
                     return;
--- a/crates/tidelatch-core/src/submissions/forwarding.rs
+++ b/crates/tidelatch-core/src/submissions/forwarding.rs
@@ -37,14 +37,14 @@
     /// Handles a peer's answer to a forwarded submission; `None` if there was no answer.
     pub(crate) fn on_passed_on(&mut self, requester: Asker, job: Option<JobId>, result: Option<PeerReply>) {
         // The watch may have reported the job's end since.
-        if let Some(job) = job.filter(|job| self.over.contains_key(job)) {
+        if let Some(job) = job.filter(|job| self.ended_jobs.contains_key(job)) {
             self.tell_over(requester, &job);
             return;
         }
         let answer = match result {
             // An answer that stayed in buffers while this process was paused may be older than what other controllers
             // have told users since.
-            Some(PeerReply::Answer(answer)) if !self.stale => answer,
+            Some(PeerReply::Answer(answer)) if !self.is_reply_stale => answer,
             _ => Answer::later(503, 1, "no other controller can store it"),
         };
         self.answer(requester, answer);
