--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -256,7 +256,8 @@
     /// Has the machines that hold tasks of a job told to stop them.
     pub(crate) fn stop_tasks_of_job(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        self.poked.extend(job.placed.values().flatten().cloned());
+        self.machines_with_urgent_commands
+            .extend(job.placed.values().flatten().cloned());
     }
 
     /// Records that an incarnation of a peer has answered a heartbeat that carried a range of cancellations. If this
--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -60,7 +60,7 @@
 
 /// Capacity state of this controller: cloud requests in flight, the leader's allocation state and machine types.
 #[derive(Debug)]
-pub(crate) struct Cloud {
+pub(crate) struct CapacityState {
     /// Tasks that found no machine in the last placement batches.
     pub(crate) wishes: Vec<UnplacedTasks>,
     /// Keys in the state service that are no longer needed and are to be deleted.
@@ -110,7 +110,7 @@
     requested_list_cursor: String,
 }
 
-impl Cloud {
+impl CapacityState {
     pub(crate) fn new(settings: &Settings) -> Self {
         let rate = settings.platform.facts.cloud.rps / f64::from(settings.partitions());
         Self {
@@ -186,10 +186,10 @@
         } else {
             0.35 / others
         };
-        self.cloud
+        self.capacity
             .request_budget
             .set_rate(rps * fraction, (rps * fraction * 2.0).max(1.0));
-        self.cloud.request_budget.take(self.now.ms, 1.0, reserve)
+        self.capacity.request_budget.take(self.now.ms, 1.0, reserve)
     }
 
     /// Sends a request to the cloud.
@@ -202,34 +202,34 @@
     pub(crate) fn tick_capacity(&mut self) {
         let now = self.now.ms;
         self.request_machine_types();
-        if now < self.cloud.next_round_at || !self.entitled() {
+        if now < self.capacity.next_round_at || !self.entitled() {
             return;
         }
-        self.cloud.next_round_at = now + self.settings.report_ms() / 5;
+        self.capacity.next_round_at = now + self.settings.report_ms() / 5;
         self.judge_machines();
         self.mark_retiring_machines();
         self.send_deletions();
         let keep_ms = 4 * self.settings.worker_lease_ms();
-        self.cloud.deleted_at.retain(|_, t| now.saturating_sub(*t) < keep_ms);
+        self.capacity.deleted_at.retain(|_, t| now.saturating_sub(*t) < keep_ms);
         if self.is_leader() {
             for digest in self.own_digests() {
-                self.cloud.digests.insert(digest.partition, (digest, now));
+                self.capacity.digests.insert(digest.partition, (digest, now));
             }
             self.allocate_machines();
             let me = self.own_name.clone();
-            let moves = self.cloud.moves_to_send.remove(&me).unwrap_or_default();
+            let moves = self.capacity.moves_to_send.remove(&me).unwrap_or_default();
             self.execute_moves(moves);
             self.adopt_unregistered_machines();
             self.send_new_groups();
             self.lead_drains();
             self.request_machine_list();
         } else {
-            self.cloud.digests.clear();
-            self.cloud.pending_registration.clear();
+            self.capacity.digests.clear();
+            self.capacity.pending_registration.clear();
             self.drop_unsent_groups();
             self.forget_beginning();
-            self.cloud.rentals_to_retry.clear();
-            self.cloud.unregistered.clear();
+            self.capacity.rentals_to_retry.clear();
+            self.capacity.unregistered.clear();
         }
     }
 
@@ -245,13 +245,13 @@
         } else {
             return;
         };
-        if self.cloud.types_requested_at != 0 && now < self.cloud.types_requested_at + interval_ms {
+        if self.capacity.types_requested_at != 0 && now < self.capacity.types_requested_at + interval_ms {
             return;
         }
         if !self.take_cloud_budget(0.0) {
             return;
         }
-        self.cloud.types_requested_at = now.max(1);
+        self.capacity.types_requested_at = now.max(1);
         self.send_cloud_request(Method::Get, "/machine_types", String::new(), Purpose::Types);
     }
 
@@ -262,21 +262,21 @@
             return;
         };
         let now = self.now.ms;
-        self.cloud.types_received_at = now;
+        self.capacity.types_received_at = now;
         let is_first = self.machine_types.is_empty();
         self.machine_types = types.types.clone();
         if is_first {
             self.want_batch();
         }
         // The types are stored so that a controller that starts while the cloud is down knows them.
-        let due =
-            self.cloud.types_written_at == 0 || now > self.cloud.types_written_at + 4 * self.settings.worker_lease_ms();
+        let due = self.capacity.types_written_at == 0
+            || now > self.capacity.types_written_at + 4 * self.settings.worker_lease_ms();
         // Types that are too large to store are skipped: every controller requests them from the cloud anyway, and the
         // stored copy only bridges an outage of the cloud.
         let fits = crate::jobs::bytes_of(&types) <= self.settings.value_bytes();
-        if self.is_leader() && due && fits && !self.cloud.types_writing {
-            self.cloud.types_writing = true;
-            self.cloud.types_written_at = now.max(1);
+        if self.is_leader() && due && fits && !self.capacity.types_writing {
+            self.capacity.types_writing = true;
+            self.capacity.types_written_at = now.max(1);
             let condition = self.leader_condition();
             self.txn(
                 vec![condition],
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -98,7 +98,7 @@
             })
             .collect();
         let grace_ms = 2 * self.settings.report_ms();
-        self.cloud
+        self.capacity
             .boot_times
             .discounted(&booting, &self.machine_types, self.now.ms, grace_ms)
     }
@@ -114,10 +114,10 @@
         let now = self.now.ms;
         let mut supply = self.supply(partition);
         let own = |w: &&UnplacedTasks| w.partition == partition;
-        let mut unplaced: Vec<UnplacedTasks> = self.cloud.wishes.iter().filter(own).cloned().collect();
+        let mut unplaced: Vec<UnplacedTasks> = self.capacity.wishes.iter().filter(own).cloned().collect();
         let wants = summarize_waiting_tasks(&unplaced, &self.settings.platform.facts.zones);
         let waiting_demand: f64 = unplaced.iter().map(|w| f64::from(w.count) * task_demand(&w.size)).sum();
-        let refused = |kind: &MachineKind| self.cloud.is_refused(kind, now);
+        let refused = |kind: &MachineKind| self.capacity.is_refused(kind, now);
         absorb(
             &mut unplaced,
             &mut supply.timelines,
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -99,7 +99,7 @@
     /// Run by the leader in each round.
     pub(super) fn allocate_machines(&mut self) {
         let now = self.now.ms;
-        self.cloud.refused_until.retain(|_, t| now < *t);
+        self.capacity.refused_until.retain(|_, t| now < *t);
         self.prune_pending_hand_overs();
         let digests = self.usable_digests();
         let mut offers = self.collect_offers(&digests);
@@ -118,16 +118,16 @@
         let now = self.now.ms;
         let timeout_ms = 4 * self.settings.report_ms();
         let revision = self.membership.ledger;
-        let mut pending = std::mem::take(&mut self.cloud.pending_hand_overs);
+        let mut pending = std::mem::take(&mut self.capacity.pending_hand_overs);
         pending.retain(|l| {
             let current = self.machines.get(&l.machine.machine).map(|m| m.partition);
             if current == Some(l.to) {
-                let min_revision = self.cloud.min_digest_revision.entry(l.to).or_default();
+                let min_revision = self.capacity.min_digest_revision.entry(l.to).or_default();
                 *min_revision = (*min_revision).max(revision);
             }
             current.is_some() && current != Some(l.to) && now.saturating_sub(l.requested_at) < timeout_ms
         });
-        self.cloud.pending_hand_overs = pending;
+        self.capacity.pending_hand_overs = pending;
     }
 
     /// The digests received within two report intervals from owners that know the results of earlier rounds.
@@ -135,20 +135,26 @@
         let max_age_ms = 2 * self.settings.report_ms();
         let is_fresh = |(d, at): &&(Digest, u64)| {
             self.now.ms.saturating_sub(*at) < max_age_ms
-                && d.ledger >= self.cloud.min_digest_revision.get(&d.partition).copied().unwrap_or(0)
+                && d.ledger
+                    >= self
+                        .capacity
+                        .min_digest_revision
+                        .get(&d.partition)
+                        .copied()
+                        .unwrap_or(0)
         };
         // A suspected owner is given no machines and asked for none, because it may be unable to act on either.
         let is_trusted = |d: &Digest| {
             let owner = self.holding(d.partition).map(|h| &h.owner);
             owner.is_none_or(|owner| !self.suspects(owner))
         };
-        let digests = self.cloud.digests.values().filter(is_fresh);
+        let digests = self.capacity.digests.values().filter(is_fresh);
         digests.map(|(d, _)| d).filter(|d| is_trusted(d)).cloned().collect()
     }
 
     /// The machines whose hand-over is pending, each with the partition that it goes to.
     fn arriving_machines(&self) -> Vec<(Partition, IdleMachine)> {
-        self.cloud
+        self.capacity
             .pending_hand_overs
             .iter()
             .map(|l| (l.to, l.machine.clone()))
@@ -158,7 +164,7 @@
     /// Collects the machines that digests offer, except those whose hand-over is pending.
     fn collect_offers(&self, digests: &[Digest]) -> Offers {
         let is_moving = |i: &IdleMachine| {
-            self.cloud
+            self.capacity
                 .pending_hand_overs
                 .iter()
                 .any(|l| l.machine.machine == i.machine)
@@ -265,13 +271,13 @@
             let Some(owner) = self.holding(from).map(|h| h.owner.clone()) else {
                 continue;
             };
-            self.cloud.moves_to_send.entry(owner).or_default().push(Move {
+            self.capacity.moves_to_send.entry(owner).or_default().push(Move {
                 machine: machine.machine.clone(),
                 to,
                 vacate: mode == HandOverMode::Vacated,
                 occupied: mode == HandOverMode::Occupied,
             });
-            self.cloud.pending_hand_overs.push(PendingHandOver {
+            self.capacity.pending_hand_overs.push(PendingHandOver {
                 machine,
                 to,
                 requested_at: now,
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -94,12 +94,12 @@
             for digest in digests {
                 // Digests of a partition are accepted only from its owner.
                 if self.holding(digest.partition).is_some_and(|h| h.owner == from) {
-                    self.cloud.digests.insert(digest.partition, (digest, now));
+                    self.capacity.digests.insert(digest.partition, (digest, now));
                 }
             }
-            moves = self.cloud.moves_to_send.remove(&from).unwrap_or_default();
+            moves = self.capacity.moves_to_send.remove(&from).unwrap_or_default();
             refused = self
-                .cloud
+                .capacity
                 .refused_until
                 .iter()
                 .filter(|(_, t)| now < **t)
@@ -138,7 +138,7 @@
             return;
         }
         let until = self.now.ms + self.settings.report_ms();
-        self.cloud.refused_until = refused
+        self.capacity.refused_until = refused
             .into_iter()
             .map(|n| ((n.model, n.zone, n.spot), until))
             .collect();
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -13,15 +13,15 @@
     /// Sends rental requests for the wanted machines, kinds with the most production work first. A rental without a
     /// definite answer is retried before anything else is rented.
     pub(super) fn send_rentals(&mut self, wanted: BTreeMap<MachineKind, Vec<(Partition, bool)>>) {
-        if let Some((rental, partitions)) = self.cloud.rentals_to_retry.pop() {
+        if let Some((rental, partitions)) = self.capacity.rentals_to_retry.pop() {
             if self.take_cloud_budget(0.0) {
                 self.rent(rental, partitions);
             } else {
-                self.cloud.rentals_to_retry.push((rental, partitions));
+                self.capacity.rentals_to_retry.push((rental, partitions));
             }
             return;
         }
-        if self.cloud.rentals_in_flight > 0 || !self.cloud.pending_registration.is_empty() {
+        if self.capacity.rentals_in_flight > 0 || !self.capacity.pending_registration.is_empty() {
             return;
         }
         let Some((_, leader_revision)) = self.membership.leader.clone() else {
@@ -31,22 +31,22 @@
         let mut kinds: Vec<(MachineKind, Vec<(Partition, bool)>)> = wanted.into_iter().collect();
         kinds.sort_by_key(|(_, machines)| std::cmp::Reverse(machines.iter().filter(|(_, urgent)| *urgent).count()));
         for (kind, machines) in kinds {
-            if self.cloud.refused_until.contains_key(&kind) || !self.take_cloud_budget(0.0) {
+            if self.capacity.refused_until.contains_key(&kind) || !self.take_cloud_budget(0.0) {
                 continue;
             }
             for (n, chunk) in machines.chunks(MAX_MACHINES_PER_RENTAL).enumerate() {
-                let exhausted_at = self.cloud.exhausted_at.get(&kind);
+                let exhausted_at = self.capacity.exhausted_at.get(&kind);
                 let is_exhausted =
                     exhausted_at.is_some_and(|t| now.saturating_sub(*t) < 8 * self.settings.worker_lease_ms());
                 if n > 0 && (is_exhausted || !self.take_cloud_budget(0.0)) {
                     break;
                 }
                 let partitions: Vec<Partition> = chunk.iter().map(|(p, _)| *p).collect();
-                self.cloud.rental_count += 1;
+                self.capacity.rental_count += 1;
                 // The revision at which this leader wrote the leader key is unique to it, so the request id is unique
                 // too.
                 let rental = Rental {
-                    request: format!("r-{leader_revision}-{}", self.cloud.rental_count),
+                    request: format!("r-{leader_revision}-{}", self.capacity.rental_count),
                     model: kind.0.clone(),
                     zone: kind.1.clone(),
                     spot: kind.2,
@@ -59,7 +59,7 @@
 
     /// Sends one rental request. `partitions` holds, for each machine, the partition that it is for.
     pub(super) fn rent(&mut self, rental: Rental, partitions: Vec<Partition>) {
-        self.cloud.rentals_in_flight += 1;
+        self.capacity.rentals_in_flight += 1;
         let body = serde_json::to_string(&rental).unwrap_or_default();
         self.send_cloud_request(
             Method::Post,
@@ -74,7 +74,7 @@
 
     /// Handles the cloud's answer to a rental request.
     pub(crate) fn on_rent(&mut self, rental: Rental, partitions: Vec<Partition>, result: Option<(u16, Vec<u8>)>) {
-        self.cloud.rentals_in_flight = self.cloud.rentals_in_flight.saturating_sub(1);
+        self.capacity.rentals_in_flight = self.capacity.rentals_in_flight.saturating_sub(1);
         let now = self.now.ms;
         let kind = (rental.model.clone(), rental.zone.clone(), rental.spot);
         let pause_ms = self.settings.worker_lease_ms();
@@ -93,11 +93,11 @@
                     ),
                 );
                 if names.len() < partitions.len() {
-                    self.cloud.refused_until.insert(kind.clone(), now + pause_ms);
-                    self.cloud.exhausted_at.insert(kind.clone(), now);
+                    self.capacity.refused_until.insert(kind.clone(), now + pause_ms);
+                    self.capacity.exhausted_at.insert(kind.clone(), now);
                 }
                 for (name, partition) in names.into_iter().zip(partitions) {
-                    self.cloud.pending_registration.push(RentedMachine {
+                    self.capacity.pending_registration.push(RentedMachine {
                         machine: name,
                         partition,
                         kind: kind.clone(),
@@ -114,16 +114,16 @@
                         kind.0, kind.1, kind.2
                     ),
                 );
-                self.cloud.exhausted_at.insert(kind.clone(), now);
-                self.cloud.refused_until.insert(kind, now + pause_ms);
+                self.capacity.exhausted_at.insert(kind.clone(), now);
+                self.capacity.refused_until.insert(kind, now + pause_ms);
             }
             Some((400, body)) => {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 self.log(Level::Error, format!("cloud: rental rejected as malformed: {text}"));
-                self.cloud.refused_until.insert(kind, now + pause_ms);
+                self.capacity.refused_until.insert(kind, now + pause_ms);
             }
             // 429, an outage, or no answer: the same request is sent again. Its id makes it idempotent.
-            _ => self.cloud.rentals_to_retry.push((rental, partitions)),
+            _ => self.capacity.rentals_to_retry.push((rental, partitions)),
         }
     }
 
@@ -133,23 +133,23 @@
         let now = self.now.ms;
         let min_age_ms = 2 * self.settings.report_ms();
         let registered: Vec<MachineId> = self
-            .cloud
+            .capacity
             .unregistered
             .keys()
             .filter(|id| self.machines.contains_key(*id))
             .cloned()
             .collect();
         for id in registered {
-            self.cloud.unregistered.remove(&id);
+            self.capacity.unregistered.remove(&id);
         }
-        self.cloud
+        self.capacity
             .unregistered
             .retain(|_, m| now.saturating_sub(m.last_seen_at) < 2 * min_age_ms);
-        if self.cloud.rentals_in_flight > 0 || !self.cloud.pending_registration.is_empty() {
+        if self.capacity.rentals_in_flight > 0 || !self.capacity.pending_registration.is_empty() {
             return;
         }
         let to_adopt: Vec<(MachineId, MachineKind)> = self
-            .cloud
+            .capacity
             .unregistered
             .iter()
             .filter(|(_, m)| m.is_alive && now.saturating_sub(m.first_seen_at) > min_age_ms)
@@ -157,7 +157,7 @@
             .collect();
         for (id, kind) in to_adopt {
             let partition = self
-                .cloud
+                .capacity
                 .digests
                 .iter()
                 .max_by(|a, b| a.1.0.demand.total_cmp(&b.1.0.demand))
@@ -166,8 +166,8 @@
                 Level::Info,
                 format!("{id}: reports but is not in the roster, taking it in"),
             );
-            self.cloud.unregistered.remove(&id);
-            self.cloud.pending_registration.push(RentedMachine {
+            self.capacity.unregistered.remove(&id);
+            self.capacity.pending_registration.push(RentedMachine {
                 machine: id,
                 partition,
                 kind,
@@ -229,7 +229,7 @@
 
     /// Sends a deletion request for the machines that are marked to be returned, at most 100 at a time.
     pub(super) fn send_deletions(&mut self) {
-        if self.cloud.deletion_in_flight {
+        if self.capacity.deletion_in_flight {
             return;
         }
         let names: Vec<MachineId> = self
@@ -252,7 +252,7 @@
 
     /// Sends a deletion request for the given machines.
     pub(super) fn delete(&mut self, machines: Vec<MachineId>) {
-        self.cloud.deletion_in_flight = true;
+        self.capacity.deletion_in_flight = true;
         let body = serde_json::to_string(&MachineNames {
             machines: machines.clone(),
         })
@@ -262,7 +262,7 @@
 
     /// Handles the cloud's answer to a deletion request.
     pub(crate) fn on_delete(&mut self, machines: Vec<MachineId>, result: Option<(u16, Vec<u8>)>) {
-        self.cloud.deletion_in_flight = false;
+        self.capacity.deletion_in_flight = false;
         let is_deleted = matches!(result, Some((200, _)));
         for id in machines {
             let Some(m) = self.machines.get_mut(&id) else { continue };
@@ -270,7 +270,7 @@
             if is_deleted {
                 // The answer confirms that the machine and all tasks on it are gone.
                 m.gone = true;
-                self.cloud.deleted_at.insert(id.clone(), self.now.ms);
+                self.capacity.deleted_at.insert(id.clone(), self.now.ms);
                 self.release_all(&id, "the cloud has deleted it");
                 // The delay lets several machines that are deleted at about the same time share one roster write.
                 let write_at = self.now.ms + self.settings.report_ms() / 2;
@@ -285,13 +285,14 @@
         let interval_ms = (self.settings.platform.facts.cloud.list_lag_s * 2000.0) as u64 + self.settings.report_ms();
         // The pages of one listing are requested one after the other without that pause; a page holds at most 500
         // machines.
-        let is_listing_complete = self.cloud.next_list_cursor.is_empty();
-        if (is_listing_complete && now < self.cloud.list_requested_at + interval_ms) || !self.take_cloud_budget(0.3) {
+        let is_listing_complete = self.capacity.next_list_cursor.is_empty();
+        if (is_listing_complete && now < self.capacity.list_requested_at + interval_ms) || !self.take_cloud_budget(0.3)
+        {
             return;
         }
-        self.cloud.list_requested_at = now;
-        self.cloud.requested_list_cursor = std::mem::take(&mut self.cloud.next_list_cursor);
-        let path = format!("/hosts?since={}&most=500", self.cloud.requested_list_cursor);
+        self.capacity.list_requested_at = now;
+        self.capacity.requested_list_cursor = std::mem::take(&mut self.capacity.next_list_cursor);
+        let path = format!("/hosts?since={}&most=500", self.capacity.requested_list_cursor);
         self.send_cloud_request(Method::Get, path, String::new(), Purpose::Hosts);
     }
 
@@ -304,13 +305,13 @@
         // Without the further pages, machines beyond the first one would never be found and would be paid for
         // indefinitely.
         let last_id = list.machines.last().map(|m| m.id.as_str().to_owned());
-        self.cloud.next_list_cursor = last_id
-            .filter(|l| list.more && *l > self.cloud.requested_list_cursor)
+        self.capacity.next_list_cursor = last_id
+            .filter(|l| list.more && *l > self.capacity.requested_list_cursor)
             .unwrap_or_default();
         if !self.is_leader()
-            || self.cloud.rentals_in_flight > 0
-            || !self.cloud.pending_registration.is_empty()
-            || self.cloud.deletion_in_flight
+            || self.capacity.rentals_in_flight > 0
+            || !self.capacity.pending_registration.is_empty()
+            || self.capacity.deletion_in_flight
         {
             return;
         }
@@ -319,7 +320,9 @@
             .machines
             .into_iter()
             .filter(|m| {
-                m.age_s > min_age_s && !self.machines.contains_key(&m.id) && !self.cloud.deleted_at.contains_key(&m.id)
+                m.age_s > min_age_s
+                    && !self.machines.contains_key(&m.id)
+                    && !self.capacity.deleted_at.contains_key(&m.id)
             })
             .map(|m| m.id)
             .take(100)
@@ -335,7 +338,7 @@
             ),
         );
         for id in &unregistered {
-            self.cloud.deleted_at.insert(id.clone(), self.now.ms);
+            self.capacity.deleted_at.insert(id.clone(), self.now.ms);
         }
         self.delete(unregistered);
     }
--- a/crates/tidelatch-core/src/capacity/spare_room.rs
+++ b/crates/tidelatch-core/src/capacity/spare_room.rs
@@ -51,7 +51,7 @@
     /// The spare room that partitions offer, except on machines whose hand-over is pending.
     pub(super) fn spare_room_offered(&self, digests: &[Digest]) -> Vec<(Partition, SpareRoom)> {
         let is_moving = |room: &SpareRoom| {
-            self.cloud
+            self.capacity
                 .pending_hand_overs
                 .iter()
                 .any(|l| l.machine.machine == room.machine.machine)
@@ -72,7 +72,7 @@
         offers: &mut Vec<(Partition, SpareRoom)>,
     ) -> Option<HandOver> {
         let is_arriving = |l: &PendingHandOver| l.to == to && tasks.takes(&l.machine);
-        if self.cloud.pending_hand_overs.iter().any(is_arriving) || !self.all_kinds_refused(tasks) {
+        if self.capacity.pending_hand_overs.iter().any(is_arriving) || !self.all_kinds_refused(tasks) {
             return None;
         }
         let tasks_that_fit = |(from, room): &(Partition, SpareRoom)| {
@@ -103,6 +103,6 @@
         let mut allowed = kinds
             .filter(|(model, zone, spot)| tasks.allows(model, zone, *spot))
             .peekable();
-        allowed.peek().is_some() && allowed.all(|kind| self.cloud.is_refused(&kind, self.now.ms))
+        allowed.peek().is_some() && allowed.all(|kind| self.capacity.is_refused(&kind, self.now.ms))
     }
 }
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -3,12 +3,12 @@
 use crate::admission::Admission;
 use crate::calls::{Asker, Purpose, is_lost_lease};
 use crate::cancellations::Cancellations;
-use crate::capacity::{Cloud, UnplacedTasks};
+use crate::capacity::{CapacityState, UnplacedTasks};
 use crate::disruption::Disruption;
 use crate::failure_detection::FailureDetection;
 use crate::ids::{ControllerId, Incarnation, JobId, MachineId, Partition};
 use crate::jobs::{EndedJob, Job, Purpose as JobPurpose, StatusReads};
-use crate::machine_view::{Guest, Machine};
+use crate::machine_view::{Machine, MisdirectedWorker};
 use crate::membership::{Membership, Tenure};
 use crate::messages::{Answer, Input, Level, Method, Now, Output, PeerReply, PeerRequest, Target};
 use crate::placement::Amounts;
@@ -51,43 +51,43 @@
     pub(crate) ended_job_order: VecDeque<JobId>,
     pub(crate) status_reads: StatusReads,
     pub(crate) machines: BTreeMap<MachineId, Machine>,
-    pub(crate) cloud: Cloud,
+    pub(crate) capacity: CapacityState,
     pub(crate) roster: Roster,
     pub(crate) state_reads: TokenBucket,
     pub(crate) state_writes: TokenBucket,
     pub(crate) write_limits: WriteLimits,
     pub(crate) admission: Admission,
     /// When the next placement batch is due; `None`: none is needed.
-    pub(crate) batch_due: Option<u64>,
+    pub(crate) batch_due_ms: Option<u64>,
     pub(crate) estimates: EstimateCorrections,
     /// Jobs that the placement search skips for now, each with the capacity that it needs and the time until which it
     /// is skipped.
-    pub(crate) resting: BTreeMap<JobId, (Option<UnplacedTasks>, u64)>,
+    pub(crate) postponed_jobs: BTreeMap<JobId, (Option<UnplacedTasks>, u64)>,
     /// By team, the part of its limit that is reserved for one production task that found no machine.
-    pub(crate) kept_room: BTreeMap<usize, Amounts>,
+    pub(crate) reserved_room: BTreeMap<usize, Amounts>,
     /// Jobs within their teams' guarantees, as of the last placement batch.
-    pub(crate) guaranteed: BTreeSet<JobId>,
+    pub(crate) jobs_within_guarantee: BTreeSet<JobId>,
     /// When all machines are next examined.
     next_machine_tick_ms: u64,
-    pub(crate) flush_due: u64,
-    pub(crate) consolidate_due: u64,
+    pub(crate) flush_due_ms: u64,
+    pub(crate) consolidation_due_ms: u64,
     /// When each partition was last consolidated onto fewer machines.
-    pub(crate) consolidated: BTreeMap<Partition, u64>,
+    pub(crate) last_consolidations_ms: BTreeMap<Partition, u64>,
     /// When replicas of each partition were last moved to make room for others.
-    pub(crate) swapped: BTreeMap<Partition, u64>,
+    pub(crate) last_replica_swaps_ms: BTreeMap<Partition, u64>,
     /// Machines to which commands are to be sent at once.
-    pub(crate) poked: BTreeSet<MachineId>,
+    pub(crate) machines_with_urgent_commands: BTreeSet<MachineId>,
     /// Number of direct command calls sent so far.
     pub(crate) commands_sent: u64,
     /// Workers that report to this controller although another controller owns their machines.
-    pub(crate) guests: BTreeMap<MachineId, Guest>,
+    pub(crate) misdirected_workers: BTreeMap<MachineId, MisdirectedWorker>,
     pub(crate) cancellations: Cancellations,
     /// Failure detection; `None` if the settings do not enable it.
     pub(crate) detection: Option<FailureDetection>,
     /// Disruption control; `None` if the settings do not enable it.
     pub(crate) disruption: Option<Disruption>,
     /// Number of pairs of a task and a machine that the placement search has evaluated.
-    pub(crate) evaluated: u64,
+    pub(crate) evaluated_candidates: u64,
 }
 
 impl Controller {
@@ -97,7 +97,7 @@
         let state = &settings.platform.facts.state;
         let state_reads = TokenBucket::new(state.rps / controllers, state.rps / controllers);
         let state_writes = TokenBucket::new(state.write_rps / controllers, state.write_rps / controllers);
-        let cloud = Cloud::new(&settings);
+        let cloud = CapacityState::new(&settings);
         let own_name = ControllerId::new(settings.platform.host_name.clone());
         let detection = FailureDetection::new(&settings, incarnation, now.ms);
         let disruption = Disruption::new(&settings, now.ms);
@@ -118,7 +118,7 @@
             ended_job_order: VecDeque::new(),
             status_reads: StatusReads::default(),
             machines: BTreeMap::new(),
-            cloud,
+            capacity: cloud,
             roster: Roster::default(),
             state_reads,
             state_writes,
@@ -127,23 +127,23 @@
                 ops: settings.txn_ops(),
             },
             admission: Admission::new(&settings),
-            batch_due: None,
+            batch_due_ms: None,
             estimates: EstimateCorrections::default(),
-            resting: BTreeMap::new(),
-            kept_room: BTreeMap::new(),
-            guaranteed: BTreeSet::new(),
+            postponed_jobs: BTreeMap::new(),
+            reserved_room: BTreeMap::new(),
+            jobs_within_guarantee: BTreeSet::new(),
             next_machine_tick_ms: 0,
-            flush_due: 0,
-            consolidate_due: 0,
-            consolidated: BTreeMap::new(),
-            swapped: BTreeMap::new(),
-            poked: BTreeSet::new(),
+            flush_due_ms: 0,
+            consolidation_due_ms: 0,
+            last_consolidations_ms: BTreeMap::new(),
+            last_replica_swaps_ms: BTreeMap::new(),
+            machines_with_urgent_commands: BTreeSet::new(),
             commands_sent: 0,
-            guests: BTreeMap::new(),
+            misdirected_workers: BTreeMap::new(),
             cancellations: Cancellations::default(),
             detection,
             disruption,
-            evaluated: 0,
+            evaluated_candidates: 0,
             settings,
         }
     }
@@ -182,8 +182,8 @@
     }
 
     /// Number of pairs of a task and a machine that the placement search has evaluated, as a measure of its cost.
-    pub fn evaluations(&self) -> u64 {
-        self.evaluated
+    pub fn evaluated_candidates(&self) -> u64 {
+        self.evaluated_candidates
     }
 
     fn tick(&mut self) {
@@ -387,7 +387,7 @@
             Purpose::ReadAhead { partition, attempt } => self.on_read_ahead(partition, attempt, result),
             Purpose::Job(purpose) => self.on_job_reply(purpose, result),
             Purpose::Types => self.on_types(result),
-            Purpose::TypesWrite => self.cloud.types_writing = false,
+            Purpose::TypesWrite => self.capacity.types_writing = false,
             Purpose::Rent { rental, split } => self.on_rent(rental, split, result),
             Purpose::NewGroups => self.on_new_groups(result),
             Purpose::MachineGroup { group, stamp, changes } => self.on_group(group, stamp, changes, result),
--- a/crates/tidelatch-core/src/disruption/exchange.rs
+++ b/crates/tidelatch-core/src/disruption/exchange.rs
@@ -67,7 +67,7 @@
             return None;
         }
         let census = self.census(&task.job)?;
-        self.evaluated += census.units();
+        self.evaluated_candidates += census.units();
         let request = PermitRequest {
             unit: wanted.unit.clone(),
             attempt: wanted.attempt,
--- a/crates/tidelatch-core/src/disruption/gate.rs
+++ b/crates/tidelatch-core/src/disruption/gate.rs
@@ -151,7 +151,7 @@
             .ok_or(Blocked::NoOwner)?;
         let first = candidates.first().ok_or(Blocked::NoOwner)?;
         let census = self.census(&first.task.job).ok_or(Blocked::NoOwner)?;
-        self.evaluated += census.units();
+        self.evaluated_candidates += census.units();
         let requests: Vec<PermitRequest> = candidates
             .iter()
             .map(|candidate| candidate.request(&self.own_name))
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -223,7 +223,7 @@
             return false;
         };
         h.stop = Some(Stop::new(0.0, now));
-        self.poked.insert(machine.clone());
+        self.machines_with_urgent_commands.insert(machine.clone());
         true
     }
 
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -217,7 +217,7 @@
             if gang {
                 // The batch runs now: a gang enters it with all of its tasks, so waiting for more tasks gains
                 // nothing, while its users wait for seconds.
-                self.batch_due = Some(self.now.ms);
+                self.batch_due_ms = Some(self.now.ms);
                 self.tick_batch();
             }
         }
@@ -250,7 +250,7 @@
                 for machine in machines {
                     if let Some(m) = self.machines.get_mut(machine) {
                         m.drop_unsent(id);
-                        self.poked.insert(machine.clone());
+                        self.machines_with_urgent_commands.insert(machine.clone());
                     }
                 }
             }
@@ -295,7 +295,7 @@
         let mut keys = job.stored_pieces.iter().map(|c| c.key(partition, id));
         changes.extend(keys.by_ref().take(deletions_in_txn).map(|k| json!({ "delete": k })));
         let remaining: Vec<String> = keys.collect();
-        self.cloud.stale_keys.extend(remaining);
+        self.capacity.stale_keys.extend(remaining);
         conditions.push(self.epoch_condition());
         self.txn(conditions, changes, Call::Job(Purpose::End { id: id.clone(), ending }));
     }
@@ -395,7 +395,7 @@
             Purpose::Sweep { keys } => match result {
                 Some((200 | 409, _)) => {}
                 // The deletion failed or its outcome is unknown: it is retried later.
-                _ => self.cloud.stale_keys.extend(keys),
+                _ => self.capacity.stale_keys.extend(keys),
             },
         }
     }
@@ -442,10 +442,10 @@
 
     /// Retries writes of job ends that have no definite answer, and sends the bits of finished tasks that are due.
     pub(crate) fn tick_jobs(&mut self) {
-        if !self.entitled() || self.now.ms < self.flush_due {
+        if !self.entitled() || self.now.ms < self.flush_due_ms {
             return;
         }
-        self.flush_due = self.now.ms + self.settings.report_ms() / 3;
+        self.flush_due_ms = self.now.ms + self.settings.report_ms() / 3;
         let acting = self.acting_partitions();
         let unconfirmed: Vec<(JobId, Ending)> = self
             .jobs
--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -255,7 +255,7 @@
                         .for_each(|i| set_bit(&mut job.stored_bits, i));
                 }
                 // The job ended before its bits were stored: the key is deleted later.
-                None => self.cloud.stale_keys.push(piece.key),
+                None => self.capacity.stale_keys.push(piece.key),
             }
         }
     }
@@ -263,11 +263,11 @@
     /// Deletes keys that are not used any more, such as bitmaps of ended jobs, as far as the write budget allows.
     pub(super) fn delete_stale_keys(&mut self) {
         let max_keys = self.state_writes.spare(self.now.ms, CLEANUP_RESERVED_SHARE);
-        let key_count = self.cloud.stale_keys.len().min(self.write_limits.ops).min(max_keys);
+        let key_count = self.capacity.stale_keys.len().min(self.write_limits.ops).min(max_keys);
         if key_count == 0 {
             return;
         }
-        let keys: Vec<String> = self.cloud.stale_keys.drain(..key_count).collect();
+        let keys: Vec<String> = self.capacity.stale_keys.drain(..key_count).collect();
         let changes = keys.iter().map(|k| json!({ "delete": k })).collect();
         let conditions = vec![self.epoch_condition()];
         self.txn(conditions, changes, Call::Job(Purpose::Sweep { keys }));
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -13,7 +13,7 @@
 mod shared_machines;
 mod unresponsive_machines;
 
-pub(crate) use machine::{Guest, Held, HeldState, Machine, Stop};
+pub(crate) use machine::{Held, HeldState, Machine, MisdirectedWorker, Stop};
 
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, Partition, TaskId};
@@ -92,7 +92,7 @@
         let Some(attempt) = self.next_attempt(&task.job, partition) else {
             return;
         };
-        self.poked.insert(machine.clone());
+        self.machines_with_urgent_commands.insert(machine.clone());
         self.log(Level::Debug, format!("{machine}: {task} placed, attempt {attempt}"));
         self.add_held_task(
             machine,
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -130,22 +130,22 @@
             && let Some(h) = m.held.iter_mut().find(|h| h.task == *task && h.attempt == attempt)
         {
             h.stop.get_or_insert(Stop::new(grace_s, now));
-            self.poked.insert(machine.clone());
+            self.machines_with_urgent_commands.insert(machine.clone());
         }
     }
 
     /// Sends urgent commands directly to the workers instead of waiting for their next reports.
     pub(crate) fn send_direct(&mut self) {
-        if self.poked.is_empty() {
+        if self.machines_with_urgent_commands.is_empty() {
             return;
         }
         let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
-            self.poked.clear();
+            self.machines_with_urgent_commands.clear();
             return;
         };
         let now = self.now.ms;
         let max_unheard_ms = 2 * self.settings.report_ms();
-        for id in std::mem::take(&mut self.poked) {
+        for id in std::mem::take(&mut self.machines_with_urgent_commands) {
             let Some(m) = self.machines.get(&id) else { continue };
             let can_command = m.confirmed
                 && m.up()
@@ -230,7 +230,7 @@
                 }
                 self.accept_report(&report, false);
                 if self.machines.get(&id).is_some_and(Machine::has_unsent_commands) {
-                    self.poked.insert(id);
+                    self.machines_with_urgent_commands.insert(id);
                 }
             }
             // Not executed: the worker is in another session or has seen a newer epoch, or the connection was not
--- a/crates/tidelatch-core/src/machine_view/machine.rs
+++ b/crates/tidelatch-core/src/machine_view/machine.rs
@@ -69,7 +69,7 @@
 
 /// A worker that reports to this controller although another controller owns its machine. Times are in ms.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Guest {
+pub(crate) struct MisdirectedWorker {
     /// When its present stay here began.
     pub(super) since: u64,
     /// When it last reported here.
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -1,7 +1,7 @@
 //! Routing of workers' reports. The owner of a machine answers its reports; other controllers relay them to the owner
 //! or redirect the worker to it.
 
-use super::{Guest, Machine};
+use super::{Machine, MisdirectedWorker};
 use crate::calls::{Asker, Purpose};
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Epoch, TaskId};
@@ -32,7 +32,7 @@
             return;
         }
         let Some(partition) = self.machines.get(&report.machine).map(|m| m.partition) else {
-            self.cloud.note_stranger(&report, epoch, self.now.ms);
+            self.capacity.note_stranger(&report, epoch, self.now.ms);
             if self.answer_with_stops(asker, &report, epoch) {
                 return;
             }
@@ -109,11 +109,14 @@
         } else {
             third_controller()
         };
-        let guest = self.guests.entry(report.machine.clone()).or_insert(Guest {
-            since: now,
-            last_seen: now,
-            redirected_at: None,
-        });
+        let guest = self
+            .misdirected_workers
+            .entry(report.machine.clone())
+            .or_insert(MisdirectedWorker {
+                since: now,
+                last_seen: now,
+                redirected_at: None,
+            });
         guest.last_seen = now;
         let was_redirected_lately = guest.redirected_at.is_some_and(|t| now.saturating_sub(t) < lease);
         let can_redirect =
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -24,7 +24,7 @@
         let was_rented_before = self.acting(m.partition).is_none_or(|t| m.known_since <= t.active_at);
         let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
         if let Some(machine_type) = machine_type.filter(|_| !was_rented_before) {
-            self.cloud.boot_times.note(machine_type, m.known_since, self.now.ms);
+            self.capacity.boot_times.note(machine_type, m.known_since, self.now.ms);
         }
     }
 
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -127,7 +127,8 @@
             self.give_up_lost_machines(p, active_at);
         }
         let lease = self.settings.worker_lease_ms();
-        self.guests.retain(|_, g| now.saturating_sub(g.last_seen) < lease);
+        self.misdirected_workers
+            .retain(|_, g| now.saturating_sub(g.last_seen) < lease);
     }
 
     /// Sends status requests to machines whose report is overdue.
@@ -362,7 +363,7 @@
     fn boot_limit_ms(&self, m: &Machine) -> u64 {
         let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
         let give_up_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_LIMIT_S, |t| {
-            self.cloud.boot_times.give_up_after_s(t, m.known_since)
+            self.capacity.boot_times.give_up_after_s(t, m.known_since)
         });
         // After booting, its first reports still have to arrive.
         (give_up_s * 1000.0) as u64 + 2 * self.settings.report_ms()
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -269,7 +269,7 @@
             let Some(hex) = value.as_str() else { continue };
             match self.jobs.get_mut(&job) {
                 Some(job) => job.restore(piece, &bits_from_hex(hex), chunk_bits, piece_bits),
-                None => self.cloud.stale_keys.push(key),
+                None => self.capacity.stale_keys.push(key),
             }
         }
         let (machines, jobs) = (
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -57,13 +57,13 @@
     /// may be placed that could not be placed before.
     pub(crate) fn want_batch(&mut self) {
         let due = self.now.ms + self.settings.batch_wait_ms();
-        self.batch_due = Some(self.batch_due.map_or(due, |d| d.min(due)));
+        self.batch_due_ms = Some(self.batch_due_ms.map_or(due, |d| d.min(due)));
     }
 
     /// Runs a batch if it is due, or early if enough tasks of unstarted jobs for a full batch wait.
     pub(crate) fn tick_batch(&mut self) {
         let full_batch_tasks = self.settings.operator.batch_tasks;
-        let is_due = match self.batch_due {
+        let is_due = match self.batch_due_ms {
             Some(due) => self.now.ms >= due || self.count_tasks_of_unstarted_jobs() >= full_batch_tasks,
             None => false,
         };
@@ -124,21 +124,21 @@
     /// Selects batches from the queues of all partitions of this controller and places them, until nothing more can be
     /// placed or the search budget is used up.
     pub(crate) fn run_batch(&mut self) {
-        self.batch_due = None;
+        self.batch_due_ms = None;
         let acting = self.acting_partitions();
         if !self.entitled() {
             return;
         }
         let now = self.now.ms;
-        self.guaranteed = self.jobs_within_guarantees();
-        self.resting.retain(|_, (_, until)| now < *until);
+        self.jobs_within_guarantee = self.jobs_within_guarantees();
+        self.postponed_jobs.retain(|_, (_, until)| now < *until);
         let mut demands = Vec::new();
         let mut evaluations_left = self.settings.search_evaluations();
         for partition in acting {
             demands.extend(self.place_partition(partition, &mut evaluations_left));
         }
-        demands.extend(self.resting.values().filter_map(|(demand, _)| demand.clone()));
-        self.cloud.wishes = demands;
+        demands.extend(self.postponed_jobs.values().filter_map(|(demand, _)| demand.clone()));
+        self.capacity.wishes = demands;
         if evaluations_left == 0 {
             // The rest is placed in the next batch, so that heartbeats and polls are not delayed.
             self.want_batch();
@@ -149,7 +149,7 @@
             .any(|j| self.tenures.contains_key(&j.partition) && j.waiting_count() > 0);
         if has_waiting_tasks {
             let due = self.now.ms + self.settings.batch_retry_ms();
-            self.batch_due = Some(self.batch_due.map_or(due, |d| d.min(due)));
+            self.batch_due_ms = Some(self.batch_due_ms.map_or(due, |d| d.min(due)));
         }
     }
 
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -66,7 +66,7 @@
         } = progress;
         for (j, w) in waiting.iter().enumerate().filter(|(j, _)| unplaceable.contains(j)) {
             if let Some(terms) = jobs.get(j).filter(|_| w.priority >= Priority::Prod) {
-                self.kept_room.entry(w.team).or_insert(terms.size);
+                self.reserved_room.entry(w.team).or_insert(terms.size);
             }
         }
         let (mut demands, jobs_without_machine) =
@@ -85,7 +85,7 @@
             let until = self.now.ms + self.settings.batch_retry_ms();
             for j in unplaceable {
                 if let Some(w) = waiting.get(j) {
-                    self.resting.insert(w.id.clone(), (demands.remove(&j), until));
+                    self.postponed_jobs.insert(w.id.clone(), (demands.remove(&j), until));
                 }
             }
         }
@@ -191,7 +191,7 @@
             let moves =
                 max_moves.min(evaluations_left.saturating_sub(task_count * machine_count) / machine_count.max(1));
             *evaluations_left = evaluations_left.saturating_sub((task_count + moves) * machine_count.max(4));
-            self.evaluated += ((task_count + moves) * machine_count) as u64;
+            self.evaluated_candidates += ((task_count + moves) * machine_count) as u64;
             let choices = Batch::new(slots, jobs, room, &tasks)
                 .guaranteed_first(is_guaranteed)
                 .place(moves);
@@ -362,7 +362,7 @@
             }
             let is_rentable = suitable_types.any(|t| {
                 let kind = (t.name.clone(), zone.clone(), false);
-                !self.cloud.is_refused(&kind, self.now.ms)
+                !self.capacity.is_refused(&kind, self.now.ms)
             });
             let slots_in_zone = slots
                 .iter()
@@ -460,7 +460,7 @@
             spot: spec.spot,
             image: spec.image.clone(),
             image_gb: spec.image_gb,
-            guaranteed: self.guaranteed.contains(id),
+            guaranteed: self.jobs_within_guarantee.contains(id),
             deadline_s: spec.deadline_s.unwrap_or(0.0),
             estimate_s: self.estimates.run_s(spec),
             rank: f64::from(spec.priority as u8) * 10.0 + urgency,
@@ -490,7 +490,7 @@
             all.extend(&t.zones);
             for zone in &t.zones {
                 let kind = (t.name.clone(), zone.clone(), false);
-                if t.price / f64::from(fit) < 1.2 * cheapest && !self.cloud.is_refused(&kind, self.now.ms) {
+                if t.price / f64::from(fit) < 1.2 * cheapest && !self.capacity.is_refused(&kind, self.now.ms) {
                     cheap.insert(zone);
                 }
             }
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -19,10 +19,10 @@
     /// [`MACHINES_PER_CONSOLIDATION`] machines, so that only few replicas are unavailable at any moment.
     pub(crate) fn consolidate(&mut self) {
         let now = self.now.ms;
-        if !self.entitled() || now < self.consolidate_due {
+        if !self.entitled() || now < self.consolidation_due_ms {
             return;
         }
-        self.consolidate_due = now + self.settings.report_ms();
+        self.consolidation_due_ms = now + self.settings.report_ms();
         let active_partitions: Vec<Partition> = self
             .tenures
             .iter()
@@ -37,7 +37,7 @@
             let machines = self.machines.values().filter(|m| m.partition == p).count() as u64;
             let min_interval_ms = self.settings.worker_lease_ms() / (machines / MACHINES_PER_CONSOLIDATION).max(1);
             let is_too_early = self
-                .consolidated
+                .last_consolidations_ms
                 .get(&p)
                 .is_some_and(|t| now.saturating_sub(*t) < min_interval_ms);
             if has_no_waiting_services && !is_too_early {
@@ -66,7 +66,7 @@
                 self.stop_held(&id, &task, attempt);
             }
         }
-        self.consolidated.insert(partition, self.now.ms);
+        self.last_consolidations_ms.insert(partition, self.now.ms);
     }
 
     /// The cheapest machine to empty and the tasks it holds: fewest replicas for its price among the machines that
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -135,10 +135,10 @@
         } = collected;
         self.reserve_room_under_limits(&mut waiting, room, &blocked_size_by_team);
         let partitions = self.settings.partitions() as usize;
-        self.kept_room
+        self.reserved_room
             .retain(|team, _| team % partitions != partition.0 as usize);
         // Jobs that have no room now have priority for the next room that becomes free.
-        self.kept_room.extend(blocked_size_by_team);
+        self.reserved_room.extend(blocked_size_by_team);
         blocked_jobs.sort_by(|a, b| (a.submitted_wall_ms, &a.id).cmp(&(b.submitted_wall_ms, &b.id)));
         PartitionQueue { waiting, blocked_jobs }
     }
@@ -159,7 +159,7 @@
             objectives: &self.settings.platform.facts.objectives,
         };
         for (id, job) in &mut self.jobs {
-            if job.partition != partition || !job.startable(context.now.ms) || self.resting.contains_key(id) {
+            if job.partition != partition || !job.startable(context.now.ms) || self.postponed_jobs.contains_key(id) {
                 continue;
             }
             if self.cancellations.calls_off(id) {
@@ -222,7 +222,7 @@
         blocked_size_by_team: &BTreeMap<usize, Amounts>,
     ) {
         let mut room_left: BTreeMap<usize, Amounts> = BTreeMap::new();
-        for (team, reserved) in blocked_size_by_team.iter().chain(&self.kept_room) {
+        for (team, reserved) in blocked_size_by_team.iter().chain(&self.reserved_room) {
             if let Some(room) = room.get(*team) {
                 let reduced = |i: usize| room.get(i).copied().unwrap_or(0.0) - reserved.get(i).copied().unwrap_or(0.0);
                 room_left.insert(*team, [reduced(0), reduced(1), f64::MAX]);
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -106,7 +106,7 @@
                 stops.extend(search.apply_plan(&plan, &mut terms));
             }
         }
-        self.evaluated += search.evaluations as u64;
+        self.evaluated_candidates += search.evaluations as u64;
         for (machine, task, attempt) in stops {
             let text = format!("{machine}: stopping {task} for production work of its team, which is at its limit");
             self.log(Level::Info, text);
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -104,7 +104,7 @@
             machines,
             ..
         } = search;
-        self.evaluated += evaluations as u64;
+        self.evaluated_candidates += evaluations as u64;
         self.stop_preempted(stops);
         PreemptionResult {
             machines,
--- a/crates/tidelatch-core/src/queue/replica_swaps.rs
+++ b/crates/tidelatch-core/src/queue/replica_swaps.rs
@@ -56,7 +56,7 @@
     ) {
         let now = self.now.ms;
         let swapped_recently = self
-            .swapped
+            .last_replica_swaps_ms
             .get(&partition)
             .is_some_and(|t| now.saturating_sub(*t) < 2 * self.settings.report_ms());
         if blocked_replicas.is_empty() || swapped_recently {
@@ -73,11 +73,11 @@
             }
         }
         let (moves, evaluations_left) = (search.moves, search.evaluations_left);
-        self.evaluated += max_evaluations.saturating_sub(evaluations_left) as u64;
+        self.evaluated_candidates += max_evaluations.saturating_sub(evaluations_left) as u64;
         // If the search budget is used up, the rest is tried again later, so that heartbeats and polls are not
         // delayed.
         if evaluations_left == 0 || !moves.is_empty() {
-            self.swapped.insert(partition, now);
+            self.last_replica_swaps_ms.insert(partition, now);
         }
         for (machine, task, attempt) in moves {
             self.move_replica(&machine, &task, attempt);
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -246,8 +246,8 @@
             .filter(|(_, ids)| !ids.iter().any(|id| machines.contains_key(id)));
         let keys: Vec<String> = empty.map(|(name, _)| format!("{BOOT_BATCH_PREFIX}{name}")).collect();
         for key in keys {
-            if !self.cloud.stale_keys.contains(&key) {
-                self.cloud.stale_keys.push(key);
+            if !self.capacity.stale_keys.contains(&key) {
+                self.capacity.stale_keys.push(key);
             }
         }
     }
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -273,8 +273,8 @@
             // put machines back into groups that they have left since.
             conditions.push(json!({ "k": step_key, "stamp": step_revision }));
             writes.push(json!({ "write": step_key, "value": true }));
-        } else if step_revision != Stamp(0) && !self.cloud.stale_keys.contains(&step_key) {
-            self.cloud.stale_keys.push(step_key);
+        } else if step_revision != Stamp(0) && !self.capacity.stale_keys.contains(&step_key) {
+            self.capacity.stale_keys.push(step_key);
         }
         if let Some(group) = self.roster.groups.get_mut(name) {
             group.write_in_flight = true;
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -142,7 +142,7 @@
         self.release_all(id, "its roster entry is gone");
         self.machines.remove(id);
         // The cloud's list may still show the machine for a while, and a delayed report of it may arrive.
-        self.cloud.note_deleted(id.clone(), self.now.ms);
+        self.capacity.note_deleted(id.clone(), self.now.ms);
         self.log(Level::Debug, format!("{id}: removed from partition {partition}"));
     }
 
--- a/crates/tidelatch-core/src/roster/rentals.rs
+++ b/crates/tidelatch-core/src/roster/rentals.rs
@@ -51,7 +51,7 @@
         let mut groups: Vec<(String, GroupRecord)> = Vec::new();
         let mut bytes: Vec<usize> = Vec::new();
         let revision = self.membership.ledger;
-        for rented in &self.cloud.pending_registration {
+        for rented in &self.capacity.pending_registration {
             if self.machines.contains_key(&rented.machine) {
                 continue;
             }
@@ -92,7 +92,7 @@
         }
         if groups.is_empty() {
             // All of them are in the roster already.
-            self.cloud.pending_registration.clear();
+            self.capacity.pending_registration.clear();
         }
         self.roster.new_groups = groups;
     }
@@ -110,7 +110,7 @@
             let rejected = std::mem::take(&mut self.roster.new_groups);
             let is_single = rejected.len() <= 1 && rejected.iter().all(|(_, r)| r.m.len() <= 1);
             let dropped: BTreeSet<&MachineId> = rejected.iter().flat_map(|(_, r)| r.m.keys()).collect();
-            self.cloud
+            self.capacity
                 .pending_registration
                 .retain(|r| !is_single || !dropped.contains(&r.machine));
         }
@@ -121,12 +121,12 @@
             let mut registered = BTreeSet::new();
             for (name, record) in groups {
                 registered.extend(record.m.keys().cloned());
-                self.cloud.min_digest_revision.insert(record.part, answer.ledger);
+                self.capacity.min_digest_revision.insert(record.part, answer.ledger);
                 if status == 200 {
                     self.apply_group(&name, serde_json::to_value(record).ok(), Stamp(answer.ledger));
                 }
             }
-            self.cloud
+            self.capacity
                 .pending_registration
                 .retain(|r| !registered.contains(&r.machine));
             self.send_new_groups();
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -203,7 +203,7 @@
         self.nodes
             .iter()
             .flat_map(|n| &n.core)
-            .map(Controller::evaluations)
+            .map(Controller::evaluated_candidates)
             .sum()
     }
 
