--- a/crates/tidelatch-core/src/calls.rs
+++ b/crates/tidelatch-core/src/calls.rs
@@ -13,7 +13,7 @@
 
 /// The requester that waits for an answer, with the number of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Asker {
+pub(crate) enum Requester {
     /// A user, worker or health check, over HTTP.
     Request(u64),
     /// Another controller that forwarded a request.
@@ -22,7 +22,7 @@
 
 /// Purpose of a call, with what is needed to handle its result. Times named `sent` are milliseconds.
 #[derive(Debug, Clone)]
-pub(crate) enum Purpose {
+pub(crate) enum CallPurpose {
     /// Obtains a new lease.
     NewLease { sent: u64 },
     /// Extends the lease.
@@ -47,36 +47,36 @@
     /// A call about a job.
     Job(JobPurpose),
     /// Reads the machine types from the cloud.
-    Types,
+    ReadMachineTypes,
     /// Stores the machine types.
-    TypesWrite,
+    WriteMachineTypes,
     /// Rents machines from the cloud.
-    Rent { rental: Rental, split: Vec<Partition> },
+    RentMachines { rental: Rental, partitions: Vec<Partition> },
     /// Stores new machine groups, as the leader.
-    NewGroups,
+    WriteNewMachineGroups,
     /// Changes a machine group, possibly into several groups.
-    MachineGroup {
+    WriteMachineGroup {
         group: String,
-        stamp: Stamp,
+        revision: Stamp,
         changes: Vec<(String, Option<GroupRecord>)>,
     },
     /// Stores that machines have booted. Their first reports are answered once this is stored.
-    BootBatch {
+    WriteBootBatch {
         batch: BootBatch,
-        askers: Vec<(Asker, MachineId, (u64, u64))>,
+        requesters: Vec<(Requester, MachineId, (u64, u64))>,
     },
     /// Deletes machines in the cloud.
-    Delete { machines: Vec<MachineId> },
+    DeleteMachines { machines: Vec<MachineId> },
     /// Lists the rented machines in the cloud.
-    Hosts,
+    ListMachines,
     /// Changes the keys of a drain, as the leader.
-    Drain { write: DrainWrite },
+    WriteDrain { write: DrainWrite },
     /// Confirms a machine by an empty list of commands, which tells its worker the new epoch.
-    Confirm { machine: MachineId, sent: u64 },
+    ConfirmMachine { machine: MachineId, sent: u64 },
     /// Asks a worker for its status, outside its reports.
-    Probe { machine: MachineId, sent: u64 },
+    ReadWorkerStatus { machine: MachineId, sent: u64 },
     /// Sends commands to a worker directly, not as the answer to its report.
-    Direct {
+    SendCommands {
         machine: MachineId,
         number: u64,
         epoch: Epoch,
@@ -87,20 +87,20 @@
         to: ControllerId,
         sent: u64,
         /// The range of cancellation numbers that the heartbeat carried.
-        told: (u64, u64),
+        sent_cancellations: (u64, u64),
     },
     /// Forwards a worker's report to the machine's owner.
     Relay {
-        asker: Asker,
+        requester: Requester,
         report: Box<crate::protocol::Report>,
     },
     /// Forwards a status request to the job's owner.
-    ForwardStatus { asker: Asker, job: JobId },
+    ForwardStatus { requester: Requester, job: JobId },
     /// Forwards a cancellation to the job's owner.
-    ForwardWithdraw { asker: Asker },
+    ForwardCancellation { requester: Requester },
     /// Forwards a submission that this controller cannot store.
     ForwardSubmission {
-        asker: Asker,
+        requester: Requester,
         /// The job's id; `None` if the submission names none.
         job: Option<JobId>,
     },
--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -8,7 +8,7 @@
 //! - No user is told that a job is cancelled before a second controller knows of it. If the controller that told the
 //!   user stops, a controller that acts under grants has a grant of the second one and applies its cancellations first.
 
-use crate::calls::Asker;
+use crate::calls::Requester;
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Incarnation, JobId};
 use crate::messages::Answer;
@@ -71,7 +71,7 @@
     last_sequence: u64,
     acknowledged: BTreeMap<ControllerId, AcknowledgedCancellations>,
     /// Users who wait until a second controller knows of a cancellation, each with the time at which waiting ends.
-    waiting_requesters: Vec<(JobId, Asker, u64)>,
+    waiting_requesters: Vec<(JobId, Requester, u64)>,
     /// Heartbeats are to be sent at once.
     heartbeats_requested: bool,
     /// Time at which the latest granted extension of the lease was sent to the state service.
@@ -306,7 +306,7 @@
 
     /// Answers a request about an ended job. If the job is cancelled, the answer may wait until a second controller
     /// knows of the cancellation.
-    pub(crate) fn tell_over(&mut self, requester: Asker, id: &JobId) {
+    pub(crate) fn tell_over(&mut self, requester: Requester, id: &JobId) {
         if self.may_confirm_cancellation(id) {
             let status_body = self.ended_jobs.get(id).map(|ended_job| ended_job.status_body(id));
             let answer = match status_body {
--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -18,7 +18,7 @@
 use planning::summarize_waiting_tasks;
 pub use planning::{Lane, MachineKind, PendingMachine, UnplacedTasks, absorb, plan};
 
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Epoch, MachineId, Partition};
 use crate::membership::TYPES_KEY;
@@ -193,7 +193,7 @@
     }
 
     /// Sends a request to the cloud.
-    fn send_cloud_request(&mut self, method: Method, path: impl Into<String>, body: String, purpose: Purpose) {
+    fn send_cloud_request(&mut self, method: Method, path: impl Into<String>, body: String, purpose: CallPurpose) {
         let timeout = 2 * self.settings.report_ms();
         self.call(Target::Cloud, method, path, body, timeout, purpose);
     }
@@ -252,7 +252,12 @@
             return;
         }
         self.capacity.types_requested_at = now.max(1);
-        self.send_cloud_request(Method::Get, "/machine_types", String::new(), Purpose::Types);
+        self.send_cloud_request(
+            Method::Get,
+            "/machine_types",
+            String::new(),
+            CallPurpose::ReadMachineTypes,
+        );
     }
 
     /// Handles the cloud's answer to a request for the machine types.
@@ -281,7 +286,7 @@
             self.txn(
                 vec![condition],
                 vec![json!({ "write": TYPES_KEY, "value": types })],
-                Purpose::TypesWrite,
+                CallPurpose::WriteMachineTypes,
             );
         }
     }
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between controllers. They carry requests for grants, digests, cancellations, liveness information and
 //! permits; the replies carry grants, machines to hand over, and the kinds of machine that the cloud refuses.
 
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::ControllerId;
 use crate::messages::{Digest, MachineRequest, Move, PeerReply, PeerRequest, PermitGrants};
@@ -29,7 +29,7 @@
         for name in names {
             let to = ControllerId::new(name);
             let urgent = (at_once && self.lacks_cancellations(&to)) || self.contact_due(&to);
-            let (told, told_span, _) = self.tell_cancellations(&to);
+            let (told, sent_cancellations, _) = self.tell_cancellations(&to);
             let peer = self.membership.peers.entry(to.clone()).or_default();
             let due = peer.asked == 0 || now >= peer.asked + interval_ms;
             if peer.asking || !(due || urgent) {
@@ -59,10 +59,10 @@
                 permits,
             };
             let timeout = self.settings.report_ms() / 2;
-            let purpose = Purpose::Heartbeat {
+            let purpose = CallPurpose::Heartbeat {
                 to: to.clone(),
                 sent: now,
-                told: told_span,
+                sent_cancellations,
             };
             self.ask(to, request, timeout, purpose);
         }
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -1,7 +1,7 @@
 //! Renting and returning machines, and finding machines that are paid for but not in the roster.
 
 use super::{MAX_MACHINES_PER_RENTAL, MachineKind};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
 use crate::messages::{Level, Method};
@@ -65,9 +65,9 @@
             Method::Post,
             "/hosts",
             body,
-            Purpose::Rent {
+            CallPurpose::RentMachines {
                 rental,
-                split: partitions,
+                partitions: partitions,
             },
         );
     }
@@ -257,7 +257,12 @@
             machines: machines.clone(),
         })
         .unwrap_or_default();
-        self.send_cloud_request(Method::Post, "/hosts/delete", body, Purpose::Delete { machines });
+        self.send_cloud_request(
+            Method::Post,
+            "/hosts/delete",
+            body,
+            CallPurpose::DeleteMachines { machines },
+        );
     }
 
     /// Handles the cloud's answer to a deletion request.
@@ -293,7 +298,7 @@
         self.capacity.list_requested_at = now;
         self.capacity.requested_list_cursor = std::mem::take(&mut self.capacity.next_list_cursor);
         let path = format!("/hosts?since={}&most=500", self.capacity.requested_list_cursor);
-        self.send_cloud_request(Method::Get, path, String::new(), Purpose::Hosts);
+        self.send_cloud_request(Method::Get, path, String::new(), CallPurpose::ListMachines);
     }
 
     /// Handles a page of the cloud's machine list: deletes the machines that are not in the roster.
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -1,7 +1,7 @@
 //! The controller's state machine: handles inputs, keeps the table of calls in progress, and dispatches their replies.
 
 use crate::admission::Admission;
-use crate::calls::{Asker, Purpose, is_lost_lease};
+use crate::calls::{CallPurpose, Requester, is_lost_lease};
 use crate::cancellations::Cancellations;
 use crate::capacity::{CapacityState, UnplacedTasks};
 use crate::disruption::Disruption;
@@ -40,7 +40,7 @@
     /// The reply that is being handled belongs to such a call.
     pub(crate) is_reply_stale: bool,
     /// Purposes of the calls in progress, by call number.
-    pending_calls: BTreeMap<u64, Purpose>,
+    pending_calls: BTreeMap<u64, CallPurpose>,
     pub(crate) membership: Membership,
     pub(crate) tenures: BTreeMap<Partition, Tenure>,
     pub(crate) machine_types: Vec<MachineType>,
@@ -97,7 +97,7 @@
         let state = &settings.platform.facts.state;
         let state_reads = TokenBucket::new(state.rps / controllers, state.rps / controllers);
         let state_writes = TokenBucket::new(state.write_rps / controllers, state.write_rps / controllers);
-        let cloud = CapacityState::new(&settings);
+        let capacity = CapacityState::new(&settings);
         let own_name = ControllerId::new(settings.platform.host_name.clone());
         let detection = FailureDetection::new(&settings, incarnation, now.ms);
         let disruption = Disruption::new(&settings, now.ms);
@@ -118,7 +118,7 @@
             ended_job_order: VecDeque::new(),
             status_reads: StatusReads::default(),
             machines: BTreeMap::new(),
-            capacity: cloud,
+            capacity,
             roster: Roster::default(),
             state_reads,
             state_writes,
@@ -216,10 +216,10 @@
     }
 
     /// Answers a requester.
-    pub(crate) fn answer(&mut self, to: Asker, answer: Answer) {
+    pub(crate) fn answer(&mut self, to: Requester, answer: Answer) {
         self.outputs.push(match to {
-            Asker::Request(id) => Output::Answer { id, answer },
-            Asker::Peer(id) => Output::Tell {
+            Requester::Request(id) => Output::Answer { id, answer },
+            Requester::Peer(id) => Output::Tell {
                 id,
                 reply: PeerReply::Answer(answer),
             },
@@ -234,7 +234,7 @@
         path: impl Into<String>,
         body: String,
         timeout_ms: u64,
-        purpose: Purpose,
+        purpose: CallPurpose,
     ) {
         let id = self.next_call_id;
         self.next_call_id += 1;
@@ -255,7 +255,7 @@
     }
 
     /// Sends a request to another controller and records its purpose until the reply arrives.
-    pub(crate) fn ask(&mut self, to: ControllerId, request: PeerRequest, timeout_ms: u64, purpose: Purpose) {
+    pub(crate) fn ask(&mut self, to: ControllerId, request: PeerRequest, timeout_ms: u64, purpose: CallPurpose) {
         let id = self.next_call_id;
         self.next_call_id += 1;
         self.pending_calls.insert(id, purpose);
@@ -269,7 +269,7 @@
 
     /// Dispatches a request of a user, a worker or a health check.
     fn on_request(&mut self, id: u64, method: Method, path: &str, body: &[u8]) {
-        let requester = Asker::Request(id);
+        let requester = Requester::Request(id);
         let path = path.split('?').next().unwrap_or(path);
         match (method, path) {
             (Method::Get, "/up") => {
@@ -301,7 +301,7 @@
 
     /// Dispatches a request of another controller.
     fn on_peer_request(&mut self, id: u64, request: PeerRequest) {
-        let requester = Asker::Peer(id);
+        let requester = Requester::Peer(id);
         match request {
             PeerRequest::Relay { report } => self.on_report(requester, &report, false),
             PeerRequest::Forward { job, withdraw: true } => self.on_withdraw(requester, &job, false),
@@ -331,20 +331,20 @@
     /// Its limits may drop without notice. After status 429, all writes slow down at once to the announced future
     /// rate; the most important ones (leases, the epoch, job acceptances) may use the last part of the budget.
     /// Status 400 means that a transaction was too large: transactions that can be split are smaller from then on.
-    fn apply_write_refusal(&mut self, purpose: &Purpose, result: Option<&(u16, Vec<u8>)>) {
+    fn apply_write_refusal(&mut self, purpose: &CallPurpose, result: Option<&(u16, Vec<u8>)>) {
         let Some((status, body)) = result else { return };
         let (what, can_split) = match purpose {
-            Purpose::MemberWrite { .. } => ("this controller's member record", false),
-            Purpose::LeaderWrite => ("the leader record", false),
-            Purpose::EpochWrite => ("the epoch", false),
-            Purpose::TypesWrite => ("the machine types", false),
-            Purpose::Job(JobPurpose::Accept { .. }) => ("a job acceptance", false),
-            Purpose::Job(JobPurpose::End { .. }) => ("a job's end", true),
-            Purpose::Job(JobPurpose::Flush { .. }) => ("bitmaps of completed tasks", true),
-            Purpose::Job(JobPurpose::Sweep { .. }) => ("a deletion of bitmaps of ended jobs", true),
-            Purpose::NewGroups | Purpose::MachineGroup { .. } => ("a machine group", true),
-            Purpose::BootBatch { .. } => ("a boot batch", true),
-            Purpose::Drain { .. } => ("a drain record", true),
+            CallPurpose::MemberWrite { .. } => ("this controller's member record", false),
+            CallPurpose::LeaderWrite => ("the leader record", false),
+            CallPurpose::EpochWrite => ("the epoch", false),
+            CallPurpose::WriteMachineTypes => ("the machine types", false),
+            CallPurpose::Job(JobPurpose::Accept { .. }) => ("a job acceptance", false),
+            CallPurpose::Job(JobPurpose::End { .. }) => ("a job's end", true),
+            CallPurpose::Job(JobPurpose::Flush { .. }) => ("bitmaps of completed tasks", true),
+            CallPurpose::Job(JobPurpose::Sweep { .. }) => ("a deletion of bitmaps of ended jobs", true),
+            CallPurpose::WriteNewMachineGroups | CallPurpose::WriteMachineGroup { .. } => ("a machine group", true),
+            CallPurpose::WriteBootBatch { .. } => ("a boot batch", true),
+            CallPurpose::WriteDrain { .. } => ("a drain record", true),
             _ => return,
         };
         if *status == 429 {
@@ -372,50 +372,60 @@
     }
 
     /// Dispatches the reply to a call, or its timeout (`None`), by the call's purpose.
-    fn on_reply(&mut self, purpose: Purpose, result: Option<(u16, Vec<u8>)>) {
+    fn on_reply(&mut self, purpose: CallPurpose, result: Option<(u16, Vec<u8>)>) {
         self.apply_write_refusal(&purpose, result.as_ref());
         match purpose {
-            Purpose::NewLease { sent } => self.on_new_lease(sent, result),
-            Purpose::ExtendLease { sent, lease_id } => self.on_lease_extension(sent, lease_id, result),
-            Purpose::MemberWrite { ack } => self.on_member_write(ack, result),
-            Purpose::LeaderWrite => self.on_leader_write(result),
-            Purpose::EpochWrite => self.on_epoch_write(result),
-            Purpose::ListSharedKeys { cursor, first_revision } => self.on_shared_keys(cursor, first_revision, result),
-            Purpose::WatchSharedKeys { number } => self.on_watch(number, result),
-            Purpose::DoneBits { partition, since } => self.on_done_bits(partition, since, result),
-            Purpose::DoneBitsChanges { partition, since } => self.on_done_bits_changes(partition, since, result),
-            Purpose::ReadAhead { partition, attempt } => self.on_read_ahead(partition, attempt, result),
-            Purpose::Job(purpose) => self.on_job_reply(purpose, result),
-            Purpose::Types => self.on_types(result),
-            Purpose::TypesWrite => self.capacity.types_writing = false,
-            Purpose::Rent { rental, split } => self.on_rent(rental, split, result),
-            Purpose::NewGroups => self.on_new_groups(result),
-            Purpose::MachineGroup { group, stamp, changes } => self.on_group(group, stamp, changes, result),
-            Purpose::BootBatch { batch, askers } => self.on_boot_batch(batch, askers, result),
-            Purpose::Delete { machines } => self.on_delete(machines, result),
-            Purpose::Hosts => self.on_hosts(result),
-            Purpose::Drain { write } => self.on_drain_write(&write, result),
-            Purpose::Confirm { machine, sent } => self.on_confirm(machine, sent, result),
-            Purpose::Probe { machine, sent } => self.on_probe(machine, sent, result),
-            Purpose::Direct {
+            CallPurpose::NewLease { sent } => self.on_new_lease(sent, result),
+            CallPurpose::ExtendLease { sent, lease_id } => self.on_lease_extension(sent, lease_id, result),
+            CallPurpose::MemberWrite { ack } => self.on_member_write(ack, result),
+            CallPurpose::LeaderWrite => self.on_leader_write(result),
+            CallPurpose::EpochWrite => self.on_epoch_write(result),
+            CallPurpose::ListSharedKeys { cursor, first_revision } => {
+                self.on_shared_keys(cursor, first_revision, result)
+            }
+            CallPurpose::WatchSharedKeys { number } => self.on_watch(number, result),
+            CallPurpose::DoneBits { partition, since } => self.on_done_bits(partition, since, result),
+            CallPurpose::DoneBitsChanges { partition, since } => self.on_done_bits_changes(partition, since, result),
+            CallPurpose::ReadAhead { partition, attempt } => self.on_read_ahead(partition, attempt, result),
+            CallPurpose::Job(purpose) => self.on_job_reply(purpose, result),
+            CallPurpose::ReadMachineTypes => self.on_types(result),
+            CallPurpose::WriteMachineTypes => self.capacity.types_writing = false,
+            CallPurpose::RentMachines { rental, partitions } => self.on_rent(rental, partitions, result),
+            CallPurpose::WriteNewMachineGroups => self.on_new_groups(result),
+            CallPurpose::WriteMachineGroup {
+                group,
+                revision,
+                changes,
+            } => self.on_group(group, revision, changes, result),
+            CallPurpose::WriteBootBatch { batch, requesters } => self.on_boot_batch(batch, requesters, result),
+            CallPurpose::DeleteMachines { machines } => self.on_delete(machines, result),
+            CallPurpose::ListMachines => self.on_hosts(result),
+            CallPurpose::WriteDrain { write } => self.on_drain_write(&write, result),
+            CallPurpose::ConfirmMachine { machine, sent } => self.on_confirm(machine, sent, result),
+            CallPurpose::ReadWorkerStatus { machine, sent } => self.on_probe(machine, sent, result),
+            CallPurpose::SendCommands {
                 machine,
                 number,
                 epoch,
                 session,
             } => self.on_direct(machine, number, (epoch, session), result),
-            Purpose::Heartbeat { .. }
-            | Purpose::Relay { .. }
-            | Purpose::ForwardStatus { .. }
-            | Purpose::ForwardWithdraw { .. }
-            | Purpose::ForwardSubmission { .. } => {}
+            CallPurpose::Heartbeat { .. }
+            | CallPurpose::Relay { .. }
+            | CallPurpose::ForwardStatus { .. }
+            | CallPurpose::ForwardCancellation { .. }
+            | CallPurpose::ForwardSubmission { .. } => {}
         }
     }
 
     /// Dispatches another controller's reply, or its timeout (`None`), by the request's purpose.
-    fn on_peer_reply(&mut self, purpose: Purpose, result: Option<PeerReply>) {
+    fn on_peer_reply(&mut self, purpose: CallPurpose, result: Option<PeerReply>) {
         match (purpose, result) {
             (
-                Purpose::Heartbeat { to, sent, told },
+                CallPurpose::Heartbeat {
+                    to,
+                    sent,
+                    sent_cancellations,
+                },
                 Some(PeerReply::Heartbeat {
                     entitled,
                     granted,
@@ -437,7 +447,7 @@
                 }
                 // The cancellations that the giver of a grant knows are applied before the grant counts.
                 self.take_cancellations(&to, &cancellations);
-                self.note_taken(&to, cancellations.life, told);
+                self.note_taken(&to, cancellations.life, sent_cancellations);
                 if granted {
                     self.record_grant(&to, sent, cancellations.unread);
                 }
@@ -449,23 +459,23 @@
                     self.greet(true);
                 }
             }
-            (Purpose::Heartbeat { to, .. }, _) => self.record_peer_contact(&to, false, false),
-            (Purpose::Relay { asker, report }, result) => self.on_relayed(asker, &report, result),
-            (Purpose::ForwardStatus { asker, job }, result) => match result {
+            (CallPurpose::Heartbeat { to, .. }, _) => self.record_peer_contact(&to, false, false),
+            (CallPurpose::Relay { requester, report }, result) => self.on_relayed(requester, &report, result),
+            (CallPurpose::ForwardStatus { requester, job }, result) => match result {
                 // The watch may have delivered the end of the job since its owner answered.
-                _ if self.ended_jobs.contains_key(&job) => self.tell_over(asker, &job),
+                _ if self.ended_jobs.contains_key(&job) => self.tell_over(requester, &job),
                 Some(PeerReply::Answer(answer)) if answer.status == 200 && !self.is_reply_stale => {
-                    self.answer(asker, answer)
+                    self.answer(requester, answer)
                 }
-                _ => self.read_status(asker, job),
+                _ => self.read_status(requester, job),
             },
-            (Purpose::ForwardSubmission { asker, job }, result) => self.on_passed_on(asker, job, result),
-            (Purpose::ForwardWithdraw { asker }, result) => {
+            (CallPurpose::ForwardSubmission { requester, job }, result) => self.on_passed_on(requester, job, result),
+            (CallPurpose::ForwardCancellation { requester }, result) => {
                 let answer = match result {
                     Some(PeerReply::Answer(answer)) => answer,
                     _ => Answer::later(503, 1, "the job's controller cannot be reached"),
                 };
-                self.answer(asker, answer);
+                self.answer(requester, answer);
             }
             _ => {}
         }
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -6,7 +6,7 @@
 //! carries the leader's key and the epoch as conditions, so no earlier leader can write after a later one. Versions
 //! that do not know the keys pass over them.
 
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{MachineId, Stamp};
 use crate::messages::Level;
@@ -273,7 +273,7 @@
         if let Some(disruption) = &mut self.disruption {
             disruption.records.writing = true;
         }
-        self.txn(conditions, changes, Purpose::Drain { write });
+        self.txn(conditions, changes, CallPurpose::WriteDrain { write });
     }
 
     fn delete_drain(&mut self, name: &str) {
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -5,7 +5,7 @@
 //! partition's owner. It then reads the changes since the first read and applies them, so the records are as fresh as
 //! if all had been read at that time. When a suspicion is cleared, its preparations are dropped.
 
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Partition};
 use crate::membership::{Stage, next_epoch};
@@ -191,7 +191,7 @@
     fn read_ahead(&mut self, partition: Partition, attempt: u64, cursor: &str) {
         let path = Self::done_bits_path(partition, cursor);
         let timeout = self.settings.lease_ms() / 4;
-        let purpose = Purpose::ReadAhead { partition, attempt };
+        let purpose = CallPurpose::ReadAhead { partition, attempt };
         self.call(Target::State, Method::Get, path, String::new(), timeout, purpose);
     }
 
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -14,7 +14,7 @@
 use bitmap::InFlightPiece;
 use record::StatusOnlyRecord;
 
-use crate::calls::{Asker, Purpose as Call};
+use crate::calls::{CallPurpose as Call, Requester};
 use crate::controller::Controller;
 use crate::failures::JobFailures;
 use crate::gangs::Gang;
@@ -67,7 +67,7 @@
     /// A write of the end has been sent and not answered.
     pub(crate) is_end_in_flight: bool,
     /// Users who wait for the job's cancellation to be stored.
-    pub(crate) requesters: Vec<Asker>,
+    pub(crate) requesters: Vec<Requester>,
     pub(crate) failures: JobFailures,
     /// A zone that a replica has left to make room for another job's replica, and the time until which no replica
     /// returns there.
@@ -140,7 +140,7 @@
 pub(crate) enum Purpose {
     /// Stores the acceptance of a submission.
     Accept {
-        requester: Asker,
+        requester: Requester,
         id: JobId,
         spec: Box<JobSpec>,
         epoch: Epoch,
@@ -152,14 +152,14 @@
     /// Reads whether a job with this id exists, because the outcome of its acceptance is unknown or the submission
     /// is invalid.
     CheckExisting {
-        requester: Asker,
+        requester: Requester,
         id: JobId,
         answer_if_absent: Answer,
     },
     /// Reads the record of a job for the users who poll it.
     Status { id: JobId },
     /// Reads the record of a job that is to be cancelled and that this controller does not know.
-    CancelRead { requester: Asker, id: JobId },
+    CancelRead { requester: Requester, id: JobId },
     /// Stores the end of a job.
     End { id: JobId, ending: Ending },
     /// Stores bits of finished tasks.
--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -1,7 +1,7 @@
 //! The bitmap of a job's finished tasks, and the pieces in which it is stored.
 
 use super::{Job, Purpose};
-use crate::calls::Purpose as Call;
+use crate::calls::CallPurpose as Call;
 use crate::controller::Controller;
 use crate::ids::{JobId, Partition};
 use serde_json::json;
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -2,7 +2,7 @@
 //! partition, or answered by a read of the state service.
 
 use super::{Ending, Job, JobRecord, Purpose, StatusOnlyRecord, StoredJobStatus};
-use crate::calls::{Asker, Purpose as Call};
+use crate::calls::{CallPurpose as Call, Requester};
 use crate::controller::Controller;
 use crate::ids::{ControllerId, JobId, Partition};
 use crate::membership::JOB_PREFIX;
@@ -12,7 +12,7 @@
 
 impl Controller {
     /// Reads whether a job exists: its requester gets the job's state, or `answer_if_absent` if there is no such job.
-    pub(crate) fn check_existing_job(&mut self, requester: Asker, id: JobId, answer_if_absent: Answer) {
+    pub(crate) fn check_existing_job(&mut self, requester: Requester, id: JobId, answer_if_absent: Answer) {
         self.read_job(
             &id.clone(),
             Purpose::CheckExisting {
@@ -39,7 +39,7 @@
     }
 
     /// Answers a status request. A request that has just come from a peer has `may_forward` unset and is not forwarded.
-    pub(crate) fn on_status(&mut self, requester: Asker, id: &str, may_forward: bool) {
+    pub(crate) fn on_status(&mut self, requester: Requester, id: &str, may_forward: bool) {
         let Some(id) = JobId::parse(id) else {
             // No job has an invalid id.
             self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
@@ -60,15 +60,7 @@
                     job: id.as_str().to_owned(),
                     withdraw: false,
                 };
-                self.ask(
-                    owner,
-                    request,
-                    500,
-                    Call::ForwardStatus {
-                        asker: requester,
-                        job: id,
-                    },
-                );
+                self.ask(owner, request, 500, Call::ForwardStatus { requester, job: id });
                 return;
             }
         }
@@ -100,7 +92,7 @@
     }
 
     /// Handles a user's request to cancel a job: stores the end, or forwards the request to the owner.
-    pub(crate) fn on_withdraw(&mut self, requester: Asker, id: &str, may_forward: bool) {
+    pub(crate) fn on_withdraw(&mut self, requester: Requester, id: &str, may_forward: bool) {
         let Some(id) = JobId::parse(id) else {
             self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
             return;
@@ -121,7 +113,7 @@
                         withdraw: true,
                     };
                     let timeout = 4 * self.settings.report_ms() / 5;
-                    self.ask(owner, request, timeout, Call::ForwardWithdraw { asker: requester });
+                    self.ask(owner, request, timeout, Call::ForwardCancellation { requester });
                 }
                 None => self.answer(
                     requester,
@@ -165,7 +157,7 @@
     }
 
     /// Answers a status request with the result of a read.
-    pub(super) fn answer_from_read(&mut self, requester: Asker, id: &JobId, result: Option<(u16, Vec<u8>)>) {
+    pub(super) fn answer_from_read(&mut self, requester: Requester, id: &JobId, result: Option<(u16, Vec<u8>)>) {
         let state = match result {
             Some((200, body)) => self.apply_read_record(id, &body),
             _ => None,
--- a/crates/tidelatch-core/src/jobs/status_reads.rs
+++ b/crates/tidelatch-core/src/jobs/status_reads.rs
@@ -6,7 +6,7 @@
 //! once.
 
 use super::Purpose;
-use crate::calls::Asker;
+use crate::calls::Requester;
 use crate::controller::Controller;
 use crate::ids::JobId;
 use crate::messages::Answer;
@@ -22,9 +22,9 @@
 #[derive(Debug)]
 struct OpenRead {
     /// Requests that came before the read was sent; it answers them.
-    requesters: Vec<Asker>,
+    requesters: Vec<Requester>,
     /// Requests that have come since; the next read answers them.
-    next_requesters: Vec<Asker>,
+    next_requesters: Vec<Requester>,
 }
 
 /// All status reads in flight, by job.
@@ -35,7 +35,7 @@
 
 impl Controller {
     /// Answers a status request by a read that is sent after the request came.
-    pub(crate) fn read_status(&mut self, requester: Asker, id: JobId) {
+    pub(crate) fn read_status(&mut self, requester: Requester, id: JobId) {
         match self.status_reads.in_flight.get_mut(&id) {
             Some(read) => read.next_requesters.push(requester),
             None => self.begin_status_read(id, vec![requester]),
@@ -43,7 +43,7 @@
     }
 
     /// Sends a read for the given requests, or refuses them if too many reads are in flight or the budget is spent.
-    fn begin_status_read(&mut self, id: JobId, requesters: Vec<Asker>) {
+    fn begin_status_read(&mut self, id: JobId, requesters: Vec<Requester>) {
         if requesters.is_empty() {
             return;
         }
@@ -119,7 +119,7 @@
     }
 
     /// Sends the same answer to all requesters.
-    fn answer_all(&mut self, requesters: Vec<Asker>, answer: &Answer) {
+    fn answer_all(&mut self, requesters: Vec<Requester>, answer: &Answer) {
         requesters
             .into_iter()
             .for_each(|requester| self.answer(requester, answer.clone()));
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -1,7 +1,7 @@
 //! Commands for workers, sent in answers to their reports and in direct commands.
 
 use super::{Held, HeldState, Machine, Stop};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{Attempt, Epoch, MachineId, TaskId};
 use crate::jobs::Job;
@@ -181,7 +181,7 @@
                 "/commands",
                 body,
                 timeout,
-                Purpose::Direct {
+                CallPurpose::SendCommands {
                     machine: id,
                     number,
                     epoch,
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -2,7 +2,7 @@
 //! or redirect the worker to it.
 
 use super::{Machine, MisdirectedWorker};
-use crate::calls::{Asker, Purpose};
+use crate::calls::{CallPurpose, Requester};
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Epoch, TaskId};
 use crate::messages::{Answer, PeerReply, PeerRequest};
@@ -13,76 +13,78 @@
     /// Handles a worker's report. `direct` is false for a report that another controller relayed.
     ///
     /// Answers 400 if the report cannot be parsed, and 503 if this controller may not act or does not know its epoch.
-    pub(crate) fn on_report(&mut self, asker: Asker, body: &[u8], direct: bool) {
+    pub(crate) fn on_report(&mut self, requester: Requester, body: &[u8], direct: bool) {
         let report = match serde_json::from_slice::<Report>(body) {
             Ok(report) => report,
             Err(fault) => {
                 let error = json!({ "error": fault.to_string() }).to_string();
-                self.answer(asker, Answer::new(400, error));
+                self.answer(requester, Answer::new(400, error));
                 return;
             }
         };
         let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
-            self.answer(asker, Answer::later(503, 1, "not entitled to act at present"));
+            self.answer(requester, Answer::later(503, 1, "not entitled to act at present"));
             return;
         };
         if report.epoch > epoch {
             // The worker would drop an answer under an older epoch, and would go on reporting to this controller.
-            self.answer(asker, Answer::later(503, 1, "a newer epoch is not known here yet"));
+            self.answer(requester, Answer::later(503, 1, "a newer epoch is not known here yet"));
             return;
         }
         let Some(partition) = self.machines.get(&report.machine).map(|m| m.partition) else {
             self.capacity.note_stranger(&report, epoch, self.now.ms);
-            if self.answer_with_stops(asker, &report, epoch) {
+            if self.answer_with_stops(requester, &report, epoch) {
                 return;
             }
             let to = self.membership.leader.as_ref().map(|(l, _)| l.name.clone());
             match to {
-                Some(to) if direct && to != self.own_name && self.reachable(&to) => self.redirect_worker(asker, &to),
-                _ => self.answer_orders(asker, epoch, Vec::new()),
+                Some(to) if direct && to != self.own_name && self.reachable(&to) => {
+                    self.redirect_worker(requester, &to)
+                }
+                _ => self.answer_orders(requester, epoch, Vec::new()),
             }
             return;
         };
         if self.acting(partition).is_some() {
-            self.accept_own_report(asker, &report, epoch);
+            self.accept_own_report(requester, &report, epoch);
             return;
         }
         let owner = self.holding(partition).map(|h| h.owner.clone());
         match owner {
             Some(owner) if owner != self.own_name && direct => {
-                if !self.answer_with_stops(asker, &report, epoch) {
-                    self.relay_report(asker, report, &owner, body);
+                if !self.answer_with_stops(requester, &report, epoch) {
+                    self.relay_report(requester, report, &owner, body);
                 }
             }
             Some(owner) if owner != self.own_name => {
                 // A relayed report reached a controller that is not the owner: the sender does not know the new owner
                 // yet.
                 let _ = owner;
-                self.answer(asker, Answer::later(503, 1, "not the owner"));
+                self.answer(requester, Answer::later(503, 1, "not the owner"));
             }
             _ => {
                 // A takeover is in progress: the worker keeps its tasks and learns the new epoch.
                 let stops = self.stops_for_finished_jobs(&report);
-                self.answer_orders(asker, epoch, stops);
+                self.answer_orders(requester, epoch, stops);
             }
         }
     }
 
     /// Answers 421 with the controller to which the worker should report.
-    pub(super) fn redirect_worker(&mut self, asker: Asker, to: &ControllerId) {
+    pub(super) fn redirect_worker(&mut self, requester: Requester, to: &ControllerId) {
         let body = json!({ "dispatcher": to }).to_string();
-        self.answer(asker, Answer::new(421, body));
+        self.answer(requester, Answer::new(421, body));
     }
 
     /// Answers a report with the epoch and commands.
-    pub(crate) fn answer_orders(&mut self, asker: Asker, epoch: Epoch, commands: Vec<Command>) {
+    pub(crate) fn answer_orders(&mut self, requester: Requester, epoch: Epoch, commands: Vec<Command>) {
         let orders = Orders {
             epoch,
             session: None,
             commands,
         };
         let body = serde_json::to_string(&orders).unwrap_or_default();
-        self.answer(asker, Answer::new(200, body));
+        self.answer(requester, Answer::new(200, body));
     }
 
     /// Relays a report of a machine that another controller owns. A worker that has reported here for two report
@@ -91,7 +93,7 @@
     ///
     /// The report is relayed first because a worker that reports here after failing to reach its owner has already
     /// gone without an answer for a while. Redirecting it into the same network partition would double that time.
-    pub(super) fn relay_report(&mut self, asker: Asker, report: Report, owner: &ControllerId, body: &[u8]) {
+    pub(super) fn relay_report(&mut self, requester: Requester, report: Report, owner: &ControllerId, body: &[u8]) {
         let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
         let redirect_delay_ms = 2 * self.settings.report_ms();
@@ -123,7 +125,7 @@
             !was_redirected_lately && (!is_up || !reachable || now.saturating_sub(guest.since) >= redirect_delay_ms);
         if let Some(to) = to.filter(|_| can_redirect) {
             guest.redirected_at = Some(now);
-            self.redirect_worker(asker, &to);
+            self.redirect_worker(requester, &to);
             return;
         }
         let request = PeerRequest::Relay { report: body.to_vec() };
@@ -132,8 +134,8 @@
             owner.clone(),
             request,
             timeout,
-            Purpose::Relay {
-                asker,
+            CallPurpose::Relay {
+                requester,
                 report: Box::new(report),
             },
         );
@@ -141,15 +143,17 @@
 
     /// Handles the answer to a relayed report. Without one, answers with the stops that any entitled controller may
     /// send.
-    pub(crate) fn on_relayed(&mut self, asker: Asker, report: &Report, result: Option<PeerReply>) {
+    pub(crate) fn on_relayed(&mut self, requester: Requester, report: &Report, result: Option<PeerReply>) {
         match result {
-            Some(PeerReply::Answer(answer)) if answer.status == 200 && self.entitled() => self.answer(asker, answer),
+            Some(PeerReply::Answer(answer)) if answer.status == 200 && self.entitled() => {
+                self.answer(requester, answer)
+            }
             _ => match self.epoch().filter(|e| self.entitled() && *e >= report.epoch) {
                 Some(epoch) => {
                     let stops = self.stops_for_finished_jobs(report);
-                    self.answer_orders(asker, epoch, stops);
+                    self.answer_orders(requester, epoch, stops);
                 }
-                None => self.answer(asker, Answer::later(503, 1, "not entitled to act at present")),
+                None => self.answer(requester, Answer::later(503, 1, "not entitled to act at present")),
             },
         }
     }
@@ -157,11 +161,11 @@
     /// Immediately answers a report of a machine that this controller does not own, if the report lists tasks that
     /// must stop. Returns whether it did. The owner may not be ready or may not know of the cancellation, and this
     /// may be the last answer that reaches the worker.
-    pub(super) fn answer_with_stops(&mut self, asker: Asker, report: &Report, epoch: Epoch) -> bool {
+    pub(super) fn answer_with_stops(&mut self, requester: Requester, report: &Report, epoch: Epoch) -> bool {
         let stops = self.stops_for_finished_jobs(report);
         let has_stops = !stops.is_empty();
         if has_stops {
-            self.answer_orders(asker, epoch, stops);
+            self.answer_orders(requester, epoch, stops);
         }
         has_stops
     }
@@ -187,30 +191,30 @@
     }
 
     /// Applies and answers a report of a machine that this controller owns.
-    pub(super) fn accept_own_report(&mut self, asker: Asker, report: &Report, epoch: Epoch) {
+    pub(super) fn accept_own_report(&mut self, requester: Requester, report: &Report, epoch: Epoch) {
         let id = report.machine.clone();
         let is_accepted = self.accept_report(report, true);
-        if is_accepted && matches!(asker, Asker::Request(_)) {
+        if is_accepted && matches!(requester, Requester::Request(_)) {
             // A relayed report may be a late copy, which does not show that the machine's zone is reachable now.
             self.mark_heard_directly(&id);
         }
         if !is_accepted {
             // The report is late, or under an older epoch. The answer brings the worker the present epoch.
             let stops = self.stops_for_finished_jobs(report);
-            self.answer_orders(asker, epoch, stops);
+            self.answer_orders(requester, epoch, stops);
             return;
         }
         let is_first = self.machines.get(&id).is_some_and(|m| !m.up() && !m.storing && !m.gone);
         if is_first && !report.addr.is_empty() {
             self.record_boot_time(&id);
             // The machine may hold tasks only once the roster records that it is up.
-            self.store_first_report(asker, report);
+            self.store_first_report(requester, report);
             return;
         }
         if let Some(m) = self.machines.get_mut(&id) {
             m.last_answered_at = Some(self.now.ms);
         }
         let commands = self.orders_for(&id, Some((report.session, report.seq)));
-        self.answer_orders(asker, epoch, commands);
+        self.answer_orders(requester, epoch, commands);
     }
 }
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -13,7 +13,7 @@
 //! [`GroupRecord::also_holds`]: crate::roster::GroupRecord::also_holds
 
 use super::{Held, HeldState, Machine};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, Partition, TaskId};
 use crate::messages::{Level, Method, Target};
@@ -190,7 +190,7 @@
             })
             .collect();
         for (machine, address) in machines {
-            let purpose = Purpose::Probe { machine, sent: now };
+            let purpose = CallPurpose::ReadWorkerStatus { machine, sent: now };
             let target = Target::Worker(address);
             self.call(target, Method::Get, "/status", String::new(), interval_ms, purpose);
         }
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -1,7 +1,7 @@
 //! Unresponsive machines: requests for their state, and their deletion if they are lost.
 
 use super::Machine;
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{Attempt, ControllerId, MachineId, Partition, TaskId};
 use crate::machine_view::{Held, HeldState};
@@ -47,7 +47,7 @@
                 "/commands",
                 body,
                 interval_ms,
-                Purpose::Confirm { machine: id, sent: now },
+                CallPurpose::ConfirmMachine { machine: id, sent: now },
             );
         }
     }
@@ -154,7 +154,7 @@
                 "/status",
                 String::new(),
                 report_ms / 3,
-                Purpose::Probe { machine: id, sent: now },
+                CallPurpose::ReadWorkerStatus { machine: id, sent: now },
             );
         }
     }
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -22,7 +22,7 @@
 };
 pub(crate) use tenure::{Stage, Tenure};
 
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Incarnation, Stamp};
 use crate::messages::{Method, Target};
@@ -178,7 +178,7 @@
 impl Controller {
     /// Sends a transaction to the state service. It uses one read and, for each change, one write of the
     /// rate limits, even when none is left.
-    pub(crate) fn txn(&mut self, conditions: Vec<Value>, changes: Vec<Value>, purpose: Purpose) {
+    pub(crate) fn txn(&mut self, conditions: Vec<Value>, changes: Vec<Value>, purpose: CallPurpose) {
         self.state_reads.force(self.now.ms, 1.0);
         self.state_writes.force(self.now.ms, changes.len() as f64);
         let timeout = self.settings.lease_ms() / 4;
@@ -201,7 +201,7 @@
                     "/leases",
                     body,
                     quarter,
-                    Purpose::NewLease { sent: now },
+                    CallPurpose::NewLease { sent: now },
                 );
             }
             Some(lease_id)
@@ -216,7 +216,7 @@
                     format!("/leases/{lease_id}/extend"),
                     "{}".into(),
                     quarter,
-                    Purpose::ExtendLease { sent: now, lease_id },
+                    CallPurpose::ExtendLease { sent: now, lease_id },
                 );
             }
             _ => {}
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -1,7 +1,7 @@
 //! The epoch: the leader assigns an owner to each partition and stores the assignment.
 
 use super::records::{EPOCH_KEY, EpochRecord, LeaderRecord, MemberRecord, PartitionOwner};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Epoch, Incarnation, Stamp};
 use crate::messages::Level;
@@ -132,7 +132,7 @@
             Level::Info,
             format!("membership changed: raising the epoch to {}", next.n),
         );
-        self.txn(conditions, vec![change], Purpose::EpochWrite);
+        self.txn(conditions, vec![change], CallPurpose::EpochWrite);
     }
 
     /// The members that may own partitions. While a machine may hold tasks of a partition that does not own the
--- a/crates/tidelatch-core/src/membership/leadership.rs
+++ b/crates/tidelatch-core/src/membership/leadership.rs
@@ -1,7 +1,7 @@
 //! Leader election through the leader's key, and the conditions under which this controller may change the membership.
 
 use super::records::{LEADER_KEY, LeaderRecord};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Stamp};
 use crate::messages::Level;
@@ -74,7 +74,7 @@
         self.txn(
             vec![json!({ "k": LEADER_KEY, "stamp": stamp })],
             vec![json!({ "write": LEADER_KEY, "value": record, "permit": lease_id })],
-            Purpose::LeaderWrite,
+            CallPurpose::LeaderWrite,
         );
     }
 
--- a/crates/tidelatch-core/src/membership/registration.rs
+++ b/crates/tidelatch-core/src/membership/registration.rs
@@ -1,7 +1,7 @@
 //! This controller's own member record.
 
 use super::records::{MEMBER_PREFIX, MemberRecord};
-use crate::calls::{Purpose, is_lost_lease};
+use crate::calls::{CallPurpose, is_lost_lease};
 use crate::controller::Controller;
 use crate::ids::Stamp;
 use crate::protocol::TxnAnswer;
@@ -34,7 +34,7 @@
         self.txn(
             vec![json!({ "k": key, "stamp": self.membership.own_revision })],
             vec![json!({ "write": key, "value": record, "permit": lease_id })],
-            Purpose::MemberWrite { ack },
+            CallPurpose::MemberWrite { ack },
         );
         self.membership.written_record = Some(record);
     }
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -4,7 +4,7 @@
     BOOT_BATCH_PREFIX, EPOCH_KEY, EpochRecord, JOB_PREFIX, LEADER_KEY, MEMBER_PREFIX, MemberRecord, ROSTER_PREFIX,
     SHARED_PREFIX, STEP_PREFIX, TYPES_KEY,
 };
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::disruption::DRAIN_PREFIX;
 use crate::ids::{ControllerId, JobId, Stamp};
@@ -28,7 +28,7 @@
             path,
             String::new(),
             timeout,
-            Purpose::ListSharedKeys { cursor, first_revision },
+            CallPurpose::ListSharedKeys { cursor, first_revision },
         );
     }
 
@@ -48,7 +48,7 @@
             ),
             String::new(),
             wait + wait / 4,
-            Purpose::WatchSharedKeys { number },
+            CallPurpose::WatchSharedKeys { number },
         );
     }
 
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -1,7 +1,7 @@
 //! The partitions that this controller owns: taking them over and giving them up.
 
 use super::PartitionOwner;
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::failure_detection::RecordsReadAhead;
 use crate::ids::{Epoch, JobId, Partition};
@@ -162,7 +162,7 @@
         t.read_ahead = Some(read_ahead);
         self.state_reads.force(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
-        let purpose = Purpose::DoneBitsChanges { partition, since };
+        let purpose = CallPurpose::DoneBitsChanges { partition, since };
         self.call(Target::State, Method::Get, path, String::new(), timeout, purpose);
     }
 
@@ -218,7 +218,7 @@
             path,
             String::new(),
             timeout,
-            Purpose::DoneBits { partition, since },
+            CallPurpose::DoneBits { partition, since },
         );
     }
 
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -1,7 +1,7 @@
 //! Machines that have come up: their first reports, and the boot batches in which they are recorded.
 
 use super::records::{BootEntry, MAX_MACHINES_PER_RECORD, entry_bytes};
-use crate::calls::{Asker, Purpose};
+use crate::calls::{CallPurpose, Requester};
 use crate::controller::Controller;
 use crate::ids::MachineId;
 use crate::membership::BOOT_BATCH_PREFIX;
@@ -15,7 +15,7 @@
     pub(super) machine: MachineId,
     pub(super) entry: BootEntry,
     /// Waits for the answer to the first report; none once it has been answered.
-    pub(super) requester: Option<Asker>,
+    pub(super) requester: Option<Requester>,
     /// When the first report came, in milliseconds.
     pub(super) reported_at: u64,
 }
@@ -52,7 +52,7 @@
 
     /// Queues a machine's first report for the next boot batch. The machine may hold tasks only once a boot batch
     /// records that it is up.
-    pub(crate) fn store_first_report(&mut self, requester: Asker, report: &Report) {
+    pub(crate) fn store_first_report(&mut self, requester: Requester, report: &Report) {
         let now = self.now.ms;
         if self.roster.booted.is_empty() {
             self.roster.boot_batch_due_at = now + self.settings.batch_wait_ms();
@@ -73,7 +73,7 @@
 
     /// Answers a first report, with commands if the machine is recorded and has not reported since. `machine` is the
     /// recorded machine with the session and sequence number of the report; none if it was not recorded.
-    pub(super) fn answer_first_report(&mut self, requester: Asker, machine: Option<(&MachineId, (u64, u64))>) {
+    pub(super) fn answer_first_report(&mut self, requester: Requester, machine: Option<(&MachineId, (u64, u64))>) {
         let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
             let later = crate::messages::Answer::later(503, 1, "not entitled to act at present");
             self.answer(requester, later);
@@ -184,25 +184,18 @@
     }
 
     /// Writes a boot batch, on condition that its key does not exist yet and the epoch is current.
-    fn send_boot_batch(&mut self, batch: BootBatch, requesters: Vec<(Asker, MachineId, (u64, u64))>) {
+    fn send_boot_batch(&mut self, batch: BootBatch, requesters: Vec<(Requester, MachineId, (u64, u64))>) {
         let key = format!("{BOOT_BATCH_PREFIX}{}", batch.key);
         let conditions = vec![json!({ "k": key, "stamp": 0 }), self.epoch_condition()];
         let changes = vec![json!({ "write": key, "value": batch.entries })];
-        self.txn(
-            conditions,
-            changes,
-            Purpose::BootBatch {
-                batch,
-                askers: requesters,
-            },
-        );
+        self.txn(conditions, changes, CallPurpose::WriteBootBatch { batch, requesters });
     }
 
     /// Handles the answer to the write of a boot batch.
     pub(crate) fn on_boot_batch(
         &mut self,
         batch: BootBatch,
-        requesters: Vec<(Asker, MachineId, (u64, u64))>,
+        requesters: Vec<(Requester, MachineId, (u64, u64))>,
         result: Option<(u16, Vec<u8>)>,
     ) {
         let is_too_large = matches!(&result, Some((400, _)));
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -3,7 +3,7 @@
 
 use super::groups::MachineGroup;
 use super::records::{GroupRecord, entry_bytes};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition, Stamp};
 use crate::jobs::bytes_of;
@@ -283,9 +283,9 @@
         self.txn(
             conditions,
             writes,
-            Purpose::MachineGroup {
+            CallPurpose::WriteMachineGroup {
                 group,
-                stamp: revision,
+                revision: revision,
                 changes,
             },
         );
--- a/crates/tidelatch-core/src/roster/rentals.rs
+++ b/crates/tidelatch-core/src/roster/rentals.rs
@@ -1,7 +1,7 @@
 //! Creation of machine groups for machines that the leader has rented or adopted.
 
 use super::records::{GroupRecord, MAX_MACHINES_PER_RECORD, entry_bytes};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::capacity::MachineKind;
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition, Stamp};
@@ -41,7 +41,7 @@
             changes.push(json!({ "write": key, "value": record }));
         }
         self.roster.new_groups_in_flight = true;
-        self.txn(conditions, changes, Purpose::NewGroups);
+        self.txn(conditions, changes, CallPurpose::WriteNewMachineGroups);
     }
 
     /// Assigns rented machines to new machine groups, as many as fit in one transaction.
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -1,7 +1,7 @@
 //! Submissions: validation, deferral, and storing of the acceptance.
 
 use crate::admission::Deferral;
-use crate::calls::{Asker, Purpose as Call};
+use crate::calls::{CallPurpose as Call, Requester};
 use crate::controller::Controller;
 use crate::ids::{Epoch, JobId, Stamp};
 use crate::jobs::{JobRecord, Purpose, StoredJobStatus, bytes_of};
@@ -26,7 +26,7 @@
 
     /// Handles a submission of a user, or of a peer that cannot store it itself. Only a user's submission may be
     /// forwarded, so `may_forward` is false for a peer's.
-    pub(crate) fn on_submission(&mut self, requester: Asker, body: &[u8], may_forward: bool) {
+    pub(crate) fn on_submission(&mut self, requester: Requester, body: &[u8], may_forward: bool) {
         let id = submission_id(body);
         // A submission of a known job is answered with the job's state, whatever the rest of the body says.
         if let Some(id) = &id
@@ -146,7 +146,7 @@
     /// Sends the write that stores a job's acceptance. `retries` counts the earlier attempts.
     fn store_acceptance(
         &mut self,
-        (requester, submission): (Asker, Option<Vec<u8>>),
+        (requester, submission): (Requester, Option<Vec<u8>>),
         id: JobId,
         spec: JobSpec,
         retries: u32,
@@ -189,7 +189,7 @@
     /// Handles the answer to the write of an acceptance. `accepted_at` is the epoch and the time of day that it holds.
     pub(crate) fn on_accept_reply(
         &mut self,
-        (requester, submission): (Asker, Option<Vec<u8>>),
+        (requester, submission): (Requester, Option<Vec<u8>>),
         id: JobId,
         spec: JobSpec,
         accepted_at: (Epoch, u64),
--- a/crates/tidelatch-core/src/submissions/forwarding.rs
+++ b/crates/tidelatch-core/src/submissions/forwarding.rs
@@ -5,7 +5,7 @@
 //! entitled controller may accept any job, so a peer is asked to do it. That is safe whatever the outcome of the write
 //! by this controller: an acceptance is written only if the job has no record yet.
 
-use crate::calls::{Asker, Purpose as Call};
+use crate::calls::{CallPurpose as Call, Requester};
 use crate::controller::Controller;
 use crate::ids::JobId;
 use crate::messages::{Answer, PeerReply, PeerRequest};
@@ -15,7 +15,7 @@
     /// if it came from a peer, because a submission is forwarded only once.
     pub(super) fn forward_submission(
         &mut self,
-        requester: Asker,
+        requester: Requester,
         job: Option<JobId>,
         submission: Option<Vec<u8>>,
         refusal: Answer,
@@ -30,12 +30,12 @@
             peer,
             PeerRequest::Submit { submission },
             timeout,
-            Call::ForwardSubmission { asker: requester, job },
+            Call::ForwardSubmission { requester, job },
         );
     }
 
     /// Handles a peer's answer to a forwarded submission; `None` if there was no answer.
-    pub(crate) fn on_passed_on(&mut self, requester: Asker, job: Option<JobId>, result: Option<PeerReply>) {
+    pub(crate) fn on_passed_on(&mut self, requester: Requester, job: Option<JobId>, result: Option<PeerReply>) {
         // The watch may have reported the job's end since.
         if let Some(job) = job.filter(|job| self.ended_jobs.contains_key(job)) {
             self.tell_over(requester, &job);
