--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -311,9 +311,9 @@
             let status_body = self.ended_jobs.get(id).map(|ended_job| ended_job.status_body(id));
             let answer = match status_body {
                 Some(status_body) => Answer::new(200, status_body),
-                None => Answer::later(503, 1, "try again"),
+                None => Answer::retry_later(503, 1, "try again"),
             };
-            self.answer(requester, answer);
+            self.send_answer(requester, answer);
             return;
         }
         self.cancellations.heartbeats_requested = true;
@@ -332,7 +332,7 @@
                 self.tell_over(requester, &id);
             } else if now >= deadline_ms {
                 let reason = "no other controller has heard of the cancellation yet";
-                self.answer(requester, Answer::later(503, 1, reason));
+                self.send_answer(requester, Answer::retry_later(503, 1, reason));
             } else {
                 self.cancellations.waiting_requesters.push((id, requester, deadline_ms));
             }
--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -195,7 +195,7 @@
     /// Sends a request to the cloud.
     fn send_cloud_request(&mut self, method: Method, path: impl Into<String>, body: String, purpose: CallPurpose) {
         let timeout = 2 * self.settings.report_ms();
-        self.call(Target::Cloud, method, path, body, timeout, purpose);
+        self.send_call(Target::Cloud, method, path, body, timeout, purpose);
     }
 
     /// Runs a round of capacity management, if one is due and this controller may act.
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -64,7 +64,7 @@
                 sent: now,
                 sent_cancellations,
             };
-            self.ask(to, request, timeout, purpose);
+            self.send_peer_request(to, request, timeout, purpose);
         }
     }
 
@@ -116,7 +116,7 @@
         let entitled = self.entitled();
         let relies = self.relies_on(&from);
         let liveness = self.liveness_for(&from);
-        self.outputs.push(crate::messages::Output::Tell {
+        self.outputs.push(crate::messages::Output::PeerReply {
             id,
             reply: PeerReply::Heartbeat {
                 entitled,
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -216,10 +216,10 @@
     }
 
     /// Answers a requester.
-    pub(crate) fn answer(&mut self, to: Requester, answer: Answer) {
+    pub(crate) fn send_answer(&mut self, to: Requester, answer: Answer) {
         self.outputs.push(match to {
             Requester::Request(id) => Output::Answer { id, answer },
-            Requester::Peer(id) => Output::Tell {
+            Requester::Peer(id) => Output::PeerReply {
                 id,
                 reply: PeerReply::Answer(answer),
             },
@@ -227,7 +227,7 @@
     }
 
     /// Sends a call to a service or a worker and records its purpose until the reply arrives.
-    pub(crate) fn call(
+    pub(crate) fn send_call(
         &mut self,
         target: Target,
         method: Method,
@@ -255,11 +255,17 @@
     }
 
     /// Sends a request to another controller and records its purpose until the reply arrives.
-    pub(crate) fn ask(&mut self, to: ControllerId, request: PeerRequest, timeout_ms: u64, purpose: CallPurpose) {
+    pub(crate) fn send_peer_request(
+        &mut self,
+        to: ControllerId,
+        request: PeerRequest,
+        timeout_ms: u64,
+        purpose: CallPurpose,
+    ) {
         let id = self.next_call_id;
         self.next_call_id += 1;
         self.pending_calls.insert(id, purpose);
-        self.outputs.push(Output::Ask {
+        self.outputs.push(Output::PeerRequest {
             id,
             to,
             request,
@@ -276,9 +282,9 @@
                 let answer = if self.accepts_requests() {
                     Answer::new(200, "{}")
                 } else {
-                    Answer::later(503, 1, "not ready")
+                    Answer::retry_later(503, 1, "not ready")
                 };
-                self.answer(requester, answer);
+                self.send_answer(requester, answer);
             }
             (Method::Post, "/agent/beat") => self.on_report(requester, body, true),
             (Method::Post, "/submissions") => self.on_submission(requester, body, true),
@@ -288,12 +294,12 @@
                     (Method::Get, Some(id)) if !id.contains('/') => self.on_status(requester, id, true),
                     (Method::Post, Some(rest)) => match rest.strip_suffix("/withdraw") {
                         Some(id) if !id.contains('/') => self.on_withdraw(requester, id, true),
-                        _ => self.answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
+                        _ => self.send_answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
                     },
                     _ if ["/up", "/agent/beat", "/submissions"].contains(&path) || rest.is_some() => {
-                        self.answer(requester, Answer::new(405, r#"{"error":"method not allowed"}"#));
+                        self.send_answer(requester, Answer::new(405, r#"{"error":"method not allowed"}"#));
                     }
-                    _ => self.answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
+                    _ => self.send_answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
                 }
             }
         }
@@ -465,7 +471,7 @@
                 // The watch may have delivered the end of the job since its owner answered.
                 _ if self.ended_jobs.contains_key(&job) => self.tell_over(requester, &job),
                 Some(PeerReply::Answer(answer)) if answer.status == 200 && !self.is_reply_stale => {
-                    self.answer(requester, answer)
+                    self.send_answer(requester, answer)
                 }
                 _ => self.read_status(requester, job),
             },
@@ -473,16 +479,16 @@
             (CallPurpose::ForwardCancellation { requester }, result) => {
                 let answer = match result {
                     Some(PeerReply::Answer(answer)) => answer,
-                    _ => Answer::later(503, 1, "the job's controller cannot be reached"),
+                    _ => Answer::retry_later(503, 1, "the job's controller cannot be reached"),
                 };
-                self.answer(requester, answer);
+                self.send_answer(requester, answer);
             }
             _ => {}
         }
     }
 
     /// Resources that one task of a job needs: processors, accelerators and GB of memory.
-    pub(crate) fn size(spec: &JobSpec) -> [f64; 3] {
+    pub(crate) fn task_resources(spec: &JobSpec) -> [f64; 3] {
         [spec.cpus, spec.gpus, spec.memory_gb]
     }
 }
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -192,7 +192,7 @@
         let path = Self::done_bits_path(partition, cursor);
         let timeout = self.settings.lease_ms() / 4;
         let purpose = CallPurpose::ReadAhead { partition, attempt };
-        self.call(Target::State, Method::Get, path, String::new(), timeout, purpose);
+        self.send_call(Target::State, Method::Get, path, String::new(), timeout, purpose);
     }
 
     /// Handles a page of records that are read ahead.
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -265,7 +265,7 @@
             job.reset();
         }
         for requester in requesters {
-            self.answer(requester, Answer::later(503, 1, "membership is changing"));
+            self.send_answer(requester, Answer::retry_later(503, 1, "membership is changing"));
         }
     }
 
@@ -283,7 +283,7 @@
             },
             n: job.spec.tasks,
             team: job.spec.team.clone(),
-            size: Self::size(&job.spec),
+            size: Self::task_resources(&job.spec),
             ended: self.settings.features.cancellations.then_some(self.now.wall_ms),
             spec: None,
         };
@@ -375,20 +375,23 @@
                 id,
                 answer_if_absent,
             } => match result {
-                Some((404, _)) => self.answer(requester, answer_if_absent),
+                Some((404, _)) => self.send_answer(requester, answer_if_absent),
                 result => self.answer_from_read(requester, &id, result),
             },
             Purpose::CancelRead { requester, id } => match result {
-                Some((404, _)) => self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#)),
+                Some((404, _)) => self.send_answer(requester, Answer::new(404, r#"{"error":"no such job"}"#)),
                 Some((200, body)) => {
                     self.apply_read_record(&id, &body);
                     if self.ended_jobs.contains_key(&id) {
                         self.tell_over(requester, &id);
                     } else {
-                        self.answer(requester, Answer::later(503, 1, "try again"));
+                        self.send_answer(requester, Answer::retry_later(503, 1, "try again"));
                     }
                 }
-                _ => self.answer(requester, Answer::later(503, 1, "the state service does not answer")),
+                _ => self.send_answer(
+                    requester,
+                    Answer::retry_later(503, 1, "the state service does not answer"),
+                ),
             },
             Purpose::End { id, ending } => self.on_end_reply(id, ending, result),
             Purpose::Flush { pieces } => self.on_flush_reply(pieces, result),
@@ -410,7 +413,7 @@
                     done: ending == Ending::Done,
                     tasks: job.spec.tasks,
                     team: job.spec.team.clone(),
-                    size: Self::size(&job.spec),
+                    size: Self::task_resources(&job.spec),
                 };
                 let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
                 let outcome = match (ended_job.done, job.spec.deadline_s) {
@@ -428,13 +431,16 @@
             Some((409, _)) => {
                 // The epoch has changed, or an earlier copy of this write was applied: the watch will report which.
                 for requester in std::mem::take(&mut job.requesters) {
-                    self.answer(requester, Answer::later(503, 1, "membership is changing"));
+                    self.send_answer(requester, Answer::retry_later(503, 1, "membership is changing"));
                 }
             }
             _ => {
                 // The write may still be applied: it is sent again until it has a definite answer.
                 for requester in std::mem::take(&mut job.requesters) {
-                    self.answer(requester, Answer::later(503, 1, "the state service does not answer"));
+                    self.send_answer(
+                        requester,
+                        Answer::retry_later(503, 1, "the state service does not answer"),
+                    );
                 }
             }
         }
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -28,7 +28,7 @@
         self.state_reads.force(self.now.ms, 1.0);
         // Users wait 2 s for the answer to a poll.
         let timeout = (self.settings.lease_ms() / 4).min(1500);
-        self.call(
+        self.send_call(
             Target::State,
             Method::Get,
             format!("/store/{JOB_PREFIX}{id}"),
@@ -42,7 +42,7 @@
     pub(crate) fn on_status(&mut self, requester: Requester, id: &str, may_forward: bool) {
         let Some(id) = JobId::parse(id) else {
             // No job has an invalid id.
-            self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
+            self.send_answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
             return;
         };
         if self.ended_jobs.contains_key(&id) {
@@ -52,7 +52,7 @@
         if let Some(job) = self.jobs.get(&id) {
             if self.acting(job.partition).is_some() && job.ending.is_none() {
                 let body = self.live_status_body(&id, job);
-                self.answer(requester, Answer::new(200, body));
+                self.send_answer(requester, Answer::new(200, body));
                 return;
             }
             if let Some(owner) = self.reachable_owner(job.partition, may_forward) {
@@ -60,7 +60,7 @@
                     job: id.as_str().to_owned(),
                     withdraw: false,
                 };
-                self.ask(owner, request, 500, Call::ForwardStatus { requester, job: id });
+                self.send_peer_request(owner, request, 500, Call::ForwardStatus { requester, job: id });
                 return;
             }
         }
@@ -94,7 +94,7 @@
     /// Handles a user's request to cancel a job: stores the end, or forwards the request to the owner.
     pub(crate) fn on_withdraw(&mut self, requester: Requester, id: &str, may_forward: bool) {
         let Some(id) = JobId::parse(id) else {
-            self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
+            self.send_answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
             return;
         };
         if self.ended_jobs.contains_key(&id) {
@@ -113,11 +113,11 @@
                         withdraw: true,
                     };
                     let timeout = 4 * self.settings.report_ms() / 5;
-                    self.ask(owner, request, timeout, Call::ForwardCancellation { requester });
+                    self.send_peer_request(owner, request, timeout, Call::ForwardCancellation { requester });
                 }
-                None => self.answer(
+                None => self.send_answer(
                     requester,
-                    Answer::later(503, 1, "the job's controller cannot be reached"),
+                    Answer::retry_later(503, 1, "the job's controller cannot be reached"),
                 ),
             }
             return;
@@ -163,7 +163,7 @@
             _ => None,
         };
         let answer = match state {
-            None => Answer::later(503, 1, "the state service does not answer"),
+            None => Answer::retry_later(503, 1, "the state service does not answer"),
             Some(_) if self.ended_jobs.contains_key(id) => {
                 self.tell_over(requester, id);
                 return;
@@ -173,6 +173,6 @@
                 json!({ "uid": id, "status": state.user_facing_name(), "done": 0, "running": 0 }).to_string(),
             ),
         };
-        self.answer(requester, answer);
+        self.send_answer(requester, answer);
     }
 }
--- a/crates/tidelatch-core/src/jobs/status_reads.rs
+++ b/crates/tidelatch-core/src/jobs/status_reads.rs
@@ -50,7 +50,7 @@
         let max_in_flight = (self.state_requests_per_s() * MAX_READS_IN_FLIGHT_PER_RPS).max(1.0) as usize;
         let in_flight = self.status_reads.in_flight.len();
         if in_flight >= max_in_flight || !self.state_reads.take(self.now.ms, 0.0, RESERVED_BUDGET_SHARE) {
-            self.answer_all(requesters, &Answer::later(503, 1, "too many requests at present"));
+            self.answer_all(requesters, &Answer::retry_later(503, 1, "too many requests at present"));
             return;
         }
         let read = OpenRead {
@@ -102,7 +102,10 @@
         match state {
             None => {
                 requesters.extend(next_requesters);
-                self.answer_all(requesters, &Answer::later(503, 1, "the state service does not answer"));
+                self.answer_all(
+                    requesters,
+                    &Answer::retry_later(503, 1, "the state service does not answer"),
+                );
             }
             Some(_) if self.ended_jobs.contains_key(&id) => {
                 requesters.extend(next_requesters);
@@ -122,6 +125,6 @@
     fn answer_all(&mut self, requesters: Vec<Requester>, answer: &Answer) {
         requesters
             .into_iter()
-            .for_each(|requester| self.answer(requester, answer.clone()));
+            .for_each(|requester| self.send_answer(requester, answer.clone()));
     }
 }
--- a/crates/tidelatch-core/src/lib.rs
+++ b/crates/tidelatch-core/src/lib.rs
@@ -33,6 +33,6 @@
 pub use cancellations::CancellationNotice;
 pub use controller::Controller;
 pub use messages::{
-    Answer, Digest, IdleMachine, Input, Level, MachineRequest, Method, Move, NOT_SENT, NOT_TRIED, Now, Output,
-    PeerReply, PeerRequest, PermitGrants, PermitListing, SpareRoom, Target, WaitingTasks,
+    Answer, Digest, IdleMachine, Input, Level, MachineRequest, Method, Move, Now, Output, PeerReply, PeerRequest,
+    PermitGrants, PermitListing, STATUS_NO_FREE_SOCKET, STATUS_NOT_CONNECTED, SpareRoom, Target, WaitingTasks,
 };
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -87,7 +87,7 @@
         let demand = self
             .jobs
             .get(&task.job)
-            .map(|j| (Self::size(&j.spec), j.spec.team.clone(), j.partition));
+            .map(|j| (Self::task_resources(&j.spec), j.spec.team.clone(), j.partition));
         let Some((size, team, partition)) = demand else { return };
         let Some(attempt) = self.next_attempt(&task.job, partition) else {
             return;
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::ids::{Attempt, Epoch, MachineId, TaskId};
 use crate::jobs::Job;
-use crate::messages::{Method, NOT_SENT, NOT_TRIED, Target};
+use crate::messages::{Method, STATUS_NO_FREE_SOCKET, STATUS_NOT_CONNECTED, Target};
 use crate::protocol::{Command, Orders, Report, TaskState};
 
 /// The command that starts a held task.
@@ -175,7 +175,7 @@
                 m.pending_command = Some(number);
             }
             let timeout = self.settings.report_ms() / 2;
-            self.call(
+            self.send_call(
                 Target::Worker(addr),
                 Method::Post,
                 "/commands",
@@ -235,8 +235,8 @@
             }
             // Not executed: the worker is in another session or has seen a newer epoch, or the connection was not
             // established.
-            (Some(status @ (409 | NOT_SENT | NOT_TRIED)), report) => {
-                if status != NOT_TRIED {
+            (Some(status @ (409 | STATUS_NOT_CONNECTED | STATUS_NO_FREE_SOCKET)), report) => {
+                if status != STATUS_NO_FREE_SOCKET {
                     m.direct_commands_from = now + lease / 4;
                 }
                 let not_started: Vec<(TaskId, Attempt)> = m
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -18,17 +18,20 @@
             Ok(report) => report,
             Err(fault) => {
                 let error = json!({ "error": fault.to_string() }).to_string();
-                self.answer(requester, Answer::new(400, error));
+                self.send_answer(requester, Answer::new(400, error));
                 return;
             }
         };
         let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
-            self.answer(requester, Answer::later(503, 1, "not entitled to act at present"));
+            self.send_answer(requester, Answer::retry_later(503, 1, "not entitled to act at present"));
             return;
         };
         if report.epoch > epoch {
             // The worker would drop an answer under an older epoch, and would go on reporting to this controller.
-            self.answer(requester, Answer::later(503, 1, "a newer epoch is not known here yet"));
+            self.send_answer(
+                requester,
+                Answer::retry_later(503, 1, "a newer epoch is not known here yet"),
+            );
             return;
         }
         let Some(partition) = self.machines.get(&report.machine).map(|m| m.partition) else {
@@ -60,7 +63,7 @@
                 // A relayed report reached a controller that is not the owner: the sender does not know the new owner
                 // yet.
                 let _ = owner;
-                self.answer(requester, Answer::later(503, 1, "not the owner"));
+                self.send_answer(requester, Answer::retry_later(503, 1, "not the owner"));
             }
             _ => {
                 // A takeover is in progress: the worker keeps its tasks and learns the new epoch.
@@ -73,7 +76,7 @@
     /// Answers 421 with the controller to which the worker should report.
     pub(super) fn redirect_worker(&mut self, requester: Requester, to: &ControllerId) {
         let body = json!({ "dispatcher": to }).to_string();
-        self.answer(requester, Answer::new(421, body));
+        self.send_answer(requester, Answer::new(421, body));
     }
 
     /// Answers a report with the epoch and commands.
@@ -84,7 +87,7 @@
             commands,
         };
         let body = serde_json::to_string(&orders).unwrap_or_default();
-        self.answer(requester, Answer::new(200, body));
+        self.send_answer(requester, Answer::new(200, body));
     }
 
     /// Relays a report of a machine that another controller owns. A worker that has reported here for two report
@@ -130,7 +133,7 @@
         }
         let request = PeerRequest::Relay { report: body.to_vec() };
         let timeout = self.settings.report_ms() / 3;
-        self.ask(
+        self.send_peer_request(
             owner.clone(),
             request,
             timeout,
@@ -146,14 +149,14 @@
     pub(crate) fn on_relayed(&mut self, requester: Requester, report: &Report, result: Option<PeerReply>) {
         match result {
             Some(PeerReply::Answer(answer)) if answer.status == 200 && self.entitled() => {
-                self.answer(requester, answer)
+                self.send_answer(requester, answer)
             }
             _ => match self.epoch().filter(|e| self.entitled() && *e >= report.epoch) {
                 Some(epoch) => {
                     let stops = self.stops_for_finished_jobs(report);
                     self.answer_orders(requester, epoch, stops);
                 }
-                None => self.answer(requester, Answer::later(503, 1, "not entitled to act at present")),
+                None => self.send_answer(requester, Answer::retry_later(503, 1, "not entitled to act at present")),
             },
         }
     }
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -289,7 +289,7 @@
     fn adopt_task(&mut self, id: &MachineId, task: TaskId, attempt: Attempt, state: TaskState) {
         let now = self.now.ms;
         let (size, team) = match (self.jobs.get(&task.job), self.ended_jobs.get(&task.job)) {
-            (Some(j), _) => (Self::size(&j.spec), j.spec.team.clone()),
+            (Some(j), _) => (Self::task_resources(&j.spec), j.spec.team.clone()),
             (None, Some(over)) => (over.size, over.team.clone()),
             _ => ([0.0; 3], String::new()),
         };
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -192,7 +192,7 @@
         for (machine, address) in machines {
             let purpose = CallPurpose::ReadWorkerStatus { machine, sent: now };
             let target = Target::Worker(address);
-            self.call(target, Method::Get, "/status", String::new(), interval_ms, purpose);
+            self.send_call(target, Method::Get, "/status", String::new(), interval_ms, purpose);
         }
     }
 
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -6,7 +6,7 @@
 use crate::ids::{Attempt, ControllerId, MachineId, Partition, TaskId};
 use crate::machine_view::{Held, HeldState};
 use crate::membership::Stage;
-use crate::messages::{Level, Method, NOT_TRIED, Target};
+use crate::messages::{Level, Method, STATUS_NO_FREE_SOCKET, Target};
 use crate::protocol::{Orders, Report};
 use std::collections::BTreeMap;
 
@@ -41,7 +41,7 @@
                 commands: Vec::new(),
             };
             let body = serde_json::to_string(&orders).unwrap_or_default();
-            self.call(
+            self.send_call(
                 Target::Worker(addr),
                 Method::Post,
                 "/commands",
@@ -58,7 +58,7 @@
         if let Some(m) = self.machines.get_mut(&id) {
             m.confirming = false;
         }
-        let was_not_sent = matches!(result, Some((NOT_TRIED, _)));
+        let was_not_sent = matches!(result, Some((STATUS_NO_FREE_SOCKET, _)));
         let report = result.and_then(|(status, body)| Some((status, serde_json::from_slice::<Report>(&body).ok()?)));
         let Some((status, report)) = report else {
             self.count_failed_probe(&id, sent, was_not_sent);
@@ -148,7 +148,7 @@
             })
             .collect();
         for (id, addr) in due {
-            self.call(
+            self.send_call(
                 Target::Worker(addr),
                 Method::Get,
                 "/status",
@@ -162,7 +162,7 @@
     /// Handles the answer to a status request.
     pub(crate) fn on_probe(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
         // No socket was free on this controller, which says nothing about the machine.
-        let was_not_sent = matches!(result, Some((NOT_TRIED, _)));
+        let was_not_sent = matches!(result, Some((STATUS_NO_FREE_SOCKET, _)));
         let report = match result {
             Some((200, body)) => serde_json::from_slice::<Report>(&body).ok(),
             _ => None,
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -183,7 +183,7 @@
         self.state_writes.force(self.now.ms, changes.len() as f64);
         let timeout = self.settings.lease_ms() / 4;
         let body = json!({ "if": conditions, "then": changes }).to_string();
-        self.call(Target::State, Method::Post, "/txn", body, timeout, purpose);
+        self.send_call(Target::State, Method::Post, "/txn", body, timeout, purpose);
     }
 
     /// Obtains or extends the lease, follows the shared keys, and advances registration, leadership and heartbeats.
@@ -195,7 +195,7 @@
                 self.membership.is_requesting_lease = true;
                 let body = json!({ "ttlMs": self.settings.lease_ms() }).to_string();
                 self.state_reads.force(now, 1.0);
-                self.call(
+                self.send_call(
                     Target::State,
                     Method::Post,
                     "/leases",
@@ -210,7 +210,7 @@
                 self.membership.is_extending_lease = true;
                 self.membership.last_extension_ms = now;
                 self.state_reads.force(now, 1.0);
-                self.call(
+                self.send_call(
                     Target::State,
                     Method::Post,
                     format!("/leases/{lease_id}/extend"),
--- a/crates/tidelatch-core/src/membership/lease_failures.rs
+++ b/crates/tidelatch-core/src/membership/lease_failures.rs
@@ -3,7 +3,7 @@
 
 use crate::controller::Controller;
 use crate::ids::ControllerId;
-use crate::messages::{Level, NOT_SENT, NOT_TRIED};
+use crate::messages::{Level, STATUS_NO_FREE_SOCKET, STATUS_NOT_CONNECTED};
 use std::fmt;
 
 /// Why a request to obtain or extend the lease failed.
@@ -22,7 +22,7 @@
     pub(super) fn from_result(result: Option<&(u16, Vec<u8>)>) -> Self {
         match result {
             None => Self::Unanswered,
-            Some((NOT_SENT | NOT_TRIED, _)) => Self::NotConnected,
+            Some((STATUS_NOT_CONNECTED | STATUS_NO_FREE_SOCKET, _)) => Self::NotConnected,
             Some((status, _)) => Self::Refused(*status),
         }
     }
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -22,7 +22,7 @@
             path.push_str(&format!("&since={cursor}"));
         }
         let timeout = self.settings.lease_ms() / 4;
-        self.call(
+        self.send_call(
             Target::State,
             Method::Get,
             path,
@@ -39,7 +39,7 @@
         let number = self.membership.watch_number;
         self.state_reads.force(self.now.ms, 1.0);
         let wait = self.settings.lease_ms();
-        self.call(
+        self.send_call(
             Target::State,
             Method::Get,
             format!(
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -163,7 +163,7 @@
         self.state_reads.force(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
         let purpose = CallPurpose::DoneBitsChanges { partition, since };
-        self.call(Target::State, Method::Get, path, String::new(), timeout, purpose);
+        self.send_call(Target::State, Method::Get, path, String::new(), timeout, purpose);
     }
 
     /// Handles the changes since the bitmaps were read ahead. If the read failed, reads all bitmaps.
@@ -212,7 +212,7 @@
         let path = Self::done_bits_path(partition, &cursor);
         self.state_reads.force(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
-        self.call(
+        self.send_call(
             Target::State,
             Method::Get,
             path,
--- a/crates/tidelatch-core/src/messages.rs
+++ b/crates/tidelatch-core/src/messages.rs
@@ -7,10 +7,10 @@
 use tidelatch_failure_detector::Heartbeat;
 
 /// Status of a call that was never sent because no connection was established: nothing can have been executed.
-pub const NOT_SENT: u16 = 0;
+pub const STATUS_NOT_CONNECTED: u16 = 0;
 
 /// Status of a call for which no socket was free: nothing was sent, so it tells nothing about the other side.
-pub const NOT_TRIED: u16 = 1;
+pub const STATUS_NO_FREE_SOCKET: u16 = 1;
 
 /// The time of an input.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -64,7 +64,7 @@
         }
     }
     /// Creates an answer with an error message that asks the client to retry after some seconds.
-    pub fn later(status: u16, seconds: u32, why: &str) -> Self {
+    pub fn retry_later(status: u16, seconds: u32, why: &str) -> Self {
         Self {
             status,
             retry_after_s: Some(seconds),
@@ -286,7 +286,7 @@
     Reply {
         /// Number of the call.
         call: u64,
-        /// Status (or [`NOT_SENT`] or [`NOT_TRIED`]) and body; `None`: there was no reply before the timeout.
+        /// Status (or [`STATUS_NOT_CONNECTED`] or [`STATUS_NO_FREE_SOCKET`]) and body; `None`: there was no reply before the timeout.
         result: Option<(u16, Vec<u8>)>,
     },
     /// A request from another controller.
@@ -342,7 +342,7 @@
         timeout_ms: u64,
     },
     /// Sends a request to another controller; its result comes back as [`Input::PeerReply`].
-    Ask {
+    PeerRequest {
         /// Number of the call.
         id: u64,
         /// The receiver.
@@ -353,7 +353,7 @@
         timeout_ms: u64,
     },
     /// Replies to a request of another controller.
-    Tell {
+    PeerReply {
         /// Number of the request.
         id: u64,
         /// The reply.
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -106,7 +106,7 @@
     fn smallest_size(&self, waiting: &[WaitingJob]) -> Amounts {
         let mut smallest = [f64::MAX; 3];
         for job in waiting.iter().filter_map(|w| self.jobs.get(&w.id)) {
-            let size = Self::size(&job.spec);
+            let size = Self::task_resources(&job.spec);
             smallest
                 .iter_mut()
                 .zip(size)
@@ -447,7 +447,7 @@
         Some(JobTerms {
             cheap_zones,
             most_elsewhere: spec.tasks.saturating_sub(cheap_zone_capacity),
-            size: Self::size(spec),
+            size: Self::task_resources(spec),
             models: spec.models.clone(),
             zone: spec.zone.clone(),
             one_zone: spec.one_zone,
@@ -479,7 +479,7 @@
     /// the cheapest one. Empty if that is true for all zones or for none, or if the job names a zone or may use spot
     /// machines.
     pub(super) fn find_cheap_zones(&self, spec: &JobSpec, cheapest: f64) -> Vec<String> {
-        let size = Self::size(spec);
+        let size = Self::task_resources(spec);
         let mut cheap: BTreeSet<&String> = BTreeSet::new();
         let mut all: BTreeSet<&String> = BTreeSet::new();
         for t in &self.machine_types {
@@ -504,7 +504,7 @@
     /// Price per hour of one task on the cheapest type of machine that its job may use, fully packed; 0 if there is
     /// none.
     pub(super) fn cheapest_task_price(&self, spec: &JobSpec) -> f64 {
-        let size = Self::size(spec);
+        let size = Self::task_resources(spec);
         let mut best = f64::MAX;
         for t in &self.machine_types {
             let fit = crate::capacity::room_for(&size, &[t.cpus, t.gpus, t.memory_gb]);
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -62,7 +62,7 @@
 
     /// Adds a job of a team to the collected jobs; `room` is what is left under the team's limit.
     fn collect_job(&self, id: &JobId, job: &mut Job, team: usize, room: &Amounts, collected: &mut CollectedJobs) {
-        let size = Controller::size(&job.spec);
+        let size = Controller::task_resources(&job.spec);
         let max_tasks = count_fitting_tasks(&size, room);
         let slack_s = self.slack_s(job);
         if max_tasks == 0 && job.spec.priority >= Priority::Prod && job.waiting_count() > 0 {
@@ -233,7 +233,7 @@
                 continue;
             };
             let Some(job) = self.jobs.get(&w.id) else { continue };
-            let size = Self::size(&job.spec);
+            let size = Self::task_resources(&job.spec);
             let fitting = count_fitting_tasks(&size, room_left);
             if job.spec.shape == Shape::Gang && fitting < w.tasks.len() {
                 w.tasks.clear();
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -75,8 +75,8 @@
     /// recorded machine with the session and sequence number of the report; none if it was not recorded.
     pub(super) fn answer_first_report(&mut self, requester: Requester, machine: Option<(&MachineId, (u64, u64))>) {
         let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
-            let later = crate::messages::Answer::later(503, 1, "not entitled to act at present");
-            self.answer(requester, later);
+            let later = crate::messages::Answer::retry_later(503, 1, "not entitled to act at present");
+            self.send_answer(requester, later);
             return;
         };
         let commands = match machine {
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -6,7 +6,7 @@
 use crate::ids::{Epoch, JobId, Stamp};
 use crate::jobs::{JobRecord, Purpose, StoredJobStatus, bytes_of};
 use crate::membership::JOB_PREFIX;
-use crate::messages::{Answer, Level, NOT_SENT, NOT_TRIED};
+use crate::messages::{Answer, Level, STATUS_NO_FREE_SOCKET, STATUS_NOT_CONNECTED};
 use crate::protocol::{JobSpec, Malformed, Shape, TxnAnswer, parse_submission, submission_id};
 use serde_json::json;
 
@@ -37,7 +37,7 @@
         }
         let submission = may_forward.then(|| body.to_vec());
         if !self.entitled() || self.membership.epoch.is_none() {
-            let refusal = Answer::later(503, 1, "not entitled to act at present");
+            let refusal = Answer::retry_later(503, 1, "not entitled to act at present");
             self.forward_submission(requester, id, submission, refusal);
             return;
         }
@@ -56,12 +56,12 @@
                 return;
             }
             (Err(answer), _) => {
-                self.answer(requester, answer);
+                self.send_answer(requester, answer);
                 return;
             }
         };
         if let Some(answer) = self.defer_submission(&spec) {
-            self.answer(requester, answer);
+            self.send_answer(requester, answer);
             return;
         }
         self.store_acceptance((requester, submission), id, spec, 0);
@@ -70,7 +70,7 @@
     /// Returns 429 or 503 for a submission that cannot be accepted now.
     fn defer_submission(&mut self, spec: &JobSpec) -> Option<Answer> {
         if !self.state_reads.take(self.now.ms, 0.0, -0.5) {
-            return Some(Answer::later(503, 1, "too many requests at present"));
+            return Some(Answer::retry_later(503, 1, "too many requests at present"));
         }
         let controllers = self.membership.members.len();
         let admitted = self
@@ -79,8 +79,12 @@
         let deferral = admitted.err()?;
         self.log_deferral(spec, deferral);
         Some(match deferral {
-            Deferral::QueueFull { retry_after_s } => Answer::later(429, retry_after_s, "the team's queue is full"),
-            Deferral::WriteRate { retry_after_s } => Answer::later(503, retry_after_s, "too many requests at present"),
+            Deferral::QueueFull { retry_after_s } => {
+                Answer::retry_later(429, retry_after_s, "the team's queue is full")
+            }
+            Deferral::WriteRate { retry_after_s } => {
+                Answer::retry_later(503, retry_after_s, "too many requests at present")
+            }
         })
     }
 
@@ -108,7 +112,7 @@
             }
         }
         if self.machine_types.is_empty() {
-            return Some(Answer::later(503, 1, "the machine types are not known yet"));
+            return Some(Answer::retry_later(503, 1, "the machine types are not known yet"));
         }
         if !self.fits_allowed_machine_type(spec) {
             return unprocessable("a task fits no allowed machine type");
@@ -134,7 +138,7 @@
         }
         if !self.all_know_gangs() {
             let lease_s = (self.settings.lease_ms() / 1000).max(1) as u32;
-            return Some(Answer::later(
+            return Some(Answer::retry_later(
                 503,
                 lease_s,
                 "a controller that does not know gangs is still serving",
@@ -160,7 +164,7 @@
             st: StoredJobStatus::Queued,
             n: spec.tasks,
             team: spec.team.clone(),
-            size: Self::size(&spec),
+            size: Self::task_resources(&spec),
             ended: None,
             spec: Some(spec.clone()),
         };
@@ -206,7 +210,7 @@
                     st: StoredJobStatus::Queued,
                     n: spec.tasks,
                     team: spec.team.clone(),
-                    size: Self::size(&spec),
+                    size: Self::task_resources(&spec),
                     ended: None,
                     spec: Some(spec),
                 };
@@ -224,17 +228,17 @@
                     return;
                 }
                 let body = json!({ "uid": id, "status": "queued" }).to_string();
-                self.answer(requester, Answer::new(201, body));
+                self.send_answer(requester, Answer::new(201, body));
             }
             Some((409, body)) => {
                 let failed = serde_json::from_slice::<TxnAnswer>(&body).unwrap_or_default().failed;
                 if failed.iter().any(|k| k.starts_with(JOB_PREFIX)) {
-                    self.check_existing_job(requester, id, Answer::later(503, 1, "try again"));
+                    self.check_existing_job(requester, id, Answer::retry_later(503, 1, "try again"));
                 } else if retries < 3 && self.epoch() > Some(accepted_at.0) && self.entitled() {
                     // The epoch has changed, and this controller knows the new one by now.
                     self.store_acceptance((requester, submission), id, spec, retries + 1);
                 } else {
-                    self.answer(requester, Answer::later(503, 1, "membership is changing"));
+                    self.send_answer(requester, Answer::retry_later(503, 1, "membership is changing"));
                 }
             }
             None => {
@@ -242,14 +246,17 @@
                 self.check_existing_job(
                     requester,
                     id,
-                    Answer::later(503, 1, "the state service does not answer"),
+                    Answer::retry_later(503, 1, "the state service does not answer"),
                 );
             }
-            Some((503 | NOT_SENT | NOT_TRIED, _)) => {
-                let refusal = Answer::later(503, 1, "the state service does not answer");
+            Some((503 | STATUS_NOT_CONNECTED | STATUS_NO_FREE_SOCKET, _)) => {
+                let refusal = Answer::retry_later(503, 1, "the state service does not answer");
                 self.forward_submission(requester, Some(id), submission, refusal);
             }
-            Some(_) => self.answer(requester, Answer::later(503, 1, "the state service does not answer")),
+            Some(_) => self.send_answer(
+                requester,
+                Answer::retry_later(503, 1, "the state service does not answer"),
+            ),
         }
     }
 }
--- a/crates/tidelatch-core/src/submissions/forwarding.rs
+++ b/crates/tidelatch-core/src/submissions/forwarding.rs
@@ -21,12 +21,12 @@
         refusal: Answer,
     ) {
         let Some((submission, peer)) = submission.zip(self.entitled_peer()) else {
-            self.answer(requester, refusal);
+            self.send_answer(requester, refusal);
             return;
         };
         // Users wait 5 s for an answer; workers wait 4 s for theirs.
         let timeout = 4 * self.settings.report_ms() / 5;
-        self.ask(
+        self.send_peer_request(
             peer,
             PeerRequest::Submit { submission },
             timeout,
@@ -45,8 +45,8 @@
             // An answer that stayed in buffers while this process was paused may be older than what other controllers
             // have told users since.
             Some(PeerReply::Answer(answer)) if !self.is_reply_stale => answer,
-            _ => Answer::later(503, 1, "no other controller can store it"),
+            _ => Answer::retry_later(503, 1, "no other controller can store it"),
         };
-        self.answer(requester, answer);
+        self.send_answer(requester, answer);
     }
 }
--- a/crates/tidelatch-core/tests/failure_detection.rs
+++ b/crates/tidelatch-core/tests/failure_detection.rs
@@ -72,7 +72,7 @@
     let answered = |output: &Output| {
         matches!(
             output,
-            Output::Tell {
+            Output::PeerReply {
                 reply: PeerReply::Heartbeat { .. },
                 ..
             }
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -149,7 +149,7 @@
             } => {}
             Output::Log { text, .. } => self.note(&format!("berth-{node}: {text}")),
             Output::Answer { id, answer } => self.answer(node, id, answer),
-            Output::Tell { id, reply } => self.answer_peer(id, reply),
+            Output::PeerReply { id, reply } => self.answer_peer(id, reply),
             Output::Call {
                 id: call,
                 target,
@@ -161,7 +161,7 @@
                 let request = Self::service_request(&target, method, path, body);
                 self.call(Caller { node, life, call }, &target, request, timeout_ms);
             }
-            Output::Ask {
+            Output::PeerRequest {
                 id: call,
                 to,
                 request,
--- a/crates/tidelatch/src/daemon/dispatcher.rs
+++ b/crates/tidelatch/src/daemon/dispatcher.rs
@@ -14,7 +14,9 @@
 use std::time::Instant;
 use tidelatch_core::ids::ControllerId;
 use tidelatch_core::settings::Settings;
-use tidelatch_core::{Answer, Input, Level, NOT_SENT, NOT_TRIED, Output, PeerReply, PeerRequest, Target};
+use tidelatch_core::{
+    Answer, Input, Level, Output, PeerReply, PeerRequest, STATUS_NO_FREE_SOCKET, STATUS_NOT_CONNECTED, Target,
+};
 
 /// Carries out what the core wants.
 pub(super) struct Dispatcher {
@@ -101,7 +103,7 @@
                     let _ = reply.try_send(answer);
                 }
             }
-            Output::Tell { id, reply } => {
+            Output::PeerReply { id, reply } => {
                 if let Some(to) = self.peer_requests.remove(&id) {
                     let _ = to.try_send(reply);
                 }
@@ -128,7 +130,7 @@
                 });
                 self.start_call(id, request, timeout_ms);
             }
-            Output::Ask {
+            Output::PeerRequest {
                 id,
                 to,
                 request,
@@ -202,8 +204,8 @@
 /// What the core is told of a call without an answer: a status of its own if the receiver got nothing of it.
 fn result_without_answer(stage: CallStage) -> Option<(u16, Vec<u8>)> {
     match stage {
-        CallStage::Waiting => Some((NOT_TRIED, Vec::new())),
-        CallStage::Connecting => Some((NOT_SENT, Vec::new())),
+        CallStage::Waiting => Some((STATUS_NO_FREE_SOCKET, Vec::new())),
+        CallStage::Connecting => Some((STATUS_NOT_CONNECTED, Vec::new())),
         CallStage::Sent => None,
     }
 }
--- a/crates/tidelatch/src/daemon/inbox.rs
+++ b/crates/tidelatch/src/daemon/inbox.rs
@@ -110,7 +110,7 @@
 
 /// Answers who has given up by now, with no other work.
 pub(super) fn reject_expired(event: Event) {
-    let answer = Answer::later(503, 1, "overloaded");
+    let answer = Answer::retry_later(503, 1, "overloaded");
     // Whoever asked may have gone away.
     match event {
         Event::Request { reply, .. } => drop(reply.try_send(answer)),
