--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -293,7 +293,7 @@
                 match (method, rest) {
                     (Method::Get, Some(id)) if !id.contains('/') => self.on_status(requester, id, true),
                     (Method::Post, Some(rest)) => match rest.strip_suffix("/withdraw") {
-                        Some(id) if !id.contains('/') => self.on_withdraw(requester, id, true),
+                        Some(id) if !id.contains('/') => self.on_cancel_request(requester, id, true),
                         _ => self.send_answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
                     },
                     _ if ["/up", "/agent/beat", "/submissions"].contains(&path) || rest.is_some() => {
@@ -310,7 +310,7 @@
         let requester = Requester::Peer(id);
         match request {
             PeerRequest::Relay { report } => self.on_report(requester, &report, false),
-            PeerRequest::Forward { job, withdraw: true } => self.on_withdraw(requester, &job, false),
+            PeerRequest::Forward { job, withdraw: true } => self.on_cancel_request(requester, &job, false),
             PeerRequest::Forward { job, withdraw: false } => self.on_status(requester, &job, false),
             PeerRequest::Submit { submission } => self.on_submission(requester, &submission, false),
             PeerRequest::Heartbeat {
@@ -345,9 +345,9 @@
             CallPurpose::EpochWrite => ("the epoch", false),
             CallPurpose::WriteMachineTypes => ("the machine types", false),
             CallPurpose::Job(JobPurpose::Accept { .. }) => ("a job acceptance", false),
-            CallPurpose::Job(JobPurpose::End { .. }) => ("a job's end", true),
-            CallPurpose::Job(JobPurpose::Flush { .. }) => ("bitmaps of completed tasks", true),
-            CallPurpose::Job(JobPurpose::Sweep { .. }) => ("a deletion of bitmaps of ended jobs", true),
+            CallPurpose::Job(JobPurpose::StoreEnd { .. }) => ("a job's end", true),
+            CallPurpose::Job(JobPurpose::FlushDoneBits { .. }) => ("bitmaps of completed tasks", true),
+            CallPurpose::Job(JobPurpose::DeleteBitmaps { .. }) => ("a deletion of bitmaps of ended jobs", true),
             CallPurpose::WriteNewMachineGroups | CallPurpose::WriteMachineGroup { .. } => ("a machine group", true),
             CallPurpose::WriteBootBatch { .. } => ("a boot batch", true),
             CallPurpose::WriteDrain { .. } => ("a drain record", true),
@@ -475,7 +475,9 @@
                 }
                 _ => self.read_status(requester, job),
             },
-            (CallPurpose::ForwardSubmission { requester, job }, result) => self.on_passed_on(requester, job, result),
+            (CallPurpose::ForwardSubmission { requester, job }, result) => {
+                self.on_forwarded_submission_reply(requester, job, result)
+            }
             (CallPurpose::ForwardCancellation { requester }, result) => {
                 let answer = match result {
                     Some(PeerReply::Answer(answer)) => answer,
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -149,7 +149,7 @@
             .running_since
             .map_or(0.0, |t| self.now.ms.saturating_sub(t) as f64 / 1000.0);
         let saves = spec.checkpoint_s > 0.0;
-        let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
+        let age_s = self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0;
         let interruption = Interruption {
             remaining_s: (self.estimates.run_s(spec) - ran_s).max(0.0),
             lost_s: if saves { ran_s.min(spec.save_s) } else { ran_s },
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -5,7 +5,7 @@
 mod requests;
 mod status_reads;
 
-pub(crate) use bitmap::Piece;
+pub(crate) use bitmap::BitmapPiece;
 pub use bitmap::bits_from_hex;
 pub(crate) use record::{EndedJob, bytes_of};
 pub use record::{JobRecord, StoredJobStatus};
@@ -39,11 +39,11 @@
 pub(crate) struct Job {
     pub(crate) spec: JobSpec,
     /// Revision of the job's record in the state service.
-    pub(crate) stamp: Stamp,
+    pub(crate) revision: Stamp,
     /// Epoch under which the job was accepted.
     pub(crate) epoch: Epoch,
     /// Time of day of the acceptance, in milliseconds.
-    pub(crate) at_wall: u64,
+    pub(crate) accepted_wall_ms: u64,
     pub(crate) partition: Partition,
     /// Bitmap of the finished tasks, by task index.
     pub(crate) done_bits: Vec<u64>,
@@ -51,17 +51,17 @@
     /// Bitmap of the finished tasks that the state service has stored.
     stored_bits: Vec<u64>,
     /// Pieces of the bitmap that are yet to be written.
-    dirty: BTreeSet<Piece>,
+    dirty: BTreeSet<BitmapPiece>,
     /// Pieces whose write has been sent and not answered.
-    in_flight: BTreeSet<Piece>,
+    in_flight: BTreeSet<BitmapPiece>,
     /// Pieces whose key exists in the store, or may exist because a write was sent.
-    stored_pieces: BTreeSet<Piece>,
+    stored_pieces: BTreeSet<BitmapPiece>,
     /// Chunks whose own key holds bits beyond the first piece, because values could be larger when it was written.
     oversized_chunks: BTreeSet<u32>,
     /// Machines that hold each placed task, including those where it is uncertain whether they hold it.
     pub(crate) placed: BTreeMap<u32, Vec<MachineId>>,
     /// Every task below this index is done or placed.
-    pub(crate) cursor: u32,
+    pub(crate) first_unplaced_index: u32,
     /// The end that is being stored; no task is started from then on.
     pub(crate) ending: Option<Ending>,
     /// A write of the end has been sent and not answered.
@@ -71,7 +71,7 @@
     pub(crate) failures: JobFailures,
     /// A zone that a replica has left to make room for another job's replica, and the time until which no replica
     /// returns there.
-    pub(crate) shunned: Option<(String, u64)>,
+    pub(crate) avoided_zone: Option<(String, u64)>,
     /// The gang's current attempt, if a machine may have any of its tasks.
     pub(crate) gang: Option<Gang>,
 }
@@ -82,9 +82,9 @@
         let words = (spec.tasks as usize).div_ceil(64);
         Self {
             spec,
-            stamp: record.2,
+            revision: record.2,
             epoch: record.0,
-            at_wall: record.1,
+            accepted_wall_ms: record.1,
             partition,
             done_bits: vec![0; words],
             done_count: 0,
@@ -94,28 +94,30 @@
             stored_pieces: BTreeSet::new(),
             oversized_chunks: BTreeSet::new(),
             placed: BTreeMap::new(),
-            cursor: 0,
+            first_unplaced_index: 0,
             ending: None,
             is_end_in_flight: false,
             requesters: Vec::new(),
             failures: JobFailures::default(),
-            shunned: None,
+            avoided_zone: None,
             gang: None,
         }
     }
 
     /// Discards everything but what the job record holds.
     fn reset(&mut self) {
-        let record = (self.epoch, self.at_wall, self.stamp);
+        let record = (self.epoch, self.accepted_wall_ms, self.revision);
         *self = Self::new(self.spec.clone(), record, self.partition);
     }
 
     /// Returns up to `limit` tasks that are not done and cannot be on a machine, lowest index first.
-    pub(crate) fn waiting(&mut self, limit: usize) -> Vec<u32> {
-        while self.cursor < self.spec.tasks && (self.is_done(self.cursor) || self.placed.contains_key(&self.cursor)) {
-            self.cursor += 1;
+    pub(crate) fn waiting_tasks(&mut self, limit: usize) -> Vec<u32> {
+        while self.first_unplaced_index < self.spec.tasks
+            && (self.is_done(self.first_unplaced_index) || self.placed.contains_key(&self.first_unplaced_index))
+        {
+            self.first_unplaced_index += 1;
         }
-        (self.cursor..self.spec.tasks)
+        (self.first_unplaced_index..self.spec.tasks)
             .filter(|i| !self.is_done(*i) && !self.placed.contains_key(i))
             .take(limit)
             .collect()
@@ -130,7 +132,7 @@
     }
 
     /// Whether tasks of this job may be started.
-    pub(crate) fn startable(&self, now: u64) -> bool {
+    pub(crate) fn can_start_tasks(&self, now: u64) -> bool {
         self.ending.is_none() && !self.failures.is_held(now)
     }
 }
@@ -161,16 +163,16 @@
     /// Reads the record of a job that is to be cancelled and that this controller does not know.
     CancelRead { requester: Requester, id: JobId },
     /// Stores the end of a job.
-    End { id: JobId, ending: Ending },
+    StoreEnd { id: JobId, ending: Ending },
     /// Stores bits of finished tasks.
-    Flush { pieces: Vec<InFlightPiece> },
+    FlushDoneBits { pieces: Vec<InFlightPiece> },
     /// Deletes bitmaps of ended jobs.
-    Sweep { keys: Vec<String> },
+    DeleteBitmaps { keys: Vec<String> },
 }
 
 impl Controller {
     /// Applies a job record that the watch or a listing returned.
-    pub(crate) fn apply_job(&mut self, id: JobId, value: Option<Value>, stamp: Stamp) {
+    pub(crate) fn on_job_record_changed(&mut self, id: JobId, value: Option<Value>, stamp: Stamp) {
         // Job records are never deleted, so an absent value is ignored.
         let Some(record) = value.and_then(|v| serde_json::from_value::<JobRecord>(v).ok()) else {
             return;
@@ -201,7 +203,7 @@
             return;
         }
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.stamp = job.stamp.max(stamp);
+            job.revision = job.revision.max(stamp);
             return;
         }
         let Some(spec) = record.spec else { return };
@@ -276,7 +278,7 @@
         job.is_end_in_flight = true;
         let record = JobRecord {
             epoch: job.epoch,
-            at: job.at_wall,
+            at: job.accepted_wall_ms,
             st: match ending {
                 Ending::Done => StoredJobStatus::Done,
                 Ending::Cancelled => StoredJobStatus::Cancelled,
@@ -288,7 +290,7 @@
             spec: None,
         };
         let key = format!("{JOB_PREFIX}{id}");
-        let mut conditions = vec![json!({ "k": key, "stamp": job.stamp })];
+        let mut conditions = vec![json!({ "k": key, "stamp": job.revision })];
         let mut changes = vec![json!({ "write": key, "value": record })];
         let deletions_in_txn = self.write_limits.ops.saturating_sub(1);
         let partition = job.partition;
@@ -297,11 +299,15 @@
         let remaining: Vec<String> = keys.collect();
         self.capacity.stale_keys.extend(remaining);
         conditions.push(self.epoch_condition());
-        self.txn(conditions, changes, Call::Job(Purpose::End { id: id.clone(), ending }));
+        self.txn(
+            conditions,
+            changes,
+            Call::Job(Purpose::StoreEnd { id: id.clone(), ending }),
+        );
     }
 
     /// Records that a task has finished. After the last one the job's end is stored at once.
-    pub(crate) fn task_done(&mut self, task: &TaskId) {
+    pub(crate) fn record_task_done(&mut self, task: &TaskId) {
         let (chunk_bits, piece_bits) = (self.chunk_bits(), self.piece_bits());
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -321,7 +327,7 @@
     }
 
     /// Stores the end of every job of a partition whose tasks are all done.
-    pub(crate) fn complete_finished(&mut self, partition: Partition) {
+    pub(crate) fn store_ends_of_finished_jobs(&mut self, partition: Partition) {
         let finished: Vec<JobId> = self
             .jobs
             .iter()
@@ -352,7 +358,7 @@
                 self.on_status(requester, id.as_str(), true);
             }
             Purpose::CancelRead { requester, id } if self.can_answer_without_read(&id) || self.is_reply_stale => {
-                self.on_withdraw(requester, id.as_str(), true);
+                self.on_cancel_request(requester, id.as_str(), true);
             }
             Purpose::CheckExisting {
                 requester,
@@ -368,7 +374,7 @@
             Purpose::CancelRead { requester, id }
                 if matches!(result, Some((404, _))) && self.jobs.contains_key(&id) =>
             {
-                self.on_withdraw(requester, id.as_str(), true);
+                self.on_cancel_request(requester, id.as_str(), true);
             }
             Purpose::CheckExisting {
                 requester,
@@ -393,9 +399,9 @@
                     Answer::retry_later(503, 1, "the state service does not answer"),
                 ),
             },
-            Purpose::End { id, ending } => self.on_end_reply(id, ending, result),
-            Purpose::Flush { pieces } => self.on_flush_reply(pieces, result),
-            Purpose::Sweep { keys } => match result {
+            Purpose::StoreEnd { id, ending } => self.on_end_reply(id, ending, result),
+            Purpose::FlushDoneBits { pieces } => self.on_flush_reply(pieces, result),
+            Purpose::DeleteBitmaps { keys } => match result {
                 Some((200 | 409, _)) => {}
                 // The deletion failed or its outcome is unknown: it is retried later.
                 _ => self.capacity.stale_keys.extend(keys),
@@ -415,7 +421,7 @@
                     team: job.spec.team.clone(),
                     size: Self::task_resources(&job.spec),
                 };
-                let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
+                let age_s = self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0;
                 let outcome = match (ended_job.done, job.spec.deadline_s) {
                     (true, Some(deadline_s)) => format!("done after {age_s:.0} s, deadline {deadline_s:.0} s"),
                     (true, None) => format!("done after {age_s:.0} s"),
--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -19,14 +19,14 @@
 /// gangs reads it. It ignores the other pieces and would start their tasks again; the workers answer those starts
 /// with the results that they keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Piece {
+pub(crate) struct BitmapPiece {
     /// Number of the chunk in the bitmap.
     chunk: u32,
     /// Offset of the first bit of the piece within the chunk.
     from: u32,
 }
 
-impl Piece {
+impl BitmapPiece {
     /// Parses the last part of a key, such as `3` or `3+6144`: the chunk, and the offset of the piece unless it is 0.
     pub(crate) fn parse(text: &str) -> Option<Self> {
         let (chunk, from) = text.split_once('+').unwrap_or((text, "0"));
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct InFlightPiece {
     job: JobId,
-    position: Piece,
+    position: BitmapPiece,
     key: String,
     newly_done: Vec<u32>,
 }
@@ -96,7 +96,7 @@
     }
 
     /// Marks tasks as done that a stored piece of the bitmap records; `bits` are offsets within the piece.
-    pub(crate) fn restore(&mut self, piece: Piece, bits: &[u32], chunk_bits: u32, piece_bits: u32) {
+    pub(crate) fn restore_done_bits(&mut self, piece: BitmapPiece, bits: &[u32], chunk_bits: u32, piece_bits: u32) {
         self.stored_pieces.insert(piece);
         let first = u64::from(piece.chunk) * u64::from(chunk_bits) + u64::from(piece.from);
         for bit in bits {
@@ -114,7 +114,8 @@
             // their own keys: the new value would not hold their bits.
             if piece.from == 0 && *bit >= piece_bits {
                 self.oversized_chunks.insert(piece.chunk);
-                self.dirty.insert(Piece::containing(index, chunk_bits, piece_bits));
+                self.dirty
+                    .insert(BitmapPiece::containing(index, chunk_bits, piece_bits));
             }
         }
     }
@@ -124,12 +125,13 @@
         if index < self.spec.tasks && !self.is_done(index) {
             set_bit(&mut self.done_bits, index);
             self.done_count += 1;
-            self.dirty.insert(Piece::containing(index, chunk_bits, piece_bits));
+            self.dirty
+                .insert(BitmapPiece::containing(index, chunk_bits, piece_bits));
         }
     }
 
     /// The next piece that may be written: the first piece of an oversized chunk only after the later ones.
-    fn next_piece(&self) -> Option<Piece> {
+    fn next_piece(&self) -> Option<BitmapPiece> {
         let has_later_pieces = |c: u32| {
             self.dirty
                 .iter()
@@ -137,12 +139,12 @@
                 .any(|p| p.chunk == c && p.from > 0)
         };
         let is_writable =
-            |p: &&Piece| p.from > 0 || !self.oversized_chunks.contains(&p.chunk) || !has_later_pieces(p.chunk);
+            |p: &&BitmapPiece| p.from > 0 || !self.oversized_chunks.contains(&p.chunk) || !has_later_pieces(p.chunk);
         self.dirty.iter().find(is_writable).copied()
     }
 
     /// First task index of a piece, and the index after its last one.
-    fn bit_range(&self, piece: Piece, chunk_bits: u32, piece_bits: u32) -> (u32, u32) {
+    fn bit_range(&self, piece: BitmapPiece, chunk_bits: u32, piece_bits: u32) -> (u32, u32) {
         let first = piece.chunk * chunk_bits + piece.from;
         let end = (piece.chunk + 1) * chunk_bits;
         (first, (first + piece_bits).min(end).min(self.spec.tasks))
@@ -223,7 +225,7 @@
         // The condition on the epoch rejects writes from an older epoch once a takeover has read the bitmaps. A
         // bitmap is not written for a job whose record has changed meanwhile.
         let conditions = vec![self.epoch_condition()];
-        self.txn(conditions, changes, Call::Job(Purpose::Flush { pieces }));
+        self.txn(conditions, changes, Call::Job(Purpose::FlushDoneBits { pieces }));
     }
 
     /// Marks pieces as to be written again after a failed write.
@@ -270,7 +272,7 @@
         let keys: Vec<String> = self.capacity.stale_keys.drain(..key_count).collect();
         let changes = keys.iter().map(|k| json!({ "delete": k })).collect();
         let conditions = vec![self.epoch_condition()];
-        self.txn(conditions, changes, Call::Job(Purpose::Sweep { keys }));
+        self.txn(conditions, changes, Call::Job(Purpose::DeleteBitmaps { keys }));
     }
 }
 
@@ -309,12 +311,12 @@
         whole[0] = '1';
         whole[2000] = '2';
         let hex: String = whole.into_iter().collect();
-        let first_piece = Piece { chunk: 1, from: 0 };
-        let later_piece = Piece {
+        let first_piece = BitmapPiece { chunk: 1, from: 0 };
+        let later_piece = BitmapPiece {
             chunk: 1,
             from: PIECE_BITS,
         };
-        job.restore(first_piece, &bits_from_hex(&hex), CHUNK_BITS, PIECE_BITS);
+        job.restore_done_bits(first_piece, &bits_from_hex(&hex), CHUNK_BITS, PIECE_BITS);
         assert!(job.is_stored(CHUNK_BITS) && job.is_stored(CHUNK_BITS + 8001));
         job.mark_done(CHUNK_BITS + 5, CHUNK_BITS, PIECE_BITS);
         assert_eq!(job.next_piece(), Some(later_piece));
@@ -345,8 +347,8 @@
             );
             assert!(hex.len() <= 1536, "{key}: {}", hex.len());
             previous_version_bits.extend(read_by_previous_version(&key, &hex));
-            let read = key.split('/').nth(3).and_then(Piece::parse).expect("a piece");
-            restored.restore(read, &bits_from_hex(&hex), CHUNK_BITS, PIECE_BITS);
+            let read = key.split('/').nth(3).and_then(BitmapPiece::parse).expect("a piece");
+            restored.restore_done_bits(read, &bits_from_hex(&hex), CHUNK_BITS, PIECE_BITS);
         }
         assert_eq!(restored.done_bits, job.done_bits);
         // The previous version reads no unfinished task as done. Finished tasks that it does not read it starts again.
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -92,7 +92,7 @@
     }
 
     /// Handles a user's request to cancel a job: stores the end, or forwards the request to the owner.
-    pub(crate) fn on_withdraw(&mut self, requester: Requester, id: &str, may_forward: bool) {
+    pub(crate) fn on_cancel_request(&mut self, requester: Requester, id: &str, may_forward: bool) {
         let Some(id) = JobId::parse(id) else {
             self.send_answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
             return;
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -116,7 +116,7 @@
             machines.retain(|m| m != machine);
             if machines.is_empty() {
                 job.placed.remove(&task.index);
-                job.cursor = job.cursor.min(task.index);
+                job.first_unplaced_index = job.first_unplaced_index.min(task.index);
             }
         }
     }
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -344,7 +344,7 @@
                             .note(&job.spec, now.saturating_sub(started_at) as f64 / 1000.0);
                     }
                     self.record_success(&task.job, id);
-                    self.task_done(task);
+                    self.record_task_done(task);
                 }
             }
             "error" => self.record_failure(id, task),
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -154,7 +154,7 @@
     pub(super) fn apply_shared_key(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             if let Some(id) = JobId::parse(id) {
-                self.apply_job(id, value, stamp);
+                self.on_job_record_changed(id, value, stamp);
             }
         } else if let Some(name) = key.strip_prefix(ROSTER_PREFIX) {
             self.apply_group(name, value, stamp);
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::failure_detection::RecordsReadAhead;
 use crate::ids::{Epoch, JobId, Partition};
-use crate::jobs::{Piece, bits_from_hex};
+use crate::jobs::{BitmapPiece, bits_from_hex};
 use crate::messages::{Level, Method, Target};
 use crate::protocol::{Changes, Items};
 use serde_json::Value;
@@ -263,12 +263,12 @@
             let (Some(job), Some(chunk)) = (parts.next(), parts.next()) else {
                 continue;
             };
-            let (Some(job), Some(piece)) = (JobId::parse(job), Piece::parse(chunk)) else {
+            let (Some(job), Some(piece)) = (JobId::parse(job), BitmapPiece::parse(chunk)) else {
                 continue;
             };
             let Some(hex) = value.as_str() else { continue };
             match self.jobs.get_mut(&job) {
-                Some(job) => job.restore(piece, &bits_from_hex(hex), chunk_bits, piece_bits),
+                Some(job) => job.restore_done_bits(piece, &bits_from_hex(hex), chunk_bits, piece_bits),
                 None => self.capacity.stale_keys.push(key),
             }
         }
@@ -283,7 +283,7 @@
         self.open_ledger(partition, since);
         self.tick_drained_machines();
         self.confirm_machines(partition);
-        self.complete_finished(partition);
+        self.store_ends_of_finished_jobs(partition);
         self.want_batch();
     }
 }
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -38,7 +38,7 @@
     /// See [`urgency`].
     urgency: f64,
     /// Time of submission, wall clock, in milliseconds.
-    submitted_wall_ms: u64,
+    accepted_wall_ms: u64,
     /// Indices of the tasks that the next batches may place.
     tasks: Vec<u32>,
 }
@@ -155,7 +155,8 @@
 
     /// Jobs that fit into their team's guarantee together with all unfinished jobs that the team submitted earlier.
     fn jobs_within_guarantees(&self) -> BTreeSet<JobId> {
-        let mut jobs_by_age: Vec<(u64, &JobId, &Job)> = self.jobs.iter().map(|(id, j)| (j.at_wall, id, j)).collect();
+        let mut jobs_by_age: Vec<(u64, &JobId, &Job)> =
+            self.jobs.iter().map(|(id, j)| (j.accepted_wall_ms, id, j)).collect();
         jobs_by_age.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
         let mut unfinished_by_team: BTreeMap<&str, [f64; 2]> = BTreeMap::new();
         let mut job_ids = BTreeSet::new();
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -276,11 +276,11 @@
         jobs: &[JobTerms],
     ) -> Option<(usize, BTreeSet<MachineId>)> {
         let waited_periods = |w: &WaitingJob| {
-            self.now.wall_ms.saturating_sub(w.submitted_wall_ms)
+            self.now.wall_ms.saturating_sub(w.accepted_wall_ms)
                 / (1000.0 * GANG_RESERVATION_FRACTION * MAX_START_DELAY_S) as u64
         };
         let gangs = (0..waiting.len()).filter(|j| jobs.get(*j).is_some_and(|t| t.gang && t.in_zone.is_empty()));
-        let longest_waiting = gangs.min_by_key(|j| waiting.get(*j).map_or(u64::MAX, |w| w.submitted_wall_ms))?;
+        let longest_waiting = gangs.min_by_key(|j| waiting.get(*j).map_or(u64::MAX, |w| w.accepted_wall_ms))?;
         let (w, terms) = waiting.get(longest_waiting).zip(jobs.get(longest_waiting))?;
         if waited_periods(w) % 2 == 0 {
             return None;
@@ -431,7 +431,7 @@
         }
         let spec = &job.spec;
         let urgency = urgency(slack_s, 1.0, spec);
-        let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
+        let age_s = self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0;
         let most_per_zone = spec.spread.then(|| spec.tasks.div_ceil(2));
         let cheapest = self.cheapest_task_price(spec);
         // The restriction to cheap zones holds for as long as machines rented for the job take to boot. After that,
@@ -453,7 +453,7 @@
             one_zone: spec.one_zone,
             most_per_zone,
             shunned: job
-                .shunned
+                .avoided_zone
                 .as_ref()
                 .filter(|(_, until)| self.now.ms < *until)
                 .map(|(z, _)| z.clone()),
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -41,7 +41,7 @@
 impl CollectionContext<'_> {
     /// Seconds since the job was submitted.
     fn age_s(&self, job: &Job) -> f64 {
-        self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0
+        self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0
     }
 
     /// Seconds until a job must start to meet its deadline; `f64::MAX` without one.
@@ -71,7 +71,7 @@
                 collected.blocked_jobs.push(JobBlockedByLimit {
                     id: id.clone(),
                     team,
-                    submitted_wall_ms: job.at_wall,
+                    accepted_wall_ms: job.accepted_wall_ms,
                     slack_s,
                     size,
                     count: job.waiting_count(),
@@ -92,7 +92,7 @@
             priority: job.spec.priority,
             slack_s,
             urgency: 0.0,
-            submitted_wall_ms: job.at_wall,
+            accepted_wall_ms: job.accepted_wall_ms,
             tasks,
         });
     }
@@ -102,7 +102,7 @@
 fn select_tasks_to_place(job: &mut Job, max_tasks: usize, is_starved: bool) -> Vec<u32> {
     // A gang enters a batch with all of its tasks or not at all.
     let is_gang = job.spec.shape == Shape::Gang;
-    let mut tasks = job.waiting(if is_gang {
+    let mut tasks = job.waiting_tasks(if is_gang {
         max_tasks
     } else {
         max_tasks.min(MAX_TASKS_PER_JOB_AND_BATCH)
@@ -139,7 +139,7 @@
             .retain(|team, _| team % partitions != partition.0 as usize);
         // Jobs that have no room now have priority for the next room that becomes free.
         self.reserved_room.extend(blocked_size_by_team);
-        blocked_jobs.sort_by(|a, b| (a.submitted_wall_ms, &a.id).cmp(&(b.submitted_wall_ms, &b.id)));
+        blocked_jobs.sort_by(|a, b| (a.accepted_wall_ms, &a.id).cmp(&(b.accepted_wall_ms, &b.id)));
         PartitionQueue { waiting, blocked_jobs }
     }
 
@@ -159,7 +159,10 @@
             objectives: &self.settings.platform.facts.objectives,
         };
         for (id, job) in &mut self.jobs {
-            if job.partition != partition || !job.startable(context.now.ms) || self.postponed_jobs.contains_key(id) {
+            if job.partition != partition
+                || !job.can_start_tasks(context.now.ms)
+                || self.postponed_jobs.contains_key(id)
+            {
                 continue;
             }
             if self.cancellations.calls_off(id) {
@@ -205,7 +208,7 @@
             b.priority
                 .cmp(&a.priority)
                 .then(b.urgency.total_cmp(&a.urgency))
-                .then(a.submitted_wall_ms.cmp(&b.submitted_wall_ms))
+                .then(a.accepted_wall_ms.cmp(&b.accepted_wall_ms))
         });
     }
 
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -18,7 +18,7 @@
     pub(super) id: JobId,
     pub(super) team: usize,
     /// Time of submission, wall clock, in milliseconds.
-    pub(super) submitted_wall_ms: u64,
+    pub(super) accepted_wall_ms: u64,
     /// Seconds until it must start to meet its deadline; `f64::MAX` without one.
     pub(super) slack_s: f64,
     /// Size of each of its tasks.
@@ -93,7 +93,7 @@
             let Some(mut terms) = self.job_terms(&job.id, job.team, job.slack_s) else {
                 continue;
             };
-            let waited_s = self.now.wall_ms.saturating_sub(job.submitted_wall_ms) as f64 / 1000.0;
+            let waited_s = self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0;
             let has_waited_long_enough = waited_s >= self.preemption_delay_s(&job.id, terms.guaranteed);
             for waiting in (1..=job.count).rev() {
                 let Some(plan) = search.find_cheapest_plan(&terms) else {
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -183,7 +183,7 @@
             .used
             .get(w.team)
             .is_some_and(|used| used + amount_in_team_unit <= guarantee + 1e-6);
-        let waited_s = controller.now.wall_ms.saturating_sub(w.submitted_wall_ms) as f64 / 1000.0;
+        let waited_s = controller.now.wall_ms.saturating_sub(w.accepted_wall_ms) as f64 / 1000.0;
         let delay_s = controller.preemption_delay_s(&w.id, terms.guaranteed);
         let can_preempt_lower = w.priority >= Priority::Prod && waited_s >= delay_s;
         let can_reclaim_guarantee = is_within_guarantee && waited_s > controller.longest_boot_s();
--- a/crates/tidelatch-core/src/queue/replica_swaps.rs
+++ b/crates/tidelatch-core/src/queue/replica_swaps.rs
@@ -101,7 +101,7 @@
         let zone = self.machines.get(machine).map(|m| m.zone.clone()).unwrap_or_default();
         let until = self.now.ms + 2 * self.settings.worker_lease_ms();
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.shunned = Some((zone, until));
+            job.avoided_zone = Some((zone, until));
         }
     }
 }
@@ -173,7 +173,8 @@
     fn find_destination(&mut self, m: &'a Machine, held: &Held) -> Option<MachineId> {
         let controller = self.controller;
         let (name, job) = controller.jobs.get_key_value(&held.task.job)?;
-        let is_movable = job.spec.shape == Shape::Service && job.partition == self.partition && job.shunned.is_none();
+        let is_movable =
+            job.spec.shape == Shape::Service && job.partition == self.partition && job.avoided_zone.is_none();
         if !is_movable || self.immovable_replicas.contains(&(name, m.zone.as_str())) {
             return None;
         }
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -285,7 +285,7 @@
             writes,
             CallPurpose::WriteMachineGroup {
                 group,
-                revision: revision,
+                revision,
                 changes,
             },
         );
--- a/crates/tidelatch-core/src/submissions/forwarding.rs
+++ b/crates/tidelatch-core/src/submissions/forwarding.rs
@@ -35,7 +35,12 @@
     }
 
     /// Handles a peer's answer to a forwarded submission; `None` if there was no answer.
-    pub(crate) fn on_passed_on(&mut self, requester: Requester, job: Option<JobId>, result: Option<PeerReply>) {
+    pub(crate) fn on_forwarded_submission_reply(
+        &mut self,
+        requester: Requester,
+        job: Option<JobId>,
+        result: Option<PeerReply>,
+    ) {
         // The watch may have reported the job's end since.
         if let Some(job) = job.filter(|job| self.ended_jobs.contains_key(job)) {
             self.tell_over(requester, &job);
