--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -53,14 +53,14 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CancellationNotice {
     /// Incarnation of the sender; 0 if its version does not send cancellations.
-    pub life: u64,
+    pub incarnation: u64,
     /// Jobs whose cancellation is stored.
     pub cancelled: Vec<JobId>,
     /// Jobs whose cancellation was requested and is not known to be stored.
-    pub asked: Vec<JobId>,
+    pub requested: Vec<JobId>,
     /// The sender has not read the state service in this incarnation, so it does not know the cancellations that its
     /// earlier incarnations knew.
-    pub unread: bool,
+    pub has_not_read_store: bool,
 }
 
 /// All cancellations that this controller knows of, and which peers know them.
@@ -141,7 +141,7 @@
     }
 
     /// Whether a job's cancellation is stored or requested: its tasks are to be stopped, and none is to be started.
-    pub(crate) fn calls_off(&self, id: &JobId) -> bool {
+    pub(crate) fn is_cancelled_or_requested(&self, id: &JobId) -> bool {
         self.known.contains_key(id)
     }
 }
@@ -208,31 +208,31 @@
 
     /// The cancellations to send to a peer, the range of sequence numbers that they cover, and whether they are
     /// all that the peer lacks.
-    pub(crate) fn tell_cancellations(&self, to: &ControllerId) -> (CancellationNotice, (u64, u64), bool) {
+    pub(crate) fn cancellations_for_peer(&self, to: &ControllerId) -> (CancellationNotice, (u64, u64), bool) {
         if !self.settings.features.cancellations {
             return (CancellationNotice::default(), (0, 0), true);
         }
         let unacknowledged = self.cancellations.unacknowledged(to);
         let notice = CancellationNotice {
-            life: self.membership.inc.0,
+            incarnation: self.membership.inc.0,
             cancelled: unacknowledged.cancelled,
-            asked: unacknowledged.requested,
-            unread: self.membership.ledger == 0,
+            requested: unacknowledged.requested,
+            has_not_read_store: self.membership.ledger == 0,
         };
         (notice, unacknowledged.sequence_range, unacknowledged.is_complete)
     }
 
     /// Applies the cancellations in a peer's message. This comes before anything else that the message allows.
-    pub(crate) fn take_cancellations(&mut self, from: &ControllerId, notice: &CancellationNotice) {
+    pub(crate) fn apply_cancellations(&mut self, from: &ControllerId, notice: &CancellationNotice) {
         if !self.settings.features.cancellations {
             return;
         }
-        if notice.life == 0 {
+        if notice.incarnation == 0 {
             // The peer's version neither sends nor applies cancellations.
             self.cancellations.acknowledged.remove(from);
             return;
         }
-        let incarnation = Incarnation(notice.life);
+        let incarnation = Incarnation(notice.incarnation);
         if self.cancellations.acknowledged.get(from).map(|t| t.incarnation) != Some(incarnation) {
             // What an earlier incarnation knew is lost.
             self.cancellations
@@ -240,7 +240,7 @@
                 .insert(from.clone(), AcknowledgedCancellations { incarnation, up_to: 0 });
         }
         let now = self.now.ms;
-        for id in &notice.asked {
+        for id in &notice.requested {
             if self.cancellations.record(id, now, false, false) {
                 self.stop_tasks_of_job(id);
             }
@@ -263,7 +263,12 @@
     /// Records that an incarnation of a peer has answered a heartbeat that carried a range of cancellations. If this
     /// incarnation has not acknowledged what precedes the range, only an earlier one may have received that, and
     /// nothing is recorded.
-    pub(crate) fn note_taken(&mut self, peer: &ControllerId, incarnation: u64, (after, up_to): (u64, u64)) {
+    pub(crate) fn record_acknowledged_cancellations(
+        &mut self,
+        peer: &ControllerId,
+        incarnation: u64,
+        (after, up_to): (u64, u64),
+    ) {
         if let Some(t) = self.cancellations.acknowledged.get_mut(peer)
             && t.incarnation.0 == incarnation
             && t.up_to >= after
@@ -274,7 +279,7 @@
     }
 
     /// Records that the state service has extended this controller's lease, by a request sent at time `sent`.
-    pub(crate) fn note_served(&mut self, sent: u64) {
+    pub(crate) fn record_lease_extension(&mut self, sent: u64) {
         self.cancellations.lease_extension_sent_ms = self.cancellations.lease_extension_sent_ms.max(sent);
         self.answer_waiting_requesters();
     }
@@ -306,7 +311,7 @@
 
     /// Answers a request about an ended job. If the job is cancelled, the answer may wait until a second controller
     /// knows of the cancellation.
-    pub(crate) fn tell_over(&mut self, requester: Requester, id: &JobId) {
+    pub(crate) fn answer_ended_job(&mut self, requester: Requester, id: &JobId) {
         if self.may_confirm_cancellation(id) {
             let status_body = self.ended_jobs.get(id).map(|ended_job| ended_job.status_body(id));
             let answer = match status_body {
@@ -329,7 +334,7 @@
         let now = self.now.ms;
         for (id, requester, deadline_ms) in std::mem::take(&mut self.cancellations.waiting_requesters) {
             if self.may_confirm_cancellation(&id) {
-                self.tell_over(requester, &id);
+                self.answer_ended_job(requester, &id);
             } else if now >= deadline_ms {
                 let reason = "no other controller has heard of the cancellation yet";
                 self.send_answer(requester, Answer::retry_later(503, 1, reason));
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -29,7 +29,7 @@
         for name in names {
             let to = ControllerId::new(name);
             let urgent = (at_once && self.lacks_cancellations(&to)) || self.contact_due(&to);
-            let (told, sent_cancellations, _) = self.tell_cancellations(&to);
+            let (told, sent_cancellations, _) = self.cancellations_for_peer(&to);
             let peer = self.membership.peers.entry(to.clone()).or_default();
             let due = peer.asked == 0 || now >= peer.asked + interval_ms;
             if peer.asking || !(due || urgent) {
@@ -80,7 +80,7 @@
     ) {
         let now = self.now.ms;
         let (entitled, wants_grant, relies) = peer_flags;
-        let (told, _, is_complete) = self.tell_cancellations(&from);
+        let (told, _, is_complete) = self.cancellations_for_peer(&from);
         let granted = wants_grant && is_complete && self.give_grant();
         self.note_reliance(&from, relies || granted);
         let is_leader = self.is_leader();
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -310,8 +310,8 @@
         let requester = Requester::Peer(id);
         match request {
             PeerRequest::Relay { report } => self.on_report(requester, &report, false),
-            PeerRequest::Forward { job, withdraw: true } => self.on_cancel_request(requester, &job, false),
-            PeerRequest::Forward { job, withdraw: false } => self.on_status(requester, &job, false),
+            PeerRequest::Forward { job, cancel: true } => self.on_cancel_request(requester, &job, false),
+            PeerRequest::Forward { job, cancel: false } => self.on_status(requester, &job, false),
             PeerRequest::Submit { submission } => self.on_submission(requester, &submission, false),
             PeerRequest::Heartbeat {
                 name,
@@ -325,7 +325,7 @@
             } => {
                 let from = ControllerId::new(name);
                 self.on_peer_heartbeat(&from, Channel::Scheduled, liveness);
-                self.take_cancellations(&from, &told);
+                self.apply_cancellations(&from, &told);
                 let granted = permits.and_then(|listing| self.on_permit_listing(&from, &listing));
                 self.on_hello(id, from, (entitled, wants_grant, relies), digests, granted);
             }
@@ -452,10 +452,10 @@
                     self.on_peer_heartbeat(&to, Channel::Answer, liveness);
                 }
                 // The cancellations that the giver of a grant knows are applied before the grant counts.
-                self.take_cancellations(&to, &cancellations);
-                self.note_taken(&to, cancellations.life, sent_cancellations);
+                self.apply_cancellations(&to, &cancellations);
+                self.record_acknowledged_cancellations(&to, cancellations.incarnation, sent_cancellations);
                 if granted {
-                    self.record_grant(&to, sent, cancellations.unread);
+                    self.record_grant(&to, sent, cancellations.has_not_read_store);
                 }
                 if let Some(grants) = permits {
                     self.on_permit_grants(&to, sent, &grants);
@@ -469,7 +469,7 @@
             (CallPurpose::Relay { requester, report }, result) => self.on_relayed(requester, &report, result),
             (CallPurpose::ForwardStatus { requester, job }, result) => match result {
                 // The watch may have delivered the end of the job since its owner answered.
-                _ if self.ended_jobs.contains_key(&job) => self.tell_over(requester, &job),
+                _ if self.ended_jobs.contains_key(&job) => self.answer_ended_job(requester, &job),
                 Some(PeerReply::Answer(answer)) if answer.status == 200 && !self.is_reply_stale => {
                     self.send_answer(requester, answer)
                 }
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -169,7 +169,7 @@
             .jobs
             .get(&id)
             .filter(|job| job.partition == self.partition)?;
-        let called_off = job.ending.is_some() || self.controller.cancellations.calls_off(&id);
+        let called_off = job.ending.is_some() || self.controller.cancellations.is_cancelled_or_requested(&id);
         (!called_off).then_some((id, job))
     }
 
--- a/crates/tidelatch-core/src/disruption/exchange.rs
+++ b/crates/tidelatch-core/src/disruption/exchange.rs
@@ -18,7 +18,7 @@
             return None;
         }
         Some(Box::new(PermitListing {
-            life,
+            incarnation: life,
             message: holder.message_for(&granter),
         }))
     }
@@ -30,7 +30,7 @@
         listing: &PermitListing,
     ) -> Option<Box<PermitGrants>> {
         let registered = self.membership.members.get(from).map(|member| member.inc.0);
-        if registered != Some(listing.life) || !self.entitled() {
+        if registered != Some(listing.incarnation) || !self.entitled() {
             return None;
         }
         let asker = controller_name(from);
@@ -39,7 +39,7 @@
         // Each ledger has to hear what is not listed, so none is left out.
         let mut is_news = false;
         for ledger in ledgers.values_mut() {
-            is_news |= ledger.take_message(&asker, listing.life, message);
+            is_news |= ledger.take_message(&asker, listing.incarnation, message);
         }
         if !is_news {
             return None;
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -245,7 +245,7 @@
         if let Some(job) = self.jobs.remove(id) {
             self.admission.remove_job(self.now.ms, &job.spec);
             for requester in job.requesters {
-                self.tell_over(requester, id);
+                self.answer_ended_job(requester, id);
             }
             // Machines that may still run its tasks are told to stop them.
             for machines in job.placed.values() {
@@ -389,7 +389,7 @@
                 Some((200, body)) => {
                     self.apply_read_record(&id, &body);
                     if self.ended_jobs.contains_key(&id) {
-                        self.tell_over(requester, &id);
+                        self.answer_ended_job(requester, &id);
                     } else {
                         self.send_answer(requester, Answer::retry_later(503, 1, "try again"));
                     }
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -46,7 +46,7 @@
             return;
         };
         if self.ended_jobs.contains_key(&id) {
-            self.tell_over(requester, &id);
+            self.answer_ended_job(requester, &id);
             return;
         }
         if let Some(job) = self.jobs.get(&id) {
@@ -58,7 +58,7 @@
             if let Some(owner) = self.reachable_owner(job.partition, may_forward) {
                 let request = PeerRequest::Forward {
                     job: id.as_str().to_owned(),
-                    withdraw: false,
+                    cancel: false,
                 };
                 self.send_peer_request(owner, request, 500, Call::ForwardStatus { requester, job: id });
                 return;
@@ -98,7 +98,7 @@
             return;
         };
         if self.ended_jobs.contains_key(&id) {
-            self.tell_over(requester, &id);
+            self.answer_ended_job(requester, &id);
             return;
         }
         let Some(partition) = self.jobs.get(&id).map(|j| j.partition) else {
@@ -110,7 +110,7 @@
                 Some(owner) => {
                     let request = PeerRequest::Forward {
                         job: id.as_str().to_owned(),
-                        withdraw: true,
+                        cancel: true,
                     };
                     let timeout = 4 * self.settings.report_ms() / 5;
                     self.send_peer_request(owner, request, timeout, Call::ForwardCancellation { requester });
@@ -165,7 +165,7 @@
         let answer = match state {
             None => Answer::retry_later(503, 1, "the state service does not answer"),
             Some(_) if self.ended_jobs.contains_key(id) => {
-                self.tell_over(requester, id);
+                self.answer_ended_job(requester, id);
                 return;
             }
             Some(state) => Answer::new(
--- a/crates/tidelatch-core/src/jobs/status_reads.rs
+++ b/crates/tidelatch-core/src/jobs/status_reads.rs
@@ -111,7 +111,7 @@
                 requesters.extend(next_requesters);
                 requesters
                     .into_iter()
-                    .for_each(|requester| self.tell_over(requester, &id));
+                    .for_each(|requester| self.answer_ended_job(requester, &id));
             }
             Some(state) => {
                 let body = json!({ "uid": id, "status": state.user_facing_name(), "done": 0, "running": 0 });
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -52,7 +52,8 @@
             let job = self.jobs.get(&h.task.job).filter(is_known_here);
             let accepts_starts = job.is_some_and(|j| j.ending.is_none());
             // A cancellation stops tasks from the moment it is requested.
-            let is_wanted = job.is_some_and(|j| !j.is_done(h.task.index)) && !self.cancellations.calls_off(&h.task.job);
+            let is_wanted = job.is_some_and(|j| !j.is_done(h.task.index))
+                && !self.cancellations.is_cancelled_or_requested(&h.task.job);
             match h.state {
                 HeldState::Booked if is_wanted && accepts_starts && h.stop.is_none() => {
                     h.state = match answered_report {
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -181,8 +181,9 @@
             .iter()
             .filter(|t| t.state != TaskState::Exited)
             .filter(|t| {
-                let must_stop =
-                    |id: TaskId| self.ended_jobs.contains_key(&id.job) || self.cancellations.calls_off(&id.job);
+                let must_stop = |id: TaskId| {
+                    self.ended_jobs.contains_key(&id.job) || self.cancellations.is_cancelled_or_requested(&id.job)
+                };
                 TaskId::parse(&t.task).is_some_and(must_stop)
             })
             .map(|t| Command::Stop {
--- a/crates/tidelatch-core/src/membership/entitlement.rs
+++ b/crates/tidelatch-core/src/membership/entitlement.rs
@@ -154,7 +154,7 @@
                 self.membership.entitled_until_ms = sent + self.settings.entitlement_ms();
                 self.membership.lease_requested_ms = sent;
                 self.clear_lease_failures();
-                self.note_served(sent);
+                self.record_lease_extension(sent);
                 self.membership.written_record = None;
                 self.membership.has_been_entitled = true;
                 let inc = self.membership.inc;
@@ -193,7 +193,7 @@
                 }
                 self.membership.lease_requested_ms = self.membership.lease_requested_ms.max(sent);
                 self.membership.entitled_until_ms = self.membership.entitled_until_ms.max(until);
-                self.note_served(sent);
+                self.record_lease_extension(sent);
                 if std::mem::take(&mut self.membership.has_extension_failed) && self.membership.has_listed_keys {
                     // The connection works again, but a watch that was sent before may never be answered.
                     self.watch_shared_keys();
--- a/crates/tidelatch-core/src/messages.rs
+++ b/crates/tidelatch-core/src/messages.rs
@@ -185,7 +185,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermitListing {
     /// The requester's incarnation.
-    pub life: u64,
+    pub incarnation: u64,
     /// The requested and the used permits.
     pub message: PermitMessage,
 }
@@ -212,7 +212,7 @@
         /// The job's id.
         job: String,
         /// True: cancel the job; false: return its status.
-        withdraw: bool,
+        cancel: bool,
     },
     /// Forwards a user's submission that the sender cannot store.
     Submit {
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -165,7 +165,7 @@
             {
                 continue;
             }
-            if self.cancellations.calls_off(id) {
+            if self.cancellations.is_cancelled_or_requested(id) {
                 continue;
             }
             // Tasks from before the takeover may run on a machine that has not reported yet. A job of an epoch that
--- a/crates/tidelatch-core/src/submissions/forwarding.rs
+++ b/crates/tidelatch-core/src/submissions/forwarding.rs
@@ -43,7 +43,7 @@
     ) {
         // The watch may have reported the job's end since.
         if let Some(job) = job.filter(|job| self.ended_jobs.contains_key(job)) {
-            self.tell_over(requester, &job);
+            self.answer_ended_job(requester, &job);
             return;
         }
         let answer = match result {
--- a/crates/tidelatch/src/peers/convert.rs
+++ b/crates/tidelatch/src/peers/convert.rs
@@ -25,7 +25,7 @@
     fn from(request: PeerRequest) -> Self {
         match request {
             PeerRequest::Relay { report } => Self::Relay(wire::RelayRequest { report }),
-            PeerRequest::Forward { job, withdraw } => Self::Forward(wire::ForwardRequest { job, withdraw }),
+            PeerRequest::Forward { job, cancel: withdraw } => Self::Forward(wire::ForwardRequest { job, withdraw }),
             PeerRequest::Submit { submission } => Self::Submit(wire::SubmitRequest { submission }),
             PeerRequest::Heartbeat {
                 name,
@@ -42,10 +42,10 @@
                 wants_grant,
                 relies,
                 digests: convert_all(digests),
-                life: told.life,
-                unread: told.unread,
+                life: told.incarnation,
+                unread: told.has_not_read_store,
                 cancelled: job_names(told.cancelled),
-                asked: job_names(told.asked),
+                asked: job_names(told.requested),
                 liveness: liveness.map(Into::into),
                 permits: permits.map(|permits| (*permits).into()),
             })),
@@ -63,7 +63,7 @@
     fn from(request: wire::ForwardRequest) -> Self {
         Self::Forward {
             job: request.job,
-            withdraw: request.withdraw,
+            cancel: request.withdraw,
         }
     }
 }
@@ -85,10 +85,10 @@
             relies: request.relies,
             digests: convert_all(request.digests),
             told: CancellationNotice {
-                life: request.life,
-                unread: request.unread,
+                incarnation: request.life,
+                has_not_read_store: request.unread,
                 cancelled: job_ids(&request.cancelled),
-                asked: job_ids(&request.asked),
+                requested: job_ids(&request.asked),
             },
             liveness: request.liveness.map(Into::into),
             permits: request.permits.map(|permits| Box::new(permits.into())),
@@ -144,10 +144,10 @@
             relies,
             moves: convert_all(moves),
             refused: convert_all(refused),
-            life: told.life,
-            unread: told.unread,
+            life: told.incarnation,
+            unread: told.has_not_read_store,
             cancelled: job_names(told.cancelled),
-            asked: job_names(told.asked),
+            asked: job_names(told.requested),
             liveness: liveness.map(Into::into),
             permits: permits.map(|permits| (*permits).into()),
         })
@@ -163,10 +163,10 @@
             moves: convert_all(reply.moves),
             refused: convert_all(reply.refused),
             told: CancellationNotice {
-                life: reply.life,
-                unread: reply.unread,
+                incarnation: reply.life,
+                has_not_read_store: reply.unread,
                 cancelled: job_ids(&reply.cancelled),
-                asked: job_ids(&reply.asked),
+                requested: job_ids(&reply.asked),
             },
             liveness: reply.liveness.map(Into::into),
             permits: reply.permits.map(|permits| Box::new(permits.into())),
--- a/crates/tidelatch/src/peers/convert_permits.rs
+++ b/crates/tidelatch/src/peers/convert_permits.rs
@@ -7,7 +7,7 @@
 impl From<PermitListing> for wire::PermitListing {
     fn from(listing: PermitListing) -> Self {
         Self {
-            life: listing.life,
+            life: listing.incarnation,
             sequence: listing.message.sequence,
             wanted: listing.message.wanted.into_iter().map(Into::into).collect(),
             used: listing.message.used.into_iter().map(Into::into).collect(),
@@ -18,7 +18,7 @@
 impl From<wire::PermitListing> for PermitListing {
     fn from(listing: wire::PermitListing) -> Self {
         Self {
-            life: listing.life,
+            incarnation: listing.life,
             message: PermitMessage {
                 sequence: listing.sequence,
                 wanted: listing.wanted.into_iter().map(Into::into).collect(),
