--- a/crates/tidelatch-core/src/calls.rs
+++ b/crates/tidelatch-core/src/calls.rs
@@ -1,7 +1,7 @@
 //! Calls in progress: the purpose of each, and the requesters that wait for its result.
 
 use crate::disruption::DrainWrite;
-use crate::ids::{ControllerId, Epoch, JobId, MachineId, Partition, Stamp};
+use crate::ids::{ControllerId, Epoch, JobId, MachineId, Partition, Revision};
 use crate::jobs::Purpose as JobPurpose;
 use crate::protocol::Rental;
 use crate::roster::{BootBatch, GroupRecord};
@@ -57,7 +57,7 @@
     /// Changes a machine group, possibly into several groups.
     WriteMachineGroup {
         group: String,
-        revision: Stamp,
+        revision: Revision,
         changes: Vec<(String, Option<GroupRecord>)>,
     },
     /// Stores that machines have booted. Their first reports are answered once this is stored.
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -8,7 +8,7 @@
 
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
-use crate::ids::{MachineId, Stamp};
+use crate::ids::{MachineId, Revision};
 use crate::messages::Level;
 use crate::protocol::TxnAnswer;
 use crate::settings::DrainRule;
@@ -47,7 +47,7 @@
 /// A drain as stored.
 #[derive(Debug, Default)]
 struct StoredDrain {
-    head: Option<(DrainHead, Stamp)>,
+    head: Option<(DrainHead, Revision)>,
     parts: BTreeMap<u32, MachineSetPart>,
 }
 
@@ -134,7 +134,7 @@
         self.covered.iter().any(|covered| covered.contains(&name))
     }
 
-    fn apply(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
+    fn apply(&mut self, key: &str, value: Option<Value>, stamp: Revision) {
         self.listed.insert(key.to_owned());
         let (name, part) = parse_key(key);
         let drain = self.stored.entry(name.to_owned()).or_default();
@@ -174,7 +174,7 @@
         head.chain(parts).collect()
     }
 
-    fn head(&self, name: &str) -> Option<&(DrainHead, Stamp)> {
+    fn head(&self, name: &str) -> Option<&(DrainHead, Revision)> {
         self.stored.get(name)?.head.as_ref()
     }
 }
@@ -199,12 +199,12 @@
             .filter(|key| !listed.contains(key))
             .collect();
         for key in gone {
-            records.apply(&key, None, Stamp(0));
+            records.apply(&key, None, Revision(0));
         }
     }
 
     /// A drain's key has a new value, or is gone.
-    pub(crate) fn apply_drain(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
+    pub(crate) fn apply_drain(&mut self, key: &str, value: Option<Value>, stamp: Revision) {
         if let Some(disruption) = &mut self.disruption {
             disruption.records.apply(key, value, stamp);
         }
@@ -267,7 +267,7 @@
         }
     }
 
-    fn write_drain(&mut self, stamp: Option<(String, Stamp)>, changes: Vec<Value>, write: DrainWrite) {
+    fn write_drain(&mut self, stamp: Option<(String, Revision)>, changes: Vec<Value>, write: DrainWrite) {
         let mut conditions = vec![self.leader_condition(), self.epoch_condition()];
         conditions.extend(stamp.map(|(key, stamp)| json!({ "k": key, "stamp": stamp })));
         if let Some(disruption) = &mut self.disruption {
@@ -341,7 +341,7 @@
             done: beginning.parts.is_empty(),
         };
         let change = json!({ "write": key, "value": head });
-        self.write_drain(Some((key, Stamp(0))), vec![change], DrainWrite::Head);
+        self.write_drain(Some((key, Revision(0))), vec![change], DrainWrite::Head);
         true
     }
 
--- a/crates/tidelatch-core/src/disruption/gate.rs
+++ b/crates/tidelatch-core/src/disruption/gate.rs
@@ -114,7 +114,7 @@
             return Err(Blocked::Gang);
         }
         let tasks = if is_gang {
-            self.gang_tasks(&task.job).ok_or(Blocked::Gang)?
+            self.stoppable_gang_tasks(&task.job).ok_or(Blocked::Gang)?
         } else {
             vec![(machine.clone(), task.clone(), attempt)]
         };
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -14,7 +14,7 @@
 
 /// What is known about the attempt that a gang's tasks share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Gang {
+pub(crate) struct GangAttempt {
     /// The attempt number.
     pub(crate) attempt: Attempt,
     /// When it was assigned, or first seen by this owner (ms).
@@ -27,7 +27,7 @@
     missing_since: Option<u64>,
 }
 
-impl Gang {
+impl GangAttempt {
     /// Creates an attempt that begins now, or that a report shows for the first time.
     pub(crate) fn new(attempt: Attempt, now: u64) -> Self {
         Self {
@@ -70,9 +70,9 @@
         if self.spec.shape != Shape::Gang {
             return;
         }
-        let gang = self.gang.get_or_insert(Gang::new(attempt, now));
+        let gang = self.gang.get_or_insert(GangAttempt::new(attempt, now));
         if attempt > gang.attempt {
-            *gang = Gang::new(attempt, now);
+            *gang = GangAttempt::new(attempt, now);
         }
         if attempt == gang.attempt && matches!(state, TaskState::Running | TaskState::Saving) {
             gang.has_run = true;
@@ -90,7 +90,7 @@
 
     /// Whether more tasks of a gang may be started now: none of its tasks is on any machine, or its attempt still
     /// waits for missing tasks.
-    pub(crate) fn gang_may_start(&self) -> bool {
+    pub(crate) fn can_start_gang_tasks(&self) -> bool {
         self.placed.is_empty() || self.gang.is_some_and(|g| !g.has_run && !g.has_ended)
     }
 }
@@ -99,7 +99,7 @@
     /// Whether every member controller has announced that it supports gangs. A gang is accepted only then. A
     /// controller that announces nothing runs the previous version. A controller that joins later raises the epoch,
     /// and every acceptance is conditional on the epoch.
-    pub(crate) fn all_know_gangs(&self) -> bool {
+    pub(crate) fn all_members_support_gangs(&self) -> bool {
         self.settings.features.gangs && self.membership.members.values().all(|m| m.knows >= 1)
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Decides how a gang proceeds. `missing` says whether tasks of it are on no machine.
-    fn decide_gang(&self, job: &Job, gang: &Gang, observation: &GangObservation, missing: bool) -> GangDecision {
+    fn decide_gang(&self, job: &Job, gang: &GangAttempt, observation: &GangObservation, missing: bool) -> GangDecision {
         let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
         let wait = self.settings.gang_ms().map_or(lease, |(wait, _)| wait);
@@ -238,15 +238,15 @@
 
     /// All tasks of a gang that is complete and running, each with its machine. None if it cannot be stopped as a
     /// whole now.
-    pub(crate) fn gang_tasks(&self, id: &JobId) -> Option<Vec<(MachineId, TaskId, Attempt)>> {
+    pub(crate) fn stoppable_gang_tasks(&self, id: &JobId) -> Option<Vec<(MachineId, TaskId, Attempt)>> {
         let job = self.jobs.get(id)?;
-        self.gang_loss(id, job)?;
+        self.gang_stop_cost_s(id, job)?;
         Some(self.observe_gang(id, job).held)
     }
 
     /// The work that stopping a gang would lose, in seconds summed over all its tasks. None if it cannot be stopped
     /// as a whole now: one of its machines may not receive the request in time, or the gang is already ending.
-    pub(crate) fn gang_loss(&self, id: &JobId, job: &Job) -> Option<f64> {
+    pub(crate) fn gang_stop_cost_s(&self, id: &JobId, job: &Job) -> Option<f64> {
         let now = self.now.ms;
         let gang = job.gang?;
         let observation = self.observe_gang(id, job);
@@ -294,7 +294,7 @@
         // Attempt numbers contain the epoch at which the tenure began, so no other tenure can assign the same number.
         let attempt = Attempt((tenure.since.0 << 24) + tenure.next_attempt);
         if let Some(job) = self.jobs.get_mut(id).filter(|j| j.spec.shape == Shape::Gang) {
-            job.gang = Some(Gang::new(attempt, now));
+            job.gang = Some(GangAttempt::new(attempt, now));
         }
         Some(attempt)
     }
--- a/crates/tidelatch-core/src/ids.rs
+++ b/crates/tidelatch-core/src/ids.rs
@@ -69,7 +69,7 @@
 );
 number_type!(
     /// Revision of the state service at which a key was last changed; 0: the key does not exist.
-    Stamp
+    Revision
 );
 number_type!(
     /// Incarnation of a controller. It changes when the process restarts and when the lease is lost.
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -17,8 +17,8 @@
 use crate::calls::{CallPurpose as Call, Requester};
 use crate::controller::Controller;
 use crate::failures::JobFailures;
-use crate::gangs::Gang;
-use crate::ids::{Epoch, JobId, MachineId, Partition, Stamp, TaskId};
+use crate::gangs::GangAttempt;
+use crate::ids::{Epoch, JobId, MachineId, Partition, Revision, TaskId};
 use crate::membership::JOB_PREFIX;
 use crate::messages::{Answer, Level};
 use crate::protocol::{JobSpec, Shape};
@@ -39,7 +39,7 @@
 pub(crate) struct Job {
     pub(crate) spec: JobSpec,
     /// Revision of the job's record in the state service.
-    pub(crate) revision: Stamp,
+    pub(crate) revision: Revision,
     /// Epoch under which the job was accepted.
     pub(crate) epoch: Epoch,
     /// Time of day of the acceptance, in milliseconds.
@@ -73,12 +73,12 @@
     /// returns there.
     pub(crate) avoided_zone: Option<(String, u64)>,
     /// The gang's current attempt, if a machine may have any of its tasks.
-    pub(crate) gang: Option<Gang>,
+    pub(crate) gang: Option<GangAttempt>,
 }
 
 impl Job {
     /// Creates a job with no finished or placed task. `record` holds the epoch, time and revision of its acceptance.
-    fn new(spec: JobSpec, record: (Epoch, u64, Stamp), partition: Partition) -> Self {
+    fn new(spec: JobSpec, record: (Epoch, u64, Revision), partition: Partition) -> Self {
         let words = (spec.tasks as usize).div_ceil(64);
         Self {
             spec,
@@ -172,7 +172,7 @@
 
 impl Controller {
     /// Applies a job record that the watch or a listing returned.
-    pub(crate) fn on_job_record_changed(&mut self, id: JobId, value: Option<Value>, stamp: Stamp) {
+    pub(crate) fn on_job_record_changed(&mut self, id: JobId, value: Option<Value>, stamp: Revision) {
         // Job records are never deleted, so an absent value is ignored.
         let Some(record) = value.and_then(|v| serde_json::from_value::<JobRecord>(v).ok()) else {
             return;
@@ -190,7 +190,7 @@
     }
 
     /// Adds a job from its record, updates its revision, or closes it if the record says that it has ended.
-    pub(crate) fn apply_job_record(&mut self, id: JobId, record: JobRecord, stamp: Stamp) {
+    pub(crate) fn apply_job_record(&mut self, id: JobId, record: JobRecord, stamp: Revision) {
         if self.ended_jobs.contains_key(&id) {
             return;
         }
--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -279,7 +279,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::ids::{Epoch, Stamp};
+    use crate::ids::{Epoch, Revision};
     use crate::protocol::parse_submission;
 
     const CHUNK_BITS: u32 = 12_288;
@@ -291,7 +291,7 @@
             "accelerators":1,"ramGb":1,"stock":"i","sizeGb":1,"together":false,"spread":false,"standby":false,
             "runtimeS":5,"waypointS":0,"stowS":0}"#;
         let (_, spec) = parse_submission(body).expect("a valid submission");
-        Job::new(spec, (Epoch(1), 0, Stamp(1)), Partition(0))
+        Job::new(spec, (Epoch(1), 0, Revision(1)), Partition(0))
     }
 
     /// Reads one stored chunk as the version without gangs does: the chunk number from its key, and the bits from the
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -24,7 +24,7 @@
 
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
-use crate::ids::{ControllerId, Incarnation, Stamp};
+use crate::ids::{ControllerId, Incarnation, Revision};
 use crate::messages::{Method, Target};
 use lease_failures::LeaseFailures;
 use serde_json::{Value, json};
@@ -78,7 +78,7 @@
     is_writing_record: bool,
     /// Last known revision of this controller's own key. Writes of the key are conditional on it, so a
     /// delayed duplicate of a write by an earlier incarnation fails.
-    own_revision: Stamp,
+    own_revision: Revision,
     next_record_write_ms: u64,
     has_listed_keys: bool,
     is_listing_keys: bool,
@@ -108,10 +108,10 @@
     /// When the shared keys were last listed, or their watch last answered.
     pub(crate) last_view_ms: u64,
     pub(crate) members: BTreeMap<ControllerId, MemberRecord>,
-    pub(crate) leader: Option<(LeaderRecord, Stamp)>,
+    pub(crate) leader: Option<(LeaderRecord, Revision)>,
     is_taking_leadership: bool,
     pub(crate) leader_since_ms: u64,
-    pub(crate) epoch: Option<(EpochRecord, Stamp)>,
+    pub(crate) epoch: Option<(EpochRecord, Revision)>,
     is_writing_epoch: bool,
     /// After an attempt to become leader or to raise the epoch, the next attempt waits until this time or
     /// until the watch has reached this revision. Without the wait, a controller whose watch hangs would
@@ -146,7 +146,7 @@
             lease_failures: LeaseFailures::default(),
             written_record: None,
             is_writing_record: false,
-            own_revision: Stamp(0),
+            own_revision: Revision(0),
             next_record_write_ms: 0,
             has_listed_keys: false,
             is_listing_keys: false,
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -3,7 +3,7 @@
 use super::records::{EPOCH_KEY, EpochRecord, LeaderRecord, MemberRecord, PartitionOwner};
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
-use crate::ids::{ControllerId, Epoch, Incarnation, Stamp};
+use crate::ids::{ControllerId, Epoch, Incarnation, Revision};
 use crate::messages::Level;
 use crate::settings::SHARED_MACHINES_LEVEL;
 use serde_json::{Value, json};
@@ -100,7 +100,7 @@
 
     /// The transaction condition that the stored epoch is still the one that this controller knows.
     pub(crate) fn epoch_condition(&self) -> Value {
-        let stamp = self.membership.epoch.as_ref().map_or(Stamp(0), |(_, s)| *s);
+        let stamp = self.membership.epoch.as_ref().map_or(Revision(0), |(_, s)| *s);
         json!({ "k": EPOCH_KEY, "stamp": stamp })
     }
 
--- a/crates/tidelatch-core/src/membership/leadership.rs
+++ b/crates/tidelatch-core/src/membership/leadership.rs
@@ -3,7 +3,7 @@
 use super::records::{LEADER_KEY, LeaderRecord};
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
-use crate::ids::{ControllerId, Stamp};
+use crate::ids::{ControllerId, Revision};
 use crate::messages::Level;
 use crate::protocol::TxnAnswer;
 use serde_json::{Value, json};
@@ -40,7 +40,7 @@
 
     /// The transaction condition that the stored leader is still the one that this controller knows.
     pub(crate) fn leader_condition(&self) -> Value {
-        let stamp = self.membership.leader.as_ref().map_or(Stamp(0), |(_, s)| *s);
+        let stamp = self.membership.leader.as_ref().map_or(Revision(0), |(_, s)| *s);
         json!({ "k": LEADER_KEY, "stamp": stamp })
     }
 
@@ -61,7 +61,7 @@
             return;
         }
         let stamp = match &self.membership.leader {
-            None => Stamp(0),
+            None => Revision(0),
             // The stored leader is an earlier incarnation of this controller and has ended.
             Some((leader, stamp)) if leader.name == self.own_name && leader.inc != self.membership.inc => *stamp,
             Some(_) => return,
--- a/crates/tidelatch-core/src/membership/registration.rs
+++ b/crates/tidelatch-core/src/membership/registration.rs
@@ -3,7 +3,7 @@
 use super::records::{MEMBER_PREFIX, MemberRecord};
 use crate::calls::{CallPurpose, is_lost_lease};
 use crate::controller::Controller;
-use crate::ids::Stamp;
+use crate::ids::Revision;
 use crate::protocol::TxnAnswer;
 use serde_json::json;
 
@@ -45,7 +45,7 @@
         match result {
             Some((200, body)) => {
                 let revision = serde_json::from_slice::<TxnAnswer>(&body).map_or(0, |a| a.ledger);
-                self.membership.own_revision = self.membership.own_revision.max(Stamp(revision));
+                self.membership.own_revision = self.membership.own_revision.max(Revision(revision));
             }
             Some((400, body)) if is_lost_lease(&body) => self.handle_lost_lease(),
             _ => {
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -7,7 +7,7 @@
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::disruption::DRAIN_PREFIX;
-use crate::ids::{ControllerId, JobId, Stamp};
+use crate::ids::{ControllerId, JobId, Revision};
 use crate::messages::{Level, Method, Target};
 use crate::protocol::{Changes, Items, MachineTypes};
 use serde_json::Value;
@@ -71,7 +71,7 @@
         if cursor.is_empty() {
             // A new listing replaces everything that was known, so that deleted keys do not remain.
             self.membership.members.clear();
-            self.membership.own_revision = Stamp(0);
+            self.membership.own_revision = Revision(0);
             self.membership.leader = None;
             self.roster_listing_begins();
             self.drain_listing_begins();
@@ -151,7 +151,7 @@
     }
 
     /// Applies the new value of a shared key, or its deletion (`None`).
-    pub(super) fn apply_shared_key(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
+    pub(super) fn apply_shared_key(&mut self, key: &str, value: Option<Value>, stamp: Revision) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             if let Some(id) = JobId::parse(id) {
                 self.on_job_record_changed(id, value, stamp);
@@ -159,7 +159,7 @@
         } else if let Some(name) = key.strip_prefix(ROSTER_PREFIX) {
             self.apply_group(name, value, stamp);
         } else if let Some(name) = key.strip_prefix(STEP_PREFIX) {
-            self.apply_step(name, value.map_or(Stamp(0), |_| stamp));
+            self.apply_step(name, value.map_or(Revision(0), |_| stamp));
         } else if let Some(drain) = key.strip_prefix(DRAIN_PREFIX) {
             self.apply_drain(drain, value, stamp);
         } else if let Some(name) = key.strip_prefix(BOOT_BATCH_PREFIX) {
@@ -170,7 +170,7 @@
                 self.membership.own_revision = match value {
                     Some(_) => self.membership.own_revision.max(stamp),
                     // Deleted at this revision. A greater known revision comes from this controller's own later write.
-                    None if stamp >= self.membership.own_revision => Stamp(0),
+                    None if stamp >= self.membership.own_revision => Revision(0),
                     None => self.membership.own_revision,
                 };
             }
--- a/crates/tidelatch-core/src/protocol/state_service.rs
+++ b/crates/tidelatch-core/src/protocol/state_service.rs
@@ -1,6 +1,6 @@
 //! What the state service answers: keys, lists, changes, transactions and leases.
 
-use crate::ids::Stamp;
+use crate::ids::Revision;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -12,7 +12,7 @@
     /// Value.
     pub value: Value,
     /// Revision of its last change.
-    pub stamp: Stamp,
+    pub stamp: Revision,
 }
 
 /// A page of a list.
@@ -40,7 +40,7 @@
     #[serde(default)]
     pub value: Value,
     /// Revision of the change.
-    pub stamp: Stamp,
+    pub stamp: Revision,
 }
 
 /// Answer of a watch.
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -108,7 +108,7 @@
         max_tasks.min(MAX_TASKS_PER_JOB_AND_BATCH)
     });
     if is_gang {
-        let is_complete = job.gang_may_start() && tasks.len() >= job.waiting_count() as usize;
+        let is_complete = job.can_start_gang_tasks() && tasks.len() >= job.waiting_count() as usize;
         return if is_complete { tasks } else { Vec::new() };
     }
     if is_starved && job.spec.shape == Shape::Array {
--- a/crates/tidelatch-core/src/queue/victims.rs
+++ b/crates/tidelatch-core/src/queue/victims.rs
@@ -131,7 +131,7 @@
     /// Seconds of work lost when a task is stopped; `None` if it cannot be stopped now.
     fn lost_work_s(&self, held: &Held, job: &Job) -> Option<f64> {
         if job.spec.shape == Shape::Gang {
-            return self.gang_loss(&held.task.job, job);
+            return self.gang_stop_cost_s(&held.task.job, job);
         }
         let ran_s = held.running_since.map_or(0, |t| self.now.ms.saturating_sub(t)) as f64 / 1000.0;
         let has_checkpoints = job.spec.checkpoint_s > 0.0;
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -5,7 +5,7 @@
 use super::records::{GroupRecord, entry_bytes};
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
-use crate::ids::{MachineId, Partition, Stamp};
+use crate::ids::{MachineId, Partition, Revision};
 use crate::jobs::bytes_of;
 use crate::machine_view::Machine;
 use crate::membership::{ROSTER_PREFIX, STEP_PREFIX};
@@ -59,7 +59,7 @@
 
 /// A unique name for a new machine group: its first machine, the revision of the group that it comes from, and a
 /// suffix. A machine is in only one machine group at a revision, so no other group has this name.
-fn new_group_name(group: &str, revision: Stamp, record: &GroupRecord, suffix: &str) -> String {
+fn new_group_name(group: &str, revision: Revision, record: &GroupRecord, suffix: &str) -> String {
     let first = record.m.keys().next().map_or(group, MachineId::as_str);
     format!("{first}.{revision}.{suffix}")
 }
@@ -192,7 +192,7 @@
     /// are split into smaller groups, in one write if a transaction can hold them all. Otherwise some of them are
     /// written to new machine groups first, while the old group keeps its value: a machine that is in both belongs to
     /// the group with the later revision.
-    fn plan_group_change(&mut self, name: &str, revision: Stamp, division: Division) -> GroupChange {
+    fn plan_group_change(&mut self, name: &str, revision: Revision, division: Division) -> GroupChange {
         let Division { staying, moving } = division;
         let mut pieces = split_group(&staying, self.fill());
         if pieces.len() > 1 && moving.len() + pieces.len() > self.write_limits.ops {
@@ -223,7 +223,7 @@
 
     /// Plans one step of splitting a machine group: new machine groups for as many of its machines as a transaction can
     /// hold. Machines that are being handed over are left out as long as there are others.
-    fn plan_split_step(&self, name: &str, revision: Stamp, staying: &GroupRecord) -> GroupChange {
+    fn plan_split_step(&self, name: &str, revision: Revision, staying: &GroupRecord) -> GroupChange {
         let is_staying = |id: &MachineId| self.machines.get(id).is_none_or(|m| m.moving.is_none());
         let mut not_moving = staying.clone();
         not_moving.m.retain(|id, _| is_staying(id));
@@ -242,7 +242,7 @@
 
     /// Sends the write of a changed machine group, on condition that the group still has the revision for which the
     /// write was planned and the epoch is current.
-    fn send_group_change(&mut self, name: &str, revision: Stamp, step_revision: Stamp, change: GroupChange) {
+    fn send_group_change(&mut self, name: &str, revision: Revision, step_revision: Revision, change: GroupChange) {
         let is_split_step = change.remaining.is_none();
         let mut conditions = vec![
             self.epoch_condition(),
@@ -273,7 +273,7 @@
             // put machines back into groups that they have left since.
             conditions.push(json!({ "k": step_key, "stamp": step_revision }));
             writes.push(json!({ "write": step_key, "value": true }));
-        } else if step_revision != Stamp(0) && !self.capacity.stale_keys.contains(&step_key) {
+        } else if step_revision != Revision(0) && !self.capacity.stale_keys.contains(&step_key) {
             self.capacity.stale_keys.push(step_key);
         }
         if let Some(group) = self.roster.groups.get_mut(name) {
@@ -295,7 +295,7 @@
     pub(crate) fn on_group(
         &mut self,
         name: String,
-        revision: Stamp,
+        revision: Revision,
         changes: Vec<(String, Option<GroupRecord>)>,
         result: Option<(u16, Vec<u8>)>,
     ) {
@@ -306,12 +306,12 @@
             let is_complete = changes.iter().any(|(key, _)| *key == name);
             for (key, record) in changes {
                 let value = record.and_then(|r| serde_json::to_value(r).ok());
-                self.apply_group(&key, value, Stamp(answer.ledger));
+                self.apply_group(&key, value, Revision(answer.ledger));
             }
             if let Some(group) = self.roster.groups.get_mut(&name).filter(|_| !is_complete) {
                 // Some of its machines are in other groups now: the next step is due.
                 group.write_in_flight = false;
-                group.step_revision = Stamp(answer.ledger);
+                group.step_revision = Revision(answer.ledger);
                 self.roster.due_writes.insert(name, self.now.ms);
             }
             return;
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -2,7 +2,7 @@
 
 use super::records::GroupRecord;
 use crate::controller::Controller;
-use crate::ids::{MachineId, Partition, Stamp};
+use crate::ids::{MachineId, Partition, Revision};
 use crate::machine_view::Machine;
 use crate::messages::Level;
 use serde_json::Value;
@@ -11,12 +11,12 @@
 #[derive(Debug, Clone)]
 pub(super) struct MachineGroup {
     /// Revision of its stored value.
-    pub(super) revision: Stamp,
+    pub(super) revision: Revision,
     pub(super) record: GroupRecord,
     /// A write of it is in flight.
     pub(super) write_in_flight: bool,
     /// Revision of the key that each step of splitting it writes; 0: it is not being split in steps.
-    pub(super) step_revision: Stamp,
+    pub(super) step_revision: Revision,
     /// The revision at which a write of it was refused. Once the watch has reached this revision, the reason is known.
     pub(super) refused_at: Option<u64>,
 }
@@ -38,13 +38,13 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in deleted {
-            self.apply_group(&name, None, Stamp(revision + 1));
+            self.apply_group(&name, None, Revision(revision + 1));
         }
     }
 
     /// Applies a machine group's new value, or its deletion (`value` is none), as of a revision. A revision that is
     /// not newer than the known one is ignored.
-    pub(crate) fn apply_group(&mut self, name: &str, value: Option<Value>, revision: Stamp) {
+    pub(crate) fn apply_group(&mut self, name: &str, value: Option<Value>, revision: Revision) {
         self.roster.listed_groups.insert(name.to_owned());
         if self.roster.groups.get(name).is_some_and(|g| g.revision >= revision) {
             return;
@@ -102,7 +102,7 @@
                 revision,
                 record,
                 write_in_flight: false,
-                step_revision: old.as_ref().map_or(Stamp(0), |group| group.step_revision),
+                step_revision: old.as_ref().map_or(Revision(0), |group| group.step_revision),
                 refused_at: old.and_then(|group| group.refused_at).filter(|at| *at > revision.0),
             },
         );
@@ -128,7 +128,7 @@
     }
 
     /// Records the revision of a machine group's step key; 0: the group is not being split in steps.
-    pub(crate) fn apply_step(&mut self, name: &str, revision: Stamp) {
+    pub(crate) fn apply_step(&mut self, name: &str, revision: Revision) {
         if let Some(group) = self.roster.groups.get_mut(name) {
             group.step_revision = revision;
         }
--- a/crates/tidelatch-core/src/roster/rentals.rs
+++ b/crates/tidelatch-core/src/roster/rentals.rs
@@ -4,7 +4,7 @@
 use crate::calls::CallPurpose;
 use crate::capacity::MachineKind;
 use crate::controller::Controller;
-use crate::ids::{MachineId, Partition, Stamp};
+use crate::ids::{MachineId, Partition, Revision};
 use crate::jobs::bytes_of;
 use crate::membership::ROSTER_PREFIX;
 use crate::protocol::TxnAnswer;
@@ -123,7 +123,7 @@
                 registered.extend(record.m.keys().cloned());
                 self.capacity.min_digest_revision.insert(record.part, answer.ledger);
                 if status == 200 {
-                    self.apply_group(&name, serde_json::to_value(record).ok(), Stamp(answer.ledger));
+                    self.apply_group(&name, serde_json::to_value(record).ok(), Revision(answer.ledger));
                 }
             }
             self.capacity
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -3,7 +3,7 @@
 use crate::admission::Deferral;
 use crate::calls::{CallPurpose as Call, Requester};
 use crate::controller::Controller;
-use crate::ids::{Epoch, JobId, Stamp};
+use crate::ids::{Epoch, JobId, Revision};
 use crate::jobs::{JobRecord, Purpose, StoredJobStatus, bytes_of};
 use crate::membership::JOB_PREFIX;
 use crate::messages::{Answer, Level, STATUS_NO_FREE_SOCKET, STATUS_NOT_CONNECTED};
@@ -136,7 +136,7 @@
         if self.settings.gang_ms().is_none() {
             return error(422, "this deployment has no times set for gangs");
         }
-        if !self.all_know_gangs() {
+        if !self.all_members_support_gangs() {
             let lease_s = (self.settings.lease_ms() / 1000).max(1) as u32;
             return Some(Answer::retry_later(
                 503,
@@ -221,7 +221,7 @@
                     );
                     self.log(Level::Debug, text);
                 }
-                self.apply_job_record(id.clone(), record, Stamp(stamp));
+                self.apply_job_record(id.clone(), record, Revision(stamp));
                 if self.ended_jobs.contains_key(&id) || self.is_reply_stale {
                     // Another controller may have told a user of the job's end since.
                     self.on_status(requester, id.as_str(), true);
