--- a/crates/tidelatch-core/src/placement.rs
+++ b/crates/tidelatch-core/src/placement.rs
@@ -42,7 +42,7 @@
 
 /// A machine and its free room.
 #[derive(Debug, Clone)]
-pub struct Slot {
+pub struct MachineSlot {
     /// Machine type.
     pub model: String,
     /// Zone.
@@ -62,7 +62,7 @@
     /// Price per hour.
     pub price: f64,
     /// Number of jobs that failed on it recently.
-    pub doubts: f64,
+    pub recent_failures: f64,
 }
 
 /// Placement terms that all tasks of a job share.
@@ -77,14 +77,14 @@
     /// Whether all tasks must run in the same zone.
     pub one_zone: bool,
     /// Maximum number of tasks in one zone.
-    pub most_per_zone: Option<u32>,
+    pub max_tasks_per_zone: Option<u32>,
     /// Zones with the cheapest machine types; empty if there is no restriction to them. Machines in other zones are
     /// left to jobs that the spreading rule leaves no other zone.
     pub cheap_zones: Vec<String>,
     /// Maximum number of tasks outside `cheap_zones`.
-    pub most_elsewhere: u32,
+    pub max_tasks_outside_cheap_zones: u32,
     /// A zone that a replica was moved out of recently and that the job must not use yet.
-    pub shunned: Option<String>,
+    pub avoided_zone: Option<String>,
     /// Whether it may use spot machines.
     pub spot: bool,
     /// Container image.
@@ -100,20 +100,20 @@
     /// Rank by priority and deadline: higher ranks are placed first.
     pub rank: f64,
     /// Whether it is a service; its replicas are spread over zones.
-    pub service: bool,
+    pub is_service: bool,
     /// Whether it is a gang: all of its tasks are placed or none.
-    pub gang: bool,
+    pub is_gang: bool,
     /// Indices of machines that are excluded for this job.
-    pub barred: BTreeSet<usize>,
+    pub excluded_machines: BTreeSet<usize>,
     /// Seconds within which its class should start according to the objectives; 0 without such an objective.
-    pub within_s: f64,
+    pub start_objective_s: f64,
     /// Price per hour of one task on the cheapest machine that may run it, fully packed with such tasks; 0 if unknown.
-    pub cheapest: f64,
+    pub cheapest_task_price: f64,
     /// Seconds left until it should have started according to the objectives of its class; 0 without such an
     /// objective.
-    pub wait_left_s: f64,
+    pub start_time_left_s: f64,
     /// Number of its tasks in each zone, including those whose state is uncertain.
-    pub in_zone: BTreeMap<String, u32>,
+    pub tasks_by_zone: BTreeMap<String, u32>,
     /// Index of its team.
     pub team: usize,
 }
@@ -121,7 +121,7 @@
 impl JobTerms {
     /// Number of the job's tasks in zones other than `cheap_zones`.
     fn tasks_outside_cheap_zones(&self) -> u32 {
-        let outside = self.in_zone.iter().filter(|(z, _)| !self.cheap_zones.contains(z));
+        let outside = self.tasks_by_zone.iter().filter(|(z, _)| !self.cheap_zones.contains(z));
         outside.map(|(_, n)| n).sum()
     }
 
@@ -131,14 +131,14 @@
         (self.spot || !spot)
             && self.models.as_ref().is_none_or(|m| m.iter().any(|x| x == model))
             && self.zone.as_ref().is_none_or(|z| z == zone)
-            && self.shunned.as_ref().is_none_or(|z| z != zone)
-            && (!self.one_zone || self.in_zone.iter().all(|(z, n)| *n == 0 || z == zone))
+            && self.avoided_zone.as_ref().is_none_or(|z| z != zone)
+            && (!self.one_zone || self.tasks_by_zone.iter().all(|(z, n)| *n == 0 || z == zone))
             && (self.cheap_zones.is_empty()
                 || self.cheap_zones.iter().any(|z| z == zone)
-                || self.tasks_outside_cheap_zones() < self.most_elsewhere)
+                || self.tasks_outside_cheap_zones() < self.max_tasks_outside_cheap_zones)
             && self
-                .most_per_zone
-                .is_none_or(|most| self.in_zone.get(zone).copied().unwrap_or(0) < most)
+                .max_tasks_per_zone
+                .is_none_or(|most| self.tasks_by_zone.get(zone).copied().unwrap_or(0) < most)
     }
 }
 
@@ -147,7 +147,7 @@
 
 /// A batch of tasks during its placement.
 pub struct Batch<'a> {
-    slots: &'a mut [Slot],
+    slots: &'a mut [MachineSlot],
     jobs: &'a mut [JobTerms],
     /// Room left under each team's limit.
     teams: &'a mut [Amounts],
@@ -161,7 +161,12 @@
 
 impl<'a> Batch<'a> {
     /// Creates a batch over a snapshot. `tasks` holds the job index of each task.
-    pub fn new(slots: &'a mut [Slot], jobs: &'a mut [JobTerms], teams: &'a mut [Amounts], tasks: &'a [usize]) -> Self {
+    pub fn new(
+        slots: &'a mut [MachineSlot],
+        jobs: &'a mut [JobTerms],
+        teams: &'a mut [Amounts],
+        tasks: &'a [usize],
+    ) -> Self {
         let choice = vec![None; tasks.len()];
         Self {
             slots,
@@ -189,7 +194,7 @@
             return false;
         };
         fits(&job.size, &slot.free)
-            && !job.barred.contains(&slot_index)
+            && !job.excluded_machines.contains(&slot_index)
             && self.teams.get(job.team).is_some_and(|room| fits(&job.size, room))
             && job.admits(&slot.model, &slot.zone, slot.spot)
     }
@@ -220,27 +225,28 @@
             }
         }
         let packing = used / resources.max(1.0);
-        let spreading = if job.service {
-            1.0 / (1.0 + f64::from(job.in_zone.get(&slot.zone).copied().unwrap_or(0)))
+        let spreading = if job.is_service {
+            1.0 / (1.0 + f64::from(job.tasks_by_zone.get(&slot.zone).copied().unwrap_or(0)))
         } else {
             0.0
         };
         // Leave machines that cost this job a multiple of the cheapest one to jobs that need them. Small machines that
         // take one replica each are often the only ones that a zone has.
-        let price_excess = if job.cheapest > 0.0 {
+        let price_excess = if job.cheapest_task_price > 0.0 {
             let fit = count_fitting(&job.size, &slot.total).max(1.0);
-            (slot.price / fit / job.cheapest - 1.0).clamp(0.0, 1.0)
+            (slot.price / fit / job.cheapest_task_price - 1.0).clamp(0.0, 1.0)
         } else {
             0.0
         };
         let price_penalty = price_excess
-            * if job.service {
+            * if job.is_service {
                 SERVICE_PRICE_WEIGHT
             } else {
                 ARRAY_PRICE_WEIGHT
             };
         // A fetch that takes longer than the class may still wait outweighs the other terms.
-        let is_too_late = job.wait_left_s > 0.0 && fetch_s > 0.0 && fetch_s + START_OVERHEAD_S > job.wait_left_s;
+        let is_too_late =
+            job.start_time_left_s > 0.0 && fetch_s > 0.0 && fetch_s + START_OVERHEAD_S > job.start_time_left_s;
         let lateness = if is_too_late { 2.0 } else { 0.0 };
         // Avoid machines with accelerators for tasks that need none, especially if the CPUs and memory left beside the
         // accelerators are too little for tasks that need accelerators.
@@ -252,13 +258,13 @@
             0.0
         };
         // The slowest image fetch determines when a gang starts, and the slowest machine determines its speed.
-        let gang_penalty = if job.gang {
-            let fetch_penalty = if job.within_s > 0.0 {
-                3.0 * fetch_s / job.within_s
+        let gang_penalty = if job.is_gang {
+            let fetch_penalty = if job.start_objective_s > 0.0 {
+                3.0 * fetch_s / job.start_objective_s
             } else {
                 0.0
             };
-            fetch_penalty.min(3.0) + 3.0 * slot.doubts
+            fetch_penalty.min(3.0) + 3.0 * slot.recent_failures
         } else {
             0.0
         };
@@ -280,7 +286,7 @@
         }
         let mut best: Option<(f64, Vec<usize>)> = None;
         for zone in zones {
-            let is_in_zone = |s: &Slot| zone.as_ref().is_none_or(|z| *z == s.zone);
+            let is_in_zone = |s: &MachineSlot| zone.as_ref().is_none_or(|z| *z == s.zone);
             let room: f64 = self
                 .slots
                 .iter()
@@ -334,7 +340,7 @@
         if let Some(room) = self.teams.get_mut(job.team) {
             subtract(room, &job.size);
         }
-        *job.in_zone.entry(s.zone.clone()).or_default() += 1;
+        *job.tasks_by_zone.entry(s.zone.clone()).or_default() += 1;
         s.images.insert(job.image.clone());
         if let Some(c) = self.choice.get_mut(task) {
             *c = Some(slot);
@@ -350,7 +356,7 @@
         if let Some(room) = self.teams.get_mut(job.team) {
             add(room, &job.size);
         }
-        if let Some(n) = job.in_zone.get_mut(&s.zone) {
+        if let Some(n) = job.tasks_by_zone.get_mut(&s.zone) {
             *n = n.saturating_sub(1);
         }
         Some(slot)
@@ -409,7 +415,7 @@
         let mut gangs: BTreeSet<usize> = BTreeSet::new();
         for task in order {
             let job = self.tasks.get(task).copied().unwrap_or(usize::MAX);
-            if self.jobs.get(job).is_some_and(|j| j.gang) {
+            if self.jobs.get(job).is_some_and(|j| j.is_gang) {
                 if gangs.insert(job) {
                     let all = self.tasks.iter().enumerate().filter(|(_, j)| **j == job);
                     let all: Vec<usize> = all.map(|(t, _)| t).collect();
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -8,7 +8,7 @@
 use crate::capacity::UnplacedTasks;
 use crate::controller::Controller;
 use crate::ids::{JobId, MachineId, Partition, TaskId};
-use crate::placement::{Amounts, Batch, JobTerms, Slot};
+use crate::placement::{Amounts, Batch, JobTerms, MachineSlot};
 use crate::protocol::{JobSpec, Priority, Shape};
 use crate::settings::Team;
 use std::collections::{BTreeMap, BTreeSet};
@@ -137,13 +137,13 @@
             Some(terms)
         };
         let mut jobs: Vec<JobTerms> = waiting.iter().filter_map(terms).collect();
-        for (w, terms) in waiting.iter().zip(jobs.iter_mut()).filter(|(_, t)| t.gang) {
+        for (w, terms) in waiting.iter().zip(jobs.iter_mut()).filter(|(_, t)| t.is_gang) {
             self.exclude_machines_with_attempt(&w.id, ids, terms);
         }
         for (w, terms) in waiting.iter().zip(jobs.iter_mut()) {
-            terms.barred.extend(self.reserved_for_others(&w.id, ids));
+            terms.excluded_machines.extend(self.reserved_for_others(&w.id, ids));
             if self.has_failures(&w.id) {
-                terms.barred.extend(self.failed_places(&w.id, ids));
+                terms.excluded_machines.extend(self.failed_places(&w.id, ids));
             }
         }
         if let Some((gang, machines)) = self.reserve_machines_for_gang(partition, waiting, &jobs) {
@@ -153,7 +153,7 @@
             let priority = waiting.get(gang).map_or(Priority::Low, |w| w.priority);
             for (j, (w, terms)) in waiting.iter().zip(jobs.iter_mut()).enumerate() {
                 if j != gang && w.priority <= priority {
-                    terms.barred.extend(&reserved);
+                    terms.excluded_machines.extend(&reserved);
                 }
             }
         }
@@ -165,7 +165,7 @@
         &mut self,
         progress: &mut BatchProgress,
         waiting: &[WaitingJob],
-        (ids, slots): (&[MachineId], &mut Vec<Slot>),
+        (ids, slots): (&[MachineId], &mut Vec<MachineSlot>),
         (jobs, room): (&mut Vec<JobTerms>, &mut Vec<Amounts>),
         evaluations_left: &mut usize,
     ) {
@@ -232,7 +232,7 @@
         unplaced: &[(usize, u32)],
         waiting: &[WaitingJob],
         jobs: &[JobTerms],
-        (room, slots): (&mut [Amounts], &[Slot]),
+        (room, slots): (&mut [Amounts], &[MachineSlot]),
     ) -> (BTreeMap<usize, UnplacedTasks>, Vec<usize>) {
         let mut demands: BTreeMap<usize, UnplacedTasks> = BTreeMap::new();
         let mut jobs_without_machine: Vec<usize> = Vec::new();
@@ -244,7 +244,7 @@
                 continue;
             }
             subtract(left, &terms.size);
-            if !terms.gang {
+            if !terms.is_gang {
                 jobs_without_machine.push(*j);
             }
             let Some(w) = waiting.get(*j) else { continue };
@@ -279,7 +279,8 @@
             self.now.wall_ms.saturating_sub(w.accepted_wall_ms)
                 / (1000.0 * GANG_RESERVATION_FRACTION * MAX_START_DELAY_S) as u64
         };
-        let gangs = (0..waiting.len()).filter(|j| jobs.get(*j).is_some_and(|t| t.gang && t.in_zone.is_empty()));
+        let gangs =
+            (0..waiting.len()).filter(|j| jobs.get(*j).is_some_and(|t| t.is_gang && t.tasks_by_zone.is_empty()));
         let longest_waiting = gangs.min_by_key(|j| waiting.get(*j).map_or(u64::MAX, |w| w.accepted_wall_ms))?;
         let (w, terms) = waiting.get(longest_waiting).zip(jobs.get(longest_waiting))?;
         if waited_periods(w) % 2 == 0 {
@@ -338,15 +339,15 @@
         let Some(gang) = job.gang else { return };
         for (index, machine) in ids.iter().enumerate() {
             if self.machines.get(machine).is_some_and(|m| m.lists(id, gang.attempt)) {
-                terms.barred.insert(index);
+                terms.excluded_machines.insert(index);
             }
         }
     }
 
     /// The zone in which to rent machines for a gang that must run in one zone: the one with the most free room,
     /// preferring zones in which the cloud still rents out suitable machines.
-    pub(super) fn choose_gang_zone(&self, terms: &JobTerms, slots: &[Slot]) -> Option<String> {
-        if !terms.gang || !terms.one_zone || terms.in_zone.values().any(|n| *n > 0) {
+    pub(super) fn choose_gang_zone(&self, terms: &JobTerms, slots: &[MachineSlot]) -> Option<String> {
+        if !terms.is_gang || !terms.one_zone || terms.tasks_by_zone.values().any(|n| *n > 0) {
             return None;
         }
         let mut best: Option<(bool, u32, &String)> = None;
@@ -378,7 +379,7 @@
     }
 
     /// Usable machines of a partition with room for at least `smallest`, and a slot for each.
-    pub(super) fn machine_slots(&self, partition: Partition, smallest: &Amounts) -> (Vec<MachineId>, Vec<Slot>) {
+    pub(super) fn machine_slots(&self, partition: Partition, smallest: &Amounts) -> (Vec<MachineId>, Vec<MachineSlot>) {
         let max_report_age_ms = 3 * self.settings.report_ms();
         let mut ids = Vec::new();
         let mut slots = Vec::new();
@@ -403,7 +404,7 @@
                     .map(|j| j.spec.image.clone()),
             );
             ids.push(id.clone());
-            slots.push(Slot {
+            slots.push(MachineSlot {
                 model: m.model.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
@@ -412,7 +413,7 @@
                 images,
                 fetch_s_per_gb: 1.0 / t.fetch_gb_per_s.max(1e-3),
                 boot_s: t.boot_s,
-                doubts: m.failures.len() as f64,
+                recent_failures: m.failures.len() as f64,
                 price: if m.spot { t.spot_price } else { t.price },
             });
         }
@@ -446,13 +447,13 @@
         let cheap_zone_capacity = most_per_zone.unwrap_or(0).saturating_mul(cheap_zones.len() as u32);
         Some(JobTerms {
             cheap_zones,
-            most_elsewhere: spec.tasks.saturating_sub(cheap_zone_capacity),
+            max_tasks_outside_cheap_zones: spec.tasks.saturating_sub(cheap_zone_capacity),
             size: Self::task_resources(spec),
             models: spec.models.clone(),
             zone: spec.zone.clone(),
             one_zone: spec.one_zone,
-            most_per_zone,
-            shunned: job
+            max_tasks_per_zone: most_per_zone,
+            avoided_zone: job
                 .avoided_zone
                 .as_ref()
                 .filter(|(_, until)| self.now.ms < *until)
@@ -464,13 +465,13 @@
             deadline_s: spec.deadline_s.unwrap_or(0.0),
             estimate_s: self.estimates.run_s(spec),
             rank: f64::from(spec.priority as u8) * 10.0 + urgency,
-            service: spec.shape == Shape::Service,
-            gang: spec.shape == Shape::Gang,
-            barred: BTreeSet::new(),
-            within_s: self.job_start_objective_s(id),
-            cheapest,
-            wait_left_s: (self.job_start_objective_s(id) - age_s).max(0.0),
-            in_zone,
+            is_service: spec.shape == Shape::Service,
+            is_gang: spec.shape == Shape::Gang,
+            excluded_machines: BTreeSet::new(),
+            start_objective_s: self.job_start_objective_s(id),
+            cheapest_task_price: cheapest,
+            start_time_left_s: (self.job_start_objective_s(id) - age_s).max(0.0),
+            tasks_by_zone: in_zone,
             team,
         })
     }
--- a/crates/tidelatch-core/src/queue/batch_selection.rs
+++ b/crates/tidelatch-core/src/queue/batch_selection.rs
@@ -57,7 +57,7 @@
                 break;
             };
             // A gang is selected as a whole, even beyond the batch size.
-            let is_gang = jobs.get(job_index).is_some_and(|t| t.gang);
+            let is_gang = jobs.get(job_index).is_some_and(|t| t.is_gang);
             let count = if is_gang { w.tasks.len() - *next_task } else { 1 };
             let first_task = *next_task;
             *next_task += count;
--- a/crates/tidelatch-core/src/queue/cached_image_preemption.rs
+++ b/crates/tidelatch-core/src/queue/cached_image_preemption.rs
@@ -44,19 +44,19 @@
         let reserved_indices = ids.iter().enumerate().filter(|(_, id)| reserved.contains(*id));
         let reserved: BTreeSet<usize> = reserved_indices.map(|(index, _)| index).collect();
         for (_, terms) in waiting.iter().zip(jobs).filter(|(w, _)| w.priority < Priority::Prod) {
-            terms.barred.extend(&reserved);
+            terms.excluded_machines.extend(&reserved);
         }
     }
 
     /// Whether a production replica would start too late on a machine that has to fetch its image first, and may still
     /// wait for a machine that has it.
     fn needs_cached_image(&self, w: &WaitingJob, terms: &JobTerms) -> bool {
-        let can_still_wait = terms.wait_left_s > (1.0 - HOLD_BACK_FRACTION) * terms.within_s;
+        let can_still_wait = terms.start_time_left_s > (1.0 - HOLD_BACK_FRACTION) * terms.start_objective_s;
         let fetch_s = self
             .machine_types
             .iter()
             .map(|t| terms.image_gb / t.fetch_gb_per_s.max(1e-3))
             .fold(f64::MAX, f64::min);
-        w.priority >= Priority::Prod && terms.service && can_still_wait && fetch_s > terms.wait_left_s
+        w.priority >= Priority::Prod && terms.is_service && can_still_wait && fetch_s > terms.start_time_left_s
     }
 }
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -5,7 +5,7 @@
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
 use crate::membership::Stage;
 use crate::messages::Level;
-use crate::placement::{Batch, JobTerms, Slot};
+use crate::placement::{Batch, JobTerms, MachineSlot};
 use crate::protocol::Shape;
 use std::collections::BTreeSet;
 
@@ -135,7 +135,12 @@
     }
 
     /// Whether all tasks of a machine fit on other machines that already have their images.
-    pub(super) fn can_relocate_tasks(&self, mut slots: Vec<Slot>, id: &MachineId, held: &[(TaskId, Attempt)]) -> bool {
+    pub(super) fn can_relocate_tasks(
+        &self,
+        mut slots: Vec<MachineSlot>,
+        id: &MachineId,
+        held: &[(TaskId, Attempt)],
+    ) -> bool {
         let Some(zone) = self.machines.get(id).map(|m| m.zone.clone()) else {
             return false;
         };
@@ -156,7 +161,7 @@
                 }
             };
             // The task no longer counts in the zone that it leaves.
-            if let Some(n) = jobs.get_mut(at).and_then(|j| j.in_zone.get_mut(&zone)) {
+            if let Some(n) = jobs.get_mut(at).and_then(|j| j.tasks_by_zone.get_mut(&zone)) {
                 *n = n.saturating_sub(1);
             }
             tasks.push(at);
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -249,7 +249,7 @@
         }
         if let Some(machine) = self.machines.get_mut(plan.machine_index) {
             subtract(&mut machine.free, &terms.size);
-            *terms.in_zone.entry(machine.zone.clone()).or_default() += 1;
+            *terms.tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
         }
         if let Some(room_left) = self.room_left.get_mut(terms.team) {
             subtract(room_left, &terms.size);
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -94,7 +94,7 @@
                 continue;
             }
             unplaceable_jobs.insert(*j);
-            if terms.service && w.priority >= Priority::Prod {
+            if terms.is_service && w.priority >= Priority::Prod {
                 blocked_replicas.push(*j);
             }
         }
@@ -236,7 +236,7 @@
             let Some((machine, free_now)) = self.reserve_room(&request) else {
                 break;
             };
-            *terms.in_zone.entry(machine.zone.clone()).or_default() += 1;
+            *terms.tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
             if !free_now {
                 waiting_for_stops += 1;
                 reserved.insert(machine.id.clone());
--- a/crates/tidelatch-core/src/queue/replica_swaps.rs
+++ b/crates/tidelatch-core/src/queue/replica_swaps.rs
@@ -180,10 +180,10 @@
         }
         let team = controller.settings.team(&job.spec.team).map_or(0, |(t, _)| t);
         let mut terms = controller.job_terms(&held.task.job, team, f64::MAX)?;
-        if let Some(n) = terms.in_zone.get_mut(&m.zone) {
+        if let Some(n) = terms.tasks_by_zone.get_mut(&m.zone) {
             *n = n.saturating_sub(1);
         }
-        terms.shunned = Some(m.zone.clone());
+        terms.avoided_zone = Some(m.zone.clone());
         let mut to = None;
         for ((model, zone, spot), machines) in &self.destinations {
             if to.is_none() && terms.admits(model, zone, *spot) {
--- a/crates/tidelatch-core/tests/planning.rs
+++ b/crates/tidelatch-core/tests/planning.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tidelatch_core::capacity::{Lane, UnplacedTasks, absorb, plan};
 use tidelatch_core::ids::Partition;
-use tidelatch_core::placement::{Amounts, Batch, JobTerms, Slot};
+use tidelatch_core::placement::{Amounts, Batch, JobTerms, MachineSlot};
 use tidelatch_core::protocol::MachineType;
 use tidelatch_core::protocol::Shape;
 use tidelatch_core::protocol::parse_submission;
 use tidelatch_core::queue::{Claim, EstimateCorrections, next_in_turn, starved_s, urgency};
 
-fn slot(zone: &str, spot: bool, free_gpus: f64) -> Slot {
-    Slot {
+fn slot(zone: &str, spot: bool, free_gpus: f64) -> MachineSlot {
+    MachineSlot {
         model: "m".into(),
         zone: zone.into(),
         spot,
@@ -19,7 +19,7 @@
         images: BTreeSet::new(),
         fetch_s_per_gb: 1.0,
         boot_s: 30.0,
-        doubts: 0.0,
+        recent_failures: 0.0,
         price: 7.0,
     }
 }
@@ -30,10 +30,10 @@
         models: None,
         zone: None,
         one_zone: false,
-        most_per_zone: None,
+        max_tasks_per_zone: None,
         cheap_zones: Vec::new(),
-        most_elsewhere: 0,
-        shunned: None,
+        max_tasks_outside_cheap_zones: 0,
+        avoided_zone: None,
         spot: true,
         image: "i".into(),
         image_gb: 5.0,
@@ -41,20 +41,20 @@
         deadline_s: 0.0,
         estimate_s: 50.0,
         rank,
-        service: false,
-        gang: false,
-        barred: Default::default(),
-        within_s: 0.0,
-        cheapest: 0.0,
-        wait_left_s: 0.0,
-        in_zone: BTreeMap::new(),
+        is_service: false,
+        is_gang: false,
+        excluded_machines: Default::default(),
+        start_objective_s: 0.0,
+        cheapest_task_price: 0.0,
+        start_time_left_s: 0.0,
+        tasks_by_zone: BTreeMap::new(),
         team: 0,
     }
 }
 
 const ANY: Amounts = [f64::MAX; 3];
 
-fn place(slots: &mut [Slot], jobs: &mut [JobTerms], tasks: &[usize], room: Amounts) -> Vec<Option<usize>> {
+fn place(slots: &mut [MachineSlot], jobs: &mut [JobTerms], tasks: &[usize], room: Amounts) -> Vec<Option<usize>> {
     Batch::new(slots, jobs, &mut [room], tasks).place(100)
 }
 
@@ -67,8 +67,8 @@
     assert_eq!(place(&mut [slot("a", true, 2.0)], &mut [no_spot], &[0], ANY), [None]);
 
     let mut spread = terms(1.0);
-    spread.most_per_zone = Some(1);
-    spread.in_zone.insert("a".into(), 1);
+    spread.max_tasks_per_zone = Some(1);
+    spread.tasks_by_zone.insert("a".into(), 1);
     let placed = place(
         &mut [slot("a", false, 2.0), slot("b", false, 2.0)],
         &mut [spread],
@@ -163,7 +163,7 @@
 fn wish(count: u32, service: bool) -> UnplacedTasks {
     let mut terms = terms(1.0);
     terms.spot = !service;
-    terms.service = service;
+    terms.is_service = service;
     terms.estimate_s = if service { 0.0 } else { 50.0 };
     terms.deadline_s = if service { 0.0 } else { 155.0 };
     let mut wish = UnplacedTasks::new(Partition(0), &terms, service, if service { f64::MAX } else { 100.0 });
@@ -257,10 +257,10 @@
     // Guard: from hanbit-railplan-grown. The first services took all machines of the scarce zones, and
     // the last replicas of later ones, which spreading lets run only there, waited for minutes.
     let mut jobs = [terms(1.0)];
-    jobs[0].service = true;
-    jobs[0].most_per_zone = Some(2);
+    jobs[0].is_service = true;
+    jobs[0].max_tasks_per_zone = Some(2);
     jobs[0].cheap_zones = vec!["a".into()];
-    jobs[0].most_elsewhere = 2;
+    jobs[0].max_tasks_outside_cheap_zones = 2;
     let mut slots = [slot("b", false, 2.0), slot("c", false, 2.0)];
     let chosen = place(&mut slots, &mut jobs, &[0, 0, 0, 0], ANY);
     assert_eq!(
@@ -317,7 +317,7 @@
 
 fn gang(tasks: f64) -> JobTerms {
     JobTerms {
-        gang: true,
+        is_gang: true,
         one_zone: true,
         size: [8.0, 0.0, 1.0],
         rank: tasks,
@@ -329,7 +329,7 @@
 fn a_gang_is_placed_whole_in_one_zone_or_not_at_all() {
     // Guard: the sum of all room is no room for a gang, neither over zones nor over a limit.
     let zones = ["a", "a", "b", "b", "b"];
-    let mut slots: Vec<Slot> = zones.iter().map(|z| slot(z, false, 0.0)).collect();
+    let mut slots: Vec<MachineSlot> = zones.iter().map(|z| slot(z, false, 0.0)).collect();
     slots[0].free[0] = 8.0;
     let placed = place(&mut slots.clone(), &mut [gang(1.0)], &[0; 7], ANY);
     let used: Vec<Option<&str>> = placed.iter().map(|p| p.and_then(|p| zones.get(p).copied())).collect();
@@ -351,6 +351,6 @@
 #[test]
 fn a_gang_keeps_off_machines_that_fail_while_others_have_room() {
     let mut slots = vec![slot("a", false, 0.0), slot("a", false, 0.0)];
-    slots[1].doubts = 1.0;
+    slots[1].recent_failures = 1.0;
     assert_eq!(place(&mut slots, &mut [gang(1.0)], &[0, 0], ANY), [Some(0), Some(0)]);
 }
