--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -361,7 +361,7 @@
     /// Sends heartbeats to the peers at once if that was requested.
     pub(crate) fn send_cancellations(&mut self) {
         if std::mem::take(&mut self.cancellations.heartbeats_requested) {
-            self.greet(true);
+            self.send_heartbeats(true);
         }
     }
 
--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -14,9 +14,11 @@
 mod spare_room;
 
 pub use boot_times::{BootTimes, BootingMachine};
-pub(crate) use planning::room_for;
+pub(crate) use planning::count_fitting_tasks;
 use planning::summarize_waiting_tasks;
-pub use planning::{Lane, MachineKind, PendingMachine, UnplacedTasks, absorb, plan};
+pub use planning::{
+    MachineKind, MachineTimeline, PendingMachine, UnplacedTasks, assign_to_existing_machines, plan_machine_requests,
+};
 
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
@@ -62,11 +64,11 @@
 #[derive(Debug)]
 pub(crate) struct CapacityState {
     /// Tasks that found no machine in the last placement batches.
-    pub(crate) wishes: Vec<UnplacedTasks>,
+    pub(crate) demands: Vec<UnplacedTasks>,
     /// Keys in the state service that are no longer needed and are to be deleted.
     pub(crate) stale_keys: Vec<String>,
     /// A write of the machine types to the state service is in flight.
-    pub(crate) types_writing: bool,
+    pub(crate) types_write_in_flight: bool,
     types_received_at: u64,
     /// When the machine types were last requested, in milliseconds; 0: never.
     types_requested_at: u64,
@@ -114,9 +116,9 @@
     pub(crate) fn new(settings: &Settings) -> Self {
         let rate = settings.platform.facts.cloud.rps / f64::from(settings.partitions());
         Self {
-            wishes: Vec::new(),
+            demands: Vec::new(),
             stale_keys: Vec::new(),
-            types_writing: false,
+            types_write_in_flight: false,
             types_received_at: 0,
             types_requested_at: 0,
             types_written_at: 0,
@@ -153,7 +155,7 @@
     }
 
     /// Records a report from a machine that is not in the roster.
-    pub(crate) fn note_stranger(&mut self, report: &Report, epoch: Epoch, now: u64) {
+    pub(crate) fn record_unregistered_machine(&mut self, report: &Report, epoch: Epoch, now: u64) {
         if self.deleted_at.contains_key(&report.machine) {
             return;
         }
@@ -261,7 +263,7 @@
     }
 
     /// Handles the cloud's answer to a request for the machine types.
-    pub(crate) fn on_types(&mut self, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_machine_types(&mut self, result: Option<(u16, Vec<u8>)>) {
         let Some((200, body)) = result else { return };
         let Ok(types) = serde_json::from_slice::<MachineTypes>(&body) else {
             return;
@@ -271,7 +273,7 @@
         let is_first = self.machine_types.is_empty();
         self.machine_types = types.types.clone();
         if is_first {
-            self.want_batch();
+            self.schedule_batch();
         }
         // The types are stored so that a controller that starts while the cloud is down knows them.
         let due = self.capacity.types_written_at == 0
@@ -279,8 +281,8 @@
         // Types that are too large to store are skipped: every controller requests them from the cloud anyway, and the
         // stored copy only bridges an outage of the cloud.
         let fits = crate::jobs::bytes_of(&types) <= self.settings.value_bytes();
-        if self.is_leader() && due && fits && !self.capacity.types_writing {
-            self.capacity.types_writing = true;
+        if self.is_leader() && due && fits && !self.capacity.types_write_in_flight {
+            self.capacity.types_write_in_flight = true;
             self.capacity.types_written_at = now.max(1);
             let condition = self.leader_condition();
             self.txn(
@@ -292,7 +294,7 @@
     }
 
     /// Seconds within which guaranteed work should start: the shortest of the guarantee objectives.
-    pub(crate) fn guarantee_s(&self) -> f64 {
+    pub(crate) fn guaranteed_start_limit_s(&self) -> f64 {
         let objectives = &self.settings.platform.facts.objectives;
         objectives
             .iter()
--- a/crates/tidelatch-core/src/capacity/boot_times.rs
+++ b/crates/tidelatch-core/src/capacity/boot_times.rs
@@ -31,7 +31,7 @@
     /// Machine type.
     pub model: String,
     /// When it was rented, in milliseconds.
-    pub since: u64,
+    pub rented_at_ms: u64,
 }
 
 /// Observed boots of one machine type.
@@ -51,7 +51,7 @@
 
 impl BootTimes {
     /// Records the boot of a machine that was rented at `since` and has come up at `now`, both in milliseconds.
-    pub fn note(&mut self, machine_type: &MachineType, since: u64, now: u64) {
+    pub fn record_boot(&mut self, machine_type: &MachineType, since: u64, now: u64) {
         let boots = self.by_type.entry(machine_type.name.clone()).or_default();
         boots.newest_rented_at = boots.newest_rented_at.max(since);
         boots.recent_s.push_back(now.saturating_sub(since) as f64 / 1000.0);
@@ -88,7 +88,7 @@
 
     /// The late machines whose capacity does not count as expected capacity, so that replacements are rented.
     /// `grace_ms` is the time allowed from the end of a boot until the machine's first report arrives.
-    pub fn discounted(
+    pub fn late_machines_to_replace(
         &self,
         booting: &[BootingMachine],
         types: &[MachineType],
@@ -103,11 +103,11 @@
             let late = booting_of_type
                 .iter()
                 .copied()
-                .filter(|m| now.saturating_sub(m.since) > limit_ms);
+                .filter(|m| now.saturating_sub(m.rented_at_ms) > limit_ms);
             let (overtaken, mut others): (Vec<&BootingMachine>, Vec<&BootingMachine>) =
-                late.partition(|m| self.is_overtaken(&machine_type.name, m.since));
-            others.sort_by_key(|m| m.since);
-            let oldest_ms = others.first().map_or(0, |m| now.saturating_sub(m.since));
+                late.partition(|m| self.is_overtaken(&machine_type.name, m.rented_at_ms));
+            others.sort_by_key(|m| m.rented_at_ms);
+            let oldest_ms = others.first().map_or(0, |m| now.saturating_sub(m.rented_at_ms));
             let replacement_rounds = (oldest_ms / limit_ms.max(1)) as usize;
             let max_replaced =
                 replacement_rounds * ((REPLACED_FRACTION * booting_of_type.len() as f64) as usize).max(1);
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -3,8 +3,8 @@
 
 use super::spare_room::largest_of_each_kind;
 use super::{
-    BootingMachine, Lane, MAX_PREEMPTIBLE_MACHINES_PER_DIGEST, MachineKind, UnplacedTasks, absorb, plan,
-    summarize_waiting_tasks,
+    BootingMachine, MAX_PREEMPTIBLE_MACHINES_PER_DIGEST, MachineKind, MachineTimeline, UnplacedTasks,
+    assign_to_existing_machines, plan_machine_requests, summarize_waiting_tasks,
 };
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
@@ -43,7 +43,7 @@
     }
 
     /// The timeline of free capacity on a machine, for planning. None for a machine that takes no more tasks.
-    pub(super) fn machine_timeline(&self, m: &Machine) -> Option<Lane> {
+    pub(super) fn machine_timeline(&self, m: &Machine) -> Option<MachineTimeline> {
         let now = self.now.ms;
         let t = self.machine_types.iter().find(|t| t.name == m.model)?;
         let is_usable = m.usable(now, 3 * self.settings.report_ms());
@@ -64,7 +64,7 @@
                 let ran_s = h.running_since.map_or(0.0, |t| now.saturating_sub(t) as f64 / 1000.0);
                 // A task that has run for longer than estimated is expected to need 0.3 times its run time so far
                 // again.
-                let left_s = (self.estimates.run_s(&job.spec) - ran_s).max(0.3 * ran_s);
+                let left_s = (self.estimates.expected_run_s(&job.spec) - ran_s).max(0.3 * ran_s);
                 Some((if h.stop.is_some() { 0.0 } else { left_s }, h.size))
             })
             .collect();
@@ -75,7 +75,7 @@
         } else {
             0.0
         };
-        Some(Lane {
+        Some(MachineTimeline {
             model: m.model.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
@@ -94,13 +94,13 @@
             .map(|(id, m)| BootingMachine {
                 id: id.clone(),
                 model: m.model.clone(),
-                since: m.known_since,
+                rented_at_ms: m.known_since,
             })
             .collect();
         let grace_ms = 2 * self.settings.report_ms();
         self.capacity
             .boot_times
-            .discounted(&booting, &self.machine_types, self.now.ms, grace_ms)
+            .late_machines_to_replace(&booting, &self.machine_types, self.now.ms, grace_ms)
     }
 
     /// Digests of the partitions that this controller is active for.
@@ -114,18 +114,18 @@
         let now = self.now.ms;
         let mut supply = self.supply(partition);
         let own = |w: &&UnplacedTasks| w.partition == partition;
-        let mut unplaced: Vec<UnplacedTasks> = self.capacity.wishes.iter().filter(own).cloned().collect();
+        let mut unplaced: Vec<UnplacedTasks> = self.capacity.demands.iter().filter(own).cloned().collect();
         let wants = summarize_waiting_tasks(&unplaced, &self.settings.platform.facts.zones);
         let waiting_demand: f64 = unplaced.iter().map(|w| f64::from(w.count) * task_demand(&w.size)).sum();
         let refused = |kind: &MachineKind| self.capacity.is_refused(kind, now);
-        absorb(
+        assign_to_existing_machines(
             &mut unplaced,
             &mut supply.timelines,
             &self.machine_types,
             &refused,
-            self.guarantee_s(),
+            self.guaranteed_start_limit_s(),
         );
-        let mut needs = plan(
+        let mut needs = plan_machine_requests(
             &unplaced,
             Vec::new(),
             &self.machine_types,
@@ -191,7 +191,7 @@
 #[derive(Default)]
 struct Supply {
     /// Timelines of free capacity of the machines that take tasks, without late ones.
-    timelines: Vec<Lane>,
+    timelines: Vec<MachineTimeline>,
     /// Machines that run nothing.
     idle: Vec<IdleMachine>,
     /// Machines that can be vacated for production work, each with the seconds of work that would be lost.
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -1,6 +1,6 @@
 //! Handing machines over between partitions: how the leader chooses them and how their owners carry it out.
 
-use super::{MachineKind, PendingHandOver, room_for};
+use super::{MachineKind, PendingHandOver, count_fitting_tasks};
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
 use crate::messages::{Digest, IdleMachine, Level, MachineRequest, Move, SpareRoom, WaitingTasks};
@@ -255,7 +255,7 @@
         }
         let model = self.machine_types.iter().find(|t| t.name == machine.model)?;
         let capacity = [model.cpus, model.gpus, model.memory_gb];
-        Some(room_for(&tasks.size, &capacity)).filter(|n| *n > 0)
+        Some(count_fitting_tasks(&tasks.size, &capacity)).filter(|n| *n > 0)
     }
 
     /// Queues requests to the owners of machines to hand them over. They are sent with the next heartbeat.
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -8,13 +8,13 @@
 
 impl Controller {
     /// Sends heartbeats to the peers for which one is due.
-    pub(crate) fn say_hello(&mut self) {
-        self.greet(false);
+    pub(crate) fn send_due_heartbeats(&mut self) {
+        self.send_heartbeats(false);
     }
 
     /// Sends heartbeats to the peers for which one is due or a failure detector probe is wanted; with `at_once` also to
     /// all peers that have not been told of a cancellation yet.
-    pub(crate) fn greet(&mut self, at_once: bool) {
+    pub(crate) fn send_heartbeats(&mut self, at_once: bool) {
         let now = self.now.ms;
         let interval_ms = self.settings.heartbeat_ms();
         let leader = self.membership.leader.as_ref().map(|(l, _)| l.name.clone());
@@ -70,7 +70,7 @@
 
     /// Handles a peer's heartbeat and replies to it. `peer_flags` says whether the peer is entitled to act, wants a
     /// grant, and relies on a grant of this controller.
-    pub(crate) fn on_hello(
+    pub(crate) fn on_heartbeat(
         &mut self,
         id: u64,
         from: ControllerId,
@@ -132,7 +132,7 @@
     }
 
     /// Handles the machines to hand over and the refused kinds in the leader's reply to a heartbeat.
-    pub(crate) fn on_moves(&mut self, from: &ControllerId, moves: Vec<Move>, refused: Vec<MachineRequest>) {
+    pub(crate) fn on_leader_reply(&mut self, from: &ControllerId, moves: Vec<Move>, refused: Vec<MachineRequest>) {
         let is_from_leader = self.membership.leader.as_ref().is_some_and(|(l, _)| l.name == *from);
         if !is_from_leader || self.is_leader() {
             return;
--- a/crates/tidelatch-core/src/capacity/planning.rs
+++ b/crates/tidelatch-core/src/capacity/planning.rs
@@ -122,7 +122,7 @@
 
 /// A machine that is running or booting, with the times at which capacity on it becomes free.
 #[derive(Debug, Clone)]
-pub struct Lane {
+pub struct MachineTimeline {
     /// Machine type.
     pub model: String,
     /// Zone.
@@ -138,17 +138,17 @@
     pub busy: Vec<(f64, Amounts)>,
 }
 
-impl Lane {
+impl MachineTimeline {
     /// The earliest time (in seconds from now) at which a task of a size could start, and how many of the tasks on the
     /// machine must have ended by then. None if it could never start.
     fn earliest_start(&self, size: &Amounts) -> Option<(f64, usize)> {
         let mut free = self.free;
-        if room_for(size, &free) > 0 {
+        if count_fitting_tasks(size, &free) > 0 {
             return Some((self.ready_s, 0));
         }
         for (n, (at, ended)) in self.busy.iter().enumerate() {
             free.iter_mut().zip(ended).for_each(|(f, s)| *f += s);
-            if room_for(size, &free) > 0 {
+            if count_fitting_tasks(size, &free) > 0 {
                 return Some((at.max(self.ready_s), n + 1));
             }
         }
@@ -176,9 +176,9 @@
 /// If the cloud refuses every kind of machine that a task could use, the task waits for capacity for half of its
 /// slack. For the tasks that are left after that, machines are requested that other partitions might hand over or
 /// vacate.
-pub fn absorb(
+pub fn assign_to_existing_machines(
     unplaced: &mut [UnplacedTasks],
-    timelines: &mut [Lane],
+    timelines: &mut [MachineTimeline],
     types: &[MachineType],
     refused: &dyn Fn(&MachineKind) -> bool,
     patience_s: f64,
@@ -245,7 +245,7 @@
 
 /// Whether the cloud refuses every kind of machine that the tasks could use.
 fn all_kinds_refused(tasks: &UnplacedTasks, types: &[MachineType], refused: &dyn Fn(&MachineKind) -> bool) -> bool {
-    let is_large_enough = |t: &&MachineType| room_for(&tasks.size, &[t.cpus, t.gpus, t.memory_gb]) > 0;
+    let is_large_enough = |t: &&MachineType| count_fitting_tasks(&tasks.size, &[t.cpus, t.gpus, t.memory_gb]) > 0;
     let is_available = |t: &MachineType| {
         t.zones.iter().any(|zone| {
             let kind = |spot| (t.name.clone(), zone.clone(), spot);
@@ -271,7 +271,7 @@
 impl StartOption {
     /// The earliest start of a task on a machine. None if the task would have to wait there for others to end for
     /// longer than `limit_s`.
-    fn of(timeline: &Lane, at: usize, size: &Amounts, limit_s: f64) -> Option<Self> {
+    fn of(timeline: &MachineTimeline, at: usize, size: &Amounts, limit_s: f64) -> Option<Self> {
         let (start_s, ended) = timeline.earliest_start(size)?;
         (ended == 0 || start_s <= limit_s).then_some(Self {
             start_s,
@@ -298,7 +298,7 @@
 }
 
 /// How many tasks of a size fit into free capacity; `u32::MAX` for tasks that take nothing.
-pub(crate) fn room_for(size: &Amounts, free: &Amounts) -> u32 {
+pub(crate) fn count_fitting_tasks(size: &Amounts, free: &Amounts) -> u32 {
     size.iter()
         .zip(free)
         .filter(|(s, _)| **s > 0.0)
@@ -374,7 +374,7 @@
 ) -> Vec<Candidate> {
     let total = [t.cpus, t.gpus, t.memory_gb];
     // The cost assumes full machines: other jobs use the capacity that this one leaves free.
-    let fit = room_for(&tasks.size, &total);
+    let fit = count_fitting_tasks(&tasks.size, &total);
     if fit == 0 {
         return Vec::new();
     }
@@ -404,7 +404,7 @@
         let found = pending
             .iter()
             .skip(*from)
-            .position(|c| tasks.allows(&c.model, &c.zone, c.spot) && room_for(&tasks.size, &c.free) > 0);
+            .position(|c| tasks.allows(&c.model, &c.zone, c.spot) && count_fitting_tasks(&tasks.size, &c.free) > 0);
         *from += found.unwrap_or(pending.len());
         let Some(c) = pending.get_mut(*from) else {
             *from = pending.len();
@@ -420,7 +420,7 @@
 /// cost per task on a full machine.
 ///
 /// `machines_per_zone` is the number of the partition's machines in each zone.
-pub fn plan(
+pub fn plan_machine_requests(
     unplaced: &[UnplacedTasks],
     mut pending: Vec<PendingMachine>,
     types: &[MachineType],
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -73,7 +73,12 @@
     }
 
     /// Handles the cloud's answer to a rental request.
-    pub(crate) fn on_rent(&mut self, rental: Rental, partitions: Vec<Partition>, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_rental_answer(
+        &mut self,
+        rental: Rental,
+        partitions: Vec<Partition>,
+        result: Option<(u16, Vec<u8>)>,
+    ) {
         self.capacity.rentals_in_flight = self.capacity.rentals_in_flight.saturating_sub(1);
         let now = self.now.ms;
         let kind = (rental.model.clone(), rental.zone.clone(), rental.spot);
@@ -266,7 +271,7 @@
     }
 
     /// Handles the cloud's answer to a deletion request.
-    pub(crate) fn on_delete(&mut self, machines: Vec<MachineId>, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_deletion_answer(&mut self, machines: Vec<MachineId>, result: Option<(u16, Vec<u8>)>) {
         self.capacity.deletion_in_flight = false;
         let is_deleted = matches!(result, Some((200, _)));
         for id in machines {
@@ -302,7 +307,7 @@
     }
 
     /// Handles a page of the cloud's machine list: deletes the machines that are not in the roster.
-    pub(crate) fn on_hosts(&mut self, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_machine_list(&mut self, result: Option<(u16, Vec<u8>)>) {
         let Some((200, body)) = result else { return };
         let Ok(list) = serde_json::from_slice::<MachineList>(&body) else {
             return;
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -202,7 +202,7 @@
             self.tick_disruption();
         }
         self.tick_roster();
-        self.tick_batch();
+        self.run_due_batch();
         self.consolidate();
         self.tick_capacity();
     }
@@ -327,7 +327,7 @@
                 self.on_peer_heartbeat(&from, Channel::Scheduled, liveness);
                 self.apply_cancellations(&from, &told);
                 let granted = permits.and_then(|listing| self.on_permit_listing(&from, &listing));
-                self.on_hello(id, from, (entitled, wants_grant, relies), digests, granted);
+                self.on_heartbeat(id, from, (entitled, wants_grant, relies), digests, granted);
             }
         }
     }
@@ -394,9 +394,9 @@
             CallPurpose::DoneBitsChanges { partition, since } => self.on_done_bits_changes(partition, since, result),
             CallPurpose::ReadAhead { partition, attempt } => self.on_read_ahead(partition, attempt, result),
             CallPurpose::Job(purpose) => self.on_job_reply(purpose, result),
-            CallPurpose::ReadMachineTypes => self.on_types(result),
-            CallPurpose::WriteMachineTypes => self.capacity.types_writing = false,
-            CallPurpose::RentMachines { rental, partitions } => self.on_rent(rental, partitions, result),
+            CallPurpose::ReadMachineTypes => self.on_machine_types(result),
+            CallPurpose::WriteMachineTypes => self.capacity.types_write_in_flight = false,
+            CallPurpose::RentMachines { rental, partitions } => self.on_rental_answer(rental, partitions, result),
             CallPurpose::WriteNewMachineGroups => self.on_new_groups(result),
             CallPurpose::WriteMachineGroup {
                 group,
@@ -404,8 +404,8 @@
                 changes,
             } => self.on_group(group, revision, changes, result),
             CallPurpose::WriteBootBatch { batch, requesters } => self.on_boot_batch(batch, requesters, result),
-            CallPurpose::DeleteMachines { machines } => self.on_delete(machines, result),
-            CallPurpose::ListMachines => self.on_hosts(result),
+            CallPurpose::DeleteMachines { machines } => self.on_deletion_answer(machines, result),
+            CallPurpose::ListMachines => self.on_machine_list(result),
             CallPurpose::WriteDrain { write } => self.on_drain_write(&write, result),
             CallPurpose::ConfirmMachine { machine, sent } => self.on_confirm(machine, sent, result),
             CallPurpose::ReadWorkerStatus { machine, sent } => self.on_probe(machine, sent, result),
@@ -460,9 +460,9 @@
                 if let Some(grants) = permits {
                     self.on_permit_grants(&to, sent, &grants);
                 }
-                self.on_moves(&to, moves, refused);
+                self.on_leader_reply(&to, moves, refused);
                 if self.lacks_cancellations(&to) {
-                    self.greet(true);
+                    self.send_heartbeats(true);
                 }
             }
             (CallPurpose::Heartbeat { to, .. }, _) => self.record_peer_contact(&to, false, false),
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -151,7 +151,7 @@
         let saves = spec.checkpoint_s > 0.0;
         let age_s = self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0;
         let interruption = Interruption {
-            remaining_s: (self.estimates.run_s(spec) - ran_s).max(0.0),
+            remaining_s: (self.estimates.expected_run_s(spec) - ran_s).max(0.0),
             lost_s: if saves { ran_s.min(spec.save_s) } else { ran_s },
             fetch_s: spec.image_gb / fetch_rate,
             slack_s: spec.deadline_s.map(|deadline_s| deadline_s - age_s),
--- a/crates/tidelatch-core/src/disruption/machine_drains.rs
+++ b/crates/tidelatch-core/src/disruption/machine_drains.rs
@@ -83,7 +83,7 @@
                 Level::Info,
                 format!("{id}: drain {drain} was withdrawn: back in service"),
             );
-            self.want_batch();
+            self.schedule_batch();
         }
     }
 
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -215,12 +215,12 @@
         self.admission.add_job(&job.spec);
         self.jobs.insert(id, job);
         if self.tenures.contains_key(&partition) {
-            self.want_batch();
+            self.schedule_batch();
             if gang {
                 // The batch runs now: a gang enters it with all of its tasks, so waiting for more tasks gains
                 // nothing, while its users wait for seconds.
                 self.batch_due_ms = Some(self.now.ms);
-                self.tick_batch();
+                self.run_due_batch();
             }
         }
     }
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -130,7 +130,7 @@
             }
         }
         self.remove_placement(task, machine);
-        self.want_batch();
+        self.schedule_batch();
     }
 
     /// Releases all attempts on a machine after proof that they are gone. `why` names the proof in the log.
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -35,7 +35,7 @@
             return;
         }
         let Some(partition) = self.machines.get(&report.machine).map(|m| m.partition) else {
-            self.capacity.note_stranger(&report, epoch, self.now.ms);
+            self.capacity.record_unregistered_machine(&report, epoch, self.now.ms);
             if self.answer_with_stops(requester, &report, epoch) {
                 return;
             }
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -24,7 +24,9 @@
         let was_rented_before = self.acting(m.partition).is_none_or(|t| m.known_since <= t.active_at);
         let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
         if let Some(machine_type) = machine_type.filter(|_| !was_rented_before) {
-            self.capacity.boot_times.note(machine_type, m.known_since, self.now.ms);
+            self.capacity
+                .boot_times
+                .record_boot(machine_type, m.known_since, self.now.ms);
         }
     }
 
@@ -62,7 +64,7 @@
         self.update_idle_since(id);
         if is_first {
             self.update_settled_tenures();
-            self.want_batch();
+            self.schedule_batch();
         }
         true
     }
@@ -341,7 +343,7 @@
                 if let Some(job) = self.jobs.get(&task.job).filter(own) {
                     if let Some(started_at) = started_at.filter(|_| job.spec.shape != Shape::Service) {
                         self.estimates
-                            .note(&job.spec, now.saturating_sub(started_at) as f64 / 1000.0);
+                            .record_run_time(&job.spec, now.saturating_sub(started_at) as f64 / 1000.0);
                     }
                     self.record_success(&task.job, id);
                     self.record_task_done(task);
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -245,7 +245,7 @@
         if let Some(m) = self.machines.get_mut(id)
             && m.unaccounted.remove(&partition)
         {
-            self.want_batch();
+            self.schedule_batch();
         }
     }
 
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -232,6 +232,6 @@
         self.take_leadership();
         self.raise_epoch();
         self.tick_failure_detection();
-        self.say_hello();
+        self.send_due_heartbeats();
     }
 }
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -284,6 +284,6 @@
         self.tick_drained_machines();
         self.confirm_machines(partition);
         self.store_ends_of_finished_jobs(partition);
-        self.want_batch();
+        self.schedule_batch();
     }
 }
--- a/crates/tidelatch-core/src/messages.rs
+++ b/crates/tidelatch-core/src/messages.rs
@@ -1,7 +1,7 @@
 //! The typed messages of a controller: its inputs and outputs, and the requests and replies between controllers.
 
 use crate::cancellations::CancellationNotice;
-use crate::capacity::room_for;
+use crate::capacity::count_fitting_tasks;
 use crate::ids::{ControllerId, MachineId, Partition};
 use tidelatch_disruption::{Permit, PermitMessage};
 use tidelatch_failure_detector::Heartbeat;
@@ -121,7 +121,7 @@
 
     /// Number of tasks of this size that fit into the free resources. May exceed `count`.
     pub fn fits(&self, free: &[f64; 3]) -> u32 {
-        room_for(&self.size, free)
+        count_fitting_tasks(&self.size, free)
     }
 }
 
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -11,7 +11,7 @@
 mod replica_swaps;
 mod victims;
 
-pub use ranking::{Claim, EstimateCorrections, next_in_turn, starved_s, urgency};
+pub use ranking::{EstimateCorrections, TeamUsage, choose_next_team, starvation_age_s, urgency};
 
 use crate::controller::Controller;
 use crate::ids::{JobId, Partition};
@@ -33,7 +33,7 @@
     remaining_work_s: f64,
     /// Between 0 and 1; larger for jobs with less remaining work than the mean of all waiting jobs.
     short_job_factor: f64,
-    /// None of its tasks has started for longer than [`starved_s`] allows.
+    /// None of its tasks has started for longer than [`starvation_age_s`] allows.
     is_starved: bool,
     /// See [`urgency`].
     urgency: f64,
@@ -55,13 +55,13 @@
 impl Controller {
     /// Schedules a placement batch after the usual batching delay, unless one is due earlier. Called when something
     /// may be placed that could not be placed before.
-    pub(crate) fn want_batch(&mut self) {
+    pub(crate) fn schedule_batch(&mut self) {
         let due = self.now.ms + self.settings.batch_wait_ms();
         self.batch_due_ms = Some(self.batch_due_ms.map_or(due, |d| d.min(due)));
     }
 
     /// Runs a batch if it is due, or early if enough tasks of unstarted jobs for a full batch wait.
-    pub(crate) fn tick_batch(&mut self) {
+    pub(crate) fn run_due_batch(&mut self) {
         let full_batch_tasks = self.settings.operator.batch_tasks;
         let is_due = match self.batch_due_ms {
             Some(due) => self.now.ms >= due || self.count_tasks_of_unstarted_jobs() >= full_batch_tasks,
@@ -138,10 +138,10 @@
             demands.extend(self.place_partition(partition, &mut evaluations_left));
         }
         demands.extend(self.postponed_jobs.values().filter_map(|(demand, _)| demand.clone()));
-        self.capacity.wishes = demands;
+        self.capacity.demands = demands;
         if evaluations_left == 0 {
             // The rest is placed in the next batch, so that heartbeats and polls are not delayed.
-            self.want_batch();
+            self.schedule_batch();
         }
         let has_waiting_tasks = self
             .jobs
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -2,7 +2,7 @@
 //! starts.
 
 use super::batch_selection::{SelectedTask, select_batch};
-use super::ranking::{Claim, MAX_START_DELAY_S, urgency};
+use super::ranking::{MAX_START_DELAY_S, TeamUsage, urgency};
 use super::victims::{fits, subtract};
 use super::{PartitionQueue, WaitingJob};
 use crate::capacity::UnplacedTasks;
@@ -29,7 +29,7 @@
     unplaceable: BTreeSet<usize>,
     /// Tasks that found no machine: index of the job and index of the task.
     unplaced: Vec<(usize, u32)>,
-    claims: Vec<Claim>,
+    claims: Vec<TeamUsage>,
 }
 
 impl Controller {
@@ -116,9 +116,9 @@
     }
 
     /// Usage and share of each team, in the unit in which the team is accounted.
-    fn team_claims(&self, used: &[Amounts]) -> Vec<Claim> {
+    fn team_claims(&self, used: &[Amounts]) -> Vec<TeamUsage> {
         let teams = self.settings.platform.facts.teams.iter().enumerate();
-        let claim = |(i, team): (usize, &Team)| Claim {
+        let claim = |(i, team): (usize, &Team)| TeamUsage {
             used: used.get(i).map_or(0.0, |used| self.amount_in_team_unit(i, used)),
             share: if team.gpus > 0.0 || team.gpus_max > 0.0 {
                 team.gpus.max(0.5)
@@ -309,7 +309,7 @@
                 }
             }
             let zone = if terms.one_zone { m.zone.as_str() } else { "" };
-            let fit = crate::capacity::room_for(&terms.size, &room);
+            let fit = crate::capacity::count_fitting_tasks(&terms.size, &room);
             by_zone.entry(zone).or_default().push((fit, id));
         }
         let tasks = w.tasks.len() as u32;
@@ -353,7 +353,7 @@
         let mut best: Option<(bool, u32, &String)> = None;
         for zone in &self.settings.platform.facts.zones {
             let fits = |t: &&crate::protocol::MachineType| {
-                crate::capacity::room_for(&terms.size, &[t.cpus, t.gpus, t.memory_gb]) > 0
+                crate::capacity::count_fitting_tasks(&terms.size, &[t.cpus, t.gpus, t.memory_gb]) > 0
                     && terms.admits(&t.name, zone, false)
                     && t.zones.contains(zone)
             };
@@ -369,7 +369,7 @@
                 .iter()
                 .filter(|s| s.zone == *zone && terms.admits(&s.model, zone, s.spot));
             let room = slots_in_zone
-                .map(|s| crate::capacity::room_for(&terms.size, &s.free))
+                .map(|s| crate::capacity::count_fitting_tasks(&terms.size, &s.free))
                 .sum();
             if best.is_none_or(|(r, n, _)| (is_rentable, room) > (r, n)) {
                 best = Some((is_rentable, room, zone));
@@ -463,7 +463,7 @@
             image_gb: spec.image_gb,
             guaranteed: self.jobs_within_guarantee.contains(id),
             deadline_s: spec.deadline_s.unwrap_or(0.0),
-            estimate_s: self.estimates.run_s(spec),
+            estimate_s: self.estimates.expected_run_s(spec),
             rank: f64::from(spec.priority as u8) * 10.0 + urgency,
             is_service: spec.shape == Shape::Service,
             is_gang: spec.shape == Shape::Gang,
@@ -484,7 +484,7 @@
         let mut cheap: BTreeSet<&String> = BTreeSet::new();
         let mut all: BTreeSet<&String> = BTreeSet::new();
         for t in &self.machine_types {
-            let fit = crate::capacity::room_for(&size, &[t.cpus, t.gpus, t.memory_gb]);
+            let fit = crate::capacity::count_fitting_tasks(&size, &[t.cpus, t.gpus, t.memory_gb]);
             if fit == 0 || !spec.models.as_ref().is_none_or(|m| m.contains(&t.name)) {
                 continue;
             }
@@ -508,7 +508,7 @@
         let size = Self::task_resources(spec);
         let mut best = f64::MAX;
         for t in &self.machine_types {
-            let fit = crate::capacity::room_for(&size, &[t.cpus, t.gpus, t.memory_gb]);
+            let fit = crate::capacity::count_fitting_tasks(&size, &[t.cpus, t.gpus, t.memory_gb]);
             let is_allowed = spec.models.as_ref().is_none_or(|m| m.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
             if fit > 0 && is_allowed {
--- a/crates/tidelatch-core/src/queue/batch_selection.rs
+++ b/crates/tidelatch-core/src/queue/batch_selection.rs
@@ -1,7 +1,7 @@
 //! Selection of one batch of tasks from the queues: by priority, then by fair share among the teams.
 
 use super::WaitingJob;
-use super::ranking::{Claim, next_in_turn};
+use super::ranking::{TeamUsage, choose_next_team};
 use crate::placement::JobTerms;
 use crate::protocol::Priority;
 use std::collections::{BTreeSet, VecDeque};
@@ -25,7 +25,7 @@
     waiting: &[WaitingJob],
     next_tasks: &mut [usize],
     unplaceable_jobs: &BTreeSet<usize>,
-    claims: &mut [Claim],
+    claims: &mut [TeamUsage],
     jobs: &[JobTerms],
     batch_size: usize,
 ) -> Vec<SelectedTask> {
@@ -48,7 +48,7 @@
             }
         }
         while batch.len() < batch_size {
-            let Some(team) = next_in_turn(claims, &ready_teams) else {
+            let Some(team) = choose_next_team(claims, &ready_teams) else {
                 break;
             };
             let Some(queue) = queues.get_mut(team) else { break };
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -1,7 +1,7 @@
 //! Selection and ordering of the jobs of a partition that may be placed now.
 
 use super::limit_preemption::JobBlockedByLimit;
-use super::ranking::{EstimateCorrections, class_start_objective_s, starved_s, urgency};
+use super::ranking::{EstimateCorrections, class_start_objective_s, starvation_age_s, urgency};
 use super::{PartitionQueue, WaitingJob};
 use crate::controller::Controller;
 use crate::ids::{JobId, Partition};
@@ -46,14 +46,14 @@
 
     /// Seconds until a job must start to meet its deadline; `f64::MAX` without one.
     fn slack_s(&self, job: &Job) -> f64 {
-        let left_s = |deadline_s: f64| deadline_s - self.age_s(job) - self.estimates.run_s(&job.spec);
+        let left_s = |deadline_s: f64| deadline_s - self.age_s(job) - self.estimates.expected_run_s(&job.spec);
         job.spec.deadline_s.map_or(f64::MAX, left_s)
     }
 
     /// Whether the job has waited for so long without a started task that it precedes all other work of its priority,
     /// regardless of its deadline and size. This prevents starvation.
     fn is_starved(&self, job: &Job) -> bool {
-        let starvation_age_s = starved_s(
+        let starvation_age_s = starvation_age_s(
             class_start_objective_s(self.objectives, &job.spec.class),
             job.spec.shape,
         );
@@ -84,7 +84,7 @@
             return;
         }
         collected.waiting.push(WaitingJob {
-            remaining_work_s: f64::from(job.waiting_count()) * self.estimates.run_s(&job.spec),
+            remaining_work_s: f64::from(job.waiting_count()) * self.estimates.expected_run_s(&job.spec),
             short_job_factor: 1.0,
             is_starved,
             id: id.clone(),
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -130,7 +130,7 @@
         let start_objective_s = self.job_start_objective_s(id);
         // Work within the guarantee is also subject to the start objective of guaranteed work.
         let start_objective_s = if guaranteed {
-            start_objective_s.min(self.guarantee_s())
+            start_objective_s.min(self.guaranteed_start_limit_s())
         } else {
             start_objective_s
         };
--- a/crates/tidelatch-core/src/queue/ranking.rs
+++ b/crates/tidelatch-core/src/queue/ranking.rs
@@ -14,7 +14,7 @@
 
 /// Usage of one team and the share by which it is served.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Claim {
+pub struct TeamUsage {
     /// Amount it uses, in the unit of its guarantee: accelerators or CPUs.
     pub used: f64,
     /// Share by which its usage is divided when teams are compared, in the same unit.
@@ -23,7 +23,7 @@
 
 /// Index of the team to serve next: among those that are `waiting`, the one that uses least relative to its share.
 /// `None` if no team waits.
-pub fn next_in_turn(claims: &[Claim], waiting: &[bool]) -> Option<usize> {
+pub fn choose_next_team(claims: &[TeamUsage], waiting: &[bool]) -> Option<usize> {
     (0..claims.len())
         .filter(|i| waiting.get(*i).copied().unwrap_or(false))
         .min_by(|a, b| {
@@ -34,7 +34,7 @@
 
 /// Age in seconds at which a job without a started task precedes other jobs, given the start objective of its class
 /// (`within_s` in seconds; 0 if there is none).
-pub fn starved_s(within_s: f64, shape: Shape) -> f64 {
+pub fn starvation_age_s(within_s: f64, shape: Shape) -> f64 {
     if within_s > 0.0 && shape != Shape::Service {
         STARVATION_FRACTION * within_s.min(MAX_START_DELAY_S)
     } else {
@@ -56,7 +56,7 @@
     const MAX_WEIGHT_TASKS: f64 = 64.0;
 
     /// Records that a task of the job ran for `ran_s` seconds.
-    pub fn note(&mut self, spec: &JobSpec, ran_s: f64) {
+    pub fn record_run_time(&mut self, spec: &JobSpec, ran_s: f64) {
         if spec.estimate_s <= 0.0 || ran_s <= 0.0 {
             return;
         }
@@ -71,7 +71,7 @@
     }
 
     /// Expected run time of the job's tasks in seconds: the estimate, corrected for its class.
-    pub fn run_s(&self, spec: &JobSpec) -> f64 {
+    pub fn expected_run_s(&self, spec: &JobSpec) -> f64 {
         match self.log_ratios.get(&spec.class) {
             Some((sum, n)) if *n >= Self::MIN_TASKS => spec.estimate_s * (sum / n).exp(),
             _ => spec.estimate_s,
--- a/crates/tidelatch-core/tests/boot_times.rs
+++ b/crates/tidelatch-core/tests/boot_times.rs
@@ -23,13 +23,13 @@
     let machine = |(n, since): (usize, &u64)| BootingMachine {
         id: MachineId::new(format!("n-{n:06}")),
         model: "m2".to_owned(),
-        since: *since,
+        rented_at_ms: *since,
     };
     since.iter().enumerate().map(machine).collect()
 }
 
 fn discounted(boots: &BootTimes, machines: &[BootingMachine], now: u64) -> BTreeSet<MachineId> {
-    boots.discounted(machines, &[machine_type()], now, GRACE_MS)
+    boots.late_machines_to_replace(machines, &[machine_type()], now, GRACE_MS)
 }
 
 #[test]
@@ -53,7 +53,7 @@
 #[test]
 fn all_late_machines_that_a_later_one_has_overtaken_are_replaced() {
     let mut boots = BootTimes::default();
-    boots.note(&machine_type(), 10_000, 50_000);
+    boots.record_boot(&machine_type(), 10_000, 50_000);
     assert_eq!(discounted(&boots, &booting(&[0; 8]), LATE_MS + GRACE_MS + 1).len(), 8);
     let limit_s = boots.late_after_s(&machine_type());
     assert!(boots.give_up_after_s(&machine_type(), 0) < boots.give_up_after_s(&machine_type(), 20_000));
@@ -64,7 +64,7 @@
 fn slow_boots_raise_the_limit_and_usual_ones_lower_it_again() {
     let mut boots = BootTimes::default();
     let slow_ms = 160_000;
-    boots.note(&machine_type(), 0, slow_ms);
+    boots.record_boot(&machine_type(), 0, slow_ms);
     let limit_s = |boots: &BootTimes| boots.late_after_s(&machine_type());
     assert_eq!(
         limit_s(&boots) * 1000.0,
@@ -72,15 +72,15 @@
         "one slow machine is an exception"
     );
     for _ in 0..3 {
-        boots.note(&machine_type(), 0, slow_ms);
+        boots.record_boot(&machine_type(), 0, slow_ms);
     }
     assert_eq!(limit_s(&boots) * 1000.0, slow_ms as f64);
     for n in 0..16 {
-        boots.note(&machine_type(), n, n + 40_000);
+        boots.record_boot(&machine_type(), n, n + 40_000);
     }
     assert_eq!(limit_s(&boots) * 1000.0, LATE_MS as f64);
     for n in 0..16 {
-        boots.note(&machine_type(), n, n + 1_000);
+        boots.record_boot(&machine_type(), n, n + 1_000);
     }
     assert_eq!(limit_s(&boots) * 1000.0, LATE_MS as f64, "fast boots don't lower it");
 }
--- a/crates/tidelatch-core/tests/planning.rs
+++ b/crates/tidelatch-core/tests/planning.rs
@@ -1,13 +1,13 @@
 //! Placement and renting as pure functions: what goes where, and what is rented for the rest.
 
 use std::collections::{BTreeMap, BTreeSet};
-use tidelatch_core::capacity::{Lane, UnplacedTasks, absorb, plan};
+use tidelatch_core::capacity::{MachineTimeline, UnplacedTasks, assign_to_existing_machines, plan_machine_requests};
 use tidelatch_core::ids::Partition;
 use tidelatch_core::placement::{Amounts, Batch, JobTerms, MachineSlot};
 use tidelatch_core::protocol::MachineType;
 use tidelatch_core::protocol::Shape;
 use tidelatch_core::protocol::parse_submission;
-use tidelatch_core::queue::{Claim, EstimateCorrections, next_in_turn, starved_s, urgency};
+use tidelatch_core::queue::{EstimateCorrections, TeamUsage, choose_next_team, starvation_age_s, urgency};
 
 fn slot(zone: &str, spot: bool, free_gpus: f64) -> MachineSlot {
     MachineSlot {
@@ -139,10 +139,10 @@
 
 #[test]
 fn teams_are_served_in_turn_by_shares() {
-    let claims = [Claim { used: 4.0, share: 4.0 }, Claim { used: 6.0, share: 8.0 }];
-    assert_eq!(next_in_turn(&claims, &[true, true]), Some(1));
-    assert_eq!(next_in_turn(&claims, &[true, false]), Some(0));
-    assert_eq!(next_in_turn(&claims, &[false, false]), None);
+    let claims = [TeamUsage { used: 4.0, share: 4.0 }, TeamUsage { used: 6.0, share: 8.0 }];
+    assert_eq!(choose_next_team(&claims, &[true, true]), Some(1));
+    assert_eq!(choose_next_team(&claims, &[true, false]), Some(0));
+    assert_eq!(choose_next_team(&claims, &[false, false]), None);
 }
 
 fn machine_type(name: &str, size: Amounts, price: f64) -> MachineType {
@@ -171,8 +171,8 @@
     wish
 }
 
-fn lane(ready_s: f64, free_gpus: f64, busy: Vec<(f64, Amounts)>) -> Lane {
-    Lane {
+fn lane(ready_s: f64, free_gpus: f64, busy: Vec<(f64, Amounts)>) -> MachineTimeline {
+    MachineTimeline {
         model: "m".into(),
         zone: "a".into(),
         spot: false,
@@ -192,7 +192,7 @@
         lane(0.0, 0.0, vec![(3.0, [1.0, 1.0, 1.0])]),
         lane(39.0, 2.0, Vec::new()),
     ];
-    absorb(&mut wishes, &mut lanes, &types, &|_| false, 10.0);
+    assign_to_existing_machines(&mut wishes, &mut lanes, &types, &|_| false, 10.0);
     assert_eq!(wishes[0].count, 0);
 }
 
@@ -201,12 +201,12 @@
     let types = [machine_type("m", [24.0, 2.0, 100.0], 7.0)];
     let full = || lane(0.0, 0.0, vec![(60.0, [1.0, 1.0, 1.0])]);
     let mut wishes = [wish(1, false)];
-    absorb(&mut wishes, &mut [full()], &types, &|_| false, f64::MAX);
+    assign_to_existing_machines(&mut wishes, &mut [full()], &types, &|_| false, f64::MAX);
     assert_eq!(wishes[0].count, 1, "a machine of its own makes it in time");
     let mut wishes = [wish(1, false)];
     wishes[0].slack_s = 10.0;
     wishes[0].deadline_s = 300.0;
-    absorb(&mut wishes, &mut [full()], &types, &|_| false, f64::MAX);
+    assign_to_existing_machines(&mut wishes, &mut [full()], &types, &|_| false, f64::MAX);
     assert_eq!(
         wishes[0].count, 0,
         "too late for a boot: it waits instead of costing a machine"
@@ -221,16 +221,16 @@
     ];
     let mut services = wish(1, true);
     services.size = [8.0, 1.0, 43.0];
-    let needs = plan(&[services.clone()], Vec::new(), &types, &|_| false, &BTreeMap::new());
+    let needs = plan_machine_requests(&[services.clone()], Vec::new(), &types, &|_| false, &BTreeMap::new());
     assert_eq!(needs.len(), 1);
     assert_eq!(
         needs[0].model, "large",
         "four share a large one for less than one pays for a small one"
     );
     let refused = |kind: &(String, String, bool)| kind.0 == "large";
-    let needs = plan(&[services], Vec::new(), &types, &refused, &BTreeMap::new());
+    let needs = plan_machine_requests(&[services], Vec::new(), &types, &refused, &BTreeMap::new());
     assert_eq!(needs[0].model, "small");
-    let needs = plan(&[wish(3, false)], Vec::new(), &types, &|_| false, &BTreeMap::new());
+    let needs = plan_machine_requests(&[wish(3, false)], Vec::new(), &types, &|_| false, &BTreeMap::new());
     assert!(
         needs.iter().all(|n| n.spot),
         "arrays that may use spot machines get them"
@@ -244,12 +244,12 @@
         "runtimeS":50,"waypointS":0,"stowS":0}"#;
     let (_, spec) = parse_submission(body).expect("well formed");
     let mut learned = EstimateCorrections::default();
-    learned.note(&spec, 100.0);
-    assert_eq!(learned.run_s(&spec), 50.0, "one task tells nothing");
-    (0..20).for_each(|_| learned.note(&spec, 100.0));
-    assert!((learned.run_s(&spec) - 100.0).abs() < 1e-6);
-    (0..400).for_each(|_| learned.note(&spec, 25.0));
-    assert!(learned.run_s(&spec) < 30.0, "older tasks fade");
+    learned.record_run_time(&spec, 100.0);
+    assert_eq!(learned.expected_run_s(&spec), 50.0, "one task tells nothing");
+    (0..20).for_each(|_| learned.record_run_time(&spec, 100.0));
+    assert!((learned.expected_run_s(&spec) - 100.0).abs() < 1e-6);
+    (0..400).for_each(|_| learned.record_run_time(&spec, 25.0));
+    assert!(learned.expected_run_s(&spec) < 30.0, "older tasks fade");
 }
 
 #[test]
@@ -287,10 +287,10 @@
     assert!(urgency(0.0, large, &spec) > urgency(-60.0, small, &spec));
     assert!(urgency(-60.0, large, &spec) > urgency(-500.0, small, &spec));
     // Even the largest begins within four minutes: the time left then is for a boot and a fetch.
-    assert_eq!(starved_s(120.0, Shape::Array), 90.0);
-    assert_eq!(starved_s(500.0, Shape::Array), 180.0);
-    assert_eq!(starved_s(0.0, Shape::Array), 90.0);
-    assert_eq!(starved_s(5.0, Shape::Service), 90.0);
+    assert_eq!(starvation_age_s(120.0, Shape::Array), 90.0);
+    assert_eq!(starvation_age_s(500.0, Shape::Array), 180.0);
+    assert_eq!(starvation_age_s(0.0, Shape::Array), 90.0);
+    assert_eq!(starvation_age_s(5.0, Shape::Service), 90.0);
 }
 
 #[test]
@@ -304,14 +304,14 @@
         lane(25.0, 2.0, Vec::new()),
     ];
     let mut wishes = [wish(9, false)];
-    absorb(&mut wishes, &mut lanes, &types, &|_| false, f64::MAX);
+    assign_to_existing_machines(&mut wishes, &mut lanes, &types, &|_| false, f64::MAX);
     // Two at once, one as the first task ends, two on the booting machine; what is placed ends late.
     assert_eq!(wishes[0].count, 4, "{lanes:?}");
     let mut spread = wish(4, true);
     spread.most_per_zone = Some(2);
     let mut wishes = [spread];
     let mut lanes = vec![lane(0.0, 2.0, Vec::new()), lane(0.0, 2.0, Vec::new())];
-    absorb(&mut wishes, &mut lanes, &types, &|_| false, f64::MAX);
+    assign_to_existing_machines(&mut wishes, &mut lanes, &types, &|_| false, f64::MAX);
     assert_eq!(wishes[0].count, 2, "the zone takes two");
 }
 
