--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -148,7 +148,7 @@
             None => return,
         };
         for h in self.machines.values_mut().flat_map(|m| m.held.iter_mut()) {
-            let superseded = |stop: &crate::machine_view::Stop| {
+            let superseded = |stop: &crate::machine_view::StopRequest| {
                 let permit = stop.permit;
                 permit.is_some_and(|(partition, granted_by)| since.get(&partition) != Some(&granted_by))
             };
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
 use crate::jobs::Job;
-use crate::machine_view::{Held, HeldState, Machine};
+use crate::machine_view::{HeldTask, HeldTaskState, Machine};
 use crate::protocol::{Priority, Shape, TaskState};
 use crate::settings::Disruption as DisruptionSettings;
 use tidelatch_disruption::{
@@ -19,8 +19,8 @@
 }
 
 /// Whether a task runs, and nobody has told it to stop.
-fn runs_on(held: &Held) -> bool {
-    held.state == HeldState::Seen(TaskState::Running) && held.stop.is_none()
+fn runs_on(held: &HeldTask) -> bool {
+    held.state == HeldTaskState::Reported(TaskState::Running) && held.stop.is_none()
 }
 
 impl Controller {
@@ -77,7 +77,7 @@
         let runs = |index: u32, machine: &MachineId| {
             let machine = self.machines.get(machine).filter(|m| self.is_heard(m));
             machine.is_some_and(|m| {
-                let of_unit = |h: &&Held| h.task.index == index && h.task.job == *id;
+                let of_unit = |h: &&HeldTask| h.task.index == index && h.task.job == *id;
                 m.held.iter().filter(of_unit).any(runs_on)
             })
         };
@@ -210,7 +210,7 @@
         let machine = MachineId::new(permit.machine().as_str());
         let m = self.controller.machines.get(&machine);
         let of_permit =
-            |h: &&Held| h.task.index == unit.index() && h.task.job == id && h.attempt.0 == permit.attempt().0;
+            |h: &&HeldTask| h.task.index == unit.index() && h.task.job == id && h.attempt.0 == permit.attempt().0;
         let held = m.and_then(|m| m.held.iter().find(of_permit));
         match m.zip(held) {
             Some((m, held)) if runs_on(held) && self.is_fenced(m, permit) => UnitState::RunsFenced,
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -3,7 +3,7 @@
 use super::gate::{Blocked, Cause};
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, TaskId};
-use crate::machine_view::{Held, Machine};
+use crate::machine_view::{HeldTask, Machine};
 use crate::messages::Level;
 use crate::protocol::Shape;
 use std::collections::BTreeSet;
@@ -99,7 +99,7 @@
                 .get(&task.job)
                 .is_some_and(|job| job.spec.shape == Shape::Array)
         };
-        let begun = |held: &Held| held.running_since.is_some() || held.stop.is_some();
+        let begun = |held: &HeldTask| held.running_since.is_some() || held.stop.is_some();
         let waiting = m.held.iter().filter(|held| !begun(held) && of_array(&held.task));
         let waiting: Vec<(TaskId, Attempt)> = waiting.map(|held| (held.task.clone(), held.attempt)).collect();
         for (task, attempt) in waiting {
@@ -131,7 +131,7 @@
     }
 
     /// Whether a task of a drained machine is better waited for, within the drain's patience.
-    fn is_worth_waiting(&self, id: &MachineId, m: &Machine, held: &Held) -> bool {
+    fn is_worth_waiting(&self, id: &MachineId, m: &Machine, held: &HeldTask) -> bool {
         let Some(job) = self
             .jobs
             .get(&held.task.job)
--- a/crates/tidelatch-core/src/disruption/gate.rs
+++ b/crates/tidelatch-core/src/disruption/gate.rs
@@ -3,7 +3,7 @@
 use super::{controller_name, machine_name, tenure, unit};
 use crate::controller::Controller;
 use crate::ids::{Attempt, ControllerId, Epoch, MachineId, Partition, TaskId};
-use crate::machine_view::Stop;
+use crate::machine_view::StopRequest;
 use crate::messages::Level;
 use crate::protocol::Shape;
 use crate::settings::DISRUPTION_LEVEL;
@@ -228,7 +228,7 @@
         let m = self.machines.get_mut(*machine);
         let held = m.and_then(|m| m.held.iter_mut().find(|h| h.task == **task && h.attempt == *attempt));
         if let Some(stop) = held.and_then(|h| h.stop.as_mut()) {
-            *stop = Stop {
+            *stop = StopRequest {
                 permit: Some(permit),
                 ..*stop
             };
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
 use crate::jobs::Job;
-use crate::machine_view::{HeldState, Stop};
+use crate::machine_view::{HeldTaskState, StopRequest};
 use crate::messages::Level;
 use crate::protocol::{Shape, TaskState};
 
@@ -118,7 +118,7 @@
                     }
                     observation.held.push(entry);
                     observation.is_stopping |= h.stop.is_some_and(|s| s.grace_s > 0.0);
-                    observation.is_stopping |= h.state == HeldState::Seen(TaskState::Saving);
+                    observation.is_stopping |= h.state == HeldTaskState::Reported(TaskState::Saving);
                     observation.has_lost_machine |= m.retiring || m.gone;
                     observation.has_notice |= m.has_preemption_notice;
                 }
@@ -222,7 +222,7 @@
         let Some(h) = held.filter(|h| h.stop.is_none_or(|s| s.grace_s > 0.0)) else {
             return false;
         };
-        h.stop = Some(Stop::new(0.0, now));
+        h.stop = Some(StopRequest::new(0.0, now));
         self.machines_with_urgent_commands.insert(machine.clone());
         true
     }
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -13,7 +13,7 @@
 mod shared_machines;
 mod unresponsive_machines;
 
-pub(crate) use machine::{Held, HeldState, Machine, MisdirectedWorker, Stop};
+pub(crate) use machine::{HeldTask, HeldTaskState, Machine, MisdirectedWorker, StopRequest};
 
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, Partition, TaskId};
@@ -25,7 +25,7 @@
         let now = self.now.ms;
         let (settings, tenures) = (&self.settings, &self.tenures);
         // Tasks of the other partitions that this controller owns stay known if they are on one of these machines.
-        let is_of_another_partition = |held: &Held| {
+        let is_of_another_partition = |held: &HeldTask| {
             let owner = settings.partition_of_team(&held.team);
             owner.is_some_and(|p| p != partition && tenures.contains_key(&p))
         };
@@ -71,7 +71,7 @@
     }
 
     /// Adds a task to those that a machine holds and to the placements of its job.
-    pub(super) fn add_held_task(&mut self, machine: &MachineId, held: Held) {
+    pub(super) fn add_held_task(&mut self, machine: &MachineId, held: HeldTask) {
         if let Some(job) = self.jobs.get_mut(&held.task.job) {
             job.placed.entry(held.task.index).or_default().push(machine.clone());
         }
@@ -96,10 +96,10 @@
         self.log(Level::Debug, format!("{machine}: {task} placed, attempt {attempt}"));
         self.add_held_task(
             machine,
-            Held {
+            HeldTask {
                 task,
                 attempt,
-                state: HeldState::Booked,
+                state: HeldTaskState::Booked,
                 running_since: None,
                 stop: None,
                 size,
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -1,6 +1,6 @@
 //! Commands for workers, sent in answers to their reports and in direct commands.
 
-use super::{Held, HeldState, Machine, Stop};
+use super::{HeldTask, HeldTaskState, Machine, StopRequest};
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{Attempt, Epoch, MachineId, TaskId};
@@ -9,7 +9,7 @@
 use crate::protocol::{Command, Orders, Report, TaskState};
 
 /// The command that starts a held task.
-fn start_command(held: &Held) -> Command {
+fn start_command(held: &HeldTask) -> Command {
     Command::Start {
         task: held.task.to_string(),
         attempt: held.attempt,
@@ -18,13 +18,13 @@
 
 /// The command that stops a task that its machine reports in `state`. None if the task is to go on running, or is
 /// saving within its time limit.
-fn stop_command(held: &mut Held, state: TaskState, is_wanted: bool, now: u64, report_ms: u64) -> Option<Command> {
+fn stop_command(held: &mut HeldTask, state: TaskState, is_wanted: bool, now: u64, report_ms: u64) -> Option<Command> {
     if !is_wanted && held.stop.is_none() {
-        held.stop = Some(Stop::new(0.0, now));
+        held.stop = Some(StopRequest::new(0.0, now));
     }
     let stop = held.stop?;
     // A task that takes too long to save is killed.
-    let is_late = now.saturating_sub(stop.at) > (stop.grace_s * 2000.0) as u64 + 2 * report_ms;
+    let is_late = now.saturating_sub(stop.requested_at) > (stop.grace_s * 2000.0) as u64 + 2 * report_ms;
     let saves_in_time = state == TaskState::Saving && !is_late && is_wanted && stop.grace_s != 0.0;
     (!saves_in_time).then(|| Command::Stop {
         task: held.task.to_string(),
@@ -55,10 +55,10 @@
             let is_wanted = job.is_some_and(|j| !j.is_done(h.task.index))
                 && !self.cancellations.is_cancelled_or_requested(&h.task.job);
             match h.state {
-                HeldState::Booked if is_wanted && accepts_starts && h.stop.is_none() => {
+                HeldTaskState::Booked if is_wanted && accepts_starts && h.stop.is_none() => {
                     h.state = match answered_report {
-                        Some((session, seq)) => HeldState::Sent(session, seq),
-                        None => HeldState::AwaitingAnswer,
+                        Some((session, seq)) => HeldTaskState::Sent(session, seq),
+                        None => HeldTaskState::AwaitingAnswer,
                     };
                     if answered_report.is_none()
                         && let Some(epoch) = epoch
@@ -67,9 +67,9 @@
                     }
                     commands.push(start_command(h));
                 }
-                HeldState::Booked => dropped.push((h.task.clone(), h.attempt)),
-                HeldState::Seen(state) => commands.extend(stop_command(h, state, is_wanted, now, report_ms)),
-                HeldState::Sent(..)
+                HeldTaskState::Booked => dropped.push((h.task.clone(), h.attempt)),
+                HeldTaskState::Reported(state) => commands.extend(stop_command(h, state, is_wanted, now, report_ms)),
+                HeldTaskState::Sent(..)
                     if answered_report.is_some()
                         && is_wanted
                         && m.unanswered_starts.contains_key(&(h.task.clone(), h.attempt)) =>
@@ -77,7 +77,7 @@
                     // The same attempt is sent again. The copy that arrives second has no effect.
                     commands.extend(accepts_starts.then(|| start_command(h)));
                 }
-                HeldState::Sent(..) | HeldState::AwaitingAnswer => {}
+                HeldTaskState::Sent(..) | HeldTaskState::AwaitingAnswer => {}
             }
         }
         for (task, attempt) in dropped {
@@ -130,7 +130,7 @@
         if let Some(m) = self.machines.get_mut(machine)
             && let Some(h) = m.held.iter_mut().find(|h| h.task == *task && h.attempt == attempt)
         {
-            h.stop.get_or_insert(Stop::new(grace_s, now));
+            h.stop.get_or_insert(StopRequest::new(grace_s, now));
             self.machines_with_urgent_commands.insert(machine.clone());
         }
     }
@@ -226,8 +226,8 @@
         match (result.map(|(status, _)| status), report) {
             (Some(200), Some(report)) => {
                 m.heard_directly = Some(now);
-                for h in m.held.iter_mut().filter(|h| h.state == HeldState::AwaitingAnswer) {
-                    h.state = HeldState::Sent(report.session, report.seq);
+                for h in m.held.iter_mut().filter(|h| h.state == HeldTaskState::AwaitingAnswer) {
+                    h.state = HeldTaskState::Sent(report.session, report.seq);
                 }
                 self.accept_report(&report, false);
                 if self.machines.get(&id).is_some_and(Machine::has_unsent_commands) {
@@ -243,7 +243,7 @@
                 let not_started: Vec<(TaskId, Attempt)> = m
                     .held
                     .iter()
-                    .filter(|h| h.state == HeldState::AwaitingAnswer)
+                    .filter(|h| h.state == HeldTaskState::AwaitingAnswer)
                     .map(|h| (h.task.clone(), h.attempt))
                     .collect();
                 for (task, attempt) in not_started {
--- a/crates/tidelatch-core/src/machine_view/machine.rs
+++ b/crates/tidelatch-core/src/machine_view/machine.rs
@@ -8,7 +8,7 @@
 
 /// How far the start of a task has progressed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum HeldState {
+pub(crate) enum HeldTaskState {
     /// Booked, not sent yet: goes out with the answer to the next report or in a direct command.
     Booked,
     /// Sent in a direct command that has not been answered yet.
@@ -17,27 +17,27 @@
     /// (session, sequence number).
     Sent(u64, u64),
     /// Listed in a report of the machine, in this state.
-    Seen(TaskState),
+    Reported(TaskState),
 }
 
 /// A requested stop of a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Stop {
+pub(crate) struct StopRequest {
     /// Time that the task gets for saving its state; 0 kills it at once.
     pub(crate) grace_s: f64,
     /// When the stop was requested (ms).
-    pub(crate) at: u64,
+    pub(crate) requested_at: u64,
     /// The partition whose owner permitted the stop, and the epoch at which that ownership began. None if no permit
     /// was needed.
     pub(crate) permit: Option<(Partition, Epoch)>,
 }
 
-impl Stop {
+impl StopRequest {
     /// Creates a stop that needs no permit.
     pub(crate) fn new(grace_s: f64, at: u64) -> Self {
         Self {
             grace_s,
-            at,
+            requested_at: at,
             permit: None,
         }
     }
@@ -45,14 +45,14 @@
 
 /// A task that a machine holds or may hold.
 #[derive(Debug, Clone)]
-pub(crate) struct Held {
+pub(crate) struct HeldTask {
     pub(crate) task: TaskId,
     pub(crate) attempt: Attempt,
-    pub(crate) state: HeldState,
+    pub(crate) state: HeldTaskState,
     /// When it was first reported as running (ms).
     pub(crate) running_since: Option<u64>,
     /// The stop that was requested, if any.
-    pub(crate) stop: Option<Stop>,
+    pub(crate) stop: Option<StopRequest>,
     /// Its CPUs, GPUs and memory in GB.
     pub(crate) size: [f64; 3],
     pub(crate) team: String,
@@ -111,7 +111,7 @@
     /// No confirmation request is sent before this time.
     pub(super) next_confirm_at: u64,
     /// The tasks that it holds or may hold.
-    pub(crate) held: Vec<Held>,
+    pub(crate) held: Vec<HeldTask>,
     /// Attempts that its last report lists as ended, and whether each completed its task.
     pub(super) ended: Vec<(TaskId, Attempt, bool)>,
     /// Starts in direct commands that got no answer, with the epoch and session that they carry. Such a command may
@@ -183,7 +183,7 @@
     /// The reported state of a task on this machine. None if the machine has not reported the task.
     pub(crate) fn state_of(&self, job: &JobId, index: u32) -> Option<TaskState> {
         self.held.iter().find_map(|h| match h.state {
-            HeldState::Seen(s) if h.task.index == index && h.task.job == *job => Some(s),
+            HeldTaskState::Reported(s) if h.task.index == index && h.task.job == *job => Some(s),
             _ => None,
         })
     }
@@ -195,7 +195,8 @@
 
     /// Removes the starts of a job that have not been sent.
     pub(crate) fn drop_unsent(&mut self, job: &JobId) {
-        self.held.retain(|h| h.state != HeldState::Booked || h.task.job != *job);
+        self.held
+            .retain(|h| h.state != HeldTaskState::Booked || h.task.job != *job);
     }
 
     /// Whether the machine has booted and the roster records its address.
@@ -308,8 +309,12 @@
     /// Keeps the starts of an unanswered direct command on this machine until they are fenced.
     pub(super) fn mark_unanswered_starts(&mut self, epoch: Epoch, session: u64, now: u64) {
         let (last_session, last_seq) = self.last_report_key;
-        for h in self.held.iter_mut().filter(|h| h.state == HeldState::AwaitingAnswer) {
-            h.state = HeldState::Sent(last_session, last_seq);
+        for h in self
+            .held
+            .iter_mut()
+            .filter(|h| h.state == HeldTaskState::AwaitingAnswer)
+        {
+            h.state = HeldTaskState::Sent(last_session, last_seq);
             let start = UnansweredStart {
                 epoch,
                 session,
@@ -322,9 +327,9 @@
     /// Whether a start or stop has not been sent yet.
     pub(super) fn has_unsent_commands(&self) -> bool {
         self.held.iter().any(|h| match h.state {
-            HeldState::Booked => true,
-            HeldState::Seen(TaskState::Saving) => false,
-            HeldState::Seen(_) => h.stop.is_some(),
+            HeldTaskState::Booked => true,
+            HeldTaskState::Reported(TaskState::Saving) => false,
+            HeldTaskState::Reported(_) => h.stop.is_some(),
             _ => false,
         })
     }
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -1,6 +1,6 @@
 //! Processing of workers' reports: updates of the machine view.
 
-use super::{Held, HeldState, Stop};
+use super::{HeldTask, HeldTaskState, StopRequest};
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, TaskId};
 use crate::jobs::Job;
@@ -164,8 +164,8 @@
         let Some(m) = self.machines.get_mut(&report.machine) else {
             return;
         };
-        let is_missing = |h: &Held| match h.state {
-            HeldState::Sent(session, seq) => (session, seq) < key && !listed.contains(&(h.task.clone(), h.attempt)),
+        let is_missing = |h: &HeldTask| match h.state {
+            HeldTaskState::Sent(session, seq) => (session, seq) < key && !listed.contains(&(h.task.clone(), h.attempt)),
             _ => false,
         };
         if m.held.iter().any(is_missing) {
@@ -186,9 +186,9 @@
             .held
             .iter()
             .filter(|h| match h.state {
-                HeldState::Booked | HeldState::AwaitingAnswer => false,
-                HeldState::Sent(session, seq) => (session, seq) < key,
-                HeldState::Seen(_) => true,
+                HeldTaskState::Booked | HeldTaskState::AwaitingAnswer => false,
+                HeldTaskState::Sent(session, seq) => (session, seq) < key,
+                HeldTaskState::Reported(_) => true,
             })
             .map(|h| (h.task.clone(), h.attempt))
             .filter(|attempt| !listed.contains(attempt) && !m.unanswered_starts.contains_key(attempt))
@@ -217,7 +217,7 @@
                 .held
                 .iter()
                 // A booked start that has not been sent does not belong to an older session.
-                .filter(|h| h.state != HeldState::Booked)
+                .filter(|h| h.state != HeldTaskState::Booked)
                 .map(|h| (h.task.clone(), h.attempt))
                 .collect(),
             None => return,
@@ -271,7 +271,7 @@
         if has_started {
             h.running_since = Some(now);
         }
-        h.state = HeldState::Seen(state);
+        h.state = HeldTaskState::Reported(state);
         let running_since = h.running_since;
         // A gang's task that waits for the other tasks has already fetched its image.
         let has_image = has_started || state == TaskState::Gathering;
@@ -305,12 +305,12 @@
                 format!("{id}: {task} attempt {attempt} is on a second machine: stopping it"),
             );
         }
-        let held = Held {
+        let held = HeldTask {
             task,
             attempt,
-            state: HeldState::Seen(state),
+            state: HeldTaskState::Reported(state),
             running_since: (state == TaskState::Running).then_some(now),
-            stop: is_duplicate.then_some(Stop::new(0.0, now)),
+            stop: is_duplicate.then_some(StopRequest::new(0.0, now)),
             size,
             team,
         };
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -12,7 +12,7 @@
 //!
 //! [`GroupRecord::also_holds`]: crate::roster::GroupRecord::also_holds
 
-use super::{Held, HeldState, Machine};
+use super::{HeldTask, HeldTaskState, Machine};
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, Partition, TaskId};
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct RetainedTasks {
     /// Tasks of partitions that this controller owns.
-    held: Vec<Held>,
+    held: Vec<HeldTask>,
     /// Partitions whose tasks on the machine are not known yet.
     unaccounted: BTreeSet<Partition>,
 }
@@ -101,7 +101,7 @@
             unaccounted: std::mem::take(&mut m.unaccounted),
         };
         let (settings, tenures) = (&self.settings, &self.tenures);
-        let is_own = |held: &Held| {
+        let is_own = |held: &HeldTask| {
             let partition = settings.partition_of_team(&held.team);
             partition.is_some_and(|p| tenures.contains_key(&p))
         };
@@ -118,7 +118,7 @@
         let mut placed: Vec<(TaskId, MachineId)> = Vec::new();
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.partition != partition) {
             let (settings, tenures) = (&self.settings, &self.tenures);
-            let of_partition = |h: &Held| settings.partition_of_team(&h.team) == Some(partition);
+            let of_partition = |h: &HeldTask| settings.partition_of_team(&h.team) == Some(partition);
             if tenures.contains_key(&m.partition) {
                 // This controller owns the machine and receives the reports on all its tasks.
                 let held_here = m.held.iter().filter(|h| is_owned && of_partition(h));
@@ -148,8 +148,11 @@
     /// `unanswered_starts` therefore excludes nothing that these two conditions do not, and no test can observe it.
     /// It protects against later changes to what is known about a machine.
     pub(crate) fn may_go_occupied(&self, machine: &Machine) -> bool {
-        let is_settled = |h: &Held| {
-            let is_fetching_or_running = matches!(h.state, HeldState::Seen(TaskState::Fetching | TaskState::Running));
+        let is_settled = |h: &HeldTask| {
+            let is_fetching_or_running = matches!(
+                h.state,
+                HeldTaskState::Reported(TaskState::Fetching | TaskState::Running)
+            );
             let job = self.jobs.get(&h.task.job);
             is_fetching_or_running && h.stop.is_none() && job.is_some_and(|j| j.spec.shape != Shape::Gang)
         };
@@ -259,7 +262,7 @@
     }
 
     /// Releases an attempt that has exited. Returns what was known about it, if the machine still held it.
-    fn release_exited_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) -> Option<Held> {
+    fn release_exited_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) -> Option<HeldTask> {
         let machine = self.machines.get(id)?;
         let mut held = machine.held.iter();
         let ended = held.find(|h| h.task == *task && h.attempt == attempt)?.clone();
@@ -333,7 +336,8 @@
         let settings = &self.settings;
         for m in self.machines.values_mut().filter(|m| !m.also_holds.is_empty()) {
             let partition = m.partition;
-            let is_of_other_partition = |h: &Held| settings.partition_of_team(&h.team).is_some_and(|p| p != partition);
+            let is_of_other_partition =
+                |h: &HeldTask| settings.partition_of_team(&h.team).is_some_and(|p| p != partition);
             if !m.held.is_empty() && m.held.iter().all(is_of_other_partition) {
                 m.only_others_since.get_or_insert(now);
             } else {
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -4,7 +4,7 @@
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{Attempt, ControllerId, MachineId, Partition, TaskId};
-use crate::machine_view::{Held, HeldState};
+use crate::machine_view::{HeldTask, HeldTaskState};
 use crate::membership::Stage;
 use crate::messages::{Level, Method, STATUS_NO_FREE_SOCKET, Target};
 use crate::protocol::{Orders, Report};
@@ -268,9 +268,9 @@
             cancel_ms / 2
         };
         for (id, m) in self.machines.iter().filter(|(_, m)| is_in_scope(m) && !m.retiring) {
-            let is_overdue_task = |h: &Held| {
+            let is_overdue_task = |h: &HeldTask| {
                 let since = self.cancelled_since(&h.task.job);
-                h.state != HeldState::Booked && since.is_some_and(|since| is_overdue(since, cancel_ms / 2))
+                h.state != HeldTaskState::Booked && since.is_some_and(|since| is_overdue(since, cancel_ms / 2))
             };
             let is_unknown = m.may_hold && !m.confirmed && oldest.is_some_and(|since| is_overdue(since, unknown_limit));
             if had_time_to_answer && (is_unknown || m.held.iter().any(is_overdue_task)) {
@@ -375,7 +375,8 @@
     fn may_receive_start_of_finished_job(&self, m: &Machine) -> bool {
         let limit_ms = self.settings.cancel_ms() / 3;
         let listed = |task: &TaskId, attempt: Attempt| {
-            let seen = |h: &Held| matches!(h.state, HeldState::Seen(_)) && h.task == *task && h.attempt == attempt;
+            let seen =
+                |h: &HeldTask| matches!(h.state, HeldTaskState::Reported(_)) && h.task == *task && h.attempt == attempt;
             m.held.iter().any(seen) || m.ended.iter().any(|(t, a, _)| t == task && *a == attempt)
         };
         m.unanswered_starts.iter().any(|((task, attempt), start)| {
--- a/crates/tidelatch-core/src/queue/replica_swaps.rs
+++ b/crates/tidelatch-core/src/queue/replica_swaps.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::disruption::Cause;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
-use crate::machine_view::{Held, Machine};
+use crate::machine_view::{HeldTask, Machine};
 use crate::messages::Level;
 use crate::placement::{Amounts, JobTerms};
 use crate::protocol::{Priority, Shape};
@@ -162,7 +162,7 @@
     }
 
     /// Whether a task has run for longer than a worker lease and no task of its job has been chosen yet.
-    fn can_be_chosen(&self, held: &Held) -> bool {
+    fn can_be_chosen(&self, held: &HeldTask) -> bool {
         let now = self.controller.now.ms;
         let min_run_ms = self.controller.settings.worker_lease_ms();
         let has_run_long_enough = held.running_since.is_some_and(|t| now.saturating_sub(t) > min_run_ms);
@@ -170,7 +170,7 @@
     }
 
     /// Finds a machine in another zone that a replica could move to.
-    fn find_destination(&mut self, m: &'a Machine, held: &Held) -> Option<MachineId> {
+    fn find_destination(&mut self, m: &'a Machine, held: &HeldTask) -> Option<MachineId> {
         let controller = self.controller;
         let (name, job) = controller.jobs.get_key_value(&held.task.job)?;
         let is_movable =
--- a/crates/tidelatch-core/src/queue/victims.rs
+++ b/crates/tidelatch-core/src/queue/victims.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
 use crate::jobs::Job;
-use crate::machine_view::{Held, Machine};
+use crate::machine_view::{HeldTask, Machine};
 use crate::placement::Amounts;
 use crate::protocol::{Priority, Shape};
 use std::collections::BTreeSet;
@@ -112,7 +112,7 @@
     }
 
     /// The task as a victim; `None` if it cannot be stopped now, or its job or team is unknown.
-    fn victim(&self, held: &Held) -> Option<Victim> {
+    fn victim(&self, held: &HeldTask) -> Option<Victim> {
         let job = self.jobs.get(&held.task.job)?;
         let (team, _) = self.settings.team(&held.team)?;
         Some(Victim {
@@ -129,7 +129,7 @@
     }
 
     /// Seconds of work lost when a task is stopped; `None` if it cannot be stopped now.
-    fn lost_work_s(&self, held: &Held, job: &Job) -> Option<f64> {
+    fn lost_work_s(&self, held: &HeldTask, job: &Job) -> Option<f64> {
         if job.spec.shape == Shape::Gang {
             return self.gang_stop_cost_s(&held.task.job, job);
         }
