--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -19,7 +19,7 @@
     /// Seconds of work that would be lost if a machine were vacated for production work. None if the machine runs
     /// a task that must not be preempted.
     pub(super) fn preemption_loss_s(&self, m: &Machine) -> Option<f64> {
-        if m.spot || m.held.is_empty() || !m.usable(self.now.ms, 2 * self.settings.report_ms()) {
+        if m.spot || m.held.is_empty() || !m.is_usable(self.now.ms, 2 * self.settings.report_ms()) {
             return None;
         }
         let mut loss_s = 0.0;
@@ -46,13 +46,13 @@
     pub(super) fn machine_timeline(&self, m: &Machine) -> Option<MachineTimeline> {
         let now = self.now.ms;
         let t = self.machine_types.iter().find(|t| t.name == m.model)?;
-        let is_usable = m.usable(now, 3 * self.settings.report_ms());
-        let is_booting = m.is_booting() && m.moving.is_none() && !m.cordoned;
+        let is_usable = m.is_usable(now, 3 * self.settings.report_ms());
+        let is_booting = m.is_booting() && m.moving_to.is_none() && !m.cordoned;
         if m.reserved || (!is_usable && !is_booting) {
             return None;
         }
         let mut free = [t.cpus, t.gpus, t.memory_gb];
-        free.iter_mut().zip(m.taken()).for_each(|(f, u)| *f -= u);
+        free.iter_mut().zip(m.used_resources()).for_each(|(f, u)| *f -= u);
         let mut busy: Vec<(f64, Amounts)> = m
             .held
             .iter()
@@ -161,7 +161,7 @@
     fn supply(&self, partition: Partition) -> Supply {
         let late = self.late_machines(partition);
         let mut supply = Supply::default();
-        let own = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.gone;
+        let own = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.is_deleted;
         for (id, m) in self.machines.iter().filter(own) {
             *supply.machines_per_zone.entry(m.zone.clone()).or_default() += 1;
             supply.running_demand += m.held.iter().map(|h| task_demand(&h.size)).sum::<f64>();
@@ -183,7 +183,7 @@
     fn can_be_handed_over(&self, m: &Machine) -> bool {
         let report_ms = self.settings.report_ms();
         let idle_ms = m.idle_since.map_or(0, |t| self.now.ms.saturating_sub(t));
-        idle_ms > report_ms && !m.reserved && m.usable(self.now.ms, 2 * report_ms)
+        idle_ms > report_ms && !m.reserved && m.is_usable(self.now.ms, 2 * report_ms)
     }
 }
 
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -294,10 +294,10 @@
             let Some(m) = self.machines.get(&request.machine) else {
                 continue;
             };
-            if m.partition == request.to || !m.usable(now, max_report_age_ms) || self.acting(m.partition).is_none() {
+            if m.partition == request.to || !m.is_usable(now, max_report_age_ms) || self.acting(m.partition).is_none() {
                 continue;
             }
-            if m.clean() {
+            if m.is_empty_and_fenced() {
                 self.log(
                     Level::Info,
                     format!("{} goes to partition {}", request.machine, request.to),
@@ -323,7 +323,7 @@
     fn vacate(&mut self, id: &MachineId, to: Partition) {
         let now = self.now.ms;
         let Some(m) = self.machines.get_mut(id) else { return };
-        m.vacating = Some((to, now));
+        m.vacating_for = Some((to, now));
         let held: Vec<_> = m.held.iter().map(|h| (h.task.clone(), h.attempt)).collect();
         self.log(
             Level::Info,
@@ -351,12 +351,12 @@
         let timeout_ms = 2 * self.settings.report_ms();
         let mut ready = Vec::new();
         for (id, m) in &mut self.machines {
-            let Some((to, since)) = m.vacating else { continue };
-            if m.clean() {
-                m.vacating = None;
+            let Some((to, since)) = m.vacating_for else { continue };
+            if m.is_empty_and_fenced() {
+                m.vacating_for = None;
                 ready.push((id.clone(), to));
             } else if now.saturating_sub(since) > timeout_ms {
-                m.vacating = None;
+                m.vacating_for = None;
             }
         }
         for (id, to) in ready {
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -190,10 +190,10 @@
         let mut log_lines = Vec::new();
         let jobs = &self.jobs;
         for (id, m) in &mut self.machines {
-            if !acting.contains(&m.partition) || m.retiring || m.gone || m.moving.is_some() || !m.up() {
+            if !acting.contains(&m.partition) || m.retiring || m.is_deleted || m.moving_to.is_some() || !m.is_up() {
                 continue;
             }
-            if !m.confirmed || !m.held.is_empty() || (m.reserved && !m.suspect) {
+            if !m.is_confirmed || !m.held.is_empty() || (m.reserved && !m.is_faulty) {
                 continue;
             }
             if m.has_unstored_results(jobs) {
@@ -213,11 +213,11 @@
             };
             let idle_limit_ms = (boot_s * idle_per_boot * price_ratio * 1000.0) as u64;
             let is_idle_too_long = m.idle_since.is_some_and(|t| now.saturating_sub(t) > idle_limit_ms);
-            if is_idle_too_long || m.suspect || m.draining {
+            if is_idle_too_long || m.is_faulty || m.draining {
                 m.retiring = true;
                 log_lines.push(format!(
                     "{id}: {}, returning it to the cloud",
-                    if m.suspect {
+                    if m.is_faulty {
                         "faulty"
                     } else if m.draining {
                         "emptied"
@@ -240,7 +240,7 @@
         let names: Vec<MachineId> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.retiring && !m.deleting && !m.gone && self.acting(m.partition).is_some())
+            .filter(|(_, m)| m.retiring && !m.deleting && !m.is_deleted && self.acting(m.partition).is_some())
             .map(|(id, _)| id.clone())
             .take(100)
             .collect();
@@ -279,7 +279,7 @@
             m.deleting = false;
             if is_deleted {
                 // The answer confirms that the machine and all tasks on it are gone.
-                m.gone = true;
+                m.is_deleted = true;
                 self.capacity.deleted_at.insert(id.clone(), self.now.ms);
                 self.release_all(&id, "the cloud has deleted it");
                 // The delay lets several machines that are deleted at about the same time share one roster write.
--- a/crates/tidelatch-core/src/capacity/spare_room.rs
+++ b/crates/tidelatch-core/src/capacity/spare_room.rs
@@ -38,7 +38,9 @@
         }
         let model = self.machine_types.iter().find(|t| t.name == machine.model)?;
         let mut free = [model.cpus, model.gpus, model.memory_gb];
-        free.iter_mut().zip(machine.taken()).for_each(|(f, used)| *f -= used);
+        free.iter_mut()
+            .zip(machine.used_resources())
+            .for_each(|(f, used)| *f -= used);
         let machine = IdleMachine {
             machine: id.clone(),
             model: machine.model.clone(),
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -89,8 +89,10 @@
     /// Whether a machine has reported lately, and is not given up.
     fn is_heard(&self, m: &Machine) -> bool {
         let patience = 2 * self.settings.report_ms();
-        let lately = m.reported.is_some_and(|t| self.now.ms.saturating_sub(t) <= patience);
-        lately && !m.gone && !m.retiring
+        let lately = m
+            .last_report_at
+            .is_some_and(|t| self.now.ms.saturating_sub(t) <= patience);
+        lately && !m.is_deleted && !m.retiring
     }
 
     /// Whether an attempt runs on a machine, as far as this controller sees.
@@ -195,7 +197,7 @@
         let owns = record.parts.iter().any(|part| {
             part.owner.as_str() == permit.asker().as_str() && tenure(part.since) == permit.machine_tenure()
         });
-        !owns && machine.token >= record.n
+        !owns && machine.seen_epoch >= record.n
     }
 }
 
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -295,7 +295,7 @@
             return false;
         }
         let mut targets = MachineSet::default();
-        let machines = self.machines.iter().filter(|(_, m)| !m.gone && !m.retiring);
+        let machines = self.machines.iter().filter(|(_, m)| !m.is_deleted && !m.retiring);
         for (id, _) in machines.filter(|(_, m)| rule.selects(&m.model, &m.zone, m.spot)) {
             targets.insert(&MachineName::new(id.as_str()));
         }
@@ -363,7 +363,7 @@
         let left: Vec<&MachineId> = self
             .machines
             .iter()
-            .filter(|(id, m)| !m.gone && covered(id))
+            .filter(|(id, m)| !m.is_deleted && covered(id))
             .map(|(id, _)| id)
             .collect();
         let next = DrainHead {
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -37,7 +37,7 @@
         let m = self.machines.get(id)?;
         if disruption.drained.get(id).is_some_and(|drained| drained.evicts()) {
             Some(Cause::Drain)
-        } else if m.vacating.is_some() {
+        } else if m.vacating_for.is_some() {
             Some(Cause::HandOver)
         } else if disruption.emptied.contains_key(id) {
             Some(Cause::Emptying)
@@ -52,7 +52,7 @@
         let evicted: Vec<(MachineId, Cause)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.confirmed && !m.gone && !m.retiring && self.acting(m.partition).is_some())
+            .filter(|(_, m)| m.is_confirmed && !m.is_deleted && !m.retiring && self.acting(m.partition).is_some())
             .filter_map(|(id, _)| Some((id.clone(), self.eviction_cause(id)?)))
             .collect();
         // What one task of a class was denied, no other task of it gets in the same moment.
--- a/crates/tidelatch-core/src/disruption/machine_drains.rs
+++ b/crates/tidelatch-core/src/disruption/machine_drains.rs
@@ -36,8 +36,8 @@
 
 /// Whether nothing is on a machine, and no late command can change that.
 fn is_empty(m: &Machine) -> bool {
-    let known = m.confirmed || !m.up();
-    known && m.clean() && m.unaccounted.is_empty() && !m.storing
+    let known = m.is_confirmed || !m.is_up();
+    known && m.is_empty_and_fenced() && m.unaccounted_partitions.is_empty() && !m.is_boot_write_pending
 }
 
 impl Controller {
@@ -66,7 +66,7 @@
         disruption.drained.retain(|id, drained| {
             let Some(m) = machines
                 .get_mut(id)
-                .filter(|m| !m.gone && acting.contains(&m.partition))
+                .filter(|m| !m.is_deleted && acting.contains(&m.partition))
             else {
                 return false;
             };
@@ -96,7 +96,7 @@
             let Some(m) = self.machines.get_mut(id).filter(|_| !known) else {
                 continue;
             };
-            if !acting.contains(&m.partition) || m.gone || m.retiring {
+            if !acting.contains(&m.partition) || m.is_deleted || m.retiring {
                 continue;
             }
             m.cordoned = true;
@@ -174,7 +174,9 @@
         };
         let patience = 2 * self.settings.report_ms();
         let free = |other: &Machine| {
-            other.clean() && other.moving.is_none() && (other.is_booting() || other.usable(self.now.ms, patience))
+            other.is_empty_and_fenced()
+                && other.moving_to.is_none()
+                && (other.is_booting() || other.is_usable(self.now.ms, patience))
         };
         let mut machines = self.machines.iter();
         let found = machines.find(|(id, other)| {
@@ -189,10 +191,10 @@
     }
 
     fn replacement_state(&self, machine: &MachineId) -> Replacement {
-        let Some(m) = self.machines.get(machine).filter(|m| !m.gone && !m.retiring) else {
+        let Some(m) = self.machines.get(machine).filter(|m| !m.is_deleted && !m.retiring) else {
             return Replacement::Lost;
         };
-        if m.usable(self.now.ms, 2 * self.settings.report_ms()) {
+        if m.is_usable(self.now.ms, 2 * self.settings.report_ms()) {
             Replacement::Ready
         } else {
             Replacement::Booting
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -151,7 +151,10 @@
 
     /// Addresses of the partition's machines that are not gone.
     fn worker_addresses(&self, partition: Partition) -> Vec<String> {
-        let machines = self.machines.values().filter(|m| m.partition == partition && !m.gone);
+        let machines = self
+            .machines
+            .values()
+            .filter(|m| m.partition == partition && !m.is_deleted);
         let addresses = machines.map(|m| m.addr.clone());
         addresses.filter(|address| address.contains(':')).collect()
     }
--- a/crates/tidelatch-core/src/failures.rs
+++ b/crates/tidelatch-core/src/failures.rs
@@ -170,7 +170,7 @@
     fn is_unsuspected_machine(&self, id: &MachineId, job: &JobId) -> bool {
         self.machines
             .get(id)
-            .is_some_and(|m| !m.suspect && m.failures.keys().all(|other| other == job))
+            .is_some_and(|m| !m.is_faulty && m.failures.keys().all(|other| other == job))
     }
 
     /// Whether a task of the job has succeeded, or a replica of it has run for long on another machine.
@@ -206,10 +206,10 @@
     /// Takes machines out of use on which several jobs have failed that succeed elsewhere.
     pub(crate) fn judge_machines(&mut self) {
         let proven_jobs = |m: &Machine| m.failures.values().filter(|proven| **proven).count();
-        let is_faulty = |m: &Machine| !m.suspect && proven_jobs(m) >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE;
+        let is_faulty = |m: &Machine| !m.is_faulty && proven_jobs(m) >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE;
         let mut faulty = Vec::new();
         for (id, machine) in self.machines.iter_mut().filter(|(_, m)| is_faulty(m)) {
-            machine.suspect = true;
+            machine.is_faulty = true;
             faulty.push(id.clone());
         }
         for id in faulty {
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -119,7 +119,7 @@
                     observation.held.push(entry);
                     observation.is_stopping |= h.stop.is_some_and(|s| s.grace_s > 0.0);
                     observation.is_stopping |= h.state == HeldTaskState::Reported(TaskState::Saving);
-                    observation.has_lost_machine |= m.retiring || m.gone;
+                    observation.has_lost_machine |= m.retiring || m.is_deleted;
                     observation.has_notice |= m.has_preemption_notice;
                 }
             }
@@ -254,7 +254,7 @@
         let all_are_reachable = observation.held.iter().all(|(machine, _, _)| {
             let m = self.machines.get(machine);
             m.is_some_and(|m| {
-                m.heard
+                m.last_heard_at
                     .is_some_and(|t| now.saturating_sub(t) <= 2 * self.settings.report_ms())
             })
         });
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -251,7 +251,7 @@
             for machines in job.placed.values() {
                 for machine in machines {
                     if let Some(m) = self.machines.get_mut(machine) {
-                        m.drop_unsent(id);
+                        m.drop_unsent_starts(id);
                         self.machines_with_urgent_commands.insert(machine.clone());
                     }
                 }
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -34,7 +34,7 @@
         // and the task would be stopped.
         let mut removed_placements: Vec<(TaskId, MachineId)> = Vec::new();
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.partition == partition) {
-            m.confirmed = false;
+            m.is_confirmed = false;
             m.confirming = false;
             let dropped = m.held.iter().filter(|held| !is_of_another_partition(held));
             removed_placements.extend(dropped.map(|held| (held.task.clone(), id.clone())));
@@ -44,19 +44,19 @@
             // Older starts are fenced by the epoch of this tenure: reports under an older epoch are not accepted.
             m.unanswered_starts.clear();
             m.pending_command = None;
-            m.heard = None;
+            m.last_heard_at = None;
             m.heard_directly = None;
             m.failed_probes = 0;
             m.probing = false;
             m.known_since = now;
             m.idle_since = None;
-            m.moving = None;
+            m.moving_to = None;
             m.retiring = false;
             m.draining = false;
-            m.vacating = None;
+            m.vacating_for = None;
             m.deleting = false;
-            m.storing = false;
-            m.may_hold = m.up();
+            m.is_boot_write_pending = false;
+            m.may_hold_older_tasks = m.is_up();
             m.missed_answers = 0;
             m.last_answered_at = None;
             m.direct_starts.clear();
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -148,13 +148,13 @@
         let max_unheard_ms = 2 * self.settings.report_ms();
         for id in std::mem::take(&mut self.machines_with_urgent_commands) {
             let Some(m) = self.machines.get(&id) else { continue };
-            let can_command = m.confirmed
-                && m.up()
-                && !m.gone
+            let can_command = m.is_confirmed
+                && m.is_up()
+                && !m.is_deleted
                 && m.pending_command.is_none()
                 && !m.deleting
                 && now >= m.direct_commands_from
-                && m.heard.is_some_and(|t| now.saturating_sub(t) <= max_unheard_ms);
+                && m.last_heard_at.is_some_and(|t| now.saturating_sub(t) <= max_unheard_ms);
             if !can_command || self.acting(m.partition).is_none() {
                 continue;
             }
--- a/crates/tidelatch-core/src/machine_view/machine.rs
+++ b/crates/tidelatch-core/src/machine_view/machine.rs
@@ -95,17 +95,17 @@
     /// Session and sequence number of its newest report.
     pub(super) last_report_key: (u64, u64),
     /// When it was last heard, also by reports that other controllers relayed.
-    pub(crate) heard: Option<u64>,
+    pub(crate) last_heard_at: Option<u64>,
     /// When a report that lists the machine's tasks was last accepted.
-    pub(crate) reported: Option<u64>,
+    pub(crate) last_report_at: Option<u64>,
     /// The epoch that its worker had seen at that time.
-    pub(crate) token: Epoch,
+    pub(crate) seen_epoch: Epoch,
     /// When it last reported or answered to this controller directly, without another controller as relay.
     pub(super) heard_directly: Option<u64>,
     /// Since when this controller has known it under its present partition.
     pub(crate) known_since: u64,
     /// Its tasks are known: it has reported under an epoch of the present tenure.
-    pub(crate) confirmed: bool,
+    pub(crate) is_confirmed: bool,
     /// A confirmation request is pending.
     pub(super) confirming: bool,
     /// No confirmation request is sent before this time.
@@ -135,7 +135,7 @@
     /// No status request is sent before this time.
     pub(super) next_probe_at: u64,
     /// It is faulty: it is not used any more.
-    pub(crate) suspect: bool,
+    pub(crate) is_faulty: bool,
     /// No task is placed on it before this time.
     pub(crate) avoid_until: u64,
     /// Images in its cache with their sizes in GB, the one recorded longest ago first.
@@ -143,11 +143,11 @@
     /// Since when it has held no tasks.
     pub(crate) idle_since: Option<u64>,
     /// Being handed to another partition.
-    pub(crate) moving: Option<Partition>,
+    pub(crate) moving_to: Option<Partition>,
     /// To be deleted. Nothing is started on it any more.
     pub(crate) retiring: bool,
     /// The partition for which it is being emptied, and since when.
-    pub(crate) vacating: Option<(Partition, u64)>,
+    pub(crate) vacating_for: Option<(Partition, u64)>,
     /// A drain covers it: nothing is started on it.
     pub(crate) cordoned: bool,
     /// It is reserved for tasks that leave a drained machine.
@@ -157,16 +157,16 @@
     /// A request to the cloud to delete it is pending.
     pub(crate) deleting: bool,
     /// The cloud has confirmed its deletion.
-    pub(crate) gone: bool,
+    pub(crate) is_deleted: bool,
     /// The write of the boot batch that records it as up is in progress.
-    pub(crate) storing: bool,
+    pub(crate) is_boot_write_pending: bool,
     /// It was in the roster, and up, when the tenure began, so it may hold tasks that this controller does not know.
-    pub(super) may_hold: bool,
+    pub(super) may_hold_older_tasks: bool,
     /// The other partitions whose tasks may be on it, according to the roster.
     pub(crate) also_holds: BTreeSet<Partition>,
     /// Partitions that this controller owns, other than the machine's own, whose tasks on this machine are not known
     /// yet.
-    pub(crate) unaccounted: BTreeSet<Partition>,
+    pub(crate) unaccounted_partitions: BTreeSet<Partition>,
     /// Since when it holds nothing but tasks of other partitions.
     pub(super) only_others_since: Option<u64>,
     /// Counts signs that answers do not reach the machine: one for each periodic report that does not list a start
@@ -189,24 +189,24 @@
     }
 
     /// Whether the machine lists an attempt of one of the job's tasks as ended.
-    pub(crate) fn lists(&self, job: &JobId, attempt: Attempt) -> bool {
+    pub(crate) fn lists_as_ended(&self, job: &JobId, attempt: Attempt) -> bool {
         self.ended.iter().any(|(t, a, _)| *a == attempt && t.job == *job)
     }
 
     /// Removes the starts of a job that have not been sent.
-    pub(crate) fn drop_unsent(&mut self, job: &JobId) {
+    pub(crate) fn drop_unsent_starts(&mut self, job: &JobId) {
         self.held
             .retain(|h| h.state != HeldTaskState::Booked || h.task.job != *job);
     }
 
     /// Whether the machine has booted and the roster records its address.
-    pub(crate) fn up(&self) -> bool {
+    pub(crate) fn is_up(&self) -> bool {
         !self.addr.is_empty()
     }
 
     /// Whether the machine has not booted yet, as far as is known, and is neither being deleted nor gone.
     pub(crate) fn is_booting(&self) -> bool {
-        !self.up() && !self.retiring && !self.gone
+        !self.is_up() && !self.retiring && !self.is_deleted
     }
 
     /// Creates the view of a machine that has just been added to the roster or to a partition.
@@ -219,12 +219,12 @@
             addr,
             group: group.to_owned(),
             last_report_key,
-            heard: None,
-            reported: None,
-            token: Epoch(0),
+            last_heard_at: None,
+            last_report_at: None,
+            seen_epoch: Epoch(0),
             heard_directly: None,
             known_since: now,
-            confirmed: false,
+            is_confirmed: false,
             confirming: false,
             next_confirm_at: 0,
             held: Vec::new(),
@@ -238,22 +238,22 @@
             failed_probes: 0,
             probing: false,
             next_probe_at: 0,
-            suspect: false,
+            is_faulty: false,
             avoid_until: 0,
             images: Vec::new(),
             idle_since: None,
-            moving: None,
+            moving_to: None,
             retiring: false,
             cordoned: false,
             reserved: false,
             draining: false,
-            vacating: None,
+            vacating_for: None,
             deleting: false,
-            gone: false,
-            storing: false,
-            may_hold: false,
+            is_deleted: false,
+            is_boot_write_pending: false,
+            may_hold_older_tasks: false,
             also_holds: record.also_holds.clone(),
-            unaccounted: BTreeSet::new(),
+            unaccounted_partitions: BTreeSet::new(),
             only_others_since: None,
             missed_answers: 0,
             last_answered_at: None,
@@ -268,35 +268,35 @@
     }
 
     /// Records that a boot batch lists the machine as up.
-    pub(crate) fn come_up(&mut self, addr: &str, seen: (u64, u64)) {
-        self.storing = false;
+    pub(crate) fn mark_up(&mut self, addr: &str, seen: (u64, u64)) {
+        self.is_boot_write_pending = false;
         self.addr = addr.to_owned();
         self.last_report_key = self.last_report_key.max(seen);
     }
 
     /// The session and sequence number of its newest report.
-    pub(crate) fn last(&self) -> (u64, u64) {
+    pub(crate) fn last_report_key(&self) -> (u64, u64) {
         self.last_report_key
     }
 
     /// Whether tasks may be placed on it. `patience` is the longest time since its last report, in ms.
-    pub(crate) fn usable(&self, now: u64, patience: u64) -> bool {
-        self.confirmed
-            && self.up()
+    pub(crate) fn is_usable(&self, now: u64, patience: u64) -> bool {
+        self.is_confirmed
+            && self.is_up()
             && !self.has_preemption_notice
-            && !self.suspect
+            && !self.is_faulty
             && !self.retiring
             && !self.draining
             && !self.cordoned
-            && self.vacating.is_none()
-            && !self.gone
-            && self.moving.is_none()
+            && self.vacating_for.is_none()
+            && !self.is_deleted
+            && self.moving_to.is_none()
             && now >= self.avoid_until
-            && self.heard.is_some_and(|t| now.saturating_sub(t) <= patience)
+            && self.last_heard_at.is_some_and(|t| now.saturating_sub(t) <= patience)
     }
 
     /// The sum of the resources of all tasks that it holds or may hold.
-    pub(crate) fn taken(&self) -> [f64; 3] {
+    pub(crate) fn used_resources(&self) -> [f64; 3] {
         let mut sum = [0.0; 3];
         for h in &self.held {
             for (s, v) in sum.iter_mut().zip(h.size) {
@@ -335,7 +335,7 @@
     }
 
     /// Whether it holds no tasks and no late command can start one.
-    pub(crate) fn clean(&self) -> bool {
+    pub(crate) fn is_empty_and_fenced(&self) -> bool {
         self.held.is_empty() && self.unanswered_starts.is_empty() && self.pending_command.is_none()
     }
 
@@ -350,7 +350,7 @@
     }
 
     /// Whether it may hold tasks from before this tenure: it was in the roster, and up, when the tenure began.
-    pub(crate) fn may_hold(&self) -> bool {
-        self.may_hold && !self.gone
+    pub(crate) fn may_hold_older_tasks(&self) -> bool {
+        self.may_hold_older_tasks && !self.is_deleted
     }
 }
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -101,7 +101,7 @@
         let lease = self.settings.worker_lease_ms();
         let redirect_delay_ms = 2 * self.settings.report_ms();
         let reachable = self.reachable(owner);
-        let is_up = self.machines.get(&report.machine).is_some_and(Machine::up);
+        let is_up = self.machines.get(&report.machine).is_some_and(Machine::is_up);
         // The owner may be unreachable from this controller only; a third controller may still reach it.
         let third_controller = || {
             let mut members = self.membership.members.keys();
@@ -208,7 +208,10 @@
             self.answer_orders(requester, epoch, stops);
             return;
         }
-        let is_first = self.machines.get(&id).is_some_and(|m| !m.up() && !m.storing && !m.gone);
+        let is_first = self
+            .machines
+            .get(&id)
+            .is_some_and(|m| !m.is_up() && !m.is_boot_write_pending && !m.is_deleted);
         if is_first && !report.addr.is_empty() {
             self.record_boot_time(&id);
             // The machine may hold tasks only once the roster records that it is up.
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -75,7 +75,7 @@
         let Some(m) = self.machines.get_mut(&report.machine) else {
             return false;
         };
-        if (report.session, report.seq) <= m.last_report_key || m.gone {
+        if (report.session, report.seq) <= m.last_report_key || m.is_deleted {
             return false;
         }
         let tenure = self.tenures.get(&m.partition);
@@ -83,7 +83,7 @@
         // A periodic report under an older epoch may be a late copy, which does not show that the machine is alive. A
         // report sent as the answer to a request cannot be one.
         if current || !is_periodic {
-            m.heard = Some(self.now.ms);
+            m.last_heard_at = Some(self.now.ms);
             m.failed_probes = 0;
         }
         current
@@ -101,8 +101,8 @@
             m.missed_answers += 2;
         }
         m.last_report_key = (report.session, report.seq);
-        m.reported = Some(now);
-        m.token = report.epoch;
+        m.last_report_at = Some(now);
+        m.seen_epoch = report.epoch;
         m.has_preemption_notice = report.notice_s.is_some();
         m.unanswered_starts
             .retain(|_, start| start.epoch >= report.epoch && start.session >= report.session);
@@ -110,9 +110,9 @@
             m.direct_starts.clear();
         }
         m.direct_starts.retain(|_, (epoch, _)| *epoch >= report.epoch);
-        let is_first = !m.confirmed;
-        m.confirmed = true;
-        m.unaccounted
+        let is_first = !m.is_confirmed;
+        m.is_confirmed = true;
+        m.unaccounted_partitions
             .retain(|p| tenures.get(p).is_none_or(|tenure| report.epoch < tenure.since));
         Some(MachineUpdate {
             is_first,
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -33,9 +33,9 @@
 
 impl Machine {
     /// Restores what was known about the machine before it was handed over.
-    pub(crate) fn carry(&mut self, carried: RetainedTasks) {
+    pub(crate) fn restore_tasks(&mut self, carried: RetainedTasks) {
         self.held = carried.held;
-        self.unaccounted = carried.unaccounted;
+        self.unaccounted_partitions = carried.unaccounted;
     }
 }
 
@@ -74,7 +74,7 @@
     pub(crate) fn partitions_beside_owner(&self, group: &GroupRecord) -> BTreeSet<Partition> {
         let machines = || group.m.keys().filter_map(|id| self.machines.get(id));
         let mut partitions: BTreeSet<Partition> = machines().flat_map(|m| self.partitions_on(m)).collect();
-        if !machines().all(|m| m.confirmed || m.gone) {
+        if !machines().all(|m| m.is_confirmed || m.is_deleted) {
             partitions.extend(&group.also_holds);
         }
         partitions.remove(&group.part);
@@ -86,7 +86,7 @@
     pub(crate) fn set_also_holds(&mut self, id: &MachineId, also_holds: &BTreeSet<Partition>) {
         if let Some(m) = self.machines.get_mut(id) {
             m.also_holds.clone_from(also_holds);
-            m.unaccounted.retain(|p| also_holds.contains(p));
+            m.unaccounted_partitions.retain(|p| also_holds.contains(p));
         }
     }
 
@@ -98,7 +98,7 @@
         };
         let mut carried = RetainedTasks {
             held: Vec::new(),
-            unaccounted: std::mem::take(&mut m.unaccounted),
+            unaccounted: std::mem::take(&mut m.unaccounted_partitions),
         };
         let (settings, tenures) = (&self.settings, &self.tenures);
         let is_own = |held: &HeldTask| {
@@ -127,9 +127,9 @@
                 m.held.retain(|h| !of_partition(h));
             }
             if is_owned && m.also_holds.contains(&partition) {
-                m.unaccounted.insert(partition);
+                m.unaccounted_partitions.insert(partition);
             } else {
-                m.unaccounted.remove(&partition);
+                m.unaccounted_partitions.remove(&partition);
             }
         }
         for (task, machine) in placed {
@@ -158,8 +158,8 @@
         };
         machine.unanswered_starts.is_empty()
             && machine.pending_command.is_none()
-            && machine.unaccounted.is_empty()
-            && machine.usable(self.now.ms, 2 * self.settings.report_ms())
+            && machine.unaccounted_partitions.is_empty()
+            && machine.is_usable(self.now.ms, 2 * self.settings.report_ms())
             && machine.held.iter().all(is_settled)
     }
 
@@ -179,9 +179,10 @@
         let now = self.now.ms;
         let interval_ms = self.settings.report_ms() / 2;
         let acting = self.acting_partitions();
-        let is_foreign = |m: &Machine| !acting.contains(&m.partition) && m.up() && !m.gone;
-        let is_due =
-            |m: &Machine| !m.probing && now >= m.next_probe_at && !(m.held.is_empty() && m.unaccounted.is_empty());
+        let is_foreign = |m: &Machine| !acting.contains(&m.partition) && m.is_up() && !m.is_deleted;
+        let is_due = |m: &Machine| {
+            !m.probing && now >= m.next_probe_at && !(m.held.is_empty() && m.unaccounted_partitions.is_empty())
+        };
         let machines: Vec<(MachineId, String)> = self
             .machines
             .iter_mut()
@@ -205,12 +206,12 @@
         let id = &report.machine;
         let Some(m) = self.machines.get_mut(id) else { return };
         let key = (report.session, report.seq);
-        if key <= m.last_report_key || m.gone {
+        if key <= m.last_report_key || m.is_deleted {
             return;
         }
         m.last_report_key = key;
-        m.reported = Some(self.now.ms);
-        m.token = report.epoch;
+        m.last_report_at = Some(self.now.ms);
+        m.seen_epoch = report.epoch;
         for partition in self.acting_partitions() {
             // As after any takeover, a report counts once its worker has seen the epoch of the tenure.
             let tenure = self.acting(partition);
@@ -246,7 +247,7 @@
         }
         self.release_unlisted_attempts(id, partition, &listed);
         if let Some(m) = self.machines.get_mut(id)
-            && m.unaccounted.remove(&partition)
+            && m.unaccounted_partitions.remove(&partition)
         {
             self.schedule_batch();
         }
@@ -300,7 +301,7 @@
         let mut returned: Vec<(MachineId, Partition)> = Vec::new();
         let mut cleared: Vec<MachineId> = Vec::new();
         for (id, m) in &self.machines {
-            if m.also_holds.is_empty() || !acting.contains(&m.partition) || !m.confirmed || m.gone {
+            if m.also_holds.is_empty() || !acting.contains(&m.partition) || !m.is_confirmed || m.is_deleted {
                 continue;
             }
             let partitions = self.partitions_on(m);
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -26,7 +26,7 @@
         let due: Vec<(MachineId, String, u64)> = self
             .machines
             .iter_mut()
-            .filter(|(_, m)| m.partition == partition && !m.confirmed && !m.confirming && !m.gone)
+            .filter(|(_, m)| m.partition == partition && !m.is_confirmed && !m.confirming && !m.is_deleted)
             .filter(|(_, m)| m.addr.contains(':') && now >= m.next_confirm_at)
             .map(|(id, m)| {
                 m.confirming = true;
@@ -107,8 +107,8 @@
         self.machines
             .values()
             .filter(|m| {
-                let own = m.partition == partition && m.may_hold && !m.confirmed;
-                (own || m.unaccounted.contains(&partition)) && !m.gone
+                let own = m.partition == partition && m.may_hold_older_tasks && !m.is_confirmed;
+                (own || m.unaccounted_partitions.contains(&partition)) && !m.is_deleted
             })
             .count()
     }
@@ -138,9 +138,9 @@
         let due: Vec<(MachineId, String)> = self
             .machines
             .iter_mut()
-            .filter(|(_, m)| m.partition == partition && m.up() && !m.gone && !m.retiring && !m.probing)
+            .filter(|(_, m)| m.partition == partition && m.is_up() && !m.is_deleted && !m.retiring && !m.probing)
             .filter(|(_, m)| now >= m.next_probe_at)
-            .filter(|(_, m)| now.saturating_sub(m.heard.unwrap_or(0).max(active_at)) > report_ms * 3 / 2)
+            .filter(|(_, m)| now.saturating_sub(m.last_heard_at.unwrap_or(0).max(active_at)) > report_ms * 3 / 2)
             .map(|(id, m)| {
                 m.probing = true;
                 m.next_probe_at = now + report_ms / 4;
@@ -218,7 +218,7 @@
     /// Just after a takeover few workers report here; the others are heard only by their first answers.
     fn is_zone_reachable(&self, machine: &Machine, sent: u64) -> bool {
         let (zone, report_ms) = (&machine.zone, self.settings.report_ms());
-        let blocks_older_tasks = !machine.confirmed && machine.may_hold;
+        let blocks_older_tasks = !machine.is_confirmed && machine.may_hold_older_tasks;
         let from = sent.saturating_sub(if blocks_older_tasks {
             2 * report_ms
         } else {
@@ -258,7 +258,7 @@
         let is_overdue = |since: u64, limit: u64| now.saturating_sub(since) > limit;
         let had_time_to_answer = now.saturating_sub(active_at) > 2 * self.settings.report_ms();
         let oldest = self.oldest_cancellation(partition);
-        let is_in_scope = |m: &Machine| m.partition == partition && m.up() && !m.gone;
+        let is_in_scope = |m: &Machine| m.partition == partition && m.is_up() && !m.is_deleted;
         let unconfirmed = self.unconfirmed(partition);
         let most_are_unconfirmed =
             unconfirmed > 1 && unconfirmed * 2 > self.machines.values().filter(|m| is_in_scope(m)).count();
@@ -272,7 +272,9 @@
                 let since = self.cancelled_since(&h.task.job);
                 h.state != HeldTaskState::Booked && since.is_some_and(|since| is_overdue(since, cancel_ms / 2))
             };
-            let is_unknown = m.may_hold && !m.confirmed && oldest.is_some_and(|since| is_overdue(since, unknown_limit));
+            let is_unknown = m.may_hold_older_tasks
+                && !m.is_confirmed
+                && oldest.is_some_and(|since| is_overdue(since, unknown_limit));
             if had_time_to_answer && (is_unknown || m.held.iter().any(is_overdue_task)) {
                 lost.insert(id.clone(), "tasks of a cancelled job may still be on it");
             }
@@ -284,7 +286,7 @@
     pub(super) fn give_up_lost_machines(&mut self, partition: Partition, active_at: u64) {
         let limits = self.response_limits(partition, active_at);
         let mut lost: BTreeMap<MachineId, &str> = BTreeMap::new();
-        let is_in_scope = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.gone && !m.retiring;
+        let is_in_scope = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.is_deleted && !m.retiring;
         for (id, m) in self.machines.iter().filter(is_in_scope) {
             if let Some(why) = self.loss_reason(m, &limits) {
                 lost.insert(id.clone(), why);
@@ -311,7 +313,7 @@
             limit_ms: unresponsive_ms,
             few_miss_answers: true,
         };
-        let is_in_scope = |m: &&Machine| m.partition == partition && m.up() && !m.gone;
+        let is_in_scope = |m: &&Machine| m.partition == partition && m.is_up() && !m.is_deleted;
         let up: Vec<&Machine> = self.machines.values().filter(is_in_scope).collect();
         let unresponsive = up
             .iter()
@@ -332,14 +334,14 @@
 
     /// Why a machine counts as lost. None if it does not.
     fn loss_reason(&self, m: &Machine, limits: &ResponseLimits) -> Option<&'static str> {
-        if !m.up() {
-            let is_late = m.heard.is_none() && limits.is_unheard_for(m, self.boot_limit_ms(m));
+        if !m.is_up() {
+            let is_late = m.last_heard_at.is_none() && limits.is_unheard_for(m, self.boot_limit_ms(m));
             return is_late.then_some("never came up");
         }
         let report_ms = self.settings.report_ms();
         let epoch_limit_ms = self.settings.worker_lease_ms() + self.settings.silent_ms();
         let tenure_ms = limits.now.saturating_sub(limits.active_at.max(m.known_since));
-        if !m.confirmed && !m.storing && tenure_ms > epoch_limit_ms {
+        if !m.is_confirmed && !m.is_boot_write_pending && tenure_ms > epoch_limit_ms {
             return Some("has not accepted the epoch");
         }
         if m.missed_answers >= MISSED_ANSWERS_LIMIT && limits.few_miss_answers {
@@ -349,7 +351,7 @@
         let is_reclaimed = m.has_preemption_notice && limits.is_unheard_for(m, 2 * report_ms);
         // An unconfirmed machine of a takeover blocks the older tasks of its whole partition, and requests have been
         // sent to it since the takeover began, so it gets less time.
-        let blocks_older_tasks = !m.confirmed && m.may_hold;
+        let blocks_older_tasks = !m.is_confirmed && m.may_hold_older_tasks;
         let dead_ms = if blocks_older_tasks {
             report_ms
         } else {
@@ -401,7 +403,7 @@
 impl ResponseLimits {
     /// Whether a machine has not been heard for longer than `limit_ms`.
     fn is_unheard_for(&self, m: &Machine, limit_ms: u64) -> bool {
-        let since = m.heard.unwrap_or(m.known_since).max(self.active_at);
+        let since = m.last_heard_at.unwrap_or(m.known_since).max(self.active_at);
         self.now.saturating_sub(since) > limit_ms
     }
 }
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -104,9 +104,10 @@
             // A machine that was taken over and has not reported yet counts as full for each team of the partition: it
             // may run tasks of any of them.
             let may_be_full_for = |p: Partition| {
-                (p == m.partition && !m.confirmed && m.may_hold()) || (m.unaccounted.contains(&p) && !m.gone)
+                (p == m.partition && !m.is_confirmed && m.may_hold_older_tasks())
+                    || (m.unaccounted_partitions.contains(&p) && !m.is_deleted)
             };
-            if (!m.confirmed || !m.unaccounted.is_empty())
+            if (!m.is_confirmed || !m.unaccounted_partitions.is_empty())
                 && let Some(t) = self.machine_types.iter().find(|t| t.name == m.model)
             {
                 for (i, u) in used.iter_mut().enumerate() {
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -290,7 +290,7 @@
         let mut by_zone: BTreeMap<&str, Vec<(u32, &MachineId)>> = BTreeMap::new();
         for (id, m) in self.machines.iter().filter(|(_, m)| m.partition == partition) {
             let is_usable =
-                m.usable(self.now.ms, 3 * self.settings.report_ms()) && terms.admits(&m.model, &m.zone, m.spot);
+                m.is_usable(self.now.ms, 3 * self.settings.report_ms()) && terms.admits(&m.model, &m.zone, m.spot);
             let Some(t) = self
                 .machine_types
                 .iter()
@@ -338,7 +338,11 @@
         };
         let Some(gang) = job.gang else { return };
         for (index, machine) in ids.iter().enumerate() {
-            if self.machines.get(machine).is_some_and(|m| m.lists(id, gang.attempt)) {
+            if self
+                .machines
+                .get(machine)
+                .is_some_and(|m| m.lists_as_ended(id, gang.attempt))
+            {
                 terms.excluded_machines.insert(index);
             }
         }
@@ -384,7 +388,7 @@
         let mut ids = Vec::new();
         let mut slots = Vec::new();
         for (id, m) in &self.machines {
-            if m.partition != partition || !m.usable(self.now.ms, max_report_age_ms) {
+            if m.partition != partition || !m.is_usable(self.now.ms, max_report_age_ms) {
                 continue;
             }
             let Some(t) = self.machine_types.iter().find(|t| t.name == m.model) else {
@@ -392,7 +396,7 @@
             };
             let total = [t.cpus, t.gpus, t.memory_gb];
             let mut free = total;
-            free.iter_mut().zip(m.taken()).for_each(|(f, u)| *f -= u);
+            free.iter_mut().zip(m.used_resources()).for_each(|(f, u)| *f -= u);
             if smallest.iter().zip(free).any(|(l, f)| *l > f + 1e-6) {
                 continue;
             }
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -78,7 +78,7 @@
         let mut candidates: Vec<(f64, MachineId)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.partition == partition && m.usable(now, max_report_age_ms) && !m.held.is_empty())
+            .filter(|(_, m)| m.partition == partition && m.is_usable(now, max_report_age_ms) && !m.held.is_empty())
             .filter(|(_, m)| {
                 m.held.iter().all(|h| {
                     let is_service = self
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -126,7 +126,7 @@
         let now = self.now.ms;
         let is_responsive = |heard: Option<u64>| heard.is_some_and(|t| now.saturating_sub(t) <= max_report_age_ms);
         let machines = self.machines.values();
-        for m in machines.filter(|m| m.partition == partition && is_responsive(m.heard)) {
+        for m in machines.filter(|m| m.partition == partition && is_responsive(m.last_heard_at)) {
             for h in m.held.iter().filter(|h| h.stop.is_some()) {
                 // A replica that is being moved uses its room again elsewhere.
                 let job = self.jobs.get(&h.task.job);
--- a/crates/tidelatch-core/src/queue/victims.rs
+++ b/crates/tidelatch-core/src/queue/victims.rs
@@ -74,7 +74,7 @@
     /// The usable machines of a partition with the tasks that could be stopped there. `max_report_age_ms` is the
     /// maximum age of a machine's last report.
     pub(super) fn candidate_machines(&self, partition: Partition, max_report_age_ms: u64) -> Vec<CandidateMachine> {
-        let is_usable = |m: &Machine| m.partition == partition && m.usable(self.now.ms, max_report_age_ms);
+        let is_usable = |m: &Machine| m.partition == partition && m.is_usable(self.now.ms, max_report_age_ms);
         let machines = self.machines.iter().filter(|(_, m)| is_usable(m));
         machines.filter_map(|(id, m)| self.candidate_machine(id, m)).collect()
     }
@@ -83,7 +83,7 @@
         let t = self.machine_types.iter().find(|t| t.name == m.model)?;
         let mut free = [t.cpus, t.gpus, t.memory_gb];
         let mut free_now = free;
-        subtract(&mut free_now, &m.taken());
+        subtract(&mut free_now, &m.used_resources());
         let mut victims = Vec::new();
         // Room that pending stops will free counts as free.
         for held in m.held.iter().filter(|h| h.stop.is_none()) {
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -44,7 +44,7 @@
             .insert(name.to_owned(), entries.keys().cloned().collect());
         for (id, entry) in entries {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.come_up(&entry.addr, entry.seen);
+                m.mark_up(&entry.addr, entry.seen);
             }
             self.roster.boot_entries.insert(id, entry);
         }
@@ -58,7 +58,7 @@
             self.roster.boot_batch_due_at = now + self.settings.batch_wait_ms();
         }
         if let Some(m) = self.machines.get_mut(&report.machine) {
-            m.storing = true;
+            m.is_boot_write_pending = true;
         }
         self.roster.booted.push(BootedMachine {
             machine: report.machine.clone(),
@@ -80,7 +80,7 @@
             return;
         };
         let commands = match machine {
-            Some((id, seen)) if self.machines.get(id).is_some_and(|m| m.last() == seen) => {
+            Some((id, seen)) if self.machines.get(id).is_some_and(|m| m.last_report_key() == seen) => {
                 self.orders_for(id, Some(seen))
             }
             _ => Vec::new(),
@@ -134,7 +134,7 @@
             if is_own(self, &n.machine) {
                 entries.insert(n.machine, n.entry);
             } else if let Some(m) = self.machines.get_mut(&n.machine) {
-                m.storing = false;
+                m.is_boot_write_pending = false;
             }
         }
         let Some(first) = entries.keys().next() else {
@@ -169,7 +169,7 @@
             // A batch of one machine cannot be split. The machine's next report queues it again.
             for id in first.keys() {
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.storing = false;
+                    m.is_boot_write_pending = false;
                 }
             }
             return;
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -117,7 +117,7 @@
         group.refused_at = None;
         for id in group.record.m.keys() {
             if let Some(m) = self.machines.get_mut(id).filter(|m| m.group == name) {
-                m.moving = None;
+                m.moving_to = None;
             }
         }
         true
@@ -146,9 +146,9 @@
                 }
                 continue;
             };
-            if m.gone {
+            if m.is_deleted {
                 division.staying.m.remove(id);
-            } else if let Some(to) = m.moving {
+            } else if let Some(to) = m.moving_to {
                 self.add_moving_machine(&mut division, &empty, id, m, to);
             }
         }
@@ -180,8 +180,8 @@
                 also_holds: destination.1,
                 ..empty.clone()
             });
-        if record.m.is_empty() || bytes_of(record) + entry_bytes(id, &machine.last()) <= self.fill() {
-            record.m.insert(id.clone(), machine.last());
+        if record.m.is_empty() || bytes_of(record) + entry_bytes(id, &machine.last_report_key()) <= self.fill() {
+            record.m.insert(id.clone(), machine.last_report_key());
             division.staying.m.remove(id);
         }
     }
@@ -224,7 +224,7 @@
     /// Plans one step of splitting a machine group: new machine groups for as many of its machines as a transaction can
     /// hold. Machines that are being handed over are left out as long as there are others.
     fn plan_split_step(&self, name: &str, revision: Revision, staying: &GroupRecord) -> GroupChange {
-        let is_staying = |id: &MachineId| self.machines.get(id).is_none_or(|m| m.moving.is_none());
+        let is_staying = |id: &MachineId| self.machines.get(id).is_none_or(|m| m.moving_to.is_none());
         let mut not_moving = staying.clone();
         not_moving.m.retain(|id, _| is_staying(id));
         let to_split = if not_moving.m.is_empty() { staying } else { &not_moving };
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -75,7 +75,7 @@
                 // The machine's group was written at a later revision: the machine was handed over after this one.
                 Some(m) if self.roster.groups.get(&m.group).is_some_and(|g| g.revision > revision) => continue,
                 // A machine group that had become too large was split. Nothing else has changed for its machines.
-                Some(m) if m.partition == record.part && m.moving.is_none() => {
+                Some(m) if m.partition == record.part && m.moving_to.is_none() => {
                     if let Some(m) = self.machines.get_mut(id) {
                         m.group = name.to_owned();
                     }
@@ -88,7 +88,7 @@
         }
         // A write of the group that was in flight has either produced this value or can no longer be applied, because
         // its revision has changed. Changes that are still to be written are applied to this value.
-        let has_unwritten_change = |m: &Machine| m.group == name && (m.gone || m.moving.is_some());
+        let has_unwritten_change = |m: &Machine| m.group == name && (m.is_deleted || m.moving_to.is_some());
         if record
             .m
             .keys()
@@ -123,7 +123,7 @@
         let last_report = entry.map_or(seen, |e| e.seen.max(seen));
         let addr = entry.map_or(String::new(), |e| e.addr.clone());
         let mut machine = Machine::new(group, record, addr, last_report, self.now.ms);
-        machine.carry(carried);
+        machine.restore_tasks(carried);
         self.machines.insert(id.clone(), machine);
     }
 
@@ -162,7 +162,7 @@
             .get(id)
             .is_some_and(|m| self.acting(m.partition).is_some());
         if let Some(m) = self.machines.get_mut(id).filter(|_| is_acting) {
-            m.moving = Some(to);
+            m.moving_to = Some(to);
             self.group_due(id, self.now.ms);
         }
     }
