--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -208,7 +208,7 @@
             return;
         }
         self.capacity.next_round_at = now + self.settings.report_ms() / 5;
-        self.judge_machines();
+        self.detect_faulty_machines();
         self.mark_retiring_machines();
         self.send_deletions();
         let keep_ms = 4 * self.settings.worker_lease_ms();
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -303,7 +303,7 @@
                     format!("{} goes to partition {}", request.machine, request.to),
                 );
                 self.hand_over(&request.machine, request.to);
-            } else if request.occupied && self.may_share_machines() && self.may_go_occupied(m) {
+            } else if request.occupied && self.can_hand_over_shared_machines() && self.can_hand_over_with_tasks(m) {
                 let tasks = m.held.len();
                 self.log(
                     Level::Info,
@@ -337,7 +337,7 @@
             return;
         }
         for (task, attempt) in held {
-            self.stop_held(id, &task, attempt);
+            self.request_stop(id, &task, attempt);
         }
     }
 
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -281,7 +281,7 @@
                 // The answer confirms that the machine and all tasks on it are gone.
                 m.is_deleted = true;
                 self.capacity.deleted_at.insert(id.clone(), self.now.ms);
-                self.release_all(&id, "the cloud has deleted it");
+                self.release_all_attempts(&id, "the cloud has deleted it");
                 // The delay lets several machines that are deleted at about the same time share one roster write.
                 let write_at = self.now.ms + self.settings.report_ms() / 2;
                 self.group_due(&id, write_at);
--- a/crates/tidelatch-core/src/capacity/spare_room.rs
+++ b/crates/tidelatch-core/src/capacity/spare_room.rs
@@ -33,7 +33,11 @@
 impl Controller {
     /// The free capacity of a machine in use, if the machine can be handed over with its tasks.
     pub(super) fn spare_room(&self, id: &MachineId, machine: &Machine) -> Option<SpareRoom> {
-        if machine.held.is_empty() || machine.reserved || !self.may_share_machines() || !self.may_go_occupied(machine) {
+        if machine.held.is_empty()
+            || machine.reserved
+            || !self.can_hand_over_shared_machines()
+            || !self.can_hand_over_with_tasks(machine)
+        {
             return None;
         }
         let model = self.machine_types.iter().find(|t| t.name == machine.model)?;
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -176,7 +176,7 @@
                 }
             }
         }
-        self.send_direct();
+        self.send_direct_commands();
         self.send_cancellations();
         std::mem::take(&mut self.outputs)
     }
@@ -407,14 +407,14 @@
             CallPurpose::DeleteMachines { machines } => self.on_deletion_answer(machines, result),
             CallPurpose::ListMachines => self.on_machine_list(result),
             CallPurpose::WriteDrain { write } => self.on_drain_write(&write, result),
-            CallPurpose::ConfirmMachine { machine, sent } => self.on_confirm(machine, sent, result),
-            CallPurpose::ReadWorkerStatus { machine, sent } => self.on_probe(machine, sent, result),
+            CallPurpose::ConfirmMachine { machine, sent } => self.on_confirm_answer(machine, sent, result),
+            CallPurpose::ReadWorkerStatus { machine, sent } => self.on_probe_answer(machine, sent, result),
             CallPurpose::SendCommands {
                 machine,
                 number,
                 epoch,
                 session,
-            } => self.on_direct(machine, number, (epoch, session), result),
+            } => self.on_direct_command_answer(machine, number, (epoch, session), result),
             CallPurpose::Heartbeat { .. }
             | CallPurpose::Relay { .. }
             | CallPurpose::ForwardStatus { .. }
@@ -466,7 +466,7 @@
                 }
             }
             (CallPurpose::Heartbeat { to, .. }, _) => self.record_peer_contact(&to, false, false),
-            (CallPurpose::Relay { requester, report }, result) => self.on_relayed(requester, &report, result),
+            (CallPurpose::Relay { requester, report }, result) => self.on_relay_answer(requester, &report, result),
             (CallPurpose::ForwardStatus { requester, job }, result) => match result {
                 // The watch may have delivered the end of the job since its owner answered.
                 _ if self.ended_jobs.contains_key(&job) => self.answer_ended_job(requester, &job),
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -31,7 +31,7 @@
             disruption.censuses.set(disruption.censuses.get() + 1);
         }
         let mut census = Census::default();
-        census.set_unaccounted(u32::try_from(self.unconfirmed(job.partition)).unwrap_or(u32::MAX));
+        census.set_unaccounted(u32::try_from(self.count_unconfirmed_machines(job.partition)).unwrap_or(u32::MAX));
         let alike = |other: &&Job| other.spec.team == job.spec.team && other.spec.class == job.spec.class;
         for (name, other) in self.jobs.iter().filter(|(_, other)| alike(other)) {
             let scopes = self.scopes(name, other);
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -103,7 +103,7 @@
         let waiting = m.held.iter().filter(|held| !begun(held) && of_array(&held.task));
         let waiting: Vec<(TaskId, Attempt)> = waiting.map(|held| (held.task.clone(), held.attempt)).collect();
         for (task, attempt) in waiting {
-            self.stop_held(id, &task, attempt);
+            self.request_stop(id, &task, attempt);
         }
     }
 
--- a/crates/tidelatch-core/src/disruption/gate.rs
+++ b/crates/tidelatch-core/src/disruption/gate.rs
@@ -224,7 +224,7 @@
             Level::Info,
             format!("{machine}: permit used: {task} of {team} stops, {cause}; {budget}"),
         );
-        self.stop_held(machine, task, *attempt);
+        self.request_stop(machine, task, *attempt);
         let m = self.machines.get_mut(*machine);
         let held = m.and_then(|m| m.held.iter_mut().find(|h| h.task == **task && h.attempt == *attempt));
         if let Some(stop) = held.and_then(|h| h.stop.as_mut()) {
--- a/crates/tidelatch-core/src/failures.rs
+++ b/crates/tidelatch-core/src/failures.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether its next retry is not due yet.
-    pub(crate) fn is_held(&self, now: u64) -> bool {
+    pub(crate) fn is_backing_off(&self, now: u64) -> bool {
         now < self.retry_not_before
     }
 }
@@ -79,7 +79,7 @@
 impl Controller {
     /// The indices in `machines` of those on which a job has failed. Its retries go to other machines, because only
     /// another machine can tell whether the job is at fault. Empty once the job has failed on most of the machines.
-    pub(crate) fn failed_places(&self, job_id: &JobId, machines: &[MachineId]) -> BTreeSet<usize> {
+    pub(crate) fn failed_machine_indices(&self, job_id: &JobId, machines: &[MachineId]) -> BTreeSet<usize> {
         let Some(job) = self.jobs.get(job_id) else {
             return BTreeSet::new();
         };
@@ -115,7 +115,7 @@
         } else if failures.suspected || failures.unsuspected_machines.len() >= MIN_FAILED_MACHINES_TO_SUSPECT_JOB {
             let newly_suspected = !failures.suspected;
             failures.suspected = true;
-            if !failures.is_held(now) {
+            if !failures.is_backing_off(now) {
                 failures.retries += 1;
                 failures.retry_not_before = now + retry_delay_ms(&task.job, failures.retries, report_ms);
             }
@@ -204,7 +204,7 @@
     }
 
     /// Takes machines out of use on which several jobs have failed that succeed elsewhere.
-    pub(crate) fn judge_machines(&mut self) {
+    pub(crate) fn detect_faulty_machines(&mut self) {
         let proven_jobs = |m: &Machine| m.failures.values().filter(|proven| **proven).count();
         let is_faulty = |m: &Machine| !m.is_faulty && proven_jobs(m) >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE;
         let mut faulty = Vec::new();
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -209,7 +209,7 @@
     /// Whether tasks of a job may be on machines that have not reported since the takeover.
     fn may_be_on_unconfirmed_machines(&self, job: &Job) -> bool {
         let since = self.tenures.get(&job.partition).map(|t| t.since);
-        since.is_some_and(|since| job.epoch < since) && self.unconfirmed(job.partition) > 0
+        since.is_some_and(|since| job.epoch < since) && self.count_unconfirmed_machines(job.partition) > 0
     }
 
     /// Requests that a task stops at once, whatever was requested before. Returns whether that is a new request.
@@ -232,7 +232,7 @@
     pub(crate) fn stop_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         for (machine, task, attempt) in self.observe_gang(id, job).held {
-            self.stop_held(&machine, &task, attempt);
+            self.request_stop(&machine, &task, attempt);
         }
     }
 
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -133,7 +133,7 @@
 
     /// Whether tasks of this job may be started.
     pub(crate) fn can_start_tasks(&self, now: u64) -> bool {
-        self.ending.is_none() && !self.failures.is_held(now)
+        self.ending.is_none() && !self.failures.is_backing_off(now)
     }
 }
 
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -134,7 +134,7 @@
     }
 
     /// Releases all attempts on a machine after proof that they are gone. `why` names the proof in the log.
-    pub(crate) fn release_all(&mut self, machine: &MachineId, why: &str) {
+    pub(crate) fn release_all_attempts(&mut self, machine: &MachineId, why: &str) {
         let held: Vec<(TaskId, Attempt)> = match self.machines.get(machine) {
             Some(m) => m.held.iter().map(|h| (h.task.clone(), h.attempt)).collect(),
             None => return,
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -36,7 +36,7 @@
 impl Controller {
     /// Collects the commands for a machine. They go out with the answer to the report `answered_report` (session,
     /// sequence number), or in a direct command if that is `None`.
-    pub(crate) fn orders_for(&mut self, id: &MachineId, answered_report: Option<(u64, u64)>) -> Vec<Command> {
+    pub(crate) fn commands_for(&mut self, id: &MachineId, answered_report: Option<(u64, u64)>) -> Vec<Command> {
         let now = self.now.ms;
         let report_ms = self.settings.report_ms();
         let epoch = self.epoch();
@@ -121,7 +121,7 @@
     }
 
     /// Requests that a held task stops, saving its state first if it has checkpoints.
-    pub(crate) fn stop_held(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
+    pub(crate) fn request_stop(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
         let now = self.now.ms;
         let grace_s = match self.jobs.get(&task.job) {
             Some(j) if j.spec.checkpoint_s > 0.0 => j.spec.save_s.max(0.1),
@@ -136,7 +136,7 @@
     }
 
     /// Sends urgent commands directly to the workers instead of waiting for their next reports.
-    pub(crate) fn send_direct(&mut self) {
+    pub(crate) fn send_direct_commands(&mut self) {
         if self.machines_with_urgent_commands.is_empty() {
             return;
         }
@@ -159,7 +159,7 @@
                 continue;
             }
             let (addr, session) = (m.addr.clone(), m.last_report_key.0);
-            let commands = self.orders_for(&id, None);
+            let commands = self.commands_for(&id, None);
             let urgent = commands.iter().any(|c| !matches!(c, Command::Forget { .. }));
             if !urgent {
                 continue;
@@ -193,7 +193,7 @@
     }
 
     /// Handles the answer to a direct command, or its absence. `sent_under` is the epoch and session of the command.
-    pub(crate) fn on_direct(
+    pub(crate) fn on_direct_command_answer(
         &mut self,
         id: MachineId,
         number: u64,
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -44,7 +44,7 @@
                 Some(to) if direct && to != self.own_name && self.reachable(&to) => {
                     self.redirect_worker(requester, &to)
                 }
-                _ => self.answer_orders(requester, epoch, Vec::new()),
+                _ => self.answer_with_commands(requester, epoch, Vec::new()),
             }
             return;
         };
@@ -68,7 +68,7 @@
             _ => {
                 // A takeover is in progress: the worker keeps its tasks and learns the new epoch.
                 let stops = self.stops_for_finished_jobs(&report);
-                self.answer_orders(requester, epoch, stops);
+                self.answer_with_commands(requester, epoch, stops);
             }
         }
     }
@@ -80,7 +80,7 @@
     }
 
     /// Answers a report with the epoch and commands.
-    pub(crate) fn answer_orders(&mut self, requester: Requester, epoch: Epoch, commands: Vec<Command>) {
+    pub(crate) fn answer_with_commands(&mut self, requester: Requester, epoch: Epoch, commands: Vec<Command>) {
         let orders = Orders {
             epoch,
             session: None,
@@ -146,7 +146,7 @@
 
     /// Handles the answer to a relayed report. Without one, answers with the stops that any entitled controller may
     /// send.
-    pub(crate) fn on_relayed(&mut self, requester: Requester, report: &Report, result: Option<PeerReply>) {
+    pub(crate) fn on_relay_answer(&mut self, requester: Requester, report: &Report, result: Option<PeerReply>) {
         match result {
             Some(PeerReply::Answer(answer)) if answer.status == 200 && self.entitled() => {
                 self.send_answer(requester, answer)
@@ -154,7 +154,7 @@
             _ => match self.epoch().filter(|e| self.entitled() && *e >= report.epoch) {
                 Some(epoch) => {
                     let stops = self.stops_for_finished_jobs(report);
-                    self.answer_orders(requester, epoch, stops);
+                    self.answer_with_commands(requester, epoch, stops);
                 }
                 None => self.send_answer(requester, Answer::retry_later(503, 1, "not entitled to act at present")),
             },
@@ -168,7 +168,7 @@
         let stops = self.stops_for_finished_jobs(report);
         let has_stops = !stops.is_empty();
         if has_stops {
-            self.answer_orders(requester, epoch, stops);
+            self.answer_with_commands(requester, epoch, stops);
         }
         has_stops
     }
@@ -205,7 +205,7 @@
         if !is_accepted {
             // The report is late, or under an older epoch. The answer brings the worker the present epoch.
             let stops = self.stops_for_finished_jobs(report);
-            self.answer_orders(requester, epoch, stops);
+            self.answer_with_commands(requester, epoch, stops);
             return;
         }
         let is_first = self
@@ -221,7 +221,7 @@
         if let Some(m) = self.machines.get_mut(&id) {
             m.last_answered_at = Some(self.now.ms);
         }
-        let commands = self.orders_for(&id, Some((report.session, report.seq)));
-        self.answer_orders(requester, epoch, commands);
+        let commands = self.commands_for(&id, Some((report.session, report.seq)));
+        self.answer_with_commands(requester, epoch, commands);
     }
 }
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -48,7 +48,7 @@
 
     /// Whether machines may be handed over with their tasks: every controller of the deployment is a member and
     /// supports such machines. An absent controller might come back with a version that does not.
-    pub(crate) fn may_share_machines(&self) -> bool {
+    pub(crate) fn can_hand_over_shared_machines(&self) -> bool {
         let members = &self.membership.members;
         let names = self.settings.names();
         let is_present = |name: &String| members.keys().any(|member| member.as_str() == name);
@@ -56,7 +56,7 @@
     }
 
     /// Whether any machine may hold tasks of a partition that does not own it.
-    pub(crate) fn any_shared_machine(&self) -> bool {
+    pub(crate) fn has_shared_machines(&self) -> bool {
         self.machines.values().any(|m| !m.also_holds.is_empty())
     }
 
@@ -92,7 +92,7 @@
 
     /// Removes, from a machine that is handed over, the tasks of partitions that this controller still owns, and
     /// returns them. The other tasks are released, as this controller is no longer responsible for them.
-    pub(crate) fn take_carried_tasks(&mut self, id: &MachineId) -> RetainedTasks {
+    pub(crate) fn take_retained_tasks(&mut self, id: &MachineId) -> RetainedTasks {
         let Some(m) = self.machines.get_mut(id) else {
             return RetainedTasks::default();
         };
@@ -106,7 +106,7 @@
             partition.is_some_and(|p| tenures.contains_key(&p))
         };
         (carried.held, m.held) = std::mem::take(&mut m.held).into_iter().partition(is_own);
-        self.release_all(id, "it was handed to another partition");
+        self.release_all_attempts(id, "it was handed to another partition");
         carried
     }
 
@@ -144,10 +144,10 @@
     ///
     /// An unanswered start that has not been reported leaves its task in a state that is not settled. One that has
     /// been reported is listed by the worker, where a late copy of the command has no effect, and the next owner does
-    /// not have an ended attempt of another partition forgotten for three worker leases (`orders_for`). The check of
+    /// not have an ended attempt of another partition forgotten for three worker leases (`commands_for`). The check of
     /// `unanswered_starts` therefore excludes nothing that these two conditions do not, and no test can observe it.
     /// It protects against later changes to what is known about a machine.
-    pub(crate) fn may_go_occupied(&self, machine: &Machine) -> bool {
+    pub(crate) fn can_hand_over_with_tasks(&self, machine: &Machine) -> bool {
         let is_settled = |h: &HeldTask| {
             let is_fetching_or_running = matches!(
                 h.state,
@@ -166,7 +166,7 @@
     /// Requests the status of this controller's tasks on other partitions' machines, and hands over machines that
     /// their own partition no longer uses.
     pub(crate) fn tick_shared_machines(&mut self) {
-        if !self.entitled() || !self.any_shared_machine() {
+        if !self.entitled() || !self.has_shared_machines() {
             return;
         }
         self.poll_shared_machines();
@@ -313,7 +313,7 @@
             let has_waited = since.is_some_and(|t| now.saturating_sub(t) > wait_ms);
             if let Some(to) = partitions
                 .first()
-                .filter(|_| has_waited && partitions.len() == 1 && self.may_go_occupied(m))
+                .filter(|_| has_waited && partitions.len() == 1 && self.can_hand_over_with_tasks(m))
             {
                 returned.push((id.clone(), *to));
             }
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -53,7 +53,7 @@
     }
 
     /// Handles the answer to a request that asks an unconfirmed machine for its tasks.
-    pub(crate) fn on_confirm(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_confirm_answer(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
         let now = self.now.ms;
         if let Some(m) = self.machines.get_mut(&id) {
             m.confirming = false;
@@ -88,7 +88,7 @@
             .map(|(p, _)| *p)
             .collect();
         for p in partitions {
-            let unconfirmed = self.unconfirmed(p);
+            let unconfirmed = self.count_unconfirmed_machines(p);
             if unconfirmed == 0
                 && let Some(t) = self.tenures.get_mut(&p)
             {
@@ -103,7 +103,7 @@
     }
 
     /// The number of machines that may hold tasks of the partition that this controller does not know.
-    pub(crate) fn unconfirmed(&self, partition: Partition) -> usize {
+    pub(crate) fn count_unconfirmed_machines(&self, partition: Partition) -> usize {
         self.machines
             .values()
             .filter(|m| {
@@ -160,7 +160,7 @@
     }
 
     /// Handles the answer to a status request.
-    pub(crate) fn on_probe(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_probe_answer(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
         // No socket was free on this controller, which says nothing about the machine.
         let was_not_sent = matches!(result, Some((STATUS_NO_FREE_SOCKET, _)));
         let report = match result {
@@ -259,7 +259,7 @@
         let had_time_to_answer = now.saturating_sub(active_at) > 2 * self.settings.report_ms();
         let oldest = self.oldest_cancellation(partition);
         let is_in_scope = |m: &Machine| m.partition == partition && m.is_up() && !m.is_deleted;
-        let unconfirmed = self.unconfirmed(partition);
+        let unconfirmed = self.count_unconfirmed_machines(partition);
         let most_are_unconfirmed =
             unconfirmed > 1 && unconfirmed * 2 > self.machines.values().filter(|m| is_in_scope(m)).count();
         let unknown_limit = if most_are_unconfirmed {
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -140,7 +140,7 @@
     /// second time.
     pub(crate) fn members_for_partitions(&self) -> BTreeMap<ControllerId, MemberRecord> {
         let mut members = self.membership.members.clone();
-        if self.any_shared_machine() {
+        if self.has_shared_machines() {
             members.retain(|_, member| member.knows >= SHARED_MACHINES_LEVEL);
         }
         members
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -143,7 +143,7 @@
         for (w, terms) in waiting.iter().zip(jobs.iter_mut()) {
             terms.excluded_machines.extend(self.reserved_for_others(&w.id, ids));
             if self.has_failures(&w.id) {
-                terms.excluded_machines.extend(self.failed_places(&w.id, ids));
+                terms.excluded_machines.extend(self.failed_machine_indices(&w.id, ids));
             }
         }
         if let Some((gang, machines)) = self.reserve_machines_for_gang(partition, waiting, &jobs) {
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -63,7 +63,7 @@
             self.evict_now(&id);
         } else {
             for (task, attempt) in held {
-                self.stop_held(&id, &task, attempt);
+                self.request_stop(&id, &task, attempt);
             }
         }
         self.last_consolidations_ms.insert(partition, self.now.ms);
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -149,7 +149,7 @@
         let Some(tenure_epoch) = self.tenures.get(&partition).map(|tenure| tenure.since) else {
             return collected;
         };
-        let has_unconfirmed_machines = self.unconfirmed(partition) > 0;
+        let has_unconfirmed_machines = self.count_unconfirmed_machines(partition) > 0;
         let teams = self.settings.platform.facts.teams.iter().enumerate();
         let names: BTreeMap<&str, usize> = teams.map(|(i, t)| (t.name.as_str(), i)).collect();
         let epoch = self.membership.epoch.as_ref().map(|(record, _)| record.n);
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -71,7 +71,7 @@
     ) -> Vec<UnplacedTasks> {
         // A machine that has not reported counts as full for each team, so it is unknown whether a team has reached
         // its limit.
-        if blocked_jobs.is_empty() || self.unconfirmed(partition) > 0 {
+        if blocked_jobs.is_empty() || self.count_unconfirmed_machines(partition) > 0 {
             return Vec::new();
         }
         let max_report_age_ms = 3 * self.settings.report_ms();
@@ -111,7 +111,7 @@
             let text = format!("{machine}: stopping {task} for production work of its team, which is at its limit");
             self.log(Level::Info, text);
             self.note_involuntary(&task, "preempted under its team's limit");
-            self.stop_held(&machine, &task, attempt);
+            self.request_stop(&machine, &task, attempt);
             if self.jobs.get(&task.job).is_some_and(|j| j.spec.shape == Shape::Gang) {
                 self.stop_gang(&task.job);
             }
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -117,7 +117,7 @@
         for (machine, task, attempt) in stops {
             self.log(Level::Info, format!("{machine}: stopping {task} to make room"));
             self.note_involuntary(&task, "preempted");
-            self.stop_held(&machine, &task, attempt);
+            self.request_stop(&machine, &task, attempt);
             if self.jobs.get(&task.job).is_some_and(|j| j.spec.shape == Shape::Gang) {
                 self.stop_gang(&task.job);
             }
--- a/crates/tidelatch-core/src/queue/replica_swaps.rs
+++ b/crates/tidelatch-core/src/queue/replica_swaps.rs
@@ -96,7 +96,7 @@
                 Level::Info,
                 format!("{machine}: moving {task} to another zone so that a replica that cannot run elsewhere fits"),
             );
-            self.stop_held(machine, task, attempt);
+            self.request_stop(machine, task, attempt);
         }
         let zone = self.machines.get(machine).map(|m| m.zone.clone()).unwrap_or_default();
         let until = self.now.ms + 2 * self.settings.worker_lease_ms();
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -81,11 +81,11 @@
         };
         let commands = match machine {
             Some((id, seen)) if self.machines.get(id).is_some_and(|m| m.last_report_key() == seen) => {
-                self.orders_for(id, Some(seen))
+                self.commands_for(id, Some(seen))
             }
             _ => Vec::new(),
         };
-        self.answer_orders(requester, epoch, commands);
+        self.answer_with_commands(requester, epoch, commands);
     }
 
     /// Sends an unconfirmed boot batch again, and the next new boot batch if it is due.
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -110,7 +110,7 @@
 
     /// Adds a machine that was not known, or that comes from another partition, to the view of the machines.
     fn add_machine(&mut self, id: &MachineId, group: &str, record: &GroupRecord, seen: (u64, u64)) {
-        let carried = self.take_carried_tasks(id);
+        let carried = self.take_retained_tasks(id);
         let kind = if record.spot { " (spot)" } else { "" };
         self.log(
             Level::Debug,
@@ -139,7 +139,7 @@
         let Some(partition) = self.machines.get(id).map(|m| m.partition) else {
             return;
         };
-        self.release_all(id, "its roster entry is gone");
+        self.release_all_attempts(id, "its roster entry is gone");
         self.machines.remove(id);
         // The cloud's list may still show the machine for a while, and a delayed report of it may arrive.
         self.capacity.note_deleted(id.clone(), self.now.ms);
--- a/crates/tidelatch-standin/tests/failing_jobs.rs
+++ b/crates/tidelatch-standin/tests/failing_jobs.rs
@@ -129,7 +129,7 @@
 
 #[test]
 fn two_broken_arrays_condemn_no_machine_that_they_share() {
-    // Guard: jobs that succeed nowhere say nothing of a machine (`judge_machines`).
+    // Guard: jobs that succeed nowhere say nothing of a machine (`detect_faulty_machines`).
     let mut world = world();
     world.accepted(0, &broken(1, 30));
     world.accepted(0, &broken(2, 30));
@@ -178,7 +178,7 @@
 #[test]
 fn a_small_job_that_fails_on_sick_machines_is_retried_on_others() {
     // Guard: a job of one task that fails on three sick machines looks like one with a mistake, and its few
-    // retries must not go back to those (`failed_places`).
+    // retries must not go back to those (`failed_machine_indices`).
     let mut world = world();
     world.cloud.most = 8;
     world.accepted(0, &job(2, 0, "sweep", 16));
