--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -24,7 +24,7 @@
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Epoch, MachineId, Partition};
 use crate::membership::TYPES_KEY;
-use crate::messages::{Digest, IdleMachine, Method, Move, Target};
+use crate::messages::{Digest, IdleMachine, MachineMove, Method, Target};
 use crate::protocol::{MachineTypes, Rental, Report};
 use crate::rate_limit::TokenBucket;
 use crate::roster::RentedMachine;
@@ -94,7 +94,7 @@
     pub(crate) min_digest_revision: BTreeMap<Partition, u64>,
     pending_hand_overs: Vec<PendingHandOver>,
     /// Moves to send to each controller with its next heartbeat.
-    moves_to_send: BTreeMap<ControllerId, Vec<Move>>,
+    moves_to_send: BTreeMap<ControllerId, Vec<MachineMove>>,
     unregistered: BTreeMap<MachineId, UnregisteredMachine>,
     /// Recent boot times by machine type.
     pub(crate) boot_times: BootTimes,
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -137,17 +137,17 @@
         let has_no_local_use = |room: &SpareRoom| {
             !wants
                 .iter()
-                .any(|tasks| tasks.takes(&room.machine) && tasks.fits(&room.free) > 0)
+                .any(|tasks| tasks.accepts_machine(&room.machine) && tasks.count_fitting(&room.free) > 0)
         };
         supply.spare_room.retain(has_no_local_use);
         Digest {
             partition,
-            ledger: self.membership.ledger,
+            revision: self.membership.ledger,
             demand: supply.running_demand + waiting_demand,
-            needs,
-            wants,
+            machine_requests: needs,
+            waiting_tasks: wants,
             idle: supply.idle,
-            yielding: supply
+            vacatable_machines: supply
                 .preemptible
                 .into_iter()
                 .map(|(_, i)| i)
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -3,7 +3,7 @@
 use super::{MachineKind, PendingHandOver, count_fitting_tasks};
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
-use crate::messages::{Digest, IdleMachine, Level, MachineRequest, Move, SpareRoom, WaitingTasks};
+use crate::messages::{Digest, IdleMachine, Level, MachineMove, MachineRequest, SpareRoom, WaitingTasks};
 use std::collections::BTreeMap;
 
 /// The state in which a machine is handed over.
@@ -43,7 +43,7 @@
 /// Sorts digests into the order in which they are served: those with urgent waiting tasks first, then by descending
 /// demand. The order matters when the cloud runs out of a kind of machine.
 fn sort_by_demand(digests: &[Digest]) -> Vec<&Digest> {
-    let is_urgent = |d: &Digest| d.wants.iter().any(|tasks| tasks.urgent);
+    let is_urgent = |d: &Digest| d.waiting_tasks.iter().any(|tasks| tasks.urgent);
     let mut order: Vec<&Digest> = digests.iter().collect();
     order.sort_by(|a, b| is_urgent(b).cmp(&is_urgent(a)).then(b.demand.total_cmp(&a.demand)));
     order
@@ -67,7 +67,7 @@
     let mut rentals = Rentals::new();
     for digest in order {
         let to = digest.partition;
-        let requests = digest.needs.iter();
+        let requests = digest.machine_requests.iter();
         for request in requests.flat_map(|request| std::iter::repeat_n(request, request.count as usize)) {
             // A machine that is being handed over arrives sooner than a rented one would.
             let arriving_at = arriving.iter().position(|(p, i)| *p == to && satisfies(i, request));
@@ -135,7 +135,7 @@
         let max_age_ms = 2 * self.settings.report_ms();
         let is_fresh = |(d, at): &&(Digest, u64)| {
             self.now.ms.saturating_sub(*at) < max_age_ms
-                && d.ledger
+                && d.revision
                     >= self
                         .capacity
                         .min_digest_revision
@@ -173,10 +173,10 @@
         let mut preemptible = Vec::new();
         for digest in digests {
             let from = |i: &IdleMachine| (digest.partition, i.clone());
-            let is_needed = |i: &IdleMachine| digest.wants.iter().any(|tasks| tasks.takes(i));
+            let is_needed = |i: &IdleMachine| digest.waiting_tasks.iter().any(|tasks| tasks.accepts_machine(i));
             let available = digest.idle.iter().filter(|i| !is_needed(i) && !is_moving(i));
             idle.extend(available.map(from));
-            preemptible.extend(digest.yielding.iter().filter(|i| !is_moving(i)).map(from));
+            preemptible.extend(digest.vacatable_machines.iter().filter(|i| !is_moving(i)).map(from));
         }
         Offers {
             idle,
@@ -192,7 +192,7 @@
         let mut moves = Vec::new();
         for digest in order {
             let to = digest.partition;
-            for tasks in &digest.wants {
+            for tasks in &digest.waiting_tasks {
                 let left = self.assign_arriving_machines(to, tasks, &mut arriving);
                 let left = self.assign_idle_machines(to, tasks, left, &mut offers.idle, &mut moves);
                 if left > 0 {
@@ -250,12 +250,12 @@
 
     /// How many of the waiting tasks fit on a machine while it is empty; none if they may not or cannot run on it.
     fn tasks_that_fit(&self, tasks: &WaitingTasks, machine: &IdleMachine) -> Option<u32> {
-        if !tasks.takes(machine) {
+        if !tasks.accepts_machine(machine) {
             return None;
         }
         let model = self.machine_types.iter().find(|t| t.name == machine.model)?;
         let capacity = [model.cpus, model.gpus, model.memory_gb];
-        Some(count_fitting_tasks(&tasks.size, &capacity)).filter(|n| *n > 0)
+        Some(count_fitting_tasks(&tasks.task_resources, &capacity)).filter(|n| *n > 0)
     }
 
     /// Queues requests to the owners of machines to hand them over. They are sent with the next heartbeat.
@@ -271,7 +271,7 @@
             let Some(owner) = self.holding(from).map(|h| h.owner.clone()) else {
                 continue;
             };
-            self.capacity.moves_to_send.entry(owner).or_default().push(Move {
+            self.capacity.moves_to_send.entry(owner).or_default().push(MachineMove {
                 machine: machine.machine.clone(),
                 to,
                 vacate: mode == HandOverMode::Vacated,
@@ -287,7 +287,7 @@
 
     /// Starts the hand-overs that the leader has requested, for machines that are still empty, may go with their
     /// tasks, or are still preemptible.
-    pub(super) fn execute_moves(&mut self, moves: Vec<Move>) {
+    pub(super) fn execute_moves(&mut self, moves: Vec<MachineMove>) {
         for request in moves {
             let now = self.now.ms;
             let max_report_age_ms = 2 * self.settings.report_ms();
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -4,7 +4,7 @@
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::ControllerId;
-use crate::messages::{Digest, MachineRequest, Move, PeerReply, PeerRequest, PermitGrants};
+use crate::messages::{Digest, MachineMove, MachineRequest, PeerReply, PeerRequest, PermitGrants};
 
 impl Controller {
     /// Sends heartbeats to the peers for which one is due.
@@ -52,10 +52,10 @@
                 name: self.own_name.as_str().to_owned(),
                 entitled: self.entitled(),
                 wants_grant,
-                relies: self.relies_on(&to),
+                relies_on_grant: self.relies_on(&to),
                 digests,
-                told,
-                liveness,
+                cancellations: told,
+                detector_heartbeat: liveness,
                 permits,
             };
             let timeout = self.settings.report_ms() / 2;
@@ -121,18 +121,23 @@
             reply: PeerReply::Heartbeat {
                 entitled,
                 granted,
-                relies,
+                relies_on_grant: relies,
                 moves,
                 refused,
-                told,
-                liveness,
+                cancellations: told,
+                detector_heartbeat: liveness,
                 permits,
             },
         });
     }
 
     /// Handles the machines to hand over and the refused kinds in the leader's reply to a heartbeat.
-    pub(crate) fn on_leader_reply(&mut self, from: &ControllerId, moves: Vec<Move>, refused: Vec<MachineRequest>) {
+    pub(crate) fn on_leader_reply(
+        &mut self,
+        from: &ControllerId,
+        moves: Vec<MachineMove>,
+        refused: Vec<MachineRequest>,
+    ) {
         let is_from_leader = self.membership.leader.as_ref().is_some_and(|(l, _)| l.name == *from);
         if !is_from_leader || self.is_leader() {
             return;
--- a/crates/tidelatch-core/src/capacity/planning.rs
+++ b/crates/tidelatch-core/src/capacity/planning.rs
@@ -90,7 +90,7 @@
             },
             spot: self.spot,
             urgent: self.urgent,
-            size: self.size,
+            task_resources: self.size,
             count: self.count,
         }
     }
@@ -482,7 +482,7 @@
     for tasks in unplaced.iter().filter(|w| w.count > 0) {
         let waiting = tasks.to_waiting_tasks(zones);
         let has_same_requirements = |w: &&mut WaitingTasks| {
-            w.size == waiting.size
+            w.task_resources == waiting.task_resources
                 && w.zones == waiting.zones
                 && w.models == waiting.models
                 && (w.spot, w.urgent) == (waiting.spot, waiting.urgent)
--- a/crates/tidelatch-core/src/capacity/spare_room.rs
+++ b/crates/tidelatch-core/src/capacity/spare_room.rs
@@ -77,13 +77,13 @@
         tasks: &WaitingTasks,
         offers: &mut Vec<(Partition, SpareRoom)>,
     ) -> Option<HandOver> {
-        let is_arriving = |l: &PendingHandOver| l.to == to && tasks.takes(&l.machine);
+        let is_arriving = |l: &PendingHandOver| l.to == to && tasks.accepts_machine(&l.machine);
         if self.capacity.pending_hand_overs.iter().any(is_arriving) || !self.all_kinds_refused(tasks) {
             return None;
         }
         let tasks_that_fit = |(from, room): &(Partition, SpareRoom)| {
-            let is_allowed = *from != to && tasks.takes(&room.machine);
-            if is_allowed { tasks.fits(&room.free) } else { 0 }
+            let is_allowed = *from != to && tasks.accepts_machine(&room.machine);
+            if is_allowed { tasks.count_fitting(&room.free) } else { 0 }
         };
         let (at, _) = offers
             .iter()
@@ -101,13 +101,13 @@
 
     /// Whether the cloud has recently refused every kind of machine that the tasks could use.
     fn all_kinds_refused(&self, tasks: &WaitingTasks) -> bool {
-        let is_large_enough = |t: &&MachineType| tasks.fits(&[t.cpus, t.gpus, t.memory_gb]) > 0;
+        let is_large_enough = |t: &&MachineType| tasks.count_fitting(&[t.cpus, t.gpus, t.memory_gb]) > 0;
         let kinds = self.machine_types.iter().filter(is_large_enough).flat_map(|t| {
             let kinds_in_zone = |zone: &String| [false, true].map(|spot| (t.name.clone(), zone.clone(), spot));
             t.zones.iter().flat_map(kinds_in_zone).collect::<Vec<MachineKind>>()
         });
         let mut allowed = kinds
-            .filter(|(model, zone, spot)| tasks.allows(model, zone, *spot))
+            .filter(|(model, zone, spot)| tasks.accepts_kind(model, zone, *spot))
             .peekable();
         allowed.peek().is_some() && allowed.all(|kind| self.capacity.is_refused(&kind, self.now.ms))
     }
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -317,10 +317,10 @@
                 name,
                 entitled,
                 wants_grant,
-                relies,
+                relies_on_grant: relies,
                 digests,
-                told,
-                liveness,
+                cancellations: told,
+                detector_heartbeat: liveness,
                 permits,
             } => {
                 let from = ControllerId::new(name);
@@ -435,11 +435,11 @@
                 Some(PeerReply::Heartbeat {
                     entitled,
                     granted,
-                    relies,
+                    relies_on_grant: relies,
                     moves,
                     refused,
-                    told: cancellations,
-                    liveness,
+                    cancellations,
+                    detector_heartbeat: liveness,
                     permits,
                 }),
             ) => {
--- a/crates/tidelatch-core/src/messages.rs
+++ b/crates/tidelatch-core/src/messages.rs
@@ -102,26 +102,26 @@
     /// Whether they are production work.
     pub urgent: bool,
     /// Resources that each task needs: processors, accelerators and GB of memory.
-    pub size: [f64; 3],
+    pub task_resources: [f64; 3],
     /// Number of tasks.
     pub count: u32,
 }
 
 impl WaitingTasks {
     /// Whether the tasks may run on a machine.
-    pub fn takes(&self, machine: &IdleMachine) -> bool {
-        self.allows(&machine.model, &machine.zone, machine.spot)
+    pub fn accepts_machine(&self, machine: &IdleMachine) -> bool {
+        self.accepts_kind(&machine.model, &machine.zone, machine.spot)
     }
 
     /// Whether the tasks may run on machines of this type and zone, spot or not.
-    pub fn allows(&self, model: &String, zone: &String, spot: bool) -> bool {
+    pub fn accepts_kind(&self, model: &String, zone: &String, spot: bool) -> bool {
         let allows_name = |list: &[String], name: &String| list.is_empty() || list.contains(name);
         (self.spot || !spot) && allows_name(&self.models, model) && allows_name(&self.zones, zone)
     }
 
     /// Number of tasks of this size that fit into the free resources. May exceed `count`.
-    pub fn fits(&self, free: &[f64; 3]) -> u32 {
-        count_fitting_tasks(&self.size, free)
+    pub fn count_fitting(&self, free: &[f64; 3]) -> u32 {
+        count_fitting_tasks(&self.task_resources, free)
     }
 }
 
@@ -153,24 +153,24 @@
     /// The partition.
     pub partition: Partition,
     /// Revision of the state service that the digest reflects.
-    pub ledger: u64,
+    pub revision: u64,
     /// Queued and running demand, in accelerators (or processors where none are used).
     pub demand: f64,
     /// Requested machines.
-    pub needs: Vec<MachineRequest>,
+    pub machine_requests: Vec<MachineRequest>,
     /// Queued tasks, including those for which capacity will become free soon enough.
-    pub wants: Vec<WaitingTasks>,
+    pub waiting_tasks: Vec<WaitingTasks>,
     /// Machines that run no tasks.
     pub idle: Vec<IdleMachine>,
     /// Machines whose tasks can all be preempted for production work, the least lost work first.
-    pub yielding: Vec<IdleMachine>,
+    pub vacatable_machines: Vec<IdleMachine>,
     /// Machines in use with free resources that no queued task of the partition needs.
     pub spare_room: Vec<SpareRoom>,
 }
 
 /// Order of the leader to move a machine to another partition.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Move {
+pub struct MachineMove {
     /// The machine.
     pub machine: MachineId,
     /// The partition that it moves to.
@@ -228,13 +228,13 @@
         /// The sender requests a grant, a promise not to change the membership.
         wants_grant: bool,
         /// The sender relies, or may come to rely, on a grant of the receiver.
-        relies: bool,
+        relies_on_grant: bool,
         /// Digests of the sender's partitions.
         digests: Vec<Digest>,
         /// Cancellations that the receiver may not know of.
-        told: CancellationNotice,
+        cancellations: CancellationNotice,
         /// Heartbeat for the receiver's failure detector; `None`: the sender runs no detector.
-        liveness: Option<Heartbeat>,
+        detector_heartbeat: Option<Heartbeat>,
         /// Permits that the sender requests and has used; `None`: there are none to report.
         permits: Option<Box<PermitListing>>,
     },
@@ -252,15 +252,15 @@
         /// The replying controller promises not to change the membership for the duration of a controller's lease.
         granted: bool,
         /// The replying controller relies, or may come to rely, on a grant of the requester.
-        relies: bool,
+        relies_on_grant: bool,
         /// Machines to move to other partitions (from the leader only).
-        moves: Vec<Move>,
+        moves: Vec<MachineMove>,
         /// Kinds of machine that the cloud refused recently (from the leader only).
         refused: Vec<MachineRequest>,
         /// Cancellations that the requester may not know of.
-        told: CancellationNotice,
+        cancellations: CancellationNotice,
         /// Heartbeat for the requester's failure detector; `None`: the replying controller runs no detector.
-        liveness: Option<Heartbeat>,
+        detector_heartbeat: Option<Heartbeat>,
         /// Granted permits; `None`: none were requested.
         permits: Option<Box<PermitGrants>>,
     },
--- a/crates/tidelatch-core/tests/failure_detection.rs
+++ b/crates/tidelatch-core/tests/failure_detection.rs
@@ -61,10 +61,10 @@
         name: from.to_owned(),
         entitled: true,
         wants_grant: false,
-        relies: false,
+        relies_on_grant: false,
         digests: Vec::new(),
-        told: CancellationNotice::default(),
-        liveness: Some(liveness),
+        cancellations: CancellationNotice::default(),
+        detector_heartbeat: Some(liveness),
         permits: None,
     };
     let input = Input::PeerRequest { id: ms, request };
--- a/crates/tidelatch/src/peers/convert.rs
+++ b/crates/tidelatch/src/peers/convert.rs
@@ -3,7 +3,7 @@
 use super::wire;
 use tidelatch_core::ids::{JobId, MachineId, Partition};
 use tidelatch_core::{
-    Answer, CancellationNotice, Digest, IdleMachine, MachineRequest, Move, PeerReply, PeerRequest, SpareRoom,
+    Answer, CancellationNotice, Digest, IdleMachine, MachineMove, MachineRequest, PeerReply, PeerRequest, SpareRoom,
     WaitingTasks,
 };
 use tidelatch_failure_detector::{Claim, Heartbeat, Incarnation, Life, MemberId, Opinion};
@@ -31,10 +31,10 @@
                 name,
                 entitled,
                 wants_grant,
-                relies,
+                relies_on_grant: relies,
                 digests,
-                told,
-                liveness,
+                cancellations: told,
+                detector_heartbeat: liveness,
                 permits,
             } => Self::Hello(Box::new(wire::HelloRequest {
                 name,
@@ -82,15 +82,15 @@
             name: request.name,
             entitled: request.entitled,
             wants_grant: request.wants_grant,
-            relies: request.relies,
+            relies_on_grant: request.relies,
             digests: convert_all(request.digests),
-            told: CancellationNotice {
+            cancellations: CancellationNotice {
                 incarnation: request.life,
                 has_not_read_store: request.unread,
                 cancelled: job_ids(&request.cancelled),
                 requested: job_ids(&request.asked),
             },
-            liveness: request.liveness.map(Into::into),
+            detector_heartbeat: request.liveness.map(Into::into),
             permits: request.permits.map(|permits| Box::new(permits.into())),
         }
     }
@@ -128,11 +128,11 @@
         let PeerReply::Heartbeat {
             entitled,
             granted,
-            relies,
+            relies_on_grant: relies,
             moves,
             refused,
-            told,
-            liveness,
+            cancellations: told,
+            detector_heartbeat: liveness,
             permits,
         } = reply
         else {
@@ -159,16 +159,16 @@
         Self::Heartbeat {
             entitled: reply.entitled,
             granted: reply.granted,
-            relies: reply.relies,
+            relies_on_grant: reply.relies,
             moves: convert_all(reply.moves),
             refused: convert_all(reply.refused),
-            told: CancellationNotice {
+            cancellations: CancellationNotice {
                 incarnation: reply.life,
                 has_not_read_store: reply.unread,
                 cancelled: job_ids(&reply.cancelled),
                 requested: job_ids(&reply.asked),
             },
-            liveness: reply.liveness.map(Into::into),
+            detector_heartbeat: reply.liveness.map(Into::into),
             permits: reply.permits.map(|permits| Box::new(permits.into())),
         }
     }
@@ -235,8 +235,8 @@
     }
 }
 
-impl From<Move> for wire::Move {
-    fn from(machine_move: Move) -> Self {
+impl From<MachineMove> for wire::Move {
+    fn from(machine_move: MachineMove) -> Self {
         Self {
             machine: machine_move.machine.as_str().to_owned(),
             to: machine_move.to.0,
@@ -246,7 +246,7 @@
     }
 }
 
-impl From<wire::Move> for Move {
+impl From<wire::Move> for MachineMove {
     fn from(machine_move: wire::Move) -> Self {
         Self {
             machine: MachineId::new(machine_move.machine),
@@ -329,7 +329,7 @@
             zones: want.zones,
             spot: want.spot,
             urgent: want.urgent,
-            size: want.size.to_vec(),
+            size: want.task_resources.to_vec(),
             count: want.count,
         }
     }
@@ -344,7 +344,7 @@
             zones: want.zones,
             spot: want.spot,
             urgent: want.urgent,
-            size,
+            task_resources: size,
             count: want.count,
         }
     }
@@ -354,12 +354,12 @@
     fn from(digest: Digest) -> Self {
         Self {
             partition: digest.partition.0,
-            ledger: digest.ledger,
+            ledger: digest.revision,
             demand: digest.demand,
-            needs: convert_all(digest.needs),
+            needs: convert_all(digest.machine_requests),
             idle: convert_all(digest.idle),
-            yielding: convert_all(digest.yielding),
-            wants: convert_all(digest.wants),
+            yielding: convert_all(digest.vacatable_machines),
+            wants: convert_all(digest.waiting_tasks),
             spare_room: convert_all(digest.spare_room),
         }
     }
@@ -369,12 +369,12 @@
     fn from(digest: wire::Digest) -> Self {
         Self {
             partition: Partition(digest.partition),
-            ledger: digest.ledger,
+            revision: digest.ledger,
             demand: digest.demand,
-            needs: convert_all(digest.needs),
+            machine_requests: convert_all(digest.needs),
             idle: convert_all(digest.idle),
-            yielding: convert_all(digest.yielding),
-            wants: convert_all(digest.wants),
+            vacatable_machines: convert_all(digest.yielding),
+            waiting_tasks: convert_all(digest.wants),
             spare_room: digest.spare_room.into_iter().filter_map(spare_room).collect(),
         }
     }
