--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -214,10 +214,10 @@
         }
         let unacknowledged = self.cancellations.unacknowledged(to);
         let notice = CancellationNotice {
-            incarnation: self.membership.inc.0,
+            incarnation: self.membership.incarnation.0,
             cancelled: unacknowledged.cancelled,
             requested: unacknowledged.requested,
-            has_not_read_store: self.membership.ledger == 0,
+            has_not_read_store: self.membership.revision == 0,
         };
         (notice, unacknowledged.sequence_range, unacknowledged.is_complete)
     }
@@ -295,7 +295,7 @@
             .members
             .iter()
             .filter(|(name, _)| **name != self.own_name);
-        let mut exchanging_peers = others.filter(|(_, m)| m.knows >= 2).peekable();
+        let mut exchanging_peers = others.filter(|(_, m)| m.feature_level >= 2).peekable();
         let mut acknowledged = self
             .cancellations
             .acknowledged
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -142,7 +142,7 @@
         supply.spare_room.retain(has_no_local_use);
         Digest {
             partition,
-            revision: self.membership.ledger,
+            revision: self.membership.revision,
             demand: supply.running_demand + waiting_demand,
             machine_requests: needs,
             waiting_tasks: wants,
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -117,7 +117,7 @@
     fn prune_pending_hand_overs(&mut self) {
         let now = self.now.ms;
         let timeout_ms = 4 * self.settings.report_ms();
-        let revision = self.membership.ledger;
+        let revision = self.membership.revision;
         let mut pending = std::mem::take(&mut self.capacity.pending_hand_overs);
         pending.retain(|l| {
             let current = self.machines.get(&l.machine.machine).map(|m| m.partition);
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -65,10 +65,7 @@
             Method::Post,
             "/hosts",
             body,
-            CallPurpose::RentMachines {
-                rental,
-                partitions: partitions,
-            },
+            CallPurpose::RentMachines { rental, partitions },
         );
     }
 
--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -144,7 +144,10 @@
             return;
         }
         let since: BTreeMap<Partition, Epoch> = match &self.membership.epoch {
-            Some((record, _)) => (0..).map(Partition).zip(record.parts.iter().map(|p| p.since)).collect(),
+            Some((record, _)) => (0..)
+                .map(Partition)
+                .zip(record.partitions.iter().map(|p| p.since_epoch))
+                .collect(),
             None => return,
         };
         for h in self.machines.values_mut().flat_map(|m| m.held.iter_mut()) {
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -194,10 +194,10 @@
         let Some((record, _)) = &self.controller.membership.epoch else {
             return false;
         };
-        let owns = record.parts.iter().any(|part| {
-            part.owner.as_str() == permit.asker().as_str() && tenure(part.since) == permit.machine_tenure()
+        let owns = record.partitions.iter().any(|part| {
+            part.owner.as_str() == permit.asker().as_str() && tenure(part.since_epoch) == permit.machine_tenure()
         });
-        !owns && machine.seen_epoch >= record.n
+        !owns && machine.seen_epoch >= record.number
     }
 }
 
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -215,7 +215,7 @@
     pub(crate) fn lead_drains(&mut self) {
         let now = self.now.ms;
         let again = now + self.settings.report_ms() / LOOKS_PER_REPORT;
-        let ledger = self.membership.ledger;
+        let ledger = self.membership.revision;
         let Some(rules) = self.settings.operator.disruption.as_ref().map(|d| d.drains.clone()) else {
             return;
         };
--- a/crates/tidelatch-core/src/disruption/exchange.rs
+++ b/crates/tidelatch-core/src/disruption/exchange.rs
@@ -12,7 +12,7 @@
     pub(crate) fn permit_listing(&mut self, to: &ControllerId) -> Option<Box<PermitListing>> {
         let granter = controller_name(to);
         let known = self.grants_permits(to);
-        let life = self.membership.inc.0;
+        let life = self.membership.incarnation.0;
         let holder = &mut self.disruption.as_mut()?.holder;
         if !known || !holder.needs_message(&granter) {
             return None;
@@ -29,7 +29,7 @@
         from: &ControllerId,
         listing: &PermitListing,
     ) -> Option<Box<PermitGrants>> {
-        let registered = self.membership.members.get(from).map(|member| member.inc.0);
+        let registered = self.membership.members.get(from).map(|member| member.incarnation.0);
         if registered != Some(listing.incarnation) || !self.entitled() {
             return None;
         }
@@ -60,9 +60,9 @@
         let machine = MachineId::new(wanted.machine.as_str());
         let (epoch, _) = self.membership.epoch.as_ref()?;
         let owns_machine = epoch
-            .parts
+            .partitions
             .iter()
-            .any(|part| part.owner == *from && tenure(part.since) == wanted.machine_tenure);
+            .any(|part| part.owner == *from && tenure(part.since_epoch) == wanted.machine_tenure);
         if !owns_machine || !self.attempt_runs(&machine, &task, Attempt(wanted.attempt.0)) {
             return None;
         }
--- a/crates/tidelatch-core/src/disruption/gate.rs
+++ b/crates/tidelatch-core/src/disruption/gate.rs
@@ -178,7 +178,7 @@
     /// Another controller owns the team: the task is stopped once that has permitted it.
     fn ask_or_stop(&mut self, partition: Partition, candidate: &Candidate, cause: Cause) -> Result<(), Blocked> {
         let holding = self.holding(partition).ok_or(Blocked::NoOwner)?;
-        let (owner, since) = (holding.owner.clone(), holding.since);
+        let (owner, since) = (holding.owner.clone(), holding.since_epoch);
         if !self.grants_permits(&owner) {
             return Err(Blocked::GrantsNone(owner));
         }
@@ -203,7 +203,7 @@
         self.membership
             .members
             .get(owner)
-            .is_some_and(|member| member.knows >= DISRUPTION_LEVEL)
+            .is_some_and(|member| member.feature_level >= DISRUPTION_LEVEL)
     }
 
     /// How long a permit that is granted now may be used: no longer than this controller may act.
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -79,13 +79,13 @@
         members.retain(|name, _| !self.suspects(name));
         let names = self.settings.names();
         let next = next_epoch(&names, &members, Some(epoch), self.settings.partitions());
-        let planned = next.map_or(Vec::new(), |next| next.parts);
+        let planned = next.map_or(Vec::new(), |next| next.partitions);
         let is_own = |owner: &ControllerId| *owner == self.own_name;
         // Handing a partition back from a live owner to its home controller needs no preparation.
         let at_risk = |owner: &ControllerId| !is_own(owner) && !members.contains_key(owner);
         (0..)
             .map(Partition)
-            .zip(epoch.parts.iter().zip(&planned))
+            .zip(epoch.partitions.iter().zip(&planned))
             .filter(|(_, (current, planned))| at_risk(&current.owner) && is_own(&planned.owner))
             .map(|(partition, _)| partition)
             .collect()
--- a/crates/tidelatch-core/src/failure_detection/registrations.rs
+++ b/crates/tidelatch-core/src/failure_detection/registrations.rs
@@ -27,7 +27,7 @@
         }
         match self.membership.members.get(&ControllerId::new(member.as_str())) {
             Some(record) => Registration::Present {
-                life: Life(record.inc.0),
+                life: Life(record.incarnation.0),
                 observed_ms,
             },
             None => Registration::Absent { observed_ms },
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -100,7 +100,7 @@
     /// controller that announces nothing runs the previous version. A controller that joins later raises the epoch,
     /// and every acceptance is conditional on the epoch.
     pub(crate) fn all_members_support_gangs(&self) -> bool {
-        self.settings.features.gangs && self.membership.members.values().all(|m| m.knows >= 1)
+        self.settings.features.gangs && self.membership.members.values().all(|m| m.feature_level >= 1)
     }
 
     /// Combines what this controller knows about the tasks of a gang on all their machines.
--- a/crates/tidelatch-core/src/machine_view/machine.rs
+++ b/crates/tidelatch-core/src/machine_view/machine.rs
@@ -212,7 +212,7 @@
     /// Creates the view of a machine that has just been added to the roster or to a partition.
     pub(crate) fn new(group: &str, record: &GroupRecord, addr: String, last_report_key: (u64, u64), now: u64) -> Self {
         Self {
-            partition: record.part,
+            partition: record.partition,
             model: record.model.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -43,7 +43,7 @@
     /// Whether every member controller supports machines that hold tasks of several partitions.
     pub(crate) fn all_members_support_shared_machines(&self) -> bool {
         let mut members = self.membership.members.values();
-        self.settings.features.shared_machines && members.all(|m| m.knows >= SHARED_MACHINES_LEVEL)
+        self.settings.features.shared_machines && members.all(|m| m.feature_level >= SHARED_MACHINES_LEVEL)
     }
 
     /// Whether machines may be handed over with their tasks: every controller of the deployment is a member and
@@ -72,12 +72,12 @@
 
     /// The partitions other than the owner whose tasks may be on the machines of a group.
     pub(crate) fn partitions_beside_owner(&self, group: &GroupRecord) -> BTreeSet<Partition> {
-        let machines = || group.m.keys().filter_map(|id| self.machines.get(id));
+        let machines = || group.machines.keys().filter_map(|id| self.machines.get(id));
         let mut partitions: BTreeSet<Partition> = machines().flat_map(|m| self.partitions_on(m)).collect();
         if !machines().all(|m| m.is_confirmed || m.is_deleted) {
             partitions.extend(&group.also_holds);
         }
-        partitions.remove(&group.part);
+        partitions.remove(&group.partition);
         partitions.retain(|p| group.also_holds.contains(p));
         partitions
     }
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub(crate) struct Membership {
     /// Incarnation of this controller.
-    pub(crate) inc: Incarnation,
+    pub(crate) incarnation: Incarnation,
     /// Lease of this controller in the state service, if it has one.
     lease_id: Option<u64>,
     is_requesting_lease: bool,
@@ -104,7 +104,7 @@
     /// No new lease, listing or watch is requested before this time, after a failed request.
     retry_ms: u64,
     /// Revision of the state service up to which the shared keys are known.
-    pub(crate) ledger: u64,
+    pub(crate) revision: u64,
     /// When the shared keys were last listed, or their watch last answered.
     pub(crate) last_view_ms: u64,
     pub(crate) members: BTreeMap<ControllerId, MemberRecord>,
@@ -136,7 +136,7 @@
     /// Creates the state of a controller that has just started.
     pub(crate) fn new(inc: Incarnation, forgotten_grants_until_ms: u64) -> Self {
         Self {
-            inc,
+            incarnation: inc,
             lease_id: None,
             is_requesting_lease: false,
             is_extending_lease: false,
@@ -160,7 +160,7 @@
             forgotten_grants_until_ms,
             peers_relying_on_no_grant: BTreeSet::new(),
             retry_ms: 0,
-            ledger: 0,
+            revision: 0,
             last_view_ms: 0,
             members: BTreeMap::new(),
             leader: None,
--- a/crates/tidelatch-core/src/membership/entitlement.rs
+++ b/crates/tidelatch-core/src/membership/entitlement.rs
@@ -125,7 +125,7 @@
     /// doubles the pause after each removal.
     pub(crate) fn accepts_requests(&self) -> bool {
         if self.entitled() {
-            return self.membership.ledger > 0;
+            return self.membership.revision > 0;
         }
         let recent_ms = 2 * self.settings.report_ms();
         let heard = |p: &&PeerStatus| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms);
@@ -157,7 +157,7 @@
                 self.record_lease_extension(sent);
                 self.membership.written_record = None;
                 self.membership.has_been_entitled = true;
-                let inc = self.membership.inc;
+                let inc = self.membership.incarnation;
                 self.log(Level::Info, format!("lease taken, life {inc}"));
                 self.tick_membership();
             }
@@ -225,8 +225,8 @@
         self.membership.entitled_until_ms = 0;
         self.membership.received_grants.clear();
         self.membership.has_lease_call_failed = false;
-        self.membership.inc = Incarnation(self.membership.inc.0 + 1);
-        self.set_detector_incarnation(self.membership.inc);
+        self.membership.incarnation = Incarnation(self.membership.incarnation.0 + 1);
+        self.set_detector_incarnation(self.membership.incarnation);
         self.forget_wishes();
         self.membership.written_record = None;
         self.membership.retry_ms = self.now.ms;
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -19,14 +19,14 @@
 ) -> Vec<LeaderRecord> {
     let mut wait = Vec::new();
     if let Some(previous) = previous_owner {
-        wait.extend(previous.wait.iter().cloned());
+        wait.extend(previous.wait_for.iter().cloned());
         wait.push(LeaderRecord {
             name: previous.owner.clone(),
-            inc: previous.inc,
+            incarnation: previous.incarnation,
         });
     }
-    wait.retain(|w| members.get(&w.name).is_some_and(|m| m.inc == w.inc));
-    wait.retain(|w| w.name != *owner || w.inc != inc);
+    wait.retain(|w| members.get(&w.name).is_some_and(|m| m.incarnation == w.incarnation));
+    wait.retain(|w| w.name != *owner || w.incarnation != inc);
     wait
 }
 
@@ -41,7 +41,7 @@
     if members.is_empty() {
         return None;
     }
-    let n = Epoch(old.map_or(0, |e| e.n.0) + 1);
+    let n = Epoch(old.map_or(0, |e| e.number.0) + 1);
     let mut load: BTreeMap<&str, usize> = BTreeMap::new();
     let mut owners: Vec<Option<String>> = Vec::new();
     for p in 0..partitions as usize {
@@ -49,8 +49,8 @@
             .get(p)
             .filter(|name| members.contains_key(&ControllerId::new(name.as_str())));
         let current = old
-            .and_then(|e| e.parts.get(p))
-            .filter(|h| members.get(&h.owner).is_some_and(|m| m.inc == h.inc))
+            .and_then(|e| e.partitions.get(p))
+            .filter(|h| members.get(&h.owner).is_some_and(|m| m.incarnation == h.incarnation))
             .and_then(|h| names.iter().find(|name| name.as_str() == h.owner.as_str()));
         let owner = home.or(current);
         if let Some(name) = owner {
@@ -73,29 +73,32 @@
             }
         };
         let owner = ControllerId::new(owner);
-        let inc = members.get(&owner)?.inc;
-        let previous_owner = old.and_then(|e| e.parts.get(p));
+        let inc = members.get(&owner)?.incarnation;
+        let previous_owner = old.and_then(|e| e.partitions.get(p));
         match previous_owner {
-            Some(h) if h.owner == owner && h.inc == inc => parts.push(h.clone()),
+            Some(h) if h.owner == owner && h.incarnation == inc => parts.push(h.clone()),
             _ => {
                 changed = true;
                 let wait = owners_to_wait_for(previous_owner, members, (&owner, inc));
                 parts.push(PartitionOwner {
                     owner,
-                    inc,
-                    since: n,
-                    wait,
+                    incarnation: inc,
+                    since_epoch: n,
+                    wait_for: wait,
                 });
             }
         }
     }
-    changed.then_some(EpochRecord { n, parts })
+    changed.then_some(EpochRecord {
+        number: n,
+        partitions: parts,
+    })
 }
 
 impl Controller {
     /// The latest known epoch.
     pub(crate) fn epoch(&self) -> Option<Epoch> {
-        self.membership.epoch.as_ref().map(|(e, _)| e.n)
+        self.membership.epoch.as_ref().map(|(e, _)| e.number)
     }
 
     /// The transaction condition that the stored epoch is still the one that this controller knows.
@@ -130,7 +133,7 @@
         let change = json!({ "write": EPOCH_KEY, "value": next });
         self.log(
             Level::Info,
-            format!("membership changed: raising the epoch to {}", next.n),
+            format!("membership changed: raising the epoch to {}", next.number),
         );
         self.txn(conditions, vec![change], CallPurpose::EpochWrite);
     }
@@ -141,7 +144,7 @@
     pub(crate) fn members_for_partitions(&self) -> BTreeMap<ControllerId, MemberRecord> {
         let mut members = self.membership.members.clone();
         if self.has_shared_machines() {
-            members.retain(|_, member| member.knows >= SHARED_MACHINES_LEVEL);
+            members.retain(|_, member| member.feature_level >= SHARED_MACHINES_LEVEL);
         }
         members
     }
--- a/crates/tidelatch-core/src/membership/leadership.rs
+++ b/crates/tidelatch-core/src/membership/leadership.rs
@@ -14,7 +14,7 @@
     pub(super) fn may_change_membership(&self) -> bool {
         let now = self.now.ms;
         let (until, revision) = self.membership.next_membership_change;
-        if now < until && self.membership.ledger < revision {
+        if now < until && self.membership.revision < revision {
             return false;
         }
         let siblings = &self.settings.platform.siblings;
@@ -35,7 +35,7 @@
                 .membership
                 .leader
                 .as_ref()
-                .is_some_and(|(l, _)| l.name == self.own_name && l.inc == self.membership.inc)
+                .is_some_and(|(l, _)| l.name == self.own_name && l.incarnation == self.membership.incarnation)
     }
 
     /// The transaction condition that the stored leader is still the one that this controller knows.
@@ -57,19 +57,23 @@
             return;
         }
         // A leader must be registered as a member, so that the other controllers see it.
-        if self.membership.members.get(&self.own_name).map(|m| m.inc) != Some(self.membership.inc) {
+        if self.membership.members.get(&self.own_name).map(|m| m.incarnation) != Some(self.membership.incarnation) {
             return;
         }
         let stamp = match &self.membership.leader {
             None => Revision(0),
             // The stored leader is an earlier incarnation of this controller and has ended.
-            Some((leader, stamp)) if leader.name == self.own_name && leader.inc != self.membership.inc => *stamp,
+            Some((leader, stamp))
+                if leader.name == self.own_name && leader.incarnation != self.membership.incarnation =>
+            {
+                *stamp
+            }
             Some(_) => return,
         };
         self.membership.is_taking_leadership = true;
         let record = LeaderRecord {
             name: self.own_name.clone(),
-            inc: self.membership.inc,
+            incarnation: self.membership.incarnation,
         };
         self.txn(
             vec![json!({ "k": LEADER_KEY, "stamp": stamp })],
--- a/crates/tidelatch-core/src/membership/records.rs
+++ b/crates/tidelatch-core/src/membership/records.rs
@@ -27,13 +27,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The incarnation of the controller.
-    pub inc: Incarnation,
+    #[serde(rename = "inc")]
+    pub incarnation: Incarnation,
     /// The newest epoch that the controller has applied.
-    pub ack: u64,
+    #[serde(rename = "ack")]
+    pub acknowledged_epoch: u64,
     /// Feature level of the controller's version. Controllers store and send each other only what every member's
     /// version supports. Absent: the version before gangs.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub knows: u32,
+    #[serde(default, skip_serializing_if = "is_zero", rename = "knows")]
+    pub feature_level: u32,
 }
 
 fn is_zero(level: &u32) -> bool {
@@ -47,7 +49,8 @@
     /// Name of the controller.
     pub name: ControllerId,
     /// Its incarnation.
-    pub inc: Incarnation,
+    #[serde(rename = "inc")]
+    pub incarnation: Incarnation,
 }
 
 /// Who owns a partition.
@@ -56,20 +59,24 @@
     /// Name of the owner.
     pub owner: ControllerId,
     /// Its incarnation.
-    pub inc: Incarnation,
+    #[serde(rename = "inc")]
+    pub incarnation: Incarnation,
     /// The epoch in which it became the owner.
-    pub since: Epoch,
+    #[serde(rename = "since")]
+    pub since_epoch: Epoch,
     /// Earlier owners that were members when they lost the partition. The owner does not act for the partition
     /// until each of them has acknowledged the epoch `since` or lost its lease.
-    #[serde(default)]
-    pub wait: Vec<LeaderRecord>,
+    #[serde(default, rename = "wait")]
+    pub wait_for: Vec<LeaderRecord>,
 }
 
 /// The epoch and the owners of all partitions under it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
     /// Number of the epoch, which serves as the fencing token.
-    pub n: Epoch,
+    #[serde(rename = "n")]
+    pub number: Epoch,
     /// Owners, indexed by partition number.
-    pub parts: Vec<PartitionOwner>,
+    #[serde(rename = "parts")]
+    pub partitions: Vec<PartitionOwner>,
 }
--- a/crates/tidelatch-core/src/membership/registration.rs
+++ b/crates/tidelatch-core/src/membership/registration.rs
@@ -21,16 +21,16 @@
             return;
         }
         let record = MemberRecord {
-            inc: self.membership.inc,
-            ack: self.epoch().map_or(0, |e| e.0),
-            knows: self.settings.level(),
+            incarnation: self.membership.incarnation,
+            acknowledged_epoch: self.epoch().map_or(0, |e| e.0),
+            feature_level: self.settings.level(),
         };
         if self.membership.written_record.as_ref() == Some(&record) {
             return;
         }
         self.membership.is_writing_record = true;
         let key = format!("{MEMBER_PREFIX}{}", self.own_name);
-        let ack = record.ack;
+        let ack = record.acknowledged_epoch;
         self.txn(
             vec![json!({ "k": key, "stamp": self.membership.own_revision })],
             vec![json!({ "write": key, "value": record, "permit": lease_id })],
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -44,7 +44,7 @@
             Method::Get,
             format!(
                 "/changes?prefix={SHARED_PREFIX}&since={}&waitMs={wait}",
-                self.membership.ledger
+                self.membership.revision
             ),
             String::new(),
             wait + wait / 4,
@@ -89,7 +89,7 @@
             Some(last) if page.more => self.list_shared_keys(last, listing_revision),
             _ => {
                 self.membership.has_listed_keys = true;
-                self.membership.ledger = listing_revision;
+                self.membership.revision = listing_revision;
                 self.record_view_time();
                 self.roster_listed(listing_revision);
                 self.drains_listed();
@@ -116,7 +116,7 @@
                             self.apply_shared_key(&key, None, change.stamp);
                         }
                     }
-                    self.membership.ledger = self.membership.ledger.max(changes.ledger);
+                    self.membership.revision = self.membership.revision.max(changes.ledger);
                     self.record_view_time();
                     self.watch_shared_keys();
                     self.apply_epoch();
@@ -177,7 +177,7 @@
             let record = value.and_then(|v| serde_json::from_value::<MemberRecord>(v).ok());
             // A delayed duplicate of an earlier incarnation's write may have replaced the present record.
             if name == self.own_name
-                && record.as_ref().map(|r| r.inc) != Some(self.membership.inc)
+                && record.as_ref().map(|r| r.incarnation) != Some(self.membership.incarnation)
                 && !self.membership.is_writing_record
             {
                 self.membership.written_record = None;
@@ -197,7 +197,11 @@
                 .map(|record| (record, stamp));
         } else if key == EPOCH_KEY {
             if let Some(record) = value.and_then(|v| serde_json::from_value::<EpochRecord>(v).ok())
-                && self.membership.epoch.as_ref().is_none_or(|(e, _)| e.n < record.n)
+                && self
+                    .membership
+                    .epoch
+                    .as_ref()
+                    .is_none_or(|(e, _)| e.number < record.number)
             {
                 self.membership.epoch = Some((record, stamp));
             }
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -50,7 +50,7 @@
 
     /// The owner of a partition in the latest known epoch.
     pub(crate) fn holding(&self, partition: Partition) -> Option<&PartitionOwner> {
-        self.membership.epoch.as_ref()?.0.parts.get(partition.0 as usize)
+        self.membership.epoch.as_ref()?.0.partitions.get(partition.0 as usize)
     }
 
     /// The partition's ownership record if this controller acts for the partition now.
@@ -73,10 +73,10 @@
         let Some((epoch, _)) = self.membership.epoch.clone() else {
             return;
         };
-        let inc = self.membership.inc;
-        for (i, assignment) in epoch.parts.iter().enumerate() {
+        let inc = self.membership.incarnation;
+        for (i, assignment) in epoch.partitions.iter().enumerate() {
             let partition = Partition(i as u32);
-            let is_own = assignment.owner == self.own_name && assignment.inc == inc;
+            let is_own = assignment.owner == self.own_name && assignment.incarnation == inc;
             let owned_since = self.tenures.get(&partition).map(|t| t.since);
             if !is_own {
                 if self.tenures.remove(&partition).is_some() {
@@ -84,18 +84,18 @@
                     let to = &assignment.owner;
                     self.log(
                         Level::Info,
-                        format!("epoch {}: partition {partition} is now owned by {to}", epoch.n),
+                        format!("epoch {}: partition {partition} is now owned by {to}", epoch.number),
                     );
                 }
-            } else if owned_since != Some(assignment.since) {
+            } else if owned_since != Some(assignment.since_epoch) {
                 self.log(
                     Level::Info,
-                    format!("epoch {}: taking over partition {partition}", epoch.n),
+                    format!("epoch {}: taking over partition {partition}", epoch.number),
                 );
                 self.tenures.insert(
                     partition,
                     Tenure {
-                        since: assignment.since,
+                        since: assignment.since_epoch,
                         stage: Stage::Waiting,
                         active_at: 0,
                         next_attempt: 0,
@@ -123,11 +123,10 @@
                 continue;
             };
             if tenure.stage == Stage::Waiting {
-                let may_load = assignment.wait.iter().all(|w| {
-                    self.membership
-                        .members
-                        .get(&w.name)
-                        .is_none_or(|m| m.inc != w.inc || m.ack >= assignment.since.0)
+                let may_load = assignment.wait_for.iter().all(|w| {
+                    self.membership.members.get(&w.name).is_none_or(|m| {
+                        m.incarnation != w.incarnation || m.acknowledged_epoch >= assignment.since_epoch.0
+                    })
                 });
                 if may_load && let Some(t) = self.tenures.get_mut(&partition) {
                     t.stage = Stage::Loading;
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -152,7 +152,7 @@
         let has_unconfirmed_machines = self.count_unconfirmed_machines(partition) > 0;
         let teams = self.settings.platform.facts.teams.iter().enumerate();
         let names: BTreeMap<&str, usize> = teams.map(|(i, t)| (t.name.as_str(), i)).collect();
-        let epoch = self.membership.epoch.as_ref().map(|(record, _)| record.n);
+        let epoch = self.membership.epoch.as_ref().map(|(record, _)| record.number);
         let context = CollectionContext {
             now: self.now,
             estimates: &self.estimates,
--- a/crates/tidelatch-core/src/roster.rs
+++ b/crates/tidelatch-core/src/roster.rs
@@ -76,13 +76,13 @@
             .roster
             .groups
             .iter_mut()
-            .filter(|(_, group)| group.record.part == partition)
+            .filter(|(_, group)| group.record.partition == partition)
         {
             group.write_in_flight = false;
             group.refused_at = None;
             // An earlier owner may have ended while it was splitting this group.
             let is_in_group = |id: &MachineId| machines.get(id).is_some_and(|m| m.group == *name);
-            if !group.record.m.keys().all(is_in_group) {
+            if !group.record.machines.keys().all(is_in_group) {
                 self.roster.due_writes.entry(name.clone()).or_insert(now);
             }
         }
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -44,7 +44,7 @@
             .insert(name.to_owned(), entries.keys().cloned().collect());
         for (id, entry) in entries {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.mark_up(&entry.addr, entry.seen);
+                m.mark_up(&entry.address, entry.last_report);
             }
             self.roster.boot_entries.insert(id, entry);
         }
@@ -63,8 +63,8 @@
         self.roster.booted.push(BootedMachine {
             machine: report.machine.clone(),
             entry: BootEntry {
-                addr: report.addr.clone(),
-                seen: (report.session, report.seq),
+                address: report.addr.clone(),
+                last_report: (report.session, report.seq),
             },
             requester: Some(requester),
             reported_at: now,
@@ -130,7 +130,7 @@
         let mut entries = BTreeMap::new();
         let mut requesters = Vec::new();
         for n in booted {
-            requesters.extend(n.requester.map(|r| (r, n.machine.clone(), n.entry.seen)));
+            requesters.extend(n.requester.map(|r| (r, n.machine.clone(), n.entry.last_report)));
             if is_own(self, &n.machine) {
                 entries.insert(n.machine, n.entry);
             } else if let Some(m) = self.machines.get_mut(&n.machine) {
@@ -152,7 +152,7 @@
     /// A unique name for a boot batch, from its first machine, this controller's incarnation and a counter.
     fn boot_batch_key(&mut self, first: &MachineId) -> String {
         self.roster.boot_batch_count += 1;
-        let (incarnation, number) = (self.membership.inc.0, self.roster.boot_batch_count);
+        let (incarnation, number) = (self.membership.incarnation.0, self.roster.boot_batch_count);
         format!("{first}.{incarnation:x}.{number}")
     }
 
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -40,16 +40,16 @@
     let empty = group.without_machines();
     let empty_bytes = bytes_of(&empty);
     let mut pieces: Vec<(usize, GroupRecord)> = Vec::new();
-    for (id, seen) in &group.m {
+    for (id, seen) in &group.machines {
         let added_bytes = entry_bytes(id, seen);
         match pieces.last_mut().filter(|(bytes, _)| bytes + added_bytes <= max_bytes) {
             Some((bytes, piece)) => {
                 *bytes += added_bytes;
-                piece.m.insert(id.clone(), *seen);
+                piece.machines.insert(id.clone(), *seen);
             }
             None => {
                 let mut piece = empty.clone();
-                piece.m.insert(id.clone(), *seen);
+                piece.machines.insert(id.clone(), *seen);
                 pieces.push((empty_bytes + added_bytes, piece));
             }
         }
@@ -60,7 +60,7 @@
 /// A unique name for a new machine group: its first machine, the revision of the group that it comes from, and a
 /// suffix. A machine is in only one machine group at a revision, so no other group has this name.
 fn new_group_name(group: &str, revision: Revision, record: &GroupRecord, suffix: &str) -> String {
-    let first = record.m.keys().next().map_or(group, MachineId::as_str);
+    let first = record.machines.keys().next().map_or(group, MachineId::as_str);
     format!("{first}.{revision}.{suffix}")
 }
 
@@ -78,13 +78,13 @@
         let Some(group) = self.roster.groups.get(name) else {
             return;
         };
-        if self.acting(group.record.part).is_none() {
+        if self.acting(group.record.partition).is_none() {
             return;
         }
         let (revision, step_revision) = (group.revision, group.step_revision);
         let division = self.divide_group(name, group);
         let staying = &division.staying;
-        if staying.m.len() == group.record.m.len() && staying.also_holds == group.record.also_holds {
+        if staying.machines.len() == group.record.machines.len() && staying.also_holds == group.record.also_holds {
             self.roster.due_writes.remove(name);
             return;
         }
@@ -100,7 +100,7 @@
     /// Whether the outcome of all earlier writes of a machine group is known, so that it can be written again. Once the
     /// watch has reached the revision at which a write was refused, the hand-overs in that write are cancelled.
     fn is_ready_to_write(&mut self, name: &str) -> bool {
-        let revision = self.membership.ledger;
+        let revision = self.membership.revision;
         let Some(group) = self.roster.groups.get_mut(name) else {
             self.roster.due_writes.remove(name);
             return false;
@@ -115,7 +115,7 @@
             return false;
         }
         group.refused_at = None;
-        for id in group.record.m.keys() {
+        for id in group.record.machines.keys() {
             if let Some(m) = self.machines.get_mut(id).filter(|m| m.group == name) {
                 m.moving_to = None;
             }
@@ -130,7 +130,7 @@
             moving: BTreeMap::new(),
         };
         let empty = group.record.without_machines();
-        for id in group.record.m.keys() {
+        for id in group.record.machines.keys() {
             let machine = self.machines.get(id);
             let Some(m) = machine.filter(|m| m.group == name) else {
                 // The machine is in a machine group with a later revision, or has already left that one, because this
@@ -142,12 +142,12 @@
                         .is_some_and(|g| g.revision > group.revision)
                 };
                 if machine.is_none_or(is_in_later_group) {
-                    division.staying.m.remove(id);
+                    division.staying.machines.remove(id);
                 }
                 continue;
             };
             if m.is_deleted {
-                division.staying.m.remove(id);
+                division.staying.machines.remove(id);
             } else if let Some(to) = m.moving_to {
                 self.add_moving_machine(&mut division, &empty, id, m, to);
             }
@@ -176,13 +176,13 @@
             .moving
             .entry(destination.clone())
             .or_insert_with(|| GroupRecord {
-                part: to,
+                partition: to,
                 also_holds: destination.1,
                 ..empty.clone()
             });
-        if record.m.is_empty() || bytes_of(record) + entry_bytes(id, &machine.last_report_key()) <= self.fill() {
-            record.m.insert(id.clone(), machine.last_report_key());
-            division.staying.m.remove(id);
+        if record.machines.is_empty() || bytes_of(record) + entry_bytes(id, &machine.last_report_key()) <= self.fill() {
+            record.machines.insert(id.clone(), machine.last_report_key());
+            division.staying.machines.remove(id);
         }
     }
 
@@ -226,8 +226,12 @@
     fn plan_split_step(&self, name: &str, revision: Revision, staying: &GroupRecord) -> GroupChange {
         let is_staying = |id: &MachineId| self.machines.get(id).is_none_or(|m| m.moving_to.is_none());
         let mut not_moving = staying.clone();
-        not_moving.m.retain(|id, _| is_staying(id));
-        let to_split = if not_moving.m.is_empty() { staying } else { &not_moving };
+        not_moving.machines.retain(|id, _| is_staying(id));
+        let to_split = if not_moving.machines.is_empty() {
+            staying
+        } else {
+            &not_moving
+        };
         let pieces = split_group(to_split, self.fill())
             .into_iter()
             .take(self.write_limits.ops - 1);
@@ -259,7 +263,7 @@
             .map(|(new_name, record)| (new_name, Some(record)));
         let mut changes: Vec<(String, Option<GroupRecord>)> = created.collect();
         if let Some(remaining) = change.remaining {
-            changes.push((name.to_owned(), Some(remaining).filter(|r| !r.m.is_empty())));
+            changes.push((name.to_owned(), Some(remaining).filter(|r| !r.machines.is_empty())));
         }
         let write = |(name, record): &(String, Option<GroupRecord>)| match record {
             Some(record) => json!({ "write": group_key(name), "value": record }),
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -56,8 +56,8 @@
         }
         let old = self.roster.groups.remove(name);
         let is_in_group = |c: &Self, id: &MachineId| c.machines.get(id).is_some_and(|m| m.group == name);
-        for id in old.iter().flat_map(|r| r.record.m.keys()) {
-            let is_kept = record.as_ref().is_some_and(|r| r.m.contains_key(id));
+        for id in old.iter().flat_map(|r| r.record.machines.keys()) {
+            let is_kept = record.as_ref().is_some_and(|r| r.machines.contains_key(id));
             if !is_kept && is_in_group(self, id) {
                 self.remove_machine(id);
             }
@@ -66,7 +66,7 @@
             self.roster.due_writes.remove(name);
             return;
         };
-        for (id, seen) in &record.m {
+        for (id, seen) in &record.machines {
             match self.machines.get(id) {
                 Some(m) if m.group == name => {
                     self.set_also_holds(id, &record.also_holds);
@@ -75,7 +75,7 @@
                 // The machine's group was written at a later revision: the machine was handed over after this one.
                 Some(m) if self.roster.groups.get(&m.group).is_some_and(|g| g.revision > revision) => continue,
                 // A machine group that had become too large was split. Nothing else has changed for its machines.
-                Some(m) if m.partition == record.part && m.moving_to.is_none() => {
+                Some(m) if m.partition == record.partition && m.moving_to.is_none() => {
                     if let Some(m) = self.machines.get_mut(id) {
                         m.group = name.to_owned();
                     }
@@ -90,7 +90,7 @@
         // its revision has changed. Changes that are still to be written are applied to this value.
         let has_unwritten_change = |m: &Machine| m.group == name && (m.is_deleted || m.moving_to.is_some());
         if record
-            .m
+            .machines
             .keys()
             .any(|id| self.machines.get(id).is_some_and(has_unwritten_change))
         {
@@ -116,12 +116,12 @@
             Level::Debug,
             format!(
                 "{id}: added to the roster, {} in zone {}{kind}, partition {}",
-                record.model, record.zone, record.part
+                record.model, record.zone, record.partition
             ),
         );
         let entry = self.roster.boot_entries.get(id);
-        let last_report = entry.map_or(seen, |e| e.seen.max(seen));
-        let addr = entry.map_or(String::new(), |e| e.addr.clone());
+        let last_report = entry.map_or(seen, |e| e.last_report.max(seen));
+        let addr = entry.map_or(String::new(), |e| e.address.clone());
         let mut machine = Machine::new(group, record, addr, last_report, self.now.ms);
         machine.restore_tasks(carried);
         self.machines.insert(id.clone(), machine);
--- a/crates/tidelatch-core/src/roster/records.rs
+++ b/crates/tidelatch-core/src/roster/records.rs
@@ -9,7 +9,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupRecord {
     /// The partition that the machines belong to.
-    pub part: Partition,
+    #[serde(rename = "part")]
+    pub partition: Partition,
     /// Machine type.
     pub model: String,
     /// Zone.
@@ -25,14 +26,15 @@
     pub also_holds: BTreeSet<Partition>,
     /// The machines, each with the session and sequence number of its last report when it came into the machine group.
     /// Older reports are ignored.
-    pub m: BTreeMap<MachineId, (u64, u64)>,
+    #[serde(rename = "m")]
+    pub machines: BTreeMap<MachineId, (u64, u64)>,
 }
 
 impl GroupRecord {
     /// A copy of the machine group without its machines.
     pub(super) fn without_machines(&self) -> Self {
         Self {
-            m: BTreeMap::new(),
+            machines: BTreeMap::new(),
             ..self.clone()
         }
     }
@@ -42,9 +44,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BootEntry {
     /// Address at which it takes commands.
-    pub addr: String,
+    #[serde(rename = "addr")]
+    pub address: String,
     /// Session and sequence number of its first report. Older reports are ignored.
-    pub seen: (u64, u64),
+    #[serde(rename = "seen")]
+    pub last_report: (u64, u64),
 }
 
 /// Maximum number of machines in one stored record, even if its size limit would allow more.
--- a/crates/tidelatch-core/src/roster/rentals.rs
+++ b/crates/tidelatch-core/src/roster/rentals.rs
@@ -50,7 +50,7 @@
         let wall_ms = self.now.wall_ms;
         let mut groups: Vec<(String, GroupRecord)> = Vec::new();
         let mut bytes: Vec<usize> = Vec::new();
-        let revision = self.membership.ledger;
+        let revision = self.membership.revision;
         for rented in &self.capacity.pending_registration {
             if self.machines.contains_key(&rented.machine) {
                 continue;
@@ -59,8 +59,8 @@
             let fits = |((_, group), bytes): (&(String, GroupRecord), &usize)| {
                 let kind = (&group.model, &group.zone, group.spot);
                 let is_same_kind =
-                    group.part == rented.partition && kind == (&rented.kind.0, &rented.kind.1, rented.kind.2);
-                is_same_kind && group.m.len() < MAX_MACHINES_PER_RECORD && bytes + added_bytes <= max_bytes
+                    group.partition == rented.partition && kind == (&rented.kind.0, &rented.kind.1, rented.kind.2);
+                is_same_kind && group.machines.len() < MAX_MACHINES_PER_RECORD && bytes + added_bytes <= max_bytes
             };
             let at = match groups.iter().zip(&bytes).position(fits) {
                 Some(at) => at,
@@ -72,13 +72,13 @@
                         true => format!("{}.found.{revision}", rented.machine),
                     };
                     let record = GroupRecord {
-                        part: rented.partition,
+                        partition: rented.partition,
                         model: rented.kind.0.clone(),
                         zone: rented.kind.1.clone(),
                         spot: rented.kind.2,
                         rented_at_ms: wall_ms,
                         also_holds: BTreeSet::new(),
-                        m: BTreeMap::new(),
+                        machines: BTreeMap::new(),
                     };
                     bytes.push(bytes_of(&record));
                     groups.push((name, record));
@@ -86,7 +86,7 @@
                 }
             };
             if let Some(((_, group), bytes)) = groups.get_mut(at).zip(bytes.get_mut(at)) {
-                group.m.insert(rented.machine.clone(), (0, 0));
+                group.machines.insert(rented.machine.clone(), (0, 0));
                 *bytes += added_bytes;
             }
         }
@@ -108,8 +108,8 @@
             // The transaction was too large: smaller groups are planned. A group of one machine cannot become
             // smaller, so its machine is dropped and later returned to the cloud as one that is not in the roster.
             let rejected = std::mem::take(&mut self.roster.new_groups);
-            let is_single = rejected.len() <= 1 && rejected.iter().all(|(_, r)| r.m.len() <= 1);
-            let dropped: BTreeSet<&MachineId> = rejected.iter().flat_map(|(_, r)| r.m.keys()).collect();
+            let is_single = rejected.len() <= 1 && rejected.iter().all(|(_, r)| r.machines.len() <= 1);
+            let dropped: BTreeSet<&MachineId> = rejected.iter().flat_map(|(_, r)| r.machines.keys()).collect();
             self.capacity
                 .pending_registration
                 .retain(|r| !is_single || !dropped.contains(&r.machine));
@@ -120,8 +120,10 @@
             let groups = std::mem::take(&mut self.roster.new_groups);
             let mut registered = BTreeSet::new();
             for (name, record) in groups {
-                registered.extend(record.m.keys().cloned());
-                self.capacity.min_digest_revision.insert(record.part, answer.ledger);
+                registered.extend(record.machines.keys().cloned());
+                self.capacity
+                    .min_digest_revision
+                    .insert(record.partition, answer.ledger);
                 if status == 200 {
                     self.apply_group(&name, serde_json::to_value(record).ok(), Revision(answer.ledger));
                 }
