--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -303,7 +303,7 @@
             .filter(|(_, t)| t.up_to >= known.sequence);
         known.is_shared
             || exchanging_peers.peek().is_none()
-            || acknowledged.any(|(name, _)| self.membership.peers.get(name).is_some_and(|p| p.reachable))
+            || acknowledged.any(|(name, _)| self.membership.peers.get(name).is_some_and(|p| p.is_reachable))
             // The state service has served this controller since. Either it has served the peers' watches too, or it
             // refuses only them, and they need a grant of a controller that knows of the cancellation.
             || self.cancellations.lease_extension_sent_ms > known.since_ms
--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -204,7 +204,7 @@
     pub(crate) fn tick_capacity(&mut self) {
         let now = self.now.ms;
         self.request_machine_types();
-        if now < self.capacity.next_round_at || !self.entitled() {
+        if now < self.capacity.next_round_at || !self.is_entitled() {
             return;
         }
         self.capacity.next_round_at = now + self.settings.report_ms() / 5;
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -145,8 +145,8 @@
         };
         // A suspected owner is given no machines and asked for none, because it may be unable to act on either.
         let is_trusted = |d: &Digest| {
-            let owner = self.holding(d.partition).map(|h| &h.owner);
-            owner.is_none_or(|owner| !self.suspects(owner))
+            let owner = self.partition_owner(d.partition).map(|h| &h.owner);
+            owner.is_none_or(|owner| !self.is_suspected(owner))
         };
         let digests = self.capacity.digests.values().filter(is_fresh);
         digests.map(|(d, _)| d).filter(|d| is_trusted(d)).cloned().collect()
@@ -268,7 +268,7 @@
             mode,
         } in moves
         {
-            let Some(owner) = self.holding(from).map(|h| h.owner.clone()) else {
+            let Some(owner) = self.partition_owner(from).map(|h| h.owner.clone()) else {
                 continue;
             };
             self.capacity.moves_to_send.entry(owner).or_default().push(MachineMove {
@@ -294,7 +294,10 @@
             let Some(m) = self.machines.get(&request.machine) else {
                 continue;
             };
-            if m.partition == request.to || !m.is_usable(now, max_report_age_ms) || self.acting(m.partition).is_none() {
+            if m.partition == request.to
+                || !m.is_usable(now, max_report_age_ms)
+                || self.active_tenure(m.partition).is_none()
+            {
                 continue;
             }
             if m.is_empty_and_fenced() {
@@ -344,7 +347,7 @@
     /// Hands over the machines that have become empty, and cancels the vacating of those that have not become empty
     /// within two report intervals.
     pub(crate) fn finish_vacating(&mut self) {
-        if !self.entitled() {
+        if !self.is_entitled() {
             return;
         }
         let now = self.now.ms;
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -18,7 +18,7 @@
         let now = self.now.ms;
         let interval_ms = self.settings.heartbeat_ms();
         let leader = self.membership.leader.as_ref().map(|(l, _)| l.name.clone());
-        let wants_grant = self.wants_grants();
+        let wants_grant = self.should_request_grants();
         let names: Vec<String> = self
             .settings
             .platform
@@ -28,31 +28,31 @@
             .collect();
         for name in names {
             let to = ControllerId::new(name);
-            let urgent = (at_once && self.lacks_cancellations(&to)) || self.contact_due(&to);
+            let urgent = (at_once && self.lacks_cancellations(&to)) || self.is_contact_due(&to);
             let (told, sent_cancellations, _) = self.cancellations_for_peer(&to);
             let peer = self.membership.peers.entry(to.clone()).or_default();
-            let due = peer.asked == 0 || now >= peer.asked + interval_ms;
-            if peer.asking || !(due || urgent) {
+            let due = peer.last_heartbeat_sent_ms == 0 || now >= peer.last_heartbeat_sent_ms + interval_ms;
+            if peer.awaits_answer || !(due || urgent) {
                 continue;
             }
-            peer.asking = true;
+            peer.awaits_answer = true;
             if due {
-                peer.asked = now.max(1);
+                peer.last_heartbeat_sent_ms = now.max(1);
             }
-            peer.asked_grant = wants_grant;
+            peer.awaits_grant = wants_grant;
             // Computing digests looks at every machine, so a heartbeat sent out of turn carries none.
-            let digests = if due && leader.as_ref() == Some(&to) && self.entitled() {
+            let digests = if due && leader.as_ref() == Some(&to) && self.is_entitled() {
                 self.own_digests()
             } else {
                 Vec::new()
             };
-            let liveness = self.liveness_for(&to);
+            let liveness = self.build_detector_heartbeat(&to);
             let permits = self.permit_listing(&to);
             let request = PeerRequest::Heartbeat {
                 name: self.own_name.as_str().to_owned(),
-                entitled: self.entitled(),
+                entitled: self.is_entitled(),
                 wants_grant,
-                relies_on_grant: self.relies_on(&to),
+                relies_on_grant: self.relies_on_grant_of(&to),
                 digests,
                 cancellations: told,
                 detector_heartbeat: liveness,
@@ -81,19 +81,19 @@
         let now = self.now.ms;
         let (entitled, wants_grant, relies) = peer_flags;
         let (told, _, is_complete) = self.cancellations_for_peer(&from);
-        let granted = wants_grant && is_complete && self.give_grant();
-        self.note_reliance(&from, relies || granted);
+        let granted = wants_grant && is_complete && self.try_give_grant();
+        self.record_reliance(&from, relies || granted);
         let is_leader = self.is_leader();
         if let Some(peer) = self.membership.peers.get_mut(&from) {
-            peer.entitled = entitled;
-            peer.heard = Some(now);
+            peer.is_entitled = entitled;
+            peer.last_heard_ms = Some(now);
         }
         let mut moves = Vec::new();
         let mut refused = Vec::new();
         if is_leader {
             for digest in digests {
                 // Digests of a partition are accepted only from its owner.
-                if self.holding(digest.partition).is_some_and(|h| h.owner == from) {
+                if self.partition_owner(digest.partition).is_some_and(|h| h.owner == from) {
                     self.capacity.digests.insert(digest.partition, (digest, now));
                 }
             }
@@ -113,9 +113,9 @@
                 })
                 .collect();
         }
-        let entitled = self.entitled();
-        let relies = self.relies_on(&from);
-        let liveness = self.liveness_for(&from);
+        let entitled = self.is_entitled();
+        let relies = self.relies_on_grant_of(&from);
+        let liveness = self.build_detector_heartbeat(&from);
         self.outputs.push(crate::messages::Output::PeerReply {
             id,
             reply: PeerReply::Heartbeat {
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -182,7 +182,7 @@
     /// that are faulty or drained.
     pub(super) fn mark_retiring_machines(&mut self) {
         let now = self.now.ms;
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let idle_per_boot = self.settings.operator.idle_per_boot;
         let mut log_lines = Vec::new();
         let jobs = &self.jobs;
@@ -237,7 +237,7 @@
         let names: Vec<MachineId> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.retiring && !m.deleting && !m.is_deleted && self.acting(m.partition).is_some())
+            .filter(|(_, m)| m.retiring && !m.deleting && !m.is_deleted && self.active_tenure(m.partition).is_some())
             .map(|(id, _)| id.clone())
             .take(100)
             .collect();
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -448,7 +448,7 @@
                     self.ask_peer_again(&to);
                 } else {
                     self.record_peer_contact(&to, true, entitled);
-                    self.note_reliance(&to, relies);
+                    self.record_reliance(&to, relies);
                     self.on_peer_heartbeat(&to, Channel::Answer, liveness);
                 }
                 // The cancellations that the giver of a grant knows are applied before the grant counts.
--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -95,7 +95,7 @@
 impl Controller {
     /// Settles what has been granted, and goes on with drains and evictions.
     pub(crate) fn tick_disruption(&mut self) {
-        if self.disruption.is_none() || !self.entitled() {
+        if self.disruption.is_none() || !self.is_entitled() {
             return;
         }
         self.settle_ledgers();
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -122,7 +122,7 @@
         let settled = self
             .tenures
             .iter()
-            .filter(|(_, tenure)| tenure.settled)
+            .filter(|(_, tenure)| tenure.are_machines_accounted_for)
             .map(|(p, _)| *p);
         let settled: Vec<Partition> = settled.collect();
         let Some(Disruption { ledgers, presumed, .. }) = &mut self.disruption else {
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -425,8 +425,8 @@
     /// Whether the owner of a machine drains machines, and is not suspected to be gone.
     fn may_drain(&self, id: &MachineId) -> bool {
         let partition = self.machines.get(id).map(|m| m.partition);
-        let owner = partition.and_then(|p| self.holding(p)).map(|h| &h.owner);
-        owner.is_some_and(|owner| (*owner == self.own_name || self.grants_permits(owner)) && !self.suspects(owner))
+        let owner = partition.and_then(|p| self.partition_owner(p)).map(|h| &h.owner);
+        owner.is_some_and(|owner| (*owner == self.own_name || self.grants_permits(owner)) && !self.is_suspected(owner))
     }
 
     /// A write of the leader's has an answer, or none.
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -52,7 +52,9 @@
         let evicted: Vec<(MachineId, Cause)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.is_confirmed && !m.is_deleted && !m.retiring && self.acting(m.partition).is_some())
+            .filter(|(_, m)| {
+                m.is_confirmed && !m.is_deleted && !m.retiring && self.active_tenure(m.partition).is_some()
+            })
             .filter_map(|(id, _)| Some((id.clone(), self.eviction_cause(id)?)))
             .collect();
         // What one task of a class was denied, no other task of it gets in the same moment.
--- a/crates/tidelatch-core/src/disruption/exchange.rs
+++ b/crates/tidelatch-core/src/disruption/exchange.rs
@@ -30,7 +30,7 @@
         listing: &PermitListing,
     ) -> Option<Box<PermitGrants>> {
         let registered = self.membership.members.get(from).map(|member| member.incarnation.0);
-        if registered != Some(listing.incarnation) || !self.entitled() {
+        if registered != Some(listing.incarnation) || !self.is_entitled() {
             return None;
         }
         let asker = controller_name(from);
@@ -56,7 +56,7 @@
     fn grant(&mut self, from: &ControllerId, wanted: &WantedPermit) -> Option<Permit> {
         let task = task(&wanted.unit)?;
         let partition = self.jobs.get(&task.job)?.partition;
-        self.acting(partition)?;
+        self.active_tenure(partition)?;
         let machine = MachineId::new(wanted.machine.as_str());
         let (epoch, _) = self.membership.epoch.as_ref()?;
         let owns_machine = epoch
@@ -96,7 +96,7 @@
     pub(super) fn prune_wishes(&mut self) {
         let mut wanted: BTreeSet<(TaskId, u64)> = BTreeSet::new();
         for (id, m) in self.machines.iter().filter(|(id, _)| self.eviction_cause(id).is_some()) {
-            if self.acting(m.partition).is_some() {
+            if self.active_tenure(m.partition).is_some() {
                 wanted.extend(m.held.iter().map(|h| (h.task.clone(), h.attempt.0)));
             }
             let _ = id;
--- a/crates/tidelatch-core/src/disruption/gate.rs
+++ b/crates/tidelatch-core/src/disruption/gate.rs
@@ -105,7 +105,7 @@
         if !self.attempt_runs(machine, task, attempt) {
             return Err(Blocked::NotRunning(task.clone()));
         }
-        let granted_here = self.acting(partition).is_some();
+        let granted_here = self.active_tenure(partition).is_some();
         let is_gang = self
             .jobs
             .get(&task.job)
@@ -140,14 +140,14 @@
     /// With what epoch this controller began to own a machine; none: it does not act for it.
     fn machine_since(&self, machine: &MachineId) -> Option<Epoch> {
         let partition = self.machines.get(machine)?.partition;
-        self.acting(partition).map(|tenure| tenure.since)
+        self.active_tenure(partition).map(|tenure| tenure.since_epoch)
     }
 
     /// This controller owns both the team and the machines.
     fn grant_and_stop(&mut self, partition: Partition, candidates: &[Candidate], cause: Cause) -> Result<(), Blocked> {
         let since = self
-            .acting(partition)
-            .map(|tenure| tenure.since)
+            .active_tenure(partition)
+            .map(|tenure| tenure.since_epoch)
             .ok_or(Blocked::NoOwner)?;
         let first = candidates.first().ok_or(Blocked::NoOwner)?;
         let census = self.census(&first.task.job).ok_or(Blocked::NoOwner)?;
@@ -177,7 +177,7 @@
 
     /// Another controller owns the team: the task is stopped once that has permitted it.
     fn ask_or_stop(&mut self, partition: Partition, candidate: &Candidate, cause: Cause) -> Result<(), Blocked> {
-        let holding = self.holding(partition).ok_or(Blocked::NoOwner)?;
+        let holding = self.partition_owner(partition).ok_or(Blocked::NoOwner)?;
         let (owner, since) = (holding.owner.clone(), holding.since_epoch);
         if !self.grants_permits(&owner) {
             return Err(Blocked::GrantsNone(owner));
@@ -208,7 +208,7 @@
 
     /// How long a permit that is granted now may be used: no longer than this controller may act.
     pub(super) fn permit_ms(&self) -> u64 {
-        self.entitlement_left_ms().min(self.settings.entitlement_ms())
+        self.remaining_entitlement_ms().min(self.settings.entitlement_ms())
     }
 
     fn stop_by_permit(&mut self, candidate: &Candidate, permit: (Partition, Epoch), cause: Cause, budget: &str) {
--- a/crates/tidelatch-core/src/disruption/machine_drains.rs
+++ b/crates/tidelatch-core/src/disruption/machine_drains.rs
@@ -59,7 +59,7 @@
 
     /// Machines whose drain has ended go back to service, unless they are being deleted already.
     fn end_drains(&mut self, active: &BTreeMap<MachineId, ActiveDrain>) {
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let Some(disruption) = &mut self.disruption else { return };
         let machines = &mut self.machines;
         let mut ended = Vec::new();
@@ -89,7 +89,7 @@
 
     fn begin_drains(&mut self, active: &BTreeMap<MachineId, ActiveDrain>) {
         let now = self.now.ms;
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let mut begun = Vec::new();
         for (id, active) in active {
             let known = self.disruption.as_ref().is_some_and(|d| d.drained.contains_key(id));
--- a/crates/tidelatch-core/src/failure_detection.rs
+++ b/crates/tidelatch-core/src/failure_detection.rs
@@ -64,7 +64,7 @@
         })
     }
 
-    fn suspects(&self, name: &ControllerId) -> bool {
+    fn is_suspected(&self, name: &ControllerId) -> bool {
         matches!(self.detector.state(&member_id(name)), Some(MemberState::Suspected(_)))
     }
 
@@ -95,18 +95,18 @@
 
 impl Controller {
     /// Whether a controller is suspected now. A suspicion gives no right to act.
-    pub(crate) fn suspects(&self, name: &ControllerId) -> bool {
-        self.detection.as_ref().is_some_and(|d| d.suspects(name))
+    pub(crate) fn is_suspected(&self, name: &ControllerId) -> bool {
+        self.detection.as_ref().is_some_and(|d| d.is_suspected(name))
     }
 
     /// Builds the detector's heartbeat for another controller; `None` if the detector is disabled.
-    pub(crate) fn liveness_for(&mut self, to: &ControllerId) -> Option<Heartbeat> {
+    pub(crate) fn build_detector_heartbeat(&mut self, to: &ControllerId) -> Option<Heartbeat> {
         let now_ms = self.now.ms;
         Some(self.detection.as_mut()?.heartbeat(to, now_ms))
     }
 
     /// Whether a probe requires a heartbeat to another controller before the interval has passed.
-    pub(crate) fn contact_due(&self, to: &ControllerId) -> bool {
+    pub(crate) fn is_contact_due(&self, to: &ControllerId) -> bool {
         let due = |d: &FailureDetection| d.contacts_due.contains(to) || d.probes_to_request.contains_key(to);
         self.detection.as_ref().is_some_and(due)
     }
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -76,7 +76,7 @@
             return BTreeSet::new();
         };
         let mut members = self.members_for_partitions();
-        members.retain(|name, _| !self.suspects(name));
+        members.retain(|name, _| !self.is_suspected(name));
         let names = self.settings.names();
         let next = next_epoch(&names, &members, Some(epoch), self.settings.partitions());
         let planned = next.map_or(Vec::new(), |next| next.partitions);
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -129,11 +129,11 @@
 
     /// Checks every gang that has tasks on machines, and completes, stops or ends it as a whole.
     pub(crate) fn tick_gangs(&mut self) {
-        if !self.entitled() {
+        if !self.is_entitled() {
             return;
         }
         let now = self.now.ms;
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let mut decisions: Vec<(JobId, GangObservation, GangDecision)> = Vec::new();
         for (id, job) in &self.jobs {
             let is_placed_gang = job.spec.shape == Shape::Gang && !job.placed.is_empty() && job.ending.is_none();
@@ -208,7 +208,7 @@
 
     /// Whether tasks of a job may be on machines that have not reported since the takeover.
     fn may_be_on_unconfirmed_machines(&self, job: &Job) -> bool {
-        let since = self.tenures.get(&job.partition).map(|t| t.since);
+        let since = self.tenures.get(&job.partition).map(|t| t.since_epoch);
         since.is_some_and(|since| job.epoch < since) && self.count_unconfirmed_machines(job.partition) > 0
     }
 
@@ -292,7 +292,7 @@
         let tenure = self.tenures.get_mut(&partition)?;
         tenure.next_attempt += 1;
         // Attempt numbers contain the epoch at which the tenure began, so no other tenure can assign the same number.
-        let attempt = Attempt((tenure.since.0 << 24) + tenure.next_attempt);
+        let attempt = Attempt((tenure.since_epoch.0 << 24) + tenure.next_attempt);
         if let Some(job) = self.jobs.get_mut(id).filter(|j| j.spec.shape == Shape::Gang) {
             job.gang = Some(GangAttempt::new(attempt, now));
         }
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -454,11 +454,11 @@
 
     /// Retries writes of job ends that have no definite answer, and sends the bits of finished tasks that are due.
     pub(crate) fn tick_jobs(&mut self) {
-        if !self.entitled() || self.now.ms < self.flush_due_ms {
+        if !self.is_entitled() || self.now.ms < self.flush_due_ms {
             return;
         }
         self.flush_due_ms = self.now.ms + self.settings.report_ms() / 3;
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let unconfirmed: Vec<(JobId, Ending)> = self
             .jobs
             .iter()
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -50,7 +50,7 @@
             return;
         }
         if let Some(job) = self.jobs.get(&id) {
-            if self.acting(job.partition).is_some() && job.ending.is_none() {
+            if self.active_tenure(job.partition).is_some() && job.ending.is_none() {
                 let body = self.live_status_body(&id, job);
                 self.send_answer(requester, Answer::new(200, body));
                 return;
@@ -70,8 +70,8 @@
     /// The controller to which a request is forwarded: the owner of the partition, if that is another controller that
     /// can be reached and the request has not been forwarded before.
     fn reachable_owner(&self, partition: Partition, may_forward: bool) -> Option<ControllerId> {
-        let owner = &self.holding(partition)?.owner;
-        (may_forward && *owner != self.own_name && self.reachable(owner)).then(|| owner.clone())
+        let owner = &self.partition_owner(partition)?.owner;
+        (may_forward && *owner != self.own_name && self.is_reachable(owner)).then(|| owner.clone())
     }
 
     /// JSON body of the status answer for an unfinished job of this controller.
@@ -105,7 +105,7 @@
             self.read_job(&id.clone(), Purpose::CancelRead { requester, id });
             return;
         };
-        if self.acting(partition).is_none() {
+        if self.active_tenure(partition).is_none() {
             match self.reachable_owner(partition, may_forward) {
                 Some(owner) => {
                     let request = PeerRequest::Forward {
@@ -135,7 +135,7 @@
     /// Whether this controller can answer for a job without the read that has just returned: the job's end is known, or
     /// the controller has come to own the job since the read was sent.
     pub(super) fn can_answer_without_read(&self, id: &JobId) -> bool {
-        let is_own = |j: &Job| j.ending.is_none() && self.acting(j.partition).is_some();
+        let is_own = |j: &Job| j.ending.is_none() && self.active_tenure(j.partition).is_some();
         self.ended_jobs.contains_key(id) || self.jobs.get(id).is_some_and(is_own)
     }
 
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -140,7 +140,7 @@
         if self.machines_with_urgent_commands.is_empty() {
             return;
         }
-        let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
+        let Some(epoch) = self.epoch().filter(|_| self.is_entitled()) else {
             self.machines_with_urgent_commands.clear();
             return;
         };
@@ -155,7 +155,7 @@
                 && !m.deleting
                 && now >= m.direct_commands_from
                 && m.last_heard_at.is_some_and(|t| now.saturating_sub(t) <= max_unheard_ms);
-            if !can_command || self.acting(m.partition).is_none() {
+            if !can_command || self.active_tenure(m.partition).is_none() {
                 continue;
             }
             let (addr, session) = (m.addr.clone(), m.last_report_key.0);
@@ -208,7 +208,7 @@
         let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
         let partition = self.machines.get(&id).map(|m| m.partition);
-        if partition.is_none_or(|p| self.acting(p).is_none()) {
+        if partition.is_none_or(|p| self.active_tenure(p).is_none()) {
             // The tenure has ended, or its controller may not act: the next acting owner determines what is on the
             // machine.
             if let Some(m) = self.machines.get_mut(&id) {
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -22,7 +22,7 @@
                 return;
             }
         };
-        let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
+        let Some(epoch) = self.epoch().filter(|_| self.is_entitled()) else {
             self.send_answer(requester, Answer::retry_later(503, 1, "not entitled to act at present"));
             return;
         };
@@ -41,18 +41,18 @@
             }
             let to = self.membership.leader.as_ref().map(|(l, _)| l.name.clone());
             match to {
-                Some(to) if direct && to != self.own_name && self.reachable(&to) => {
+                Some(to) if direct && to != self.own_name && self.is_reachable(&to) => {
                     self.redirect_worker(requester, &to)
                 }
                 _ => self.answer_with_commands(requester, epoch, Vec::new()),
             }
             return;
         };
-        if self.acting(partition).is_some() {
+        if self.active_tenure(partition).is_some() {
             self.accept_own_report(requester, &report, epoch);
             return;
         }
-        let owner = self.holding(partition).map(|h| h.owner.clone());
+        let owner = self.partition_owner(partition).map(|h| h.owner.clone());
         match owner {
             Some(owner) if owner != self.own_name && direct => {
                 if !self.answer_with_stops(requester, &report, epoch) {
@@ -100,13 +100,13 @@
         let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
         let redirect_delay_ms = 2 * self.settings.report_ms();
-        let reachable = self.reachable(owner);
+        let reachable = self.is_reachable(owner);
         let is_up = self.machines.get(&report.machine).is_some_and(Machine::is_up);
         // The owner may be unreachable from this controller only; a third controller may still reach it.
         let third_controller = || {
             let mut members = self.membership.members.keys();
             members
-                .find(|m| **m != self.own_name && *m != owner && self.reachable(m))
+                .find(|m| **m != self.own_name && *m != owner && self.is_reachable(m))
                 .cloned()
         };
         let to = if reachable {
@@ -148,10 +148,10 @@
     /// send.
     pub(crate) fn on_relay_answer(&mut self, requester: Requester, report: &Report, result: Option<PeerReply>) {
         match result {
-            Some(PeerReply::Answer(answer)) if answer.status == 200 && self.entitled() => {
+            Some(PeerReply::Answer(answer)) if answer.status == 200 && self.is_entitled() => {
                 self.send_answer(requester, answer)
             }
-            _ => match self.epoch().filter(|e| self.entitled() && *e >= report.epoch) {
+            _ => match self.epoch().filter(|e| self.is_entitled() && *e >= report.epoch) {
                 Some(epoch) => {
                     let stops = self.stops_for_finished_jobs(report);
                     self.answer_with_commands(requester, epoch, stops);
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -21,7 +21,9 @@
     pub(super) fn record_boot_time(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get(id) else { return };
         // Machines found at the takeover were rented at an unknown earlier time.
-        let was_rented_before = self.acting(m.partition).is_none_or(|t| m.known_since <= t.active_at);
+        let was_rented_before = self
+            .active_tenure(m.partition)
+            .is_none_or(|t| m.known_since <= t.active_since_ms);
         let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
         if let Some(machine_type) = machine_type.filter(|_| !was_rented_before) {
             self.capacity
@@ -79,7 +81,7 @@
             return false;
         }
         let tenure = self.tenures.get(&m.partition);
-        let current = tenure.is_some_and(|tenure| report.epoch >= tenure.since);
+        let current = tenure.is_some_and(|tenure| report.epoch >= tenure.since_epoch);
         // A periodic report under an older epoch may be a late copy, which does not show that the machine is alive. A
         // report sent as the answer to a request cannot be one.
         if current || !is_periodic {
@@ -113,7 +115,7 @@
         let is_first = !m.is_confirmed;
         m.is_confirmed = true;
         m.unaccounted_partitions
-            .retain(|p| tenures.get(p).is_none_or(|tenure| report.epoch < tenure.since));
+            .retain(|p| tenures.get(p).is_none_or(|tenure| report.epoch < tenure.since_epoch));
         Some(MachineUpdate {
             is_first,
             is_new_session,
@@ -339,7 +341,7 @@
                 {
                     m.failures.clear();
                 }
-                let own = |job: &&Job| self.acting(job.partition).is_some();
+                let own = |job: &&Job| self.active_tenure(job.partition).is_some();
                 if let Some(job) = self.jobs.get(&task.job).filter(own) {
                     if let Some(started_at) = started_at.filter(|_| job.spec.shape != Shape::Service) {
                         self.estimates
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -166,7 +166,7 @@
     /// Requests the status of this controller's tasks on other partitions' machines, and hands over machines that
     /// their own partition no longer uses.
     pub(crate) fn tick_shared_machines(&mut self) {
-        if !self.entitled() || !self.has_shared_machines() {
+        if !self.is_entitled() || !self.has_shared_machines() {
             return;
         }
         self.poll_shared_machines();
@@ -178,7 +178,7 @@
     fn poll_shared_machines(&mut self) {
         let now = self.now.ms;
         let interval_ms = self.settings.report_ms() / 2;
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let is_foreign = |m: &Machine| !acting.contains(&m.partition) && m.is_up() && !m.is_deleted;
         let is_due = |m: &Machine| {
             !m.probing && now >= m.next_probe_at && !(m.held.is_empty() && m.unaccounted_partitions.is_empty())
@@ -212,10 +212,10 @@
         m.last_report_key = key;
         m.last_report_at = Some(self.now.ms);
         m.seen_epoch = report.epoch;
-        for partition in self.acting_partitions() {
+        for partition in self.active_partitions() {
             // As after any takeover, a report counts once its worker has seen the epoch of the tenure.
-            let tenure = self.acting(partition);
-            if tenure.is_some_and(|tenure| report.epoch >= tenure.since) {
+            let tenure = self.active_tenure(partition);
+            if tenure.is_some_and(|tenure| report.epoch >= tenure.since_epoch) {
                 self.update_shared_tasks(partition, report);
             }
         }
@@ -297,7 +297,7 @@
     fn return_shared_machines(&mut self) {
         let now = self.now.ms;
         let wait_ms = self.settings.worker_lease_ms();
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let mut returned: Vec<(MachineId, Partition)> = Vec::new();
         let mut cleared: Vec<MachineId> = Vec::new();
         for (id, m) in &self.machines {
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -18,7 +18,7 @@
 impl Controller {
     /// Asks the unconfirmed machines of a partition that was taken over which tasks they hold.
     pub(crate) fn confirm_machines(&mut self, partition: Partition) {
-        let Some(epoch) = self.epoch().filter(|_| self.acting(partition).is_some()) else {
+        let Some(epoch) = self.epoch().filter(|_| self.active_tenure(partition).is_some()) else {
             return;
         };
         let now = self.now.ms;
@@ -65,7 +65,7 @@
             return;
         };
         let partition = self.machines.get(&id).map(|m| m.partition);
-        if report.machine != id || partition.is_none_or(|p| self.acting(p).is_none()) {
+        if report.machine != id || partition.is_none_or(|p| self.active_tenure(p).is_none()) {
             return;
         }
         self.mark_heard_directly(&id);
@@ -84,7 +84,7 @@
         let partitions: Vec<Partition> = self
             .tenures
             .iter()
-            .filter(|(_, t)| t.stage == Stage::Active && !t.settled)
+            .filter(|(_, t)| t.stage == Stage::Active && !t.are_machines_accounted_for)
             .map(|(p, _)| *p)
             .collect();
         for p in partitions {
@@ -92,8 +92,8 @@
             if unconfirmed == 0
                 && let Some(t) = self.tenures.get_mut(&p)
             {
-                t.settled = true;
-                let ms = self.now.ms.saturating_sub(t.active_at);
+                t.are_machines_accounted_for = true;
+                let ms = self.now.ms.saturating_sub(t.active_since_ms);
                 self.log(
                     Level::Info,
                     format!("partition {p}: every machine is accounted for, {ms} ms after the takeover"),
@@ -119,7 +119,7 @@
         self.update_settled_tenures();
         let partitions: Vec<Partition> = self.tenures.keys().copied().collect();
         for p in partitions {
-            let Some(active_at) = self.acting(p).map(|t| t.active_at) else {
+            let Some(active_at) = self.active_tenure(p).map(|t| t.active_since_ms) else {
                 continue;
             };
             self.confirm_machines(p);
@@ -170,7 +170,7 @@
         let acting = self
             .machines
             .get(&id)
-            .is_some_and(|m| self.acting(m.partition).is_some());
+            .is_some_and(|m| self.active_tenure(m.partition).is_some());
         let Some(m) = self.machines.get_mut(&id) else { return };
         m.probing = false;
         match report.filter(|r| r.machine == id) {
@@ -202,7 +202,7 @@
         let partition = self.machines.get(id).map(|m| m.partition);
         let tenure = partition.and_then(|p| self.tenures.get(&p));
         // A request of an earlier tenure says nothing about this one.
-        let is_of_this_tenure = tenure.is_some_and(|t| sent >= t.active_at);
+        let is_of_this_tenure = tenure.is_some_and(|t| sent >= t.active_since_ms);
         if is_zone_heard
             && is_of_this_tenure
             && !was_not_sent
@@ -232,7 +232,11 @@
             .any(|t| t >= from);
         let is_peer_reachable = |name: &str| {
             let peer = self.membership.peers.get(&ControllerId::new(name));
-            peer.is_some_and(|p| p.reachable && p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) <= report_ms))
+            peer.is_some_and(|p| {
+                p.is_reachable
+                    && p.last_heard_ms
+                        .is_some_and(|t| self.now.ms.saturating_sub(t) <= report_ms)
+            })
         };
         let mut peers = platform.siblings.iter().filter(|s| s.area == *zone);
         workers && (platform.area == *zone || peers.any(|s| is_peer_reachable(&s.host_name)))
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -43,17 +43,17 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct PeerStatus {
     /// When the peer's last heartbeat or answer arrived, in milliseconds.
-    pub(crate) heard: Option<u64>,
+    pub(crate) last_heard_ms: Option<u64>,
     /// The last heartbeat to the peer was answered.
-    pub(crate) reachable: bool,
+    pub(crate) is_reachable: bool,
     /// The peer was entitled to act when it was last heard from.
-    pub(crate) entitled: bool,
+    pub(crate) is_entitled: bool,
     /// When the last scheduled heartbeat was sent to the peer, in milliseconds; 0: send one with the next tick.
-    pub(crate) asked: u64,
+    pub(crate) last_heartbeat_sent_ms: u64,
     /// A heartbeat to the peer awaits its answer.
-    pub(crate) asking: bool,
+    pub(crate) awaits_answer: bool,
     /// The heartbeat that awaits its answer requests a grant.
-    pub(crate) asked_grant: bool,
+    pub(crate) awaits_grant: bool,
 }
 
 /// This controller's lease and registration, and its view of the other members.
--- a/crates/tidelatch-core/src/membership/entitlement.rs
+++ b/crates/tidelatch-core/src/membership/entitlement.rs
@@ -9,19 +9,19 @@
 
 impl Controller {
     /// Whether this controller may act now, within its lease or under unexpired grants of all peers.
-    pub fn entitled(&self) -> bool {
+    pub fn is_entitled(&self) -> bool {
         self.is_entitled_at(self.now.ms)
     }
 
     /// Milliseconds until this controller's entitlement to act expires.
-    pub(crate) fn entitlement_left_ms(&self) -> u64 {
+    pub(crate) fn remaining_entitlement_ms(&self) -> u64 {
         let until = self.membership.entitled_until_ms.max(self.all_grants_until_ms());
         until.saturating_sub(self.now.ms)
     }
 
     /// A reachable peer that was entitled to act when it was last heard from. Successive calls rotate among several.
-    pub(crate) fn entitled_peer(&self) -> Option<ControllerId> {
-        let entitled = |(name, peer): &(&ControllerId, &PeerStatus)| peer.entitled && self.reachable(name);
+    pub(crate) fn next_entitled_peer(&self) -> Option<ControllerId> {
+        let entitled = |(name, peer): &(&ControllerId, &PeerStatus)| peer.is_entitled && self.is_reachable(name);
         let peers: Vec<&ControllerId> = self
             .membership
             .peers
@@ -57,13 +57,13 @@
 
     /// Whether to request grants from the peers. Only the peers can tell an outage of the state service from
     /// a failure that affects this controller alone.
-    pub(crate) fn wants_grants(&self) -> bool {
-        self.membership.has_extension_failed && self.entitled()
+    pub(crate) fn should_request_grants(&self) -> bool {
+        self.membership.has_extension_failed && self.is_entitled()
     }
 
     /// Gives a grant if the state service does not serve this controller either. A controller that is served
     /// refuses: the failure then affects only the requester, which steps down when its lease expires.
-    pub(crate) fn give_grant(&mut self) -> bool {
+    pub(crate) fn try_give_grant(&mut self) -> bool {
         if !self.membership.has_lease_call_failed {
             return false;
         }
@@ -78,7 +78,7 @@
     /// this controller is still entitled. So there is no gap between the lease and the grants in which other
     /// controllers could have changed the membership.
     pub(crate) fn record_grant(&mut self, from: &ControllerId, sent: u64, giver_has_not_read_store: bool) {
-        if self.entitled() {
+        if self.is_entitled() {
             let valid_until_ms = sent + self.settings.entitlement_ms();
             if self.now.ms
                 >= self
@@ -102,17 +102,17 @@
     }
 
     /// Whether this controller holds an unexpired grant of a peer, or has an unanswered request for one.
-    pub(crate) fn relies_on(&self, peer: &ControllerId) -> bool {
+    pub(crate) fn relies_on_grant_of(&self, peer: &ControllerId) -> bool {
         let holds_grant = self
             .membership
             .received_grants
             .get(peer)
             .is_some_and(|g| self.now.ms < g.valid_until_ms);
-        holds_grant || self.membership.peers.get(peer).is_some_and(|p| p.asked_grant)
+        holds_grant || self.membership.peers.get(peer).is_some_and(|p| p.awaits_grant)
     }
 
     /// Records whether a peer relies on a grant that this controller, or an earlier incarnation of it, gave.
-    pub(crate) fn note_reliance(&mut self, peer: &ControllerId, relies: bool) {
+    pub(crate) fn record_reliance(&mut self, peer: &ControllerId, relies: bool) {
         if relies {
             self.membership.peers_relying_on_no_grant.remove(peer);
         } else {
@@ -124,18 +124,21 @@
     /// service should be removed. In a general outage all controllers stay, because the load balancer
     /// doubles the pause after each removal.
     pub(crate) fn accepts_requests(&self) -> bool {
-        if self.entitled() {
+        if self.is_entitled() {
             return self.membership.revision > 0;
         }
         let recent_ms = 2 * self.settings.report_ms();
-        let heard = |p: &&PeerStatus| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms);
+        let heard = |p: &&PeerStatus| {
+            p.last_heard_ms
+                .is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms)
+        };
         let mut peers = self.membership.peers.values().filter(heard).peekable();
         // A controller that reaches neither the state service nor any peer has lost its own network connection.
         let is_isolated = peers.peek().is_none() && !self.settings.platform.siblings.is_empty();
         self.membership.has_been_entitled
             && self.membership.lease_id.is_some()
             && !is_isolated
-            && !peers.any(|p| p.entitled)
+            && !peers.any(|p| p.is_entitled)
     }
 
     /// Handles the reply to a request for a new lease, which was sent at `sent`.
@@ -181,7 +184,7 @@
                 let until = sent + self.settings.entitlement_ms();
                 self.membership.has_lease_call_failed = false;
                 // A reply that waited in this process's buffers may be about a lease that has expired by now.
-                if !self.entitled() && self.now.ms < until {
+                if !self.is_entitled() && self.now.ms < until {
                     let history = self.describe_lease_history();
                     self.log(
                         Level::Info,
@@ -242,29 +245,30 @@
     pub(crate) fn record_peer_contact(&mut self, name: &ControllerId, reachable: bool, entitled: bool) {
         let now = self.now.ms;
         let peer = self.membership.peers.entry(name.clone()).or_default();
-        peer.asking = false;
-        peer.asked_grant = false;
-        peer.reachable = reachable;
+        peer.awaits_answer = false;
+        peer.awaits_grant = false;
+        peer.is_reachable = reachable;
         if reachable {
-            peer.heard = Some(now);
-            peer.entitled = entitled;
+            peer.last_heard_ms = Some(now);
+            peer.is_entitled = entitled;
         }
     }
 
     /// A peer's answer came too late to tell its present state: sends it another heartbeat with the next tick.
     pub(crate) fn ask_peer_again(&mut self, name: &ControllerId) {
         let peer = self.membership.peers.entry(name.clone()).or_default();
-        peer.asking = false;
-        peer.asked_grant = false;
-        peer.asked = 0;
+        peer.awaits_answer = false;
+        peer.awaits_grant = false;
+        peer.last_heartbeat_sent_ms = 0;
     }
 
     /// Whether the last heartbeat to a peer was answered and the peer was heard from within two report intervals.
-    pub(crate) fn reachable(&self, name: &ControllerId) -> bool {
+    pub(crate) fn is_reachable(&self, name: &ControllerId) -> bool {
         let recent_ms = 2 * self.settings.report_ms();
-        self.membership
-            .peers
-            .get(name)
-            .is_some_and(|p| p.reachable && p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms))
+        self.membership.peers.get(name).is_some_and(|p| {
+            p.is_reachable
+                && p.last_heard_ms
+                    .is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms)
+        })
     }
 }
--- a/crates/tidelatch-core/src/membership/leadership.rs
+++ b/crates/tidelatch-core/src/membership/leadership.rs
@@ -30,7 +30,7 @@
 
     /// Whether this controller is the leader and entitled to act.
     pub(crate) fn is_leader(&self) -> bool {
-        self.entitled()
+        self.is_entitled()
             && self
                 .membership
                 .leader
@@ -50,7 +50,7 @@
             return;
         };
         if self.membership.is_taking_leadership
-            || !self.entitled()
+            || !self.is_entitled()
             || !self.membership.is_watching
             || !self.may_change_membership()
         {
--- a/crates/tidelatch-core/src/membership/lease_failures.rs
+++ b/crates/tidelatch-core/src/membership/lease_failures.rs
@@ -104,7 +104,7 @@
     /// Logs once that this controller is no longer entitled to act, and why.
     pub(super) fn log_entitlement_loss(&mut self) {
         if self.membership.lease_id.is_none()
-            || self.entitled()
+            || self.is_entitled()
             || self.membership.lease_failures.is_entitlement_loss_logged
         {
             return;
@@ -129,9 +129,12 @@
         let descriptions = self.settings.platform.siblings.iter().map(|sibling| {
             let name = ControllerId::new(sibling.host_name.clone());
             let peer = self.membership.peers.get(&name);
-            let heard = peer.filter(|p| p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms));
+            let heard = peer.filter(|p| {
+                p.last_heard_ms
+                    .is_some_and(|t| self.now.ms.saturating_sub(t) < recent_ms)
+            });
             match heard {
-                Some(p) if p.entitled => format!("{name} is entitled"),
+                Some(p) if p.is_entitled => format!("{name} is entitled"),
                 Some(_) => format!("{name} is not entitled"),
                 None => format!("{name} is not heard"),
             }
--- a/crates/tidelatch-core/src/membership/registration.rs
+++ b/crates/tidelatch-core/src/membership/registration.rs
@@ -14,7 +14,7 @@
             return;
         };
         if self.membership.is_writing_record
-            || !self.entitled()
+            || !self.is_entitled()
             || !self.membership.has_listed_keys
             || self.now.ms < self.membership.next_record_write_ms
         {
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -25,16 +25,16 @@
 #[derive(Debug)]
 pub(crate) struct Tenure {
     /// The epoch in which this controller became the owner.
-    pub(crate) since: Epoch,
+    pub(crate) since_epoch: Epoch,
     pub(crate) stage: Stage,
     /// When this controller began to act for the partition, in milliseconds.
-    pub(crate) active_at: u64,
+    pub(crate) active_since_ms: u64,
     /// Number of attempts started in this epoch of ownership; forms the low bits of each attempt number.
     pub(crate) next_attempt: u64,
     /// A read of the stored bitmaps is in progress.
     pub(crate) loading: bool,
     /// Every machine that may hold tasks started before the takeover is accounted for.
-    pub(crate) settled: bool,
+    pub(crate) are_machines_accounted_for: bool,
     /// Keys and values of the bitmaps that have been read so far.
     bits: Vec<(String, Value)>,
     /// Records that were read before the takeover, kept until the changes since then have been read.
@@ -43,26 +43,26 @@
 
 impl Controller {
     /// Whether this controller acts for a partition at the time `now`, which is at or after its last step.
-    pub fn acts_at(&self, now: u64, partition: Partition) -> bool {
+    pub fn acts_for_partition_at(&self, now: u64, partition: Partition) -> bool {
         let active = |t: &Tenure| t.stage == Stage::Active;
         self.is_entitled_at(now) && self.tenures.get(&partition).is_some_and(active)
     }
 
     /// The owner of a partition in the latest known epoch.
-    pub(crate) fn holding(&self, partition: Partition) -> Option<&PartitionOwner> {
+    pub(crate) fn partition_owner(&self, partition: Partition) -> Option<&PartitionOwner> {
         self.membership.epoch.as_ref()?.0.partitions.get(partition.0 as usize)
     }
 
     /// The partition's ownership record if this controller acts for the partition now.
-    pub(crate) fn acting(&self, partition: Partition) -> Option<&Tenure> {
-        if !self.entitled() {
+    pub(crate) fn active_tenure(&self, partition: Partition) -> Option<&Tenure> {
+        if !self.is_entitled() {
             return None;
         }
         self.tenures.get(&partition).filter(|t| t.stage == Stage::Active)
     }
 
     /// The partitions whose takeover by this controller is complete.
-    pub(crate) fn acting_partitions(&self) -> Vec<Partition> {
+    pub(crate) fn active_partitions(&self) -> Vec<Partition> {
         let active = self.tenures.iter().filter(|(_, t)| t.stage == Stage::Active);
         active.map(|(p, _)| *p).collect()
     }
@@ -77,7 +77,7 @@
         for (i, assignment) in epoch.partitions.iter().enumerate() {
             let partition = Partition(i as u32);
             let is_own = assignment.owner == self.own_name && assignment.incarnation == inc;
-            let owned_since = self.tenures.get(&partition).map(|t| t.since);
+            let owned_since = self.tenures.get(&partition).map(|t| t.since_epoch);
             if !is_own {
                 if self.tenures.remove(&partition).is_some() {
                     self.reset_partition(partition);
@@ -95,12 +95,12 @@
                 self.tenures.insert(
                     partition,
                     Tenure {
-                        since: assignment.since_epoch,
+                        since_epoch: assignment.since_epoch,
                         stage: Stage::Waiting,
-                        active_at: 0,
+                        active_since_ms: 0,
                         next_attempt: 0,
                         loading: false,
-                        settled: false,
+                        are_machines_accounted_for: false,
                         bits: Vec::new(),
                         read_ahead: None,
                     },
@@ -116,7 +116,7 @@
     pub(crate) fn advance_takeovers(&mut self) {
         let partitions: Vec<Partition> = self.tenures.keys().copied().collect();
         for partition in partitions {
-            let Some(assignment) = self.holding(partition).cloned() else {
+            let Some(assignment) = self.partition_owner(partition).cloned() else {
                 continue;
             };
             let Some(tenure) = self.tenures.get(&partition) else {
@@ -136,7 +136,7 @@
                 .tenures
                 .get(&partition)
                 .is_some_and(|t| t.stage == Stage::Loading && !t.loading);
-            if needs_loading && self.entitled() && self.now.ms >= self.membership.retry_ms {
+            if needs_loading && self.is_entitled() && self.now.ms >= self.membership.retry_ms {
                 self.load_records(partition);
             }
         }
@@ -151,7 +151,7 @@
         let Some(t) = self.tenures.get_mut(&partition) else {
             return;
         };
-        let since = t.since.0;
+        let since = t.since_epoch.0;
         let path = format!(
             "/changes?prefix={}&since={}&waitMs=0",
             Self::done_bits_prefix(partition),
@@ -167,7 +167,7 @@
 
     /// Handles the changes since the bitmaps were read ahead. If the read failed, reads all bitmaps.
     pub(crate) fn on_done_bits_changes(&mut self, partition: Partition, since: u64, result: Option<(u16, Vec<u8>)>) {
-        let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since.0 == since) else {
+        let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since_epoch.0 == since) else {
             return;
         };
         t.loading = false;
@@ -204,7 +204,7 @@
             return;
         };
         t.loading = true;
-        let since = t.since.0;
+        let since = t.since_epoch.0;
         if cursor.is_empty() {
             t.bits.clear();
         }
@@ -223,7 +223,7 @@
 
     /// Handles a page of a partition's stored bitmaps.
     pub(crate) fn on_done_bits(&mut self, partition: Partition, since: u64, result: Option<(u16, Vec<u8>)>) {
-        let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since.0 == since) else {
+        let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since_epoch.0 == since) else {
             return;
         };
         t.loading = false;
@@ -254,8 +254,8 @@
             return;
         };
         t.stage = Stage::Active;
-        t.active_at = now;
-        let since = t.since;
+        t.active_since_ms = now;
+        let since = t.since_epoch;
         let (chunk_bits, piece_bits) = (self.chunk_bits(), self.piece_bits());
         for (key, value) in bits {
             let mut parts = key.split('/').skip(2);
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -126,8 +126,8 @@
     /// placed or the search budget is used up.
     pub(crate) fn run_batch(&mut self) {
         self.batch_due_ms = None;
-        let acting = self.acting_partitions();
-        if !self.entitled() {
+        let acting = self.active_partitions();
+        if !self.is_entitled() {
             return;
         }
         let now = self.now.ms;
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -19,14 +19,14 @@
     /// [`MACHINES_PER_CONSOLIDATION`] machines, so that only few replicas are unavailable at any moment.
     pub(crate) fn consolidate(&mut self) {
         let now = self.now.ms;
-        if !self.entitled() || now < self.consolidation_due_ms {
+        if !self.is_entitled() || now < self.consolidation_due_ms {
             return;
         }
         self.consolidation_due_ms = now + self.settings.report_ms();
         let active_partitions: Vec<Partition> = self
             .tenures
             .iter()
-            .filter(|(_, t)| t.stage == Stage::Active && t.settled)
+            .filter(|(_, t)| t.stage == Stage::Active && t.are_machines_accounted_for)
             .map(|(p, _)| *p)
             .collect();
         for p in active_partitions {
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -146,7 +146,7 @@
     /// The jobs of a partition that may be placed now.
     fn collect_jobs(&mut self, partition: Partition, room: &[Amounts]) -> CollectedJobs {
         let mut collected = CollectedJobs::default();
-        let Some(tenure_epoch) = self.tenures.get(&partition).map(|tenure| tenure.since) else {
+        let Some(tenure_epoch) = self.tenures.get(&partition).map(|tenure| tenure.since_epoch) else {
             return collected;
         };
         let has_unconfirmed_machines = self.count_unconfirmed_machines(partition) > 0;
--- a/crates/tidelatch-core/src/roster.rs
+++ b/crates/tidelatch-core/src/roster.rs
@@ -94,7 +94,7 @@
     /// Sends the roster writes that are due: new boot batches and changed machine groups. Also marks boot batches
     /// that can be deleted.
     pub(crate) fn tick_roster(&mut self) {
-        if !self.entitled() {
+        if !self.is_entitled() {
             return;
         }
         self.send_boot_batches();
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -74,7 +74,7 @@
     /// Answers a first report, with commands if the machine is recorded and has not reported since. `machine` is the
     /// recorded machine with the session and sequence number of the report; none if it was not recorded.
     pub(super) fn answer_first_report(&mut self, requester: Requester, machine: Option<(&MachineId, (u64, u64))>) {
-        let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
+        let Some(epoch) = self.epoch().filter(|_| self.is_entitled()) else {
             let later = crate::messages::Answer::retry_later(503, 1, "not entitled to act at present");
             self.send_answer(requester, later);
             return;
@@ -102,7 +102,11 @@
         for requester in overdue {
             self.answer_first_report(requester, None);
         }
-        let is_own = |c: &Self, id: &MachineId| c.machines.get(id).is_some_and(|m| c.acting(m.partition).is_some());
+        let is_own = |c: &Self, id: &MachineId| {
+            c.machines
+                .get(id)
+                .is_some_and(|m| c.active_tenure(m.partition).is_some())
+        };
         if let Some(batch) = self.roster.unconfirmed_boot_batches.pop() {
             if self.state_writes.take(now, 0.0, 0.0) {
                 if batch.entries.keys().any(|id| is_own(self, id)) {
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -78,7 +78,7 @@
         let Some(group) = self.roster.groups.get(name) else {
             return;
         };
-        if self.acting(group.record.partition).is_none() {
+        if self.active_tenure(group.record.partition).is_none() {
             return;
         }
         let (revision, step_revision) = (group.revision, group.step_revision);
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -160,7 +160,7 @@
         let is_acting = self
             .machines
             .get(id)
-            .is_some_and(|m| self.acting(m.partition).is_some());
+            .is_some_and(|m| self.active_tenure(m.partition).is_some());
         if let Some(m) = self.machines.get_mut(id).filter(|_| is_acting) {
             m.moving_to = Some(to);
             self.group_due(id, self.now.ms);
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -36,7 +36,7 @@
             return;
         }
         let submission = may_forward.then(|| body.to_vec());
-        if !self.entitled() || self.membership.epoch.is_none() {
+        if !self.is_entitled() || self.membership.epoch.is_none() {
             let refusal = Answer::retry_later(503, 1, "not entitled to act at present");
             self.forward_submission(requester, id, submission, refusal);
             return;
@@ -234,7 +234,7 @@
                 let failed = serde_json::from_slice::<TxnAnswer>(&body).unwrap_or_default().failed;
                 if failed.iter().any(|k| k.starts_with(JOB_PREFIX)) {
                     self.check_existing_job(requester, id, Answer::retry_later(503, 1, "try again"));
-                } else if retries < 3 && self.epoch() > Some(accepted_at.0) && self.entitled() {
+                } else if retries < 3 && self.epoch() > Some(accepted_at.0) && self.is_entitled() {
                     // The epoch has changed, and this controller knows the new one by now.
                     self.store_acceptance((requester, submission), id, spec, retries + 1);
                 } else {
--- a/crates/tidelatch-core/src/submissions/forwarding.rs
+++ b/crates/tidelatch-core/src/submissions/forwarding.rs
@@ -20,7 +20,7 @@
         submission: Option<Vec<u8>>,
         refusal: Answer,
     ) {
-        let Some((submission, peer)) = submission.zip(self.entitled_peer()) else {
+        let Some((submission, peer)) = submission.zip(self.next_entitled_peer()) else {
             self.send_answer(requester, refusal);
             return;
         };
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -191,7 +191,11 @@
     /// No two controllers may act for a partition at a time.
     pub(super) fn check_owners(&mut self) {
         for p in 0..self.nodes.len() as u32 {
-            let acts = |n: &Node| n.core.as_ref().is_some_and(|c| c.acts_at(self.now, Partition(p)));
+            let acts = |n: &Node| {
+                n.core
+                    .as_ref()
+                    .is_some_and(|c| c.acts_for_partition_at(self.now, Partition(p)))
+            };
             if self.nodes.iter().filter(|n| acts(n)).count() > 1 {
                 self.breach(format!("two controllers act for partition {p}"));
             }
