--- a/crates/tidelatch-core/src/admission.rs
+++ b/crates/tidelatch-core/src/admission.rs
@@ -240,12 +240,12 @@
             let retry_after_s = team.retry_slots.assign_next_s(now_ms, rate);
             return Err(Deferral::QueueFull { retry_after_s });
         }
-        let min_burst_left = if team.writes.take(now_ms, 1.0, 0.0) {
+        let min_burst_left = if team.writes.try_take(now_ms, 1.0, 0.0) {
             MIN_BURST_LEFT_WITHIN_SHARE
         } else {
             MIN_BURST_LEFT_BEYOND_SHARE
         };
-        if !writes.take(now_ms, 0.0, min_burst_left) {
+        if !writes.try_take(now_ms, 0.0, min_burst_left) {
             let retry_after_s = team.retry_slots.assign_next_s(now_ms, writes.rate());
             return Err(Deferral::WriteRate { retry_after_s });
         }
--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -191,7 +191,7 @@
         self.capacity
             .request_budget
             .set_rate(rps * fraction, (rps * fraction * 2.0).max(1.0));
-        self.capacity.request_budget.take(self.now.ms, 1.0, reserve)
+        self.capacity.request_budget.try_take(self.now.ms, 1.0, reserve)
     }
 
     /// Sends a request to the cloud.
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -281,7 +281,7 @@
                 self.release_all_attempts(&id, "the cloud has deleted it");
                 // The delay lets several machines that are deleted at about the same time share one roster write.
                 let write_at = self.now.ms + self.settings.report_ms() / 2;
-                self.group_due(&id, write_at);
+                self.schedule_group_write(&id, write_at);
             }
         }
     }
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -123,8 +123,8 @@
             state_reads,
             state_writes,
             write_limits: WriteLimits {
-                value: settings.value_bytes(),
-                ops: settings.txn_ops(),
+                value_bytes: settings.value_bytes(),
+                max_ops: settings.txn_ops(),
             },
             admission: Admission::new(&settings),
             batch_due_ms: None,
@@ -356,7 +356,7 @@
         if *status == 429 {
             let rate = self.settings.write_rps() / f64::from(self.settings.partitions());
             self.state_writes.set_rate(rate, rate);
-            self.state_writes.empty(self.now.ms);
+            self.state_writes.remove_all(self.now.ms);
             self.log(
                 Level::Debug,
                 format!("the state service limits the write rate ({what}): slowing down writes"),
@@ -371,7 +371,7 @@
                 Level::Error,
                 format!(
                     "the state service refused {what}: {text}; limits now: {} bytes per value, {} changes",
-                    self.write_limits.value, self.write_limits.ops
+                    self.write_limits.value_bytes, self.write_limits.max_ops
                 ),
             );
         }
@@ -397,13 +397,13 @@
             CallPurpose::ReadMachineTypes => self.on_machine_types(result),
             CallPurpose::WriteMachineTypes => self.capacity.types_write_in_flight = false,
             CallPurpose::RentMachines { rental, partitions } => self.on_rental_answer(rental, partitions, result),
-            CallPurpose::WriteNewMachineGroups => self.on_new_groups(result),
+            CallPurpose::WriteNewMachineGroups => self.on_new_groups_written(result),
             CallPurpose::WriteMachineGroup {
                 group,
                 revision,
                 changes,
-            } => self.on_group(group, revision, changes, result),
-            CallPurpose::WriteBootBatch { batch, requesters } => self.on_boot_batch(batch, requesters, result),
+            } => self.on_group_written(group, revision, changes, result),
+            CallPurpose::WriteBootBatch { batch, requesters } => self.on_boot_batch_written(batch, requesters, result),
             CallPurpose::DeleteMachines { machines } => self.on_deletion_answer(machines, result),
             CallPurpose::ListMachines => self.on_machine_list(result),
             CallPurpose::WriteDrain { write } => self.on_drain_write(&write, result),
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -230,7 +230,7 @@
             // The answer to the write of its head was lost.
             records.beginning = None;
         }
-        if !self.state_writes.take(now, 0.0, WRITE_RESERVE) {
+        if !self.state_writes.try_take(now, 0.0, WRITE_RESERVE) {
             return;
         }
         let withdrawn = records
@@ -277,7 +277,7 @@
     }
 
     fn delete_drain(&mut self, name: &str) {
-        let most = self.write_limits.ops.max(1);
+        let most = self.write_limits.max_ops.max(1);
         let keys = self.disruption.as_ref().map_or(Vec::new(), |d| d.records.keys(name));
         let changes = keys.iter().take(most).map(|key| json!({ "delete": key })).collect();
         self.log(
@@ -299,7 +299,7 @@
         for (id, _) in machines.filter(|(_, m)| rule.selects(&m.model, &m.zone, m.spot)) {
             targets.insert(&MachineName::new(id.as_str()));
         }
-        let parts = targets.parts(self.fill());
+        let parts = targets.parts(self.max_record_bytes());
         self.log(
             Level::Info,
             format!(
@@ -321,7 +321,7 @@
 
     /// Writes the next parts of the drain that begins, and its head after the last; false: none begins.
     fn write_beginning(&mut self) -> bool {
-        let most = self.write_limits.ops.max(1);
+        let most = self.write_limits.max_ops.max(1);
         let Some(beginning) = self.disruption.as_ref().and_then(|d| d.records.beginning.as_ref()) else {
             return false;
         };
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -174,7 +174,9 @@
             prepared.connections += addresses.len();
             addresses_to_connect.extend(addresses);
             if let ReadProgress::Due(cursor) = &prepared.reading
-                && self.state_reads.take(self.now.ms, 1.0, READ_SHARE_RESERVED_FOR_OTHERS)
+                && self
+                    .state_reads
+                    .try_take(self.now.ms, 1.0, READ_SHARE_RESERVED_FOR_OTHERS)
             {
                 reads.push((*partition, prepared.attempt, cursor.clone()));
                 prepared.reading = ReadProgress::InProgress;
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -292,7 +292,7 @@
         let key = format!("{JOB_PREFIX}{id}");
         let mut conditions = vec![json!({ "k": key, "stamp": job.revision })];
         let mut changes = vec![json!({ "write": key, "value": record })];
-        let deletions_in_txn = self.write_limits.ops.saturating_sub(1);
+        let deletions_in_txn = self.write_limits.max_ops.saturating_sub(1);
         let partition = job.partition;
         let mut keys = job.stored_pieces.iter().map(|c| c.key(partition, id));
         changes.extend(keys.by_ref().take(deletions_in_txn).map(|k| json!({ "delete": k })));
@@ -466,7 +466,7 @@
             .filter_map(|(id, j)| j.ending.map(|e| (id.clone(), e)))
             .collect();
         for (id, ending) in unconfirmed {
-            if self.state_writes.take(self.now.ms, 0.0, 0.1) {
+            if self.state_writes.try_take(self.now.ms, 0.0, 0.1) {
                 self.store_job_end(&id, ending);
             }
         }
--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -183,8 +183,8 @@
         // use the reserved share, but not overdraw the budget that far.
         let max_changes = self
             .write_limits
-            .ops
-            .min(self.state_writes.spare(self.now.ms, FLUSH_RESERVED_SHARE));
+            .max_ops
+            .min(self.state_writes.available(self.now.ms, FLUSH_RESERVED_SHARE));
         if max_changes == 0 {
             return;
         }
@@ -264,8 +264,13 @@
 
     /// Deletes keys that are not used any more, such as bitmaps of ended jobs, as far as the write budget allows.
     pub(super) fn delete_stale_keys(&mut self) {
-        let max_keys = self.state_writes.spare(self.now.ms, CLEANUP_RESERVED_SHARE);
-        let key_count = self.capacity.stale_keys.len().min(self.write_limits.ops).min(max_keys);
+        let max_keys = self.state_writes.available(self.now.ms, CLEANUP_RESERVED_SHARE);
+        let key_count = self
+            .capacity
+            .stale_keys
+            .len()
+            .min(self.write_limits.max_ops)
+            .min(max_keys);
         if key_count == 0 {
             return;
         }
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -215,7 +215,7 @@
         if is_first && !report.addr.is_empty() {
             self.record_boot_time(&id);
             // The machine may hold tasks only once the roster records that it is up.
-            self.store_first_report(requester, report);
+            self.queue_first_report(requester, report);
             return;
         }
         if let Some(m) = self.machines.get_mut(&id) {
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -319,7 +319,7 @@
             }
         }
         for id in cleared {
-            self.group_due(&id, now + self.settings.report_ms());
+            self.schedule_group_write(&id, now + self.settings.report_ms());
         }
         for (id, to) in returned {
             self.log(
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -179,8 +179,9 @@
     /// Sends a transaction to the state service. It uses one read and, for each change, one write of the
     /// rate limits, even when none is left.
     pub(crate) fn txn(&mut self, conditions: Vec<Value>, changes: Vec<Value>, purpose: CallPurpose) {
-        self.state_reads.force(self.now.ms, 1.0);
-        self.state_writes.force(self.now.ms, changes.len() as f64);
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
+        self.state_writes
+            .take_unconditionally(self.now.ms, changes.len() as f64);
         let timeout = self.settings.lease_ms() / 4;
         let body = json!({ "if": conditions, "then": changes }).to_string();
         self.send_call(Target::State, Method::Post, "/txn", body, timeout, purpose);
@@ -194,7 +195,7 @@
             None if !self.membership.is_requesting_lease && now >= self.membership.retry_ms => {
                 self.membership.is_requesting_lease = true;
                 let body = json!({ "ttlMs": self.settings.lease_ms() }).to_string();
-                self.state_reads.force(now, 1.0);
+                self.state_reads.take_unconditionally(now, 1.0);
                 self.send_call(
                     Target::State,
                     Method::Post,
@@ -209,7 +210,7 @@
             {
                 self.membership.is_extending_lease = true;
                 self.membership.last_extension_ms = now;
-                self.state_reads.force(now, 1.0);
+                self.state_reads.take_unconditionally(now, 1.0);
                 self.send_call(
                     Target::State,
                     Method::Post,
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -16,7 +16,7 @@
     /// Requests a page of the shared keys, after the key `cursor`. `first_revision` is the revision of the first page.
     pub(super) fn list_shared_keys(&mut self, cursor: String, first_revision: u64) {
         self.membership.is_listing_keys = true;
-        self.state_reads.force(self.now.ms, 1.0);
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
         let mut path = format!("/store?prefix={SHARED_PREFIX}&most=500");
         if !cursor.is_empty() {
             path.push_str(&format!("&since={cursor}"));
@@ -37,7 +37,7 @@
         self.membership.is_watching = true;
         self.membership.watch_number += 1;
         let number = self.membership.watch_number;
-        self.state_reads.force(self.now.ms, 1.0);
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
         let wait = self.settings.lease_ms();
         self.send_call(
             Target::State,
@@ -73,7 +73,7 @@
             self.membership.members.clear();
             self.membership.own_revision = Revision(0);
             self.membership.leader = None;
-            self.roster_listing_begins();
+            self.begin_roster_listing();
             self.drain_listing_begins();
         }
         let listing_revision = if first_revision == 0 {
@@ -91,7 +91,7 @@
                 self.membership.has_listed_keys = true;
                 self.membership.revision = listing_revision;
                 self.record_view_time();
-                self.roster_listed(listing_revision);
+                self.finish_roster_listing(listing_revision);
                 self.drains_listed();
                 self.apply_epoch();
                 self.tick_membership();
@@ -159,7 +159,7 @@
         } else if let Some(name) = key.strip_prefix(ROSTER_PREFIX) {
             self.apply_group(name, value, stamp);
         } else if let Some(name) = key.strip_prefix(STEP_PREFIX) {
-            self.apply_step(name, value.map_or(Revision(0), |_| stamp));
+            self.apply_split_step(name, value.map_or(Revision(0), |_| stamp));
         } else if let Some(drain) = key.strip_prefix(DRAIN_PREFIX) {
             self.apply_drain(drain, value, stamp);
         } else if let Some(name) = key.strip_prefix(BOOT_BATCH_PREFIX) {
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -159,7 +159,7 @@
         );
         t.loading = true;
         t.read_ahead = Some(read_ahead);
-        self.state_reads.force(self.now.ms, 1.0);
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
         let purpose = CallPurpose::DoneBitsChanges { partition, since };
         self.send_call(Target::State, Method::Get, path, String::new(), timeout, purpose);
@@ -209,7 +209,7 @@
             t.bits.clear();
         }
         let path = Self::done_bits_path(partition, &cursor);
-        self.state_reads.force(self.now.ms, 1.0);
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
         self.send_call(
             Target::State,
--- a/crates/tidelatch-core/src/rate_limit.rs
+++ b/crates/tidelatch-core/src/rate_limit.rs
@@ -26,7 +26,7 @@
         self.tokens = (self.tokens + elapsed_s * self.rate).min(self.burst);
     }
     /// Takes `n` tokens if at least the fraction `reserve` of the capacity would be left. Returns whether it did.
-    pub(crate) fn take(&mut self, now: u64, n: f64, reserve: f64) -> bool {
+    pub(crate) fn try_take(&mut self, now: u64, n: f64, reserve: f64) -> bool {
         self.refill(now);
         if self.tokens - n < self.burst * reserve {
             return false;
@@ -35,17 +35,17 @@
         true
     }
     /// Number of whole tokens that can be taken now while at least the fraction `reserve` of the capacity is left.
-    pub(crate) fn spare(&mut self, now: u64, reserve: f64) -> usize {
+    pub(crate) fn available(&mut self, now: u64, reserve: f64) -> usize {
         self.refill(now);
         (self.tokens - self.burst * reserve).max(0.0).floor() as usize
     }
     /// Takes `n` tokens for a request that must be sent, even if fewer are left.
-    pub(crate) fn force(&mut self, now: u64, n: f64) {
+    pub(crate) fn take_unconditionally(&mut self, now: u64, n: f64) {
         self.refill(now);
         self.tokens -= n;
     }
     /// Removes all tokens.
-    pub(crate) fn empty(&mut self, now: u64) {
+    pub(crate) fn remove_all(&mut self, now: u64) {
         self.refill(now);
         self.tokens = self.tokens.min(0.0);
     }
--- a/crates/tidelatch-core/src/roster.rs
+++ b/crates/tidelatch-core/src/roster.rs
@@ -56,8 +56,8 @@
 impl Controller {
     /// Maximum size in bytes of a machine group or boot batch when it is written: 3/4 of the limit on a value,
     /// because the numbers that it holds about its machines may grow by some digits.
-    pub(crate) fn fill(&self) -> usize {
-        self.write_limits.value * 3 / 4
+    pub(crate) fn max_record_bytes(&self) -> usize {
+        self.write_limits.value_bytes * 3 / 4
     }
 
     /// Drops the pending roster writes of a partition at the start of a tenure.
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -52,7 +52,7 @@
 
     /// Queues a machine's first report for the next boot batch. The machine may hold tasks only once a boot batch
     /// records that it is up.
-    pub(crate) fn store_first_report(&mut self, requester: Requester, report: &Report) {
+    pub(crate) fn queue_first_report(&mut self, requester: Requester, report: &Report) {
         let now = self.now.ms;
         if self.roster.booted.is_empty() {
             self.roster.boot_batch_due_at = now + self.settings.batch_wait_ms();
@@ -108,7 +108,7 @@
                 .is_some_and(|m| c.active_tenure(m.partition).is_some())
         };
         if let Some(batch) = self.roster.unconfirmed_boot_batches.pop() {
-            if self.state_writes.take(now, 0.0, 0.0) {
+            if self.state_writes.try_take(now, 0.0, 0.0) {
                 if batch.entries.keys().any(|id| is_own(self, id)) {
                     self.send_boot_batch(batch, Vec::new());
                 }
@@ -119,10 +119,10 @@
         if self.roster.booted.is_empty() || now < self.roster.boot_batch_due_at {
             return;
         }
-        if !self.state_writes.take(now, 0.0, 0.0) {
+        if !self.state_writes.try_take(now, 0.0, 0.0) {
             return;
         }
-        let max_bytes = self.fill();
+        let max_bytes = self.max_record_bytes();
         let mut bytes = 2;
         let fits = |n: &&BootedMachine| {
             bytes += entry_bytes(&n.machine, &n.entry);
@@ -196,7 +196,7 @@
     }
 
     /// Handles the answer to the write of a boot batch.
-    pub(crate) fn on_boot_batch(
+    pub(crate) fn on_boot_batch_written(
         &mut self,
         batch: BootBatch,
         requesters: Vec<(Requester, MachineId, (u64, u64))>,
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -90,7 +90,7 @@
         }
         let change = self.plan_group_change(name, revision, division);
         let reserve = if change.has_hand_overs { 0.1 } else { 0.3 };
-        if !self.state_writes.take(self.now.ms, 0.0, reserve) {
+        if !self.state_writes.try_take(self.now.ms, 0.0, reserve) {
             return;
         }
         self.roster.due_writes.remove(name);
@@ -169,7 +169,7 @@
         let mut also_holds = self.partitions_on(machine);
         also_holds.remove(&to);
         let destination = (to, also_holds);
-        if !division.moving.contains_key(&destination) && division.moving.len() + 1 >= self.write_limits.ops {
+        if !division.moving.contains_key(&destination) && division.moving.len() + 1 >= self.write_limits.max_ops {
             return;
         }
         let record = division
@@ -180,7 +180,9 @@
                 also_holds: destination.1,
                 ..empty.clone()
             });
-        if record.machines.is_empty() || bytes_of(record) + entry_bytes(id, &machine.last_report_key()) <= self.fill() {
+        if record.machines.is_empty()
+            || bytes_of(record) + entry_bytes(id, &machine.last_report_key()) <= self.max_record_bytes()
+        {
             record.machines.insert(id.clone(), machine.last_report_key());
             division.staying.machines.remove(id);
         }
@@ -194,8 +196,8 @@
     /// the group with the later revision.
     fn plan_group_change(&mut self, name: &str, revision: Revision, division: Division) -> GroupChange {
         let Division { staying, moving } = division;
-        let mut pieces = split_group(&staying, self.fill());
-        if pieces.len() > 1 && moving.len() + pieces.len() > self.write_limits.ops {
+        let mut pieces = split_group(&staying, self.max_record_bytes());
+        if pieces.len() > 1 && moving.len() + pieces.len() > self.write_limits.max_ops {
             self.log(
                 Level::Info,
                 format!("machine group {name}: larger than a value may be, splitting it in steps"),
@@ -232,9 +234,9 @@
         } else {
             &not_moving
         };
-        let pieces = split_group(to_split, self.fill())
+        let pieces = split_group(to_split, self.max_record_bytes())
             .into_iter()
-            .take(self.write_limits.ops - 1);
+            .take(self.write_limits.max_ops - 1);
         GroupChange {
             created: pieces
                 .map(|piece| (new_group_name(name, revision, &piece, "s"), piece))
@@ -296,7 +298,7 @@
     }
 
     /// Handles the answer to the write of a changed machine group.
-    pub(crate) fn on_group(
+    pub(crate) fn on_group_written(
         &mut self,
         name: String,
         revision: Revision,
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -23,12 +23,12 @@
 
 impl Controller {
     /// Starts a new listing of the shared keys.
-    pub(crate) fn roster_listing_begins(&mut self) {
+    pub(crate) fn begin_roster_listing(&mut self) {
         self.roster.listed_groups.clear();
     }
 
     /// Completes a listing of the shared keys as of a revision: machine groups that were not listed have been deleted.
-    pub(crate) fn roster_listed(&mut self, revision: u64) {
+    pub(crate) fn finish_roster_listing(&mut self, revision: u64) {
         let listed = std::mem::take(&mut self.roster.listed_groups);
         let deleted: Vec<String> = self
             .roster
@@ -128,7 +128,7 @@
     }
 
     /// Records the revision of a machine group's step key; 0: the group is not being split in steps.
-    pub(crate) fn apply_step(&mut self, name: &str, revision: Revision) {
+    pub(crate) fn apply_split_step(&mut self, name: &str, revision: Revision) {
         if let Some(group) = self.roster.groups.get_mut(name) {
             group.step_revision = revision;
         }
@@ -147,7 +147,7 @@
     }
 
     /// Schedules a write of a machine's group for `at` (in milliseconds), or earlier if one is due before.
-    pub(crate) fn group_due(&mut self, machine: &MachineId, at: u64) {
+    pub(crate) fn schedule_group_write(&mut self, machine: &MachineId, at: u64) {
         if let Some(group) = self.machines.get(machine).map(|m| m.group.clone()) {
             let due = self.roster.due_writes.entry(group).or_insert(at);
             *due = (*due).min(at);
@@ -163,7 +163,7 @@
             .is_some_and(|m| self.active_tenure(m.partition).is_some());
         if let Some(m) = self.machines.get_mut(id).filter(|_| is_acting) {
             m.moving_to = Some(to);
-            self.group_due(id, self.now.ms);
+            self.schedule_group_write(id, self.now.ms);
         }
     }
 }
--- a/crates/tidelatch-core/src/roster/rentals.rs
+++ b/crates/tidelatch-core/src/roster/rentals.rs
@@ -30,7 +30,7 @@
         if self.roster.new_groups.is_empty() {
             self.plan_new_groups();
         }
-        if self.roster.new_groups.is_empty() || !self.state_writes.take(self.now.ms, 0.0, -0.2) {
+        if self.roster.new_groups.is_empty() || !self.state_writes.try_take(self.now.ms, 0.0, -0.2) {
             return;
         }
         let mut conditions = vec![self.leader_condition(), self.epoch_condition()];
@@ -46,7 +46,7 @@
 
     /// Assigns rented machines to new machine groups, as many as fit in one transaction.
     fn plan_new_groups(&mut self) {
-        let (max_groups, max_bytes) = (self.write_limits.ops, self.fill());
+        let (max_groups, max_bytes) = (self.write_limits.max_ops, self.max_record_bytes());
         let wall_ms = self.now.wall_ms;
         let mut groups: Vec<(String, GroupRecord)> = Vec::new();
         let mut bytes: Vec<usize> = Vec::new();
@@ -98,7 +98,7 @@
     }
 
     /// Handles the answer to the write of new machine groups.
-    pub(crate) fn on_new_groups(&mut self, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_new_groups_written(&mut self, result: Option<(u16, Vec<u8>)>) {
         self.roster.new_groups_in_flight = false;
         let (status, answer) = match result {
             Some((status, body)) => (status, serde_json::from_slice::<TxnAnswer>(&body).unwrap_or_default()),
--- a/crates/tidelatch-core/src/write_limits.rs
+++ b/crates/tidelatch-core/src/write_limits.rs
@@ -5,18 +5,21 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WriteLimits {
     /// Maximum size of a value in bytes.
-    pub(crate) value: usize,
+    pub(crate) value_bytes: usize,
     /// Maximum number of puts and deletes in a transaction.
-    pub(crate) ops: usize,
+    pub(crate) max_ops: usize,
 }
 
 impl WriteLimits {
     /// Limits below which a transaction cannot be split any further.
-    const MINIMUM: Self = Self { value: 512, ops: 2 };
+    const MINIMUM: Self = Self {
+        value_bytes: 512,
+        max_ops: 2,
+    };
 
     /// Halves both limits, but not below the minimum.
     pub(crate) fn halve(&mut self) {
-        self.value = (self.value / 2).max(Self::MINIMUM.value.min(self.value));
-        self.ops = (self.ops / 2).max(Self::MINIMUM.ops);
+        self.value_bytes = (self.value_bytes / 2).max(Self::MINIMUM.value_bytes.min(self.value_bytes));
+        self.max_ops = (self.max_ops / 2).max(Self::MINIMUM.max_ops);
     }
 }
