--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -8,7 +8,7 @@
 //! - No user is told that a job is cancelled before a second controller knows of it. If the controller that told the
 //!   user stops, a controller that acts under grants has a grant of the second one and applies its cancellations first.
 
-use crate::calls::Asker;
+use crate::calls::Requester;
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Incarnation, JobId};
 use crate::messages::Answer;
@@ -53,14 +53,14 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CancellationNotice {
     /// Incarnation of the sender; 0 if its version does not send cancellations.
-    pub life: u64,
+    pub incarnation: u64,
     /// Jobs whose cancellation is stored.
     pub cancelled: Vec<JobId>,
     /// Jobs whose cancellation was requested and is not known to be stored.
-    pub asked: Vec<JobId>,
+    pub requested: Vec<JobId>,
     /// The sender has not read the state service in this incarnation, so it does not know the cancellations that its
     /// earlier incarnations knew.
-    pub unread: bool,
+    pub has_not_read_store: bool,
 }
 
 /// All cancellations that this controller knows of, and which peers know them.
@@ -71,7 +71,7 @@
     last_sequence: u64,
     acknowledged: BTreeMap<ControllerId, AcknowledgedCancellations>,
     /// Users who wait until a second controller knows of a cancellation, each with the time at which waiting ends.
-    waiting_requesters: Vec<(JobId, Asker, u64)>,
+    waiting_requesters: Vec<(JobId, Requester, u64)>,
     /// Heartbeats are to be sent at once.
     heartbeats_requested: bool,
     /// Time at which the latest granted extension of the lease was sent to the state service.
@@ -141,7 +141,7 @@
     }
 
     /// Whether a job's cancellation is stored or requested: its tasks are to be stopped, and none is to be started.
-    pub(crate) fn calls_off(&self, id: &JobId) -> bool {
+    pub(crate) fn is_cancelled_or_requested(&self, id: &JobId) -> bool {
         self.known.contains_key(id)
     }
 }
@@ -196,7 +196,7 @@
         let relevant_ms = self.settings.cancel_ms() + self.settings.worker_lease_ms();
         let is_recent = |since_ms: u64| self.now.ms.saturating_sub(since_ms) <= relevant_ms;
         let matches_partition = |id: &JobId| {
-            let team = self.over.get(id).map(|ended_job| ended_job.team.as_str());
+            let team = self.ended_jobs.get(id).map(|ended_job| ended_job.team.as_str());
             team.is_none_or(|team| self.settings.partition_of_team(team) == Some(partition))
         };
         let known = self.cancellations.known.iter();
@@ -208,31 +208,31 @@
 
     /// The cancellations to send to a peer, the range of sequence numbers that they cover, and whether they are
     /// all that the peer lacks.
-    pub(crate) fn tell_cancellations(&self, to: &ControllerId) -> (CancellationNotice, (u64, u64), bool) {
+    pub(crate) fn cancellations_for_peer(&self, to: &ControllerId) -> (CancellationNotice, (u64, u64), bool) {
         if !self.settings.features.cancellations {
             return (CancellationNotice::default(), (0, 0), true);
         }
         let unacknowledged = self.cancellations.unacknowledged(to);
         let notice = CancellationNotice {
-            life: self.member.inc.0,
+            incarnation: self.membership.incarnation.0,
             cancelled: unacknowledged.cancelled,
-            asked: unacknowledged.requested,
-            unread: self.member.ledger == 0,
+            requested: unacknowledged.requested,
+            has_not_read_store: self.membership.revision == 0,
         };
         (notice, unacknowledged.sequence_range, unacknowledged.is_complete)
     }
 
     /// Applies the cancellations in a peer's message. This comes before anything else that the message allows.
-    pub(crate) fn take_cancellations(&mut self, from: &ControllerId, notice: &CancellationNotice) {
+    pub(crate) fn apply_cancellations(&mut self, from: &ControllerId, notice: &CancellationNotice) {
         if !self.settings.features.cancellations {
             return;
         }
-        if notice.life == 0 {
+        if notice.incarnation == 0 {
             // The peer's version neither sends nor applies cancellations.
             self.cancellations.acknowledged.remove(from);
             return;
         }
-        let incarnation = Incarnation(notice.life);
+        let incarnation = Incarnation(notice.incarnation);
         if self.cancellations.acknowledged.get(from).map(|t| t.incarnation) != Some(incarnation) {
             // What an earlier incarnation knew is lost.
             self.cancellations
@@ -240,7 +240,7 @@
                 .insert(from.clone(), AcknowledgedCancellations { incarnation, up_to: 0 });
         }
         let now = self.now.ms;
-        for id in &notice.asked {
+        for id in &notice.requested {
             if self.cancellations.record(id, now, false, false) {
                 self.stop_tasks_of_job(id);
             }
@@ -256,13 +256,19 @@
     /// Has the machines that hold tasks of a job told to stop them.
     pub(crate) fn stop_tasks_of_job(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        self.poked.extend(job.placed.values().flatten().cloned());
+        self.machines_with_urgent_commands
+            .extend(job.placed.values().flatten().cloned());
     }
 
     /// Records that an incarnation of a peer has answered a heartbeat that carried a range of cancellations. If this
     /// incarnation has not acknowledged what precedes the range, only an earlier one may have received that, and
     /// nothing is recorded.
-    pub(crate) fn note_taken(&mut self, peer: &ControllerId, incarnation: u64, (after, up_to): (u64, u64)) {
+    pub(crate) fn record_acknowledged_cancellations(
+        &mut self,
+        peer: &ControllerId,
+        incarnation: u64,
+        (after, up_to): (u64, u64),
+    ) {
         if let Some(t) = self.cancellations.acknowledged.get_mut(peer)
             && t.incarnation.0 == incarnation
             && t.up_to >= after
@@ -273,7 +279,7 @@
     }
 
     /// Records that the state service has extended this controller's lease, by a request sent at time `sent`.
-    pub(crate) fn note_served(&mut self, sent: u64) {
+    pub(crate) fn record_lease_extension(&mut self, sent: u64) {
         self.cancellations.lease_extension_sent_ms = self.cancellations.lease_extension_sent_ms.max(sent);
         self.answer_waiting_requesters();
     }
@@ -284,8 +290,12 @@
         let Some(known) = self.cancellations.known.get(id).filter(|k| k.is_stored) else {
             return true;
         };
-        let others = self.member.members.iter().filter(|(name, _)| **name != self.me);
-        let mut exchanging_peers = others.filter(|(_, m)| m.knows >= 2).peekable();
+        let others = self
+            .membership
+            .members
+            .iter()
+            .filter(|(name, _)| **name != self.own_name);
+        let mut exchanging_peers = others.filter(|(_, m)| m.feature_level >= 2).peekable();
         let mut acknowledged = self
             .cancellations
             .acknowledged
@@ -293,7 +303,7 @@
             .filter(|(_, t)| t.up_to >= known.sequence);
         known.is_shared
             || exchanging_peers.peek().is_none()
-            || acknowledged.any(|(name, _)| self.member.peers.get(name).is_some_and(|p| p.reachable))
+            || acknowledged.any(|(name, _)| self.membership.peers.get(name).is_some_and(|p| p.is_reachable))
             // The state service has served this controller since. Either it has served the peers' watches too, or it
             // refuses only them, and they need a grant of a controller that knows of the cancellation.
             || self.cancellations.lease_extension_sent_ms > known.since_ms
@@ -301,14 +311,14 @@
 
     /// Answers a request about an ended job. If the job is cancelled, the answer may wait until a second controller
     /// knows of the cancellation.
-    pub(crate) fn tell_over(&mut self, requester: Asker, id: &JobId) {
+    pub(crate) fn answer_ended_job(&mut self, requester: Requester, id: &JobId) {
         if self.may_confirm_cancellation(id) {
-            let status_body = self.over.get(id).map(|ended_job| ended_job.status_body(id));
+            let status_body = self.ended_jobs.get(id).map(|ended_job| ended_job.status_body(id));
             let answer = match status_body {
                 Some(status_body) => Answer::new(200, status_body),
-                None => Answer::later(503, 1, "try again"),
+                None => Answer::retry_later(503, 1, "try again"),
             };
-            self.answer(requester, answer);
+            self.send_answer(requester, answer);
             return;
         }
         self.cancellations.heartbeats_requested = true;
@@ -324,10 +334,10 @@
         let now = self.now.ms;
         for (id, requester, deadline_ms) in std::mem::take(&mut self.cancellations.waiting_requesters) {
             if self.may_confirm_cancellation(&id) {
-                self.tell_over(requester, &id);
+                self.answer_ended_job(requester, &id);
             } else if now >= deadline_ms {
                 let reason = "no other controller has heard of the cancellation yet";
-                self.answer(requester, Answer::later(503, 1, reason));
+                self.send_answer(requester, Answer::retry_later(503, 1, reason));
             } else {
                 self.cancellations.waiting_requesters.push((id, requester, deadline_ms));
             }
@@ -351,7 +361,7 @@
     /// Sends heartbeats to the peers at once if that was requested.
     pub(crate) fn send_cancellations(&mut self) {
         if std::mem::take(&mut self.cancellations.heartbeats_requested) {
-            self.greet(true);
+            self.send_heartbeats(true);
         }
     }
 
--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -14,15 +14,17 @@
 mod spare_room;
 
 pub use boot_times::{BootTimes, BootingMachine};
-pub(crate) use planning::room_for;
+pub(crate) use planning::count_fitting_tasks;
 use planning::summarize_waiting_tasks;
-pub use planning::{Lane, MachineKind, PendingMachine, UnplacedTasks, absorb, plan};
+pub use planning::{
+    MachineKind, MachineTimeline, PendingMachine, UnplacedTasks, assign_to_existing_machines, plan_machine_requests,
+};
 
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Epoch, MachineId, Partition};
 use crate::membership::TYPES_KEY;
-use crate::messages::{Digest, IdleMachine, Method, Move, Target};
+use crate::messages::{Digest, IdleMachine, MachineMove, Method, Target};
 use crate::protocol::{MachineTypes, Rental, Report};
 use crate::rate_limit::TokenBucket;
 use crate::roster::RentedMachine;
@@ -60,13 +62,13 @@
 
 /// Capacity state of this controller: cloud requests in flight, the leader's allocation state and machine types.
 #[derive(Debug)]
-pub(crate) struct Cloud {
+pub(crate) struct CapacityState {
     /// Tasks that found no machine in the last placement batches.
-    pub(crate) wishes: Vec<UnplacedTasks>,
+    pub(crate) demands: Vec<UnplacedTasks>,
     /// Keys in the state service that are no longer needed and are to be deleted.
     pub(crate) stale_keys: Vec<String>,
     /// A write of the machine types to the state service is in flight.
-    pub(crate) types_writing: bool,
+    pub(crate) types_write_in_flight: bool,
     types_received_at: u64,
     /// When the machine types were last requested, in milliseconds; 0: never.
     types_requested_at: u64,
@@ -92,7 +94,7 @@
     pub(crate) min_digest_revision: BTreeMap<Partition, u64>,
     pending_hand_overs: Vec<PendingHandOver>,
     /// Moves to send to each controller with its next heartbeat.
-    moves_to_send: BTreeMap<ControllerId, Vec<Move>>,
+    moves_to_send: BTreeMap<ControllerId, Vec<MachineMove>>,
     unregistered: BTreeMap<MachineId, UnregisteredMachine>,
     /// Recent boot times by machine type.
     pub(crate) boot_times: BootTimes,
@@ -110,13 +112,13 @@
     requested_list_cursor: String,
 }
 
-impl Cloud {
+impl CapacityState {
     pub(crate) fn new(settings: &Settings) -> Self {
         let rate = settings.platform.facts.cloud.rps / f64::from(settings.partitions());
         Self {
-            wishes: Vec::new(),
+            demands: Vec::new(),
             stale_keys: Vec::new(),
-            types_writing: false,
+            types_write_in_flight: false,
             types_received_at: 0,
             types_requested_at: 0,
             types_written_at: 0,
@@ -153,7 +155,7 @@
     }
 
     /// Records a report from a machine that is not in the roster.
-    pub(crate) fn note_stranger(&mut self, report: &Report, epoch: Epoch, now: u64) {
+    pub(crate) fn record_unregistered_machine(&mut self, report: &Report, epoch: Epoch, now: u64) {
         if self.deleted_at.contains_key(&report.machine) {
             return;
         }
@@ -186,50 +188,50 @@
         } else {
             0.35 / others
         };
-        self.cloud
+        self.capacity
             .request_budget
             .set_rate(rps * fraction, (rps * fraction * 2.0).max(1.0));
-        self.cloud.request_budget.take(self.now.ms, 1.0, reserve)
+        self.capacity.request_budget.try_take(self.now.ms, 1.0, reserve)
     }
 
     /// Sends a request to the cloud.
-    fn send_cloud_request(&mut self, method: Method, path: impl Into<String>, body: String, purpose: Purpose) {
+    fn send_cloud_request(&mut self, method: Method, path: impl Into<String>, body: String, purpose: CallPurpose) {
         let timeout = 2 * self.settings.report_ms();
-        self.call(Target::Cloud, method, path, body, timeout, purpose);
+        self.send_call(Target::Cloud, method, path, body, timeout, purpose);
     }
 
     /// Runs a round of capacity management, if one is due and this controller may act.
     pub(crate) fn tick_capacity(&mut self) {
         let now = self.now.ms;
         self.request_machine_types();
-        if now < self.cloud.next_round_at || !self.entitled() {
+        if now < self.capacity.next_round_at || !self.is_entitled() {
             return;
         }
-        self.cloud.next_round_at = now + self.settings.report_ms() / 5;
-        self.judge_machines();
+        self.capacity.next_round_at = now + self.settings.report_ms() / 5;
+        self.detect_faulty_machines();
         self.mark_retiring_machines();
         self.send_deletions();
         let keep_ms = 4 * self.settings.worker_lease_ms();
-        self.cloud.deleted_at.retain(|_, t| now.saturating_sub(*t) < keep_ms);
+        self.capacity.deleted_at.retain(|_, t| now.saturating_sub(*t) < keep_ms);
         if self.is_leader() {
             for digest in self.own_digests() {
-                self.cloud.digests.insert(digest.partition, (digest, now));
+                self.capacity.digests.insert(digest.partition, (digest, now));
             }
             self.allocate_machines();
-            let me = self.me.clone();
-            let moves = self.cloud.moves_to_send.remove(&me).unwrap_or_default();
+            let me = self.own_name.clone();
+            let moves = self.capacity.moves_to_send.remove(&me).unwrap_or_default();
             self.execute_moves(moves);
             self.adopt_unregistered_machines();
             self.send_new_groups();
             self.lead_drains();
             self.request_machine_list();
         } else {
-            self.cloud.digests.clear();
-            self.cloud.pending_registration.clear();
+            self.capacity.digests.clear();
+            self.capacity.pending_registration.clear();
             self.drop_unsent_groups();
             self.forget_beginning();
-            self.cloud.rentals_to_retry.clear();
-            self.cloud.unregistered.clear();
+            self.capacity.rentals_to_retry.clear();
+            self.capacity.unregistered.clear();
         }
     }
 
@@ -238,56 +240,61 @@
     fn request_machine_types(&mut self) {
         let now = self.now.ms;
         let is_leader = self.is_leader();
-        let interval_ms = if self.types.is_empty() {
+        let interval_ms = if self.machine_types.is_empty() {
             self.settings.report_ms()
         } else if is_leader {
             2 * self.settings.worker_lease_ms()
         } else {
             return;
         };
-        if self.cloud.types_requested_at != 0 && now < self.cloud.types_requested_at + interval_ms {
+        if self.capacity.types_requested_at != 0 && now < self.capacity.types_requested_at + interval_ms {
             return;
         }
         if !self.take_cloud_budget(0.0) {
             return;
         }
-        self.cloud.types_requested_at = now.max(1);
-        self.send_cloud_request(Method::Get, "/machine_types", String::new(), Purpose::Types);
+        self.capacity.types_requested_at = now.max(1);
+        self.send_cloud_request(
+            Method::Get,
+            "/machine_types",
+            String::new(),
+            CallPurpose::ReadMachineTypes,
+        );
     }
 
     /// Handles the cloud's answer to a request for the machine types.
-    pub(crate) fn on_types(&mut self, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_machine_types(&mut self, result: Option<(u16, Vec<u8>)>) {
         let Some((200, body)) = result else { return };
         let Ok(types) = serde_json::from_slice::<MachineTypes>(&body) else {
             return;
         };
         let now = self.now.ms;
-        self.cloud.types_received_at = now;
-        let is_first = self.types.is_empty();
-        self.types = types.types.clone();
+        self.capacity.types_received_at = now;
+        let is_first = self.machine_types.is_empty();
+        self.machine_types = types.types.clone();
         if is_first {
-            self.want_batch();
+            self.schedule_batch();
         }
         // The types are stored so that a controller that starts while the cloud is down knows them.
-        let due =
-            self.cloud.types_written_at == 0 || now > self.cloud.types_written_at + 4 * self.settings.worker_lease_ms();
+        let due = self.capacity.types_written_at == 0
+            || now > self.capacity.types_written_at + 4 * self.settings.worker_lease_ms();
         // Types that are too large to store are skipped: every controller requests them from the cloud anyway, and the
         // stored copy only bridges an outage of the cloud.
         let fits = crate::jobs::bytes_of(&types) <= self.settings.value_bytes();
-        if self.is_leader() && due && fits && !self.cloud.types_writing {
-            self.cloud.types_writing = true;
-            self.cloud.types_written_at = now.max(1);
+        if self.is_leader() && due && fits && !self.capacity.types_write_in_flight {
+            self.capacity.types_write_in_flight = true;
+            self.capacity.types_written_at = now.max(1);
             let condition = self.leader_condition();
             self.txn(
                 vec![condition],
                 vec![json!({ "write": TYPES_KEY, "value": types })],
-                Purpose::TypesWrite,
+                CallPurpose::WriteMachineTypes,
             );
         }
     }
 
     /// Seconds within which guaranteed work should start: the shortest of the guarantee objectives.
-    pub(crate) fn guarantee_s(&self) -> f64 {
+    pub(crate) fn guaranteed_start_limit_s(&self) -> f64 {
         let objectives = &self.settings.platform.facts.objectives;
         objectives
             .iter()
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -3,8 +3,8 @@
 
 use super::spare_room::largest_of_each_kind;
 use super::{
-    BootingMachine, Lane, MAX_PREEMPTIBLE_MACHINES_PER_DIGEST, MachineKind, UnplacedTasks, absorb, plan,
-    summarize_waiting_tasks,
+    BootingMachine, MAX_PREEMPTIBLE_MACHINES_PER_DIGEST, MachineKind, MachineTimeline, UnplacedTasks,
+    assign_to_existing_machines, plan_machine_requests, summarize_waiting_tasks,
 };
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
@@ -19,7 +19,7 @@
     /// Seconds of work that would be lost if a machine were vacated for production work. None if the machine runs
     /// a task that must not be preempted.
     pub(super) fn preemption_loss_s(&self, m: &Machine) -> Option<f64> {
-        if m.spot || m.held.is_empty() || !m.usable(self.now.ms, 2 * self.settings.report_ms()) {
+        if m.spot || m.held.is_empty() || !m.is_usable(self.now.ms, 2 * self.settings.report_ms()) {
             return None;
         }
         let mut loss_s = 0.0;
@@ -43,16 +43,16 @@
     }
 
     /// The timeline of free capacity on a machine, for planning. None for a machine that takes no more tasks.
-    pub(super) fn machine_timeline(&self, m: &Machine) -> Option<Lane> {
+    pub(super) fn machine_timeline(&self, m: &Machine) -> Option<MachineTimeline> {
         let now = self.now.ms;
-        let t = self.types.iter().find(|t| t.name == m.model)?;
-        let is_usable = m.usable(now, 3 * self.settings.report_ms());
-        let is_booting = m.is_booting() && m.moving.is_none() && !m.cordoned;
+        let t = self.machine_types.iter().find(|t| t.name == m.model)?;
+        let is_usable = m.is_usable(now, 3 * self.settings.report_ms());
+        let is_booting = m.is_booting() && m.moving_to.is_none() && !m.cordoned;
         if m.reserved || (!is_usable && !is_booting) {
             return None;
         }
         let mut free = [t.cpus, t.gpus, t.memory_gb];
-        free.iter_mut().zip(m.taken()).for_each(|(f, u)| *f -= u);
+        free.iter_mut().zip(m.used_resources()).for_each(|(f, u)| *f -= u);
         let mut busy: Vec<(f64, Amounts)> = m
             .held
             .iter()
@@ -64,7 +64,7 @@
                 let ran_s = h.running_since.map_or(0.0, |t| now.saturating_sub(t) as f64 / 1000.0);
                 // A task that has run for longer than estimated is expected to need 0.3 times its run time so far
                 // again.
-                let left_s = (self.estimates.run_s(&job.spec) - ran_s).max(0.3 * ran_s);
+                let left_s = (self.estimates.expected_run_s(&job.spec) - ran_s).max(0.3 * ran_s);
                 Some((if h.stop.is_some() { 0.0 } else { left_s }, h.size))
             })
             .collect();
@@ -75,7 +75,7 @@
         } else {
             0.0
         };
-        Some(Lane {
+        Some(MachineTimeline {
             model: m.model.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
@@ -94,13 +94,13 @@
             .map(|(id, m)| BootingMachine {
                 id: id.clone(),
                 model: m.model.clone(),
-                since: m.known_since,
+                rented_at_ms: m.known_since,
             })
             .collect();
         let grace_ms = 2 * self.settings.report_ms();
-        self.cloud
+        self.capacity
             .boot_times
-            .discounted(&booting, &self.types, self.now.ms, grace_ms)
+            .late_machines_to_replace(&booting, &self.machine_types, self.now.ms, grace_ms)
     }
 
     /// Digests of the partitions that this controller is active for.
@@ -114,34 +114,40 @@
         let now = self.now.ms;
         let mut supply = self.supply(partition);
         let own = |w: &&UnplacedTasks| w.partition == partition;
-        let mut unplaced: Vec<UnplacedTasks> = self.cloud.wishes.iter().filter(own).cloned().collect();
+        let mut unplaced: Vec<UnplacedTasks> = self.capacity.demands.iter().filter(own).cloned().collect();
         let wants = summarize_waiting_tasks(&unplaced, &self.settings.platform.facts.zones);
         let waiting_demand: f64 = unplaced.iter().map(|w| f64::from(w.count) * task_demand(&w.size)).sum();
-        let refused = |kind: &MachineKind| self.cloud.is_refused(kind, now);
-        absorb(
+        let refused = |kind: &MachineKind| self.capacity.is_refused(kind, now);
+        assign_to_existing_machines(
             &mut unplaced,
             &mut supply.timelines,
-            &self.types,
+            &self.machine_types,
             &refused,
-            self.guarantee_s(),
+            self.guaranteed_start_limit_s(),
+        );
+        let mut needs = plan_machine_requests(
+            &unplaced,
+            Vec::new(),
+            &self.machine_types,
+            &refused,
+            &supply.machines_per_zone,
         );
-        let mut needs = plan(&unplaced, Vec::new(), &self.types, &refused, &supply.machines_per_zone);
         needs.extend(self.replacements_wanted(partition));
         supply.preemptible.sort_by(|a, b| a.0.total_cmp(&b.0));
         let has_no_local_use = |room: &SpareRoom| {
             !wants
                 .iter()
-                .any(|tasks| tasks.takes(&room.machine) && tasks.fits(&room.free) > 0)
+                .any(|tasks| tasks.accepts_machine(&room.machine) && tasks.count_fitting(&room.free) > 0)
         };
         supply.spare_room.retain(has_no_local_use);
         Digest {
             partition,
-            ledger: self.member.ledger,
+            revision: self.membership.revision,
             demand: supply.running_demand + waiting_demand,
-            needs,
-            wants,
+            machine_requests: needs,
+            waiting_tasks: wants,
             idle: supply.idle,
-            yielding: supply
+            vacatable_machines: supply
                 .preemptible
                 .into_iter()
                 .map(|(_, i)| i)
@@ -155,7 +161,7 @@
     fn supply(&self, partition: Partition) -> Supply {
         let late = self.late_machines(partition);
         let mut supply = Supply::default();
-        let own = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.gone;
+        let own = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.is_deleted;
         for (id, m) in self.machines.iter().filter(own) {
             *supply.machines_per_zone.entry(m.zone.clone()).or_default() += 1;
             supply.running_demand += m.held.iter().map(|h| task_demand(&h.size)).sum::<f64>();
@@ -177,7 +183,7 @@
     fn can_be_handed_over(&self, m: &Machine) -> bool {
         let report_ms = self.settings.report_ms();
         let idle_ms = m.idle_since.map_or(0, |t| self.now.ms.saturating_sub(t));
-        idle_ms > report_ms && !m.reserved && m.usable(self.now.ms, 2 * report_ms)
+        idle_ms > report_ms && !m.reserved && m.is_usable(self.now.ms, 2 * report_ms)
     }
 }
 
@@ -185,7 +191,7 @@
 #[derive(Default)]
 struct Supply {
     /// Timelines of free capacity of the machines that take tasks, without late ones.
-    timelines: Vec<Lane>,
+    timelines: Vec<MachineTimeline>,
     /// Machines that run nothing.
     idle: Vec<IdleMachine>,
     /// Machines that can be vacated for production work, each with the seconds of work that would be lost.
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -1,9 +1,9 @@
 //! Handing machines over between partitions: how the leader chooses them and how their owners carry it out.
 
-use super::{MachineKind, PendingHandOver, room_for};
+use super::{MachineKind, PendingHandOver, count_fitting_tasks};
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
-use crate::messages::{Digest, IdleMachine, Level, MachineRequest, Move, SpareRoom, WaitingTasks};
+use crate::messages::{Digest, IdleMachine, Level, MachineMove, MachineRequest, SpareRoom, WaitingTasks};
 use std::collections::BTreeMap;
 
 /// The state in which a machine is handed over.
@@ -43,7 +43,7 @@
 /// Sorts digests into the order in which they are served: those with urgent waiting tasks first, then by descending
 /// demand. The order matters when the cloud runs out of a kind of machine.
 fn sort_by_demand(digests: &[Digest]) -> Vec<&Digest> {
-    let is_urgent = |d: &Digest| d.wants.iter().any(|tasks| tasks.urgent);
+    let is_urgent = |d: &Digest| d.waiting_tasks.iter().any(|tasks| tasks.urgent);
     let mut order: Vec<&Digest> = digests.iter().collect();
     order.sort_by(|a, b| is_urgent(b).cmp(&is_urgent(a)).then(b.demand.total_cmp(&a.demand)));
     order
@@ -67,7 +67,7 @@
     let mut rentals = Rentals::new();
     for digest in order {
         let to = digest.partition;
-        let requests = digest.needs.iter();
+        let requests = digest.machine_requests.iter();
         for request in requests.flat_map(|request| std::iter::repeat_n(request, request.count as usize)) {
             // A machine that is being handed over arrives sooner than a rented one would.
             let arriving_at = arriving.iter().position(|(p, i)| *p == to && satisfies(i, request));
@@ -99,7 +99,7 @@
     /// Run by the leader in each round.
     pub(super) fn allocate_machines(&mut self) {
         let now = self.now.ms;
-        self.cloud.refused_until.retain(|_, t| now < *t);
+        self.capacity.refused_until.retain(|_, t| now < *t);
         self.prune_pending_hand_overs();
         let digests = self.usable_digests();
         let mut offers = self.collect_offers(&digests);
@@ -117,17 +117,17 @@
     fn prune_pending_hand_overs(&mut self) {
         let now = self.now.ms;
         let timeout_ms = 4 * self.settings.report_ms();
-        let revision = self.member.ledger;
-        let mut pending = std::mem::take(&mut self.cloud.pending_hand_overs);
+        let revision = self.membership.revision;
+        let mut pending = std::mem::take(&mut self.capacity.pending_hand_overs);
         pending.retain(|l| {
             let current = self.machines.get(&l.machine.machine).map(|m| m.partition);
             if current == Some(l.to) {
-                let min_revision = self.cloud.min_digest_revision.entry(l.to).or_default();
+                let min_revision = self.capacity.min_digest_revision.entry(l.to).or_default();
                 *min_revision = (*min_revision).max(revision);
             }
             current.is_some() && current != Some(l.to) && now.saturating_sub(l.requested_at) < timeout_ms
         });
-        self.cloud.pending_hand_overs = pending;
+        self.capacity.pending_hand_overs = pending;
     }
 
     /// The digests received within two report intervals from owners that know the results of earlier rounds.
@@ -135,20 +135,26 @@
         let max_age_ms = 2 * self.settings.report_ms();
         let is_fresh = |(d, at): &&(Digest, u64)| {
             self.now.ms.saturating_sub(*at) < max_age_ms
-                && d.ledger >= self.cloud.min_digest_revision.get(&d.partition).copied().unwrap_or(0)
+                && d.revision
+                    >= self
+                        .capacity
+                        .min_digest_revision
+                        .get(&d.partition)
+                        .copied()
+                        .unwrap_or(0)
         };
         // A suspected owner is given no machines and asked for none, because it may be unable to act on either.
         let is_trusted = |d: &Digest| {
-            let owner = self.holding(d.partition).map(|h| &h.owner);
-            owner.is_none_or(|owner| !self.suspects(owner))
+            let owner = self.partition_owner(d.partition).map(|h| &h.owner);
+            owner.is_none_or(|owner| !self.is_suspected(owner))
         };
-        let digests = self.cloud.digests.values().filter(is_fresh);
+        let digests = self.capacity.digests.values().filter(is_fresh);
         digests.map(|(d, _)| d).filter(|d| is_trusted(d)).cloned().collect()
     }
 
     /// The machines whose hand-over is pending, each with the partition that it goes to.
     fn arriving_machines(&self) -> Vec<(Partition, IdleMachine)> {
-        self.cloud
+        self.capacity
             .pending_hand_overs
             .iter()
             .map(|l| (l.to, l.machine.clone()))
@@ -158,7 +164,7 @@
     /// Collects the machines that digests offer, except those whose hand-over is pending.
     fn collect_offers(&self, digests: &[Digest]) -> Offers {
         let is_moving = |i: &IdleMachine| {
-            self.cloud
+            self.capacity
                 .pending_hand_overs
                 .iter()
                 .any(|l| l.machine.machine == i.machine)
@@ -167,10 +173,10 @@
         let mut preemptible = Vec::new();
         for digest in digests {
             let from = |i: &IdleMachine| (digest.partition, i.clone());
-            let is_needed = |i: &IdleMachine| digest.wants.iter().any(|tasks| tasks.takes(i));
+            let is_needed = |i: &IdleMachine| digest.waiting_tasks.iter().any(|tasks| tasks.accepts_machine(i));
             let available = digest.idle.iter().filter(|i| !is_needed(i) && !is_moving(i));
             idle.extend(available.map(from));
-            preemptible.extend(digest.yielding.iter().filter(|i| !is_moving(i)).map(from));
+            preemptible.extend(digest.vacatable_machines.iter().filter(|i| !is_moving(i)).map(from));
         }
         Offers {
             idle,
@@ -186,7 +192,7 @@
         let mut moves = Vec::new();
         for digest in order {
             let to = digest.partition;
-            for tasks in &digest.wants {
+            for tasks in &digest.waiting_tasks {
                 let left = self.assign_arriving_machines(to, tasks, &mut arriving);
                 let left = self.assign_idle_machines(to, tasks, left, &mut offers.idle, &mut moves);
                 if left > 0 {
@@ -244,12 +250,12 @@
 
     /// How many of the waiting tasks fit on a machine while it is empty; none if they may not or cannot run on it.
     fn tasks_that_fit(&self, tasks: &WaitingTasks, machine: &IdleMachine) -> Option<u32> {
-        if !tasks.takes(machine) {
+        if !tasks.accepts_machine(machine) {
             return None;
         }
-        let model = self.types.iter().find(|t| t.name == machine.model)?;
+        let model = self.machine_types.iter().find(|t| t.name == machine.model)?;
         let capacity = [model.cpus, model.gpus, model.memory_gb];
-        Some(room_for(&tasks.size, &capacity)).filter(|n| *n > 0)
+        Some(count_fitting_tasks(&tasks.task_resources, &capacity)).filter(|n| *n > 0)
     }
 
     /// Queues requests to the owners of machines to hand them over. They are sent with the next heartbeat.
@@ -262,16 +268,16 @@
             mode,
         } in moves
         {
-            let Some(owner) = self.holding(from).map(|h| h.owner.clone()) else {
+            let Some(owner) = self.partition_owner(from).map(|h| h.owner.clone()) else {
                 continue;
             };
-            self.cloud.moves_to_send.entry(owner).or_default().push(Move {
+            self.capacity.moves_to_send.entry(owner).or_default().push(MachineMove {
                 machine: machine.machine.clone(),
                 to,
                 vacate: mode == HandOverMode::Vacated,
                 occupied: mode == HandOverMode::Occupied,
             });
-            self.cloud.pending_hand_overs.push(PendingHandOver {
+            self.capacity.pending_hand_overs.push(PendingHandOver {
                 machine,
                 to,
                 requested_at: now,
@@ -281,23 +287,26 @@
 
     /// Starts the hand-overs that the leader has requested, for machines that are still empty, may go with their
     /// tasks, or are still preemptible.
-    pub(super) fn execute_moves(&mut self, moves: Vec<Move>) {
+    pub(super) fn execute_moves(&mut self, moves: Vec<MachineMove>) {
         for request in moves {
             let now = self.now.ms;
             let max_report_age_ms = 2 * self.settings.report_ms();
             let Some(m) = self.machines.get(&request.machine) else {
                 continue;
             };
-            if m.partition == request.to || !m.usable(now, max_report_age_ms) || self.acting(m.partition).is_none() {
+            if m.partition == request.to
+                || !m.is_usable(now, max_report_age_ms)
+                || self.active_tenure(m.partition).is_none()
+            {
                 continue;
             }
-            if m.clean() {
+            if m.is_empty_and_fenced() {
                 self.log(
                     Level::Info,
                     format!("{} goes to partition {}", request.machine, request.to),
                 );
                 self.hand_over(&request.machine, request.to);
-            } else if request.occupied && self.may_share_machines() && self.may_go_occupied(m) {
+            } else if request.occupied && self.can_hand_over_shared_machines() && self.can_hand_over_with_tasks(m) {
                 let tasks = m.held.len();
                 self.log(
                     Level::Info,
@@ -317,7 +326,7 @@
     fn vacate(&mut self, id: &MachineId, to: Partition) {
         let now = self.now.ms;
         let Some(m) = self.machines.get_mut(id) else { return };
-        m.vacating = Some((to, now));
+        m.vacating_for = Some((to, now));
         let held: Vec<_> = m.held.iter().map(|h| (h.task.clone(), h.attempt)).collect();
         self.log(
             Level::Info,
@@ -331,26 +340,26 @@
             return;
         }
         for (task, attempt) in held {
-            self.stop_held(id, &task, attempt);
+            self.request_stop(id, &task, attempt);
         }
     }
 
     /// Hands over the machines that have become empty, and cancels the vacating of those that have not become empty
     /// within two report intervals.
     pub(crate) fn finish_vacating(&mut self) {
-        if !self.entitled() {
+        if !self.is_entitled() {
             return;
         }
         let now = self.now.ms;
         let timeout_ms = 2 * self.settings.report_ms();
         let mut ready = Vec::new();
         for (id, m) in &mut self.machines {
-            let Some((to, since)) = m.vacating else { continue };
-            if m.clean() {
-                m.vacating = None;
+            let Some((to, since)) = m.vacating_for else { continue };
+            if m.is_empty_and_fenced() {
+                m.vacating_for = None;
                 ready.push((id.clone(), to));
             } else if now.saturating_sub(since) > timeout_ms {
-                m.vacating = None;
+                m.vacating_for = None;
             }
         }
         for (id, to) in ready {
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -1,24 +1,24 @@
 //! Heartbeats between controllers. They carry requests for grants, digests, cancellations, liveness information and
 //! permits; the replies carry grants, machines to hand over, and the kinds of machine that the cloud refuses.
 
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::ControllerId;
-use crate::messages::{Digest, MachineRequest, Move, PeerReply, PeerRequest, PermitGrants};
+use crate::messages::{Digest, MachineMove, MachineRequest, PeerReply, PeerRequest, PermitGrants};
 
 impl Controller {
     /// Sends heartbeats to the peers for which one is due.
-    pub(crate) fn say_hello(&mut self) {
-        self.greet(false);
+    pub(crate) fn send_due_heartbeats(&mut self) {
+        self.send_heartbeats(false);
     }
 
     /// Sends heartbeats to the peers for which one is due or a failure detector probe is wanted; with `at_once` also to
     /// all peers that have not been told of a cancellation yet.
-    pub(crate) fn greet(&mut self, at_once: bool) {
+    pub(crate) fn send_heartbeats(&mut self, at_once: bool) {
         let now = self.now.ms;
         let interval_ms = self.settings.heartbeat_ms();
-        let leader = self.member.leader.as_ref().map(|(l, _)| l.name.clone());
-        let wants_grant = self.wants_grants();
+        let leader = self.membership.leader.as_ref().map(|(l, _)| l.name.clone());
+        let wants_grant = self.should_request_grants();
         let names: Vec<String> = self
             .settings
             .platform
@@ -28,49 +28,49 @@
             .collect();
         for name in names {
             let to = ControllerId::new(name);
-            let urgent = (at_once && self.lacks_cancellations(&to)) || self.contact_due(&to);
-            let (told, told_span, _) = self.tell_cancellations(&to);
-            let peer = self.member.peers.entry(to.clone()).or_default();
-            let due = peer.asked == 0 || now >= peer.asked + interval_ms;
-            if peer.asking || !(due || urgent) {
+            let urgent = (at_once && self.lacks_cancellations(&to)) || self.is_contact_due(&to);
+            let (told, sent_cancellations, _) = self.cancellations_for_peer(&to);
+            let peer = self.membership.peers.entry(to.clone()).or_default();
+            let due = peer.last_heartbeat_sent_ms == 0 || now >= peer.last_heartbeat_sent_ms + interval_ms;
+            if peer.awaits_answer || !(due || urgent) {
                 continue;
             }
-            peer.asking = true;
+            peer.awaits_answer = true;
             if due {
-                peer.asked = now.max(1);
+                peer.last_heartbeat_sent_ms = now.max(1);
             }
-            peer.asked_grant = wants_grant;
+            peer.awaits_grant = wants_grant;
             // Computing digests looks at every machine, so a heartbeat sent out of turn carries none.
-            let digests = if due && leader.as_ref() == Some(&to) && self.entitled() {
+            let digests = if due && leader.as_ref() == Some(&to) && self.is_entitled() {
                 self.own_digests()
             } else {
                 Vec::new()
             };
-            let liveness = self.liveness_for(&to);
+            let liveness = self.build_detector_heartbeat(&to);
             let permits = self.permit_listing(&to);
             let request = PeerRequest::Heartbeat {
-                name: self.me.as_str().to_owned(),
-                entitled: self.entitled(),
+                name: self.own_name.as_str().to_owned(),
+                entitled: self.is_entitled(),
                 wants_grant,
-                relies: self.relies_on(&to),
+                relies_on_grant: self.relies_on_grant_of(&to),
                 digests,
-                told,
-                liveness,
+                cancellations: told,
+                detector_heartbeat: liveness,
                 permits,
             };
             let timeout = self.settings.report_ms() / 2;
-            let purpose = Purpose::Heartbeat {
+            let purpose = CallPurpose::Heartbeat {
                 to: to.clone(),
                 sent: now,
-                told: told_span,
+                sent_cancellations,
             };
-            self.ask(to, request, timeout, purpose);
+            self.send_peer_request(to, request, timeout, purpose);
         }
     }
 
     /// Handles a peer's heartbeat and replies to it. `peer_flags` says whether the peer is entitled to act, wants a
     /// grant, and relies on a grant of this controller.
-    pub(crate) fn on_hello(
+    pub(crate) fn on_heartbeat(
         &mut self,
         id: u64,
         from: ControllerId,
@@ -80,26 +80,26 @@
     ) {
         let now = self.now.ms;
         let (entitled, wants_grant, relies) = peer_flags;
-        let (told, _, is_complete) = self.tell_cancellations(&from);
-        let granted = wants_grant && is_complete && self.give_grant();
-        self.note_reliance(&from, relies || granted);
+        let (told, _, is_complete) = self.cancellations_for_peer(&from);
+        let granted = wants_grant && is_complete && self.try_give_grant();
+        self.record_reliance(&from, relies || granted);
         let is_leader = self.is_leader();
-        if let Some(peer) = self.member.peers.get_mut(&from) {
-            peer.entitled = entitled;
-            peer.heard = Some(now);
+        if let Some(peer) = self.membership.peers.get_mut(&from) {
+            peer.is_entitled = entitled;
+            peer.last_heard_ms = Some(now);
         }
         let mut moves = Vec::new();
         let mut refused = Vec::new();
         if is_leader {
             for digest in digests {
                 // Digests of a partition are accepted only from its owner.
-                if self.holding(digest.partition).is_some_and(|h| h.owner == from) {
-                    self.cloud.digests.insert(digest.partition, (digest, now));
+                if self.partition_owner(digest.partition).is_some_and(|h| h.owner == from) {
+                    self.capacity.digests.insert(digest.partition, (digest, now));
                 }
             }
-            moves = self.cloud.moves_to_send.remove(&from).unwrap_or_default();
+            moves = self.capacity.moves_to_send.remove(&from).unwrap_or_default();
             refused = self
-                .cloud
+                .capacity
                 .refused_until
                 .iter()
                 .filter(|(_, t)| now < **t)
@@ -113,32 +113,37 @@
                 })
                 .collect();
         }
-        let entitled = self.entitled();
-        let relies = self.relies_on(&from);
-        let liveness = self.liveness_for(&from);
-        self.out.push(crate::messages::Output::Tell {
+        let entitled = self.is_entitled();
+        let relies = self.relies_on_grant_of(&from);
+        let liveness = self.build_detector_heartbeat(&from);
+        self.outputs.push(crate::messages::Output::PeerReply {
             id,
             reply: PeerReply::Heartbeat {
                 entitled,
                 granted,
-                relies,
+                relies_on_grant: relies,
                 moves,
                 refused,
-                told,
-                liveness,
+                cancellations: told,
+                detector_heartbeat: liveness,
                 permits,
             },
         });
     }
 
     /// Handles the machines to hand over and the refused kinds in the leader's reply to a heartbeat.
-    pub(crate) fn on_moves(&mut self, from: &ControllerId, moves: Vec<Move>, refused: Vec<MachineRequest>) {
-        let is_from_leader = self.member.leader.as_ref().is_some_and(|(l, _)| l.name == *from);
+    pub(crate) fn on_leader_reply(
+        &mut self,
+        from: &ControllerId,
+        moves: Vec<MachineMove>,
+        refused: Vec<MachineRequest>,
+    ) {
+        let is_from_leader = self.membership.leader.as_ref().is_some_and(|(l, _)| l.name == *from);
         if !is_from_leader || self.is_leader() {
             return;
         }
         let until = self.now.ms + self.settings.report_ms();
-        self.cloud.refused_until = refused
+        self.capacity.refused_until = refused
             .into_iter()
             .map(|n| ((n.model, n.zone, n.spot), until))
             .collect();
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -1,7 +1,7 @@
 //! Renting and returning machines, and finding machines that are paid for but not in the roster.
 
 use super::{MAX_MACHINES_PER_RENTAL, MachineKind};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
 use crate::messages::{Level, Method};
@@ -13,40 +13,40 @@
     /// Sends rental requests for the wanted machines, kinds with the most production work first. A rental without a
     /// definite answer is retried before anything else is rented.
     pub(super) fn send_rentals(&mut self, wanted: BTreeMap<MachineKind, Vec<(Partition, bool)>>) {
-        if let Some((rental, partitions)) = self.cloud.rentals_to_retry.pop() {
+        if let Some((rental, partitions)) = self.capacity.rentals_to_retry.pop() {
             if self.take_cloud_budget(0.0) {
                 self.rent(rental, partitions);
             } else {
-                self.cloud.rentals_to_retry.push((rental, partitions));
+                self.capacity.rentals_to_retry.push((rental, partitions));
             }
             return;
         }
-        if self.cloud.rentals_in_flight > 0 || !self.cloud.pending_registration.is_empty() {
+        if self.capacity.rentals_in_flight > 0 || !self.capacity.pending_registration.is_empty() {
             return;
         }
-        let Some((_, leader_revision)) = self.member.leader.clone() else {
+        let Some((_, leader_revision)) = self.membership.leader.clone() else {
             return;
         };
         let now = self.now.ms;
         let mut kinds: Vec<(MachineKind, Vec<(Partition, bool)>)> = wanted.into_iter().collect();
         kinds.sort_by_key(|(_, machines)| std::cmp::Reverse(machines.iter().filter(|(_, urgent)| *urgent).count()));
         for (kind, machines) in kinds {
-            if self.cloud.refused_until.contains_key(&kind) || !self.take_cloud_budget(0.0) {
+            if self.capacity.refused_until.contains_key(&kind) || !self.take_cloud_budget(0.0) {
                 continue;
             }
             for (n, chunk) in machines.chunks(MAX_MACHINES_PER_RENTAL).enumerate() {
-                let exhausted_at = self.cloud.exhausted_at.get(&kind);
+                let exhausted_at = self.capacity.exhausted_at.get(&kind);
                 let is_exhausted =
                     exhausted_at.is_some_and(|t| now.saturating_sub(*t) < 8 * self.settings.worker_lease_ms());
                 if n > 0 && (is_exhausted || !self.take_cloud_budget(0.0)) {
                     break;
                 }
                 let partitions: Vec<Partition> = chunk.iter().map(|(p, _)| *p).collect();
-                self.cloud.rental_count += 1;
+                self.capacity.rental_count += 1;
                 // The revision at which this leader wrote the leader key is unique to it, so the request id is unique
                 // too.
                 let rental = Rental {
-                    request: format!("r-{leader_revision}-{}", self.cloud.rental_count),
+                    request: format!("r-{leader_revision}-{}", self.capacity.rental_count),
                     model: kind.0.clone(),
                     zone: kind.1.clone(),
                     spot: kind.2,
@@ -59,22 +59,24 @@
 
     /// Sends one rental request. `partitions` holds, for each machine, the partition that it is for.
     pub(super) fn rent(&mut self, rental: Rental, partitions: Vec<Partition>) {
-        self.cloud.rentals_in_flight += 1;
+        self.capacity.rentals_in_flight += 1;
         let body = serde_json::to_string(&rental).unwrap_or_default();
         self.send_cloud_request(
             Method::Post,
             "/hosts",
             body,
-            Purpose::Rent {
-                rental,
-                split: partitions,
-            },
+            CallPurpose::RentMachines { rental, partitions },
         );
     }
 
     /// Handles the cloud's answer to a rental request.
-    pub(crate) fn on_rent(&mut self, rental: Rental, partitions: Vec<Partition>, result: Option<(u16, Vec<u8>)>) {
-        self.cloud.rentals_in_flight = self.cloud.rentals_in_flight.saturating_sub(1);
+    pub(crate) fn on_rental_answer(
+        &mut self,
+        rental: Rental,
+        partitions: Vec<Partition>,
+        result: Option<(u16, Vec<u8>)>,
+    ) {
+        self.capacity.rentals_in_flight = self.capacity.rentals_in_flight.saturating_sub(1);
         let now = self.now.ms;
         let kind = (rental.model.clone(), rental.zone.clone(), rental.spot);
         let pause_ms = self.settings.worker_lease_ms();
@@ -93,11 +95,11 @@
                     ),
                 );
                 if names.len() < partitions.len() {
-                    self.cloud.refused_until.insert(kind.clone(), now + pause_ms);
-                    self.cloud.exhausted_at.insert(kind.clone(), now);
+                    self.capacity.refused_until.insert(kind.clone(), now + pause_ms);
+                    self.capacity.exhausted_at.insert(kind.clone(), now);
                 }
                 for (name, partition) in names.into_iter().zip(partitions) {
-                    self.cloud.pending_registration.push(RentedMachine {
+                    self.capacity.pending_registration.push(RentedMachine {
                         machine: name,
                         partition,
                         kind: kind.clone(),
@@ -114,16 +116,16 @@
                         kind.0, kind.1, kind.2
                     ),
                 );
-                self.cloud.exhausted_at.insert(kind.clone(), now);
-                self.cloud.refused_until.insert(kind, now + pause_ms);
+                self.capacity.exhausted_at.insert(kind.clone(), now);
+                self.capacity.refused_until.insert(kind, now + pause_ms);
             }
             Some((400, body)) => {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 self.log(Level::Error, format!("cloud: rental rejected as malformed: {text}"));
-                self.cloud.refused_until.insert(kind, now + pause_ms);
+                self.capacity.refused_until.insert(kind, now + pause_ms);
             }
             // 429, an outage, or no answer: the same request is sent again. Its id makes it idempotent.
-            _ => self.cloud.rentals_to_retry.push((rental, partitions)),
+            _ => self.capacity.rentals_to_retry.push((rental, partitions)),
         }
     }
 
@@ -133,23 +135,23 @@
         let now = self.now.ms;
         let min_age_ms = 2 * self.settings.report_ms();
         let registered: Vec<MachineId> = self
-            .cloud
+            .capacity
             .unregistered
             .keys()
             .filter(|id| self.machines.contains_key(*id))
             .cloned()
             .collect();
         for id in registered {
-            self.cloud.unregistered.remove(&id);
+            self.capacity.unregistered.remove(&id);
         }
-        self.cloud
+        self.capacity
             .unregistered
             .retain(|_, m| now.saturating_sub(m.last_seen_at) < 2 * min_age_ms);
-        if self.cloud.rentals_in_flight > 0 || !self.cloud.pending_registration.is_empty() {
+        if self.capacity.rentals_in_flight > 0 || !self.capacity.pending_registration.is_empty() {
             return;
         }
         let to_adopt: Vec<(MachineId, MachineKind)> = self
-            .cloud
+            .capacity
             .unregistered
             .iter()
             .filter(|(_, m)| m.is_alive && now.saturating_sub(m.first_seen_at) > min_age_ms)
@@ -157,7 +159,7 @@
             .collect();
         for (id, kind) in to_adopt {
             let partition = self
-                .cloud
+                .capacity
                 .digests
                 .iter()
                 .max_by(|a, b| a.1.0.demand.total_cmp(&b.1.0.demand))
@@ -166,8 +168,8 @@
                 Level::Info,
                 format!("{id}: reports but is not in the roster, taking it in"),
             );
-            self.cloud.unregistered.remove(&id);
-            self.cloud.pending_registration.push(RentedMachine {
+            self.capacity.unregistered.remove(&id);
+            self.capacity.pending_registration.push(RentedMachine {
                 machine: id,
                 partition,
                 kind,
@@ -180,35 +182,39 @@
     /// that are faulty or drained.
     pub(super) fn mark_retiring_machines(&mut self) {
         let now = self.now.ms;
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let idle_per_boot = self.settings.operator.idle_per_boot;
         let mut log_lines = Vec::new();
         let jobs = &self.jobs;
         for (id, m) in &mut self.machines {
-            if !acting.contains(&m.partition) || m.retiring || m.gone || m.moving.is_some() || !m.up() {
+            if !acting.contains(&m.partition) || m.retiring || m.is_deleted || m.moving_to.is_some() || !m.is_up() {
                 continue;
             }
-            if !m.confirmed || !m.held.is_empty() || (m.reserved && !m.suspect) {
+            if !m.is_confirmed || !m.held.is_empty() || (m.reserved && !m.is_faulty) {
                 continue;
             }
             if m.has_unstored_results(jobs) {
                 continue;
             }
-            let boot_s = self.types.iter().find(|t| t.name == m.model).map_or(60.0, |t| t.boot_s);
+            let boot_s = self
+                .machine_types
+                .iter()
+                .find(|t| t.name == m.model)
+                .map_or(60.0, |t| t.boot_s);
             // If a spot machine is returned, an on-demand machine may have to replace it. The more that one costs by
             // comparison, the longer the spot machine is kept.
-            let t = self.types.iter().find(|t| t.name == m.model);
+            let t = self.machine_types.iter().find(|t| t.name == m.model);
             let price_ratio = match t {
                 Some(t) if m.spot => (t.price / t.spot_price.max(1e-9)).clamp(1.0, 5.0),
                 _ => 1.0,
             };
             let idle_limit_ms = (boot_s * idle_per_boot * price_ratio * 1000.0) as u64;
             let is_idle_too_long = m.idle_since.is_some_and(|t| now.saturating_sub(t) > idle_limit_ms);
-            if is_idle_too_long || m.suspect || m.draining {
+            if is_idle_too_long || m.is_faulty || m.draining {
                 m.retiring = true;
                 log_lines.push(format!(
                     "{id}: {}, returning it to the cloud",
-                    if m.suspect {
+                    if m.is_faulty {
                         "faulty"
                     } else if m.draining {
                         "emptied"
@@ -225,13 +231,13 @@
 
     /// Sends a deletion request for the machines that are marked to be returned, at most 100 at a time.
     pub(super) fn send_deletions(&mut self) {
-        if self.cloud.deletion_in_flight {
+        if self.capacity.deletion_in_flight {
             return;
         }
         let names: Vec<MachineId> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.retiring && !m.deleting && !m.gone && self.acting(m.partition).is_some())
+            .filter(|(_, m)| m.retiring && !m.deleting && !m.is_deleted && self.active_tenure(m.partition).is_some())
             .map(|(id, _)| id.clone())
             .take(100)
             .collect();
@@ -248,29 +254,34 @@
 
     /// Sends a deletion request for the given machines.
     pub(super) fn delete(&mut self, machines: Vec<MachineId>) {
-        self.cloud.deletion_in_flight = true;
+        self.capacity.deletion_in_flight = true;
         let body = serde_json::to_string(&MachineNames {
             machines: machines.clone(),
         })
         .unwrap_or_default();
-        self.send_cloud_request(Method::Post, "/hosts/delete", body, Purpose::Delete { machines });
+        self.send_cloud_request(
+            Method::Post,
+            "/hosts/delete",
+            body,
+            CallPurpose::DeleteMachines { machines },
+        );
     }
 
     /// Handles the cloud's answer to a deletion request.
-    pub(crate) fn on_delete(&mut self, machines: Vec<MachineId>, result: Option<(u16, Vec<u8>)>) {
-        self.cloud.deletion_in_flight = false;
+    pub(crate) fn on_deletion_answer(&mut self, machines: Vec<MachineId>, result: Option<(u16, Vec<u8>)>) {
+        self.capacity.deletion_in_flight = false;
         let is_deleted = matches!(result, Some((200, _)));
         for id in machines {
             let Some(m) = self.machines.get_mut(&id) else { continue };
             m.deleting = false;
             if is_deleted {
                 // The answer confirms that the machine and all tasks on it are gone.
-                m.gone = true;
-                self.cloud.deleted_at.insert(id.clone(), self.now.ms);
-                self.release_all(&id, "the cloud has deleted it");
+                m.is_deleted = true;
+                self.capacity.deleted_at.insert(id.clone(), self.now.ms);
+                self.release_all_attempts(&id, "the cloud has deleted it");
                 // The delay lets several machines that are deleted at about the same time share one roster write.
                 let write_at = self.now.ms + self.settings.report_ms() / 2;
-                self.group_due(&id, write_at);
+                self.schedule_group_write(&id, write_at);
             }
         }
     }
@@ -281,18 +292,19 @@
         let interval_ms = (self.settings.platform.facts.cloud.list_lag_s * 2000.0) as u64 + self.settings.report_ms();
         // The pages of one listing are requested one after the other without that pause; a page holds at most 500
         // machines.
-        let is_listing_complete = self.cloud.next_list_cursor.is_empty();
-        if (is_listing_complete && now < self.cloud.list_requested_at + interval_ms) || !self.take_cloud_budget(0.3) {
+        let is_listing_complete = self.capacity.next_list_cursor.is_empty();
+        if (is_listing_complete && now < self.capacity.list_requested_at + interval_ms) || !self.take_cloud_budget(0.3)
+        {
             return;
         }
-        self.cloud.list_requested_at = now;
-        self.cloud.requested_list_cursor = std::mem::take(&mut self.cloud.next_list_cursor);
-        let path = format!("/hosts?since={}&most=500", self.cloud.requested_list_cursor);
-        self.send_cloud_request(Method::Get, path, String::new(), Purpose::Hosts);
+        self.capacity.list_requested_at = now;
+        self.capacity.requested_list_cursor = std::mem::take(&mut self.capacity.next_list_cursor);
+        let path = format!("/hosts?since={}&most=500", self.capacity.requested_list_cursor);
+        self.send_cloud_request(Method::Get, path, String::new(), CallPurpose::ListMachines);
     }
 
     /// Handles a page of the cloud's machine list: deletes the machines that are not in the roster.
-    pub(crate) fn on_hosts(&mut self, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_machine_list(&mut self, result: Option<(u16, Vec<u8>)>) {
         let Some((200, body)) = result else { return };
         let Ok(list) = serde_json::from_slice::<MachineList>(&body) else {
             return;
@@ -300,13 +312,13 @@
         // Without the further pages, machines beyond the first one would never be found and would be paid for
         // indefinitely.
         let last_id = list.machines.last().map(|m| m.id.as_str().to_owned());
-        self.cloud.next_list_cursor = last_id
-            .filter(|l| list.more && *l > self.cloud.requested_list_cursor)
+        self.capacity.next_list_cursor = last_id
+            .filter(|l| list.more && *l > self.capacity.requested_list_cursor)
             .unwrap_or_default();
         if !self.is_leader()
-            || self.cloud.rentals_in_flight > 0
-            || !self.cloud.pending_registration.is_empty()
-            || self.cloud.deletion_in_flight
+            || self.capacity.rentals_in_flight > 0
+            || !self.capacity.pending_registration.is_empty()
+            || self.capacity.deletion_in_flight
         {
             return;
         }
@@ -315,7 +327,9 @@
             .machines
             .into_iter()
             .filter(|m| {
-                m.age_s > min_age_s && !self.machines.contains_key(&m.id) && !self.cloud.deleted_at.contains_key(&m.id)
+                m.age_s > min_age_s
+                    && !self.machines.contains_key(&m.id)
+                    && !self.capacity.deleted_at.contains_key(&m.id)
             })
             .map(|m| m.id)
             .take(100)
@@ -331,7 +345,7 @@
             ),
         );
         for id in &unregistered {
-            self.cloud.deleted_at.insert(id.clone(), self.now.ms);
+            self.capacity.deleted_at.insert(id.clone(), self.now.ms);
         }
         self.delete(unregistered);
     }
--- a/crates/tidelatch-core/src/capacity/spare_room.rs
+++ b/crates/tidelatch-core/src/capacity/spare_room.rs
@@ -33,12 +33,18 @@
 impl Controller {
     /// The free capacity of a machine in use, if the machine can be handed over with its tasks.
     pub(super) fn spare_room(&self, id: &MachineId, machine: &Machine) -> Option<SpareRoom> {
-        if machine.held.is_empty() || machine.reserved || !self.may_share_machines() || !self.may_go_occupied(machine) {
+        if machine.held.is_empty()
+            || machine.reserved
+            || !self.can_hand_over_shared_machines()
+            || !self.can_hand_over_with_tasks(machine)
+        {
             return None;
         }
-        let model = self.types.iter().find(|t| t.name == machine.model)?;
+        let model = self.machine_types.iter().find(|t| t.name == machine.model)?;
         let mut free = [model.cpus, model.gpus, model.memory_gb];
-        free.iter_mut().zip(machine.taken()).for_each(|(f, used)| *f -= used);
+        free.iter_mut()
+            .zip(machine.used_resources())
+            .for_each(|(f, used)| *f -= used);
         let machine = IdleMachine {
             machine: id.clone(),
             model: machine.model.clone(),
@@ -51,7 +57,7 @@
     /// The spare room that partitions offer, except on machines whose hand-over is pending.
     pub(super) fn spare_room_offered(&self, digests: &[Digest]) -> Vec<(Partition, SpareRoom)> {
         let is_moving = |room: &SpareRoom| {
-            self.cloud
+            self.capacity
                 .pending_hand_overs
                 .iter()
                 .any(|l| l.machine.machine == room.machine.machine)
@@ -71,13 +77,13 @@
         tasks: &WaitingTasks,
         offers: &mut Vec<(Partition, SpareRoom)>,
     ) -> Option<HandOver> {
-        let is_arriving = |l: &PendingHandOver| l.to == to && tasks.takes(&l.machine);
-        if self.cloud.pending_hand_overs.iter().any(is_arriving) || !self.all_kinds_refused(tasks) {
+        let is_arriving = |l: &PendingHandOver| l.to == to && tasks.accepts_machine(&l.machine);
+        if self.capacity.pending_hand_overs.iter().any(is_arriving) || !self.all_kinds_refused(tasks) {
             return None;
         }
         let tasks_that_fit = |(from, room): &(Partition, SpareRoom)| {
-            let is_allowed = *from != to && tasks.takes(&room.machine);
-            if is_allowed { tasks.fits(&room.free) } else { 0 }
+            let is_allowed = *from != to && tasks.accepts_machine(&room.machine);
+            if is_allowed { tasks.count_fitting(&room.free) } else { 0 }
         };
         let (at, _) = offers
             .iter()
@@ -95,14 +101,14 @@
 
     /// Whether the cloud has recently refused every kind of machine that the tasks could use.
     fn all_kinds_refused(&self, tasks: &WaitingTasks) -> bool {
-        let is_large_enough = |t: &&MachineType| tasks.fits(&[t.cpus, t.gpus, t.memory_gb]) > 0;
-        let kinds = self.types.iter().filter(is_large_enough).flat_map(|t| {
+        let is_large_enough = |t: &&MachineType| tasks.count_fitting(&[t.cpus, t.gpus, t.memory_gb]) > 0;
+        let kinds = self.machine_types.iter().filter(is_large_enough).flat_map(|t| {
             let kinds_in_zone = |zone: &String| [false, true].map(|spot| (t.name.clone(), zone.clone(), spot));
             t.zones.iter().flat_map(kinds_in_zone).collect::<Vec<MachineKind>>()
         });
         let mut allowed = kinds
-            .filter(|(model, zone, spot)| tasks.allows(model, zone, *spot))
+            .filter(|(model, zone, spot)| tasks.accepts_kind(model, zone, *spot))
             .peekable();
-        allowed.peek().is_some() && allowed.all(|kind| self.cloud.is_refused(&kind, self.now.ms))
+        allowed.peek().is_some() && allowed.all(|kind| self.capacity.is_refused(&kind, self.now.ms))
     }
 }
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -1,14 +1,14 @@
 //! The controller's state machine: handles inputs, keeps the table of calls in progress, and dispatches their replies.
 
 use crate::admission::Admission;
-use crate::calls::{Asker, Purpose, is_lost_lease};
+use crate::calls::{CallPurpose, Requester, is_lost_lease};
 use crate::cancellations::Cancellations;
-use crate::capacity::{Cloud, UnplacedTasks};
+use crate::capacity::{CapacityState, UnplacedTasks};
 use crate::disruption::Disruption;
 use crate::failure_detection::FailureDetection;
 use crate::ids::{ControllerId, Incarnation, JobId, MachineId, Partition};
 use crate::jobs::{EndedJob, Job, Purpose as JobPurpose, StatusReads};
-use crate::machine_view::{Guest, Machine};
+use crate::machine_view::{Machine, MisdirectedWorker};
 use crate::membership::{Membership, Tenure};
 use crate::messages::{Answer, Input, Level, Method, Now, Output, PeerReply, PeerRequest, Target};
 use crate::placement::Amounts;
@@ -26,11 +26,11 @@
 pub struct Controller {
     pub(crate) settings: Settings,
     /// Name of this controller.
-    pub(crate) me: ControllerId,
+    pub(crate) own_name: ControllerId,
     /// Time of the input that is being handled.
     pub(crate) now: Now,
     /// Outputs of the input that is being handled.
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
     next_call_id: u64,
     /// When the last input arrived.
     last_input_ms: u64,
@@ -38,56 +38,56 @@
     /// and other controllers may have reported newer state to users meanwhile.
     first_fresh_call: u64,
     /// The reply that is being handled belongs to such a call.
-    pub(crate) stale: bool,
+    pub(crate) is_reply_stale: bool,
     /// Purposes of the calls in progress, by call number.
-    pending_calls: BTreeMap<u64, Purpose>,
-    pub(crate) member: Membership,
+    pending_calls: BTreeMap<u64, CallPurpose>,
+    pub(crate) membership: Membership,
     pub(crate) tenures: BTreeMap<Partition, Tenure>,
-    pub(crate) types: Vec<MachineType>,
+    pub(crate) machine_types: Vec<MachineType>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Jobs that have ended.
-    pub(crate) over: BTreeMap<JobId, EndedJob>,
+    pub(crate) ended_jobs: BTreeMap<JobId, EndedJob>,
     /// The ended jobs, in the order in which they ended.
-    pub(crate) over_order: VecDeque<JobId>,
+    pub(crate) ended_job_order: VecDeque<JobId>,
     pub(crate) status_reads: StatusReads,
     pub(crate) machines: BTreeMap<MachineId, Machine>,
-    pub(crate) cloud: Cloud,
+    pub(crate) capacity: CapacityState,
     pub(crate) roster: Roster,
     pub(crate) state_reads: TokenBucket,
     pub(crate) state_writes: TokenBucket,
-    pub(crate) limits: WriteLimits,
+    pub(crate) write_limits: WriteLimits,
     pub(crate) admission: Admission,
     /// When the next placement batch is due; `None`: none is needed.
-    pub(crate) batch_due: Option<u64>,
+    pub(crate) batch_due_ms: Option<u64>,
     pub(crate) estimates: EstimateCorrections,
     /// Jobs that the placement search skips for now, each with the capacity that it needs and the time until which it
     /// is skipped.
-    pub(crate) resting: BTreeMap<JobId, (Option<UnplacedTasks>, u64)>,
+    pub(crate) postponed_jobs: BTreeMap<JobId, (Option<UnplacedTasks>, u64)>,
     /// By team, the part of its limit that is reserved for one production task that found no machine.
-    pub(crate) kept_room: BTreeMap<usize, Amounts>,
+    pub(crate) reserved_room: BTreeMap<usize, Amounts>,
     /// Jobs within their teams' guarantees, as of the last placement batch.
-    pub(crate) guaranteed: BTreeSet<JobId>,
+    pub(crate) jobs_within_guarantee: BTreeSet<JobId>,
     /// When all machines are next examined.
     next_machine_tick_ms: u64,
-    pub(crate) flush_due: u64,
-    pub(crate) consolidate_due: u64,
+    pub(crate) flush_due_ms: u64,
+    pub(crate) consolidation_due_ms: u64,
     /// When each partition was last consolidated onto fewer machines.
-    pub(crate) consolidated: BTreeMap<Partition, u64>,
+    pub(crate) last_consolidations_ms: BTreeMap<Partition, u64>,
     /// When replicas of each partition were last moved to make room for others.
-    pub(crate) swapped: BTreeMap<Partition, u64>,
+    pub(crate) last_replica_swaps_ms: BTreeMap<Partition, u64>,
     /// Machines to which commands are to be sent at once.
-    pub(crate) poked: BTreeSet<MachineId>,
+    pub(crate) machines_with_urgent_commands: BTreeSet<MachineId>,
     /// Number of direct command calls sent so far.
     pub(crate) commands_sent: u64,
     /// Workers that report to this controller although another controller owns their machines.
-    pub(crate) guests: BTreeMap<MachineId, Guest>,
+    pub(crate) misdirected_workers: BTreeMap<MachineId, MisdirectedWorker>,
     pub(crate) cancellations: Cancellations,
     /// Failure detection; `None` if the settings do not enable it.
     pub(crate) detection: Option<FailureDetection>,
     /// Disruption control; `None` if the settings do not enable it.
     pub(crate) disruption: Option<Disruption>,
     /// Number of pairs of a task and a machine that the placement search has evaluated.
-    pub(crate) evaluated: u64,
+    pub(crate) evaluated_candidates: u64,
 }
 
 impl Controller {
@@ -97,53 +97,53 @@
         let state = &settings.platform.facts.state;
         let state_reads = TokenBucket::new(state.rps / controllers, state.rps / controllers);
         let state_writes = TokenBucket::new(state.write_rps / controllers, state.write_rps / controllers);
-        let cloud = Cloud::new(&settings);
-        let me = ControllerId::new(settings.platform.host_name.clone());
+        let capacity = CapacityState::new(&settings);
+        let own_name = ControllerId::new(settings.platform.host_name.clone());
         let detection = FailureDetection::new(&settings, incarnation, now.ms);
         let disruption = Disruption::new(&settings, now.ms);
         Self {
-            me,
+            own_name,
             now,
-            out: Vec::new(),
+            outputs: Vec::new(),
             next_call_id: 1,
             last_input_ms: now.ms,
             first_fresh_call: 0,
-            stale: false,
+            is_reply_stale: false,
             pending_calls: BTreeMap::new(),
-            member: Membership::new(incarnation, now.ms + settings.lease_ms()),
+            membership: Membership::new(incarnation, now.ms + settings.lease_ms()),
             tenures: BTreeMap::new(),
-            types: Vec::new(),
+            machine_types: Vec::new(),
             jobs: BTreeMap::new(),
-            over: BTreeMap::new(),
-            over_order: VecDeque::new(),
+            ended_jobs: BTreeMap::new(),
+            ended_job_order: VecDeque::new(),
             status_reads: StatusReads::default(),
             machines: BTreeMap::new(),
-            cloud,
+            capacity,
             roster: Roster::default(),
             state_reads,
             state_writes,
-            limits: WriteLimits {
-                value: settings.value_bytes(),
-                ops: settings.txn_ops(),
+            write_limits: WriteLimits {
+                value_bytes: settings.value_bytes(),
+                max_ops: settings.txn_ops(),
             },
             admission: Admission::new(&settings),
-            batch_due: None,
+            batch_due_ms: None,
             estimates: EstimateCorrections::default(),
-            resting: BTreeMap::new(),
-            kept_room: BTreeMap::new(),
-            guaranteed: BTreeSet::new(),
+            postponed_jobs: BTreeMap::new(),
+            reserved_room: BTreeMap::new(),
+            jobs_within_guarantee: BTreeSet::new(),
             next_machine_tick_ms: 0,
-            flush_due: 0,
-            consolidate_due: 0,
-            consolidated: BTreeMap::new(),
-            swapped: BTreeMap::new(),
-            poked: BTreeSet::new(),
+            flush_due_ms: 0,
+            consolidation_due_ms: 0,
+            last_consolidations_ms: BTreeMap::new(),
+            last_replica_swaps_ms: BTreeMap::new(),
+            machines_with_urgent_commands: BTreeSet::new(),
             commands_sent: 0,
-            guests: BTreeMap::new(),
+            misdirected_workers: BTreeMap::new(),
             cancellations: Cancellations::default(),
             detection,
             disruption,
-            evaluated: 0,
+            evaluated_candidates: 0,
             settings,
         }
     }
@@ -157,7 +157,7 @@
             self.first_fresh_call = self.next_call_id;
             self.record_pause(paused_ms);
         }
-        self.stale = match &input {
+        self.is_reply_stale = match &input {
             Input::Reply { call, .. } | Input::PeerReply { call, .. } => *call < self.first_fresh_call,
             _ => false,
         };
@@ -176,14 +176,14 @@
                 }
             }
         }
-        self.send_direct();
+        self.send_direct_commands();
         self.send_cancellations();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// Number of pairs of a task and a machine that the placement search has evaluated, as a measure of its cost.
-    pub fn evaluations(&self) -> u64 {
-        self.evaluated
+    pub fn evaluated_candidates(&self) -> u64 {
+        self.evaluated_candidates
     }
 
     fn tick(&mut self) {
@@ -202,24 +202,24 @@
             self.tick_disruption();
         }
         self.tick_roster();
-        self.tick_batch();
+        self.run_due_batch();
         self.consolidate();
         self.tick_capacity();
     }
 
     /// Logs a line for the operators.
     pub(crate) fn log(&mut self, level: Level, text: impl Into<String>) {
-        self.out.push(Output::Log {
+        self.outputs.push(Output::Log {
             level,
             text: text.into(),
         });
     }
 
     /// Answers a requester.
-    pub(crate) fn answer(&mut self, to: Asker, answer: Answer) {
-        self.out.push(match to {
-            Asker::Request(id) => Output::Answer { id, answer },
-            Asker::Peer(id) => Output::Tell {
+    pub(crate) fn send_answer(&mut self, to: Requester, answer: Answer) {
+        self.outputs.push(match to {
+            Requester::Request(id) => Output::Answer { id, answer },
+            Requester::Peer(id) => Output::PeerReply {
                 id,
                 reply: PeerReply::Answer(answer),
             },
@@ -227,19 +227,19 @@
     }
 
     /// Sends a call to a service or a worker and records its purpose until the reply arrives.
-    pub(crate) fn call(
+    pub(crate) fn send_call(
         &mut self,
         target: Target,
         method: Method,
         path: impl Into<String>,
         body: String,
         timeout_ms: u64,
-        purpose: Purpose,
+        purpose: CallPurpose,
     ) {
         let id = self.next_call_id;
         self.next_call_id += 1;
         self.pending_calls.insert(id, purpose);
-        self.out.push(Output::Call {
+        self.outputs.push(Output::Call {
             id,
             target,
             method,
@@ -255,11 +255,17 @@
     }
 
     /// Sends a request to another controller and records its purpose until the reply arrives.
-    pub(crate) fn ask(&mut self, to: ControllerId, request: PeerRequest, timeout_ms: u64, purpose: Purpose) {
+    pub(crate) fn send_peer_request(
+        &mut self,
+        to: ControllerId,
+        request: PeerRequest,
+        timeout_ms: u64,
+        purpose: CallPurpose,
+    ) {
         let id = self.next_call_id;
         self.next_call_id += 1;
         self.pending_calls.insert(id, purpose);
-        self.out.push(Output::Ask {
+        self.outputs.push(Output::PeerRequest {
             id,
             to,
             request,
@@ -269,16 +275,16 @@
 
     /// Dispatches a request of a user, a worker or a health check.
     fn on_request(&mut self, id: u64, method: Method, path: &str, body: &[u8]) {
-        let requester = Asker::Request(id);
+        let requester = Requester::Request(id);
         let path = path.split('?').next().unwrap_or(path);
         match (method, path) {
             (Method::Get, "/up") => {
                 let answer = if self.accepts_requests() {
                     Answer::new(200, "{}")
                 } else {
-                    Answer::later(503, 1, "not ready")
+                    Answer::retry_later(503, 1, "not ready")
                 };
-                self.answer(requester, answer);
+                self.send_answer(requester, answer);
             }
             (Method::Post, "/agent/beat") => self.on_report(requester, body, true),
             (Method::Post, "/submissions") => self.on_submission(requester, body, true),
@@ -287,13 +293,13 @@
                 match (method, rest) {
                     (Method::Get, Some(id)) if !id.contains('/') => self.on_status(requester, id, true),
                     (Method::Post, Some(rest)) => match rest.strip_suffix("/withdraw") {
-                        Some(id) if !id.contains('/') => self.on_withdraw(requester, id, true),
-                        _ => self.answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
+                        Some(id) if !id.contains('/') => self.on_cancel_request(requester, id, true),
+                        _ => self.send_answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
                     },
                     _ if ["/up", "/agent/beat", "/submissions"].contains(&path) || rest.is_some() => {
-                        self.answer(requester, Answer::new(405, r#"{"error":"method not allowed"}"#));
+                        self.send_answer(requester, Answer::new(405, r#"{"error":"method not allowed"}"#));
                     }
-                    _ => self.answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
+                    _ => self.send_answer(requester, Answer::new(404, r#"{"error":"no such path"}"#)),
                 }
             }
         }
@@ -301,27 +307,27 @@
 
     /// Dispatches a request of another controller.
     fn on_peer_request(&mut self, id: u64, request: PeerRequest) {
-        let requester = Asker::Peer(id);
+        let requester = Requester::Peer(id);
         match request {
             PeerRequest::Relay { report } => self.on_report(requester, &report, false),
-            PeerRequest::Forward { job, withdraw: true } => self.on_withdraw(requester, &job, false),
-            PeerRequest::Forward { job, withdraw: false } => self.on_status(requester, &job, false),
+            PeerRequest::Forward { job, cancel: true } => self.on_cancel_request(requester, &job, false),
+            PeerRequest::Forward { job, cancel: false } => self.on_status(requester, &job, false),
             PeerRequest::Submit { submission } => self.on_submission(requester, &submission, false),
             PeerRequest::Heartbeat {
                 name,
                 entitled,
                 wants_grant,
-                relies,
+                relies_on_grant: relies,
                 digests,
-                told,
-                liveness,
+                cancellations: told,
+                detector_heartbeat: liveness,
                 permits,
             } => {
                 let from = ControllerId::new(name);
                 self.on_peer_heartbeat(&from, Channel::Scheduled, liveness);
-                self.take_cancellations(&from, &told);
+                self.apply_cancellations(&from, &told);
                 let granted = permits.and_then(|listing| self.on_permit_listing(&from, &listing));
-                self.on_hello(id, from, (entitled, wants_grant, relies), digests, granted);
+                self.on_heartbeat(id, from, (entitled, wants_grant, relies), digests, granted);
             }
         }
     }
@@ -331,26 +337,26 @@
     /// Its limits may drop without notice. After status 429, all writes slow down at once to the announced future
     /// rate; the most important ones (leases, the epoch, job acceptances) may use the last part of the budget.
     /// Status 400 means that a transaction was too large: transactions that can be split are smaller from then on.
-    fn apply_write_refusal(&mut self, purpose: &Purpose, result: Option<&(u16, Vec<u8>)>) {
+    fn apply_write_refusal(&mut self, purpose: &CallPurpose, result: Option<&(u16, Vec<u8>)>) {
         let Some((status, body)) = result else { return };
         let (what, can_split) = match purpose {
-            Purpose::MemberWrite { .. } => ("this controller's member record", false),
-            Purpose::LeaderWrite => ("the leader record", false),
-            Purpose::EpochWrite => ("the epoch", false),
-            Purpose::TypesWrite => ("the machine types", false),
-            Purpose::Job(JobPurpose::Accept { .. }) => ("a job acceptance", false),
-            Purpose::Job(JobPurpose::End { .. }) => ("a job's end", true),
-            Purpose::Job(JobPurpose::Flush { .. }) => ("bitmaps of completed tasks", true),
-            Purpose::Job(JobPurpose::Sweep { .. }) => ("a deletion of bitmaps of ended jobs", true),
-            Purpose::NewGroups | Purpose::MachineGroup { .. } => ("a machine group", true),
-            Purpose::BootBatch { .. } => ("a boot batch", true),
-            Purpose::Drain { .. } => ("a drain record", true),
+            CallPurpose::MemberWrite { .. } => ("this controller's member record", false),
+            CallPurpose::LeaderWrite => ("the leader record", false),
+            CallPurpose::EpochWrite => ("the epoch", false),
+            CallPurpose::WriteMachineTypes => ("the machine types", false),
+            CallPurpose::Job(JobPurpose::Accept { .. }) => ("a job acceptance", false),
+            CallPurpose::Job(JobPurpose::StoreEnd { .. }) => ("a job's end", true),
+            CallPurpose::Job(JobPurpose::FlushDoneBits { .. }) => ("bitmaps of completed tasks", true),
+            CallPurpose::Job(JobPurpose::DeleteBitmaps { .. }) => ("a deletion of bitmaps of ended jobs", true),
+            CallPurpose::WriteNewMachineGroups | CallPurpose::WriteMachineGroup { .. } => ("a machine group", true),
+            CallPurpose::WriteBootBatch { .. } => ("a boot batch", true),
+            CallPurpose::WriteDrain { .. } => ("a drain record", true),
             _ => return,
         };
         if *status == 429 {
             let rate = self.settings.write_rps() / f64::from(self.settings.partitions());
             self.state_writes.set_rate(rate, rate);
-            self.state_writes.empty(self.now.ms);
+            self.state_writes.remove_all(self.now.ms);
             self.log(
                 Level::Debug,
                 format!("the state service limits the write rate ({what}): slowing down writes"),
@@ -358,119 +364,133 @@
         }
         if *status == 400 && !is_lost_lease(body) {
             if can_split {
-                self.limits.halve();
+                self.write_limits.halve();
             }
             let text = String::from_utf8_lossy(body).into_owned();
             self.log(
                 Level::Error,
                 format!(
                     "the state service refused {what}: {text}; limits now: {} bytes per value, {} changes",
-                    self.limits.value, self.limits.ops
+                    self.write_limits.value_bytes, self.write_limits.max_ops
                 ),
             );
         }
     }
 
     /// Dispatches the reply to a call, or its timeout (`None`), by the call's purpose.
-    fn on_reply(&mut self, purpose: Purpose, result: Option<(u16, Vec<u8>)>) {
+    fn on_reply(&mut self, purpose: CallPurpose, result: Option<(u16, Vec<u8>)>) {
         self.apply_write_refusal(&purpose, result.as_ref());
         match purpose {
-            Purpose::NewLease { sent } => self.on_new_lease(sent, result),
-            Purpose::ExtendLease { sent, lease_id } => self.on_lease_extension(sent, lease_id, result),
-            Purpose::MemberWrite { ack } => self.on_member_write(ack, result),
-            Purpose::LeaderWrite => self.on_leader_write(result),
-            Purpose::EpochWrite => self.on_epoch_write(result),
-            Purpose::ListSharedKeys { cursor, first_revision } => self.on_shared_keys(cursor, first_revision, result),
-            Purpose::WatchSharedKeys { number } => self.on_watch(number, result),
-            Purpose::DoneBits { partition, since } => self.on_done_bits(partition, since, result),
-            Purpose::DoneBitsChanges { partition, since } => self.on_done_bits_changes(partition, since, result),
-            Purpose::ReadAhead { partition, attempt } => self.on_read_ahead(partition, attempt, result),
-            Purpose::Job(purpose) => self.on_job_reply(purpose, result),
-            Purpose::Types => self.on_types(result),
-            Purpose::TypesWrite => self.cloud.types_writing = false,
-            Purpose::Rent { rental, split } => self.on_rent(rental, split, result),
-            Purpose::NewGroups => self.on_new_groups(result),
-            Purpose::MachineGroup { group, stamp, changes } => self.on_group(group, stamp, changes, result),
-            Purpose::BootBatch { batch, askers } => self.on_boot_batch(batch, askers, result),
-            Purpose::Delete { machines } => self.on_delete(machines, result),
-            Purpose::Hosts => self.on_hosts(result),
-            Purpose::Drain { write } => self.on_drain_write(&write, result),
-            Purpose::Confirm { machine, sent } => self.on_confirm(machine, sent, result),
-            Purpose::Probe { machine, sent } => self.on_probe(machine, sent, result),
-            Purpose::Direct {
+            CallPurpose::NewLease { sent } => self.on_new_lease(sent, result),
+            CallPurpose::ExtendLease { sent, lease_id } => self.on_lease_extension(sent, lease_id, result),
+            CallPurpose::MemberWrite { ack } => self.on_member_write(ack, result),
+            CallPurpose::LeaderWrite => self.on_leader_write(result),
+            CallPurpose::EpochWrite => self.on_epoch_write(result),
+            CallPurpose::ListSharedKeys { cursor, first_revision } => {
+                self.on_shared_keys(cursor, first_revision, result)
+            }
+            CallPurpose::WatchSharedKeys { number } => self.on_watch(number, result),
+            CallPurpose::DoneBits { partition, since } => self.on_done_bits(partition, since, result),
+            CallPurpose::DoneBitsChanges { partition, since } => self.on_done_bits_changes(partition, since, result),
+            CallPurpose::ReadAhead { partition, attempt } => self.on_read_ahead(partition, attempt, result),
+            CallPurpose::Job(purpose) => self.on_job_reply(purpose, result),
+            CallPurpose::ReadMachineTypes => self.on_machine_types(result),
+            CallPurpose::WriteMachineTypes => self.capacity.types_write_in_flight = false,
+            CallPurpose::RentMachines { rental, partitions } => self.on_rental_answer(rental, partitions, result),
+            CallPurpose::WriteNewMachineGroups => self.on_new_groups_written(result),
+            CallPurpose::WriteMachineGroup {
+                group,
+                revision,
+                changes,
+            } => self.on_group_written(group, revision, changes, result),
+            CallPurpose::WriteBootBatch { batch, requesters } => self.on_boot_batch_written(batch, requesters, result),
+            CallPurpose::DeleteMachines { machines } => self.on_deletion_answer(machines, result),
+            CallPurpose::ListMachines => self.on_machine_list(result),
+            CallPurpose::WriteDrain { write } => self.on_drain_write(&write, result),
+            CallPurpose::ConfirmMachine { machine, sent } => self.on_confirm_answer(machine, sent, result),
+            CallPurpose::ReadWorkerStatus { machine, sent } => self.on_probe_answer(machine, sent, result),
+            CallPurpose::SendCommands {
                 machine,
                 number,
                 epoch,
                 session,
-            } => self.on_direct(machine, number, (epoch, session), result),
-            Purpose::Heartbeat { .. }
-            | Purpose::Relay { .. }
-            | Purpose::ForwardStatus { .. }
-            | Purpose::ForwardWithdraw { .. }
-            | Purpose::ForwardSubmission { .. } => {}
+            } => self.on_direct_command_answer(machine, number, (epoch, session), result),
+            CallPurpose::Heartbeat { .. }
+            | CallPurpose::Relay { .. }
+            | CallPurpose::ForwardStatus { .. }
+            | CallPurpose::ForwardCancellation { .. }
+            | CallPurpose::ForwardSubmission { .. } => {}
         }
     }
 
     /// Dispatches another controller's reply, or its timeout (`None`), by the request's purpose.
-    fn on_peer_reply(&mut self, purpose: Purpose, result: Option<PeerReply>) {
+    fn on_peer_reply(&mut self, purpose: CallPurpose, result: Option<PeerReply>) {
         match (purpose, result) {
             (
-                Purpose::Heartbeat { to, sent, told },
+                CallPurpose::Heartbeat {
+                    to,
+                    sent,
+                    sent_cancellations,
+                },
                 Some(PeerReply::Heartbeat {
                     entitled,
                     granted,
-                    relies,
+                    relies_on_grant: relies,
                     moves,
                     refused,
-                    told: cancellations,
-                    liveness,
+                    cancellations,
+                    detector_heartbeat: liveness,
                     permits,
                 }),
             ) => {
-                if self.stale {
+                if self.is_reply_stale {
                     // The reply shows the peer's state before this process was paused, not its present state.
                     self.ask_peer_again(&to);
                 } else {
                     self.record_peer_contact(&to, true, entitled);
-                    self.note_reliance(&to, relies);
+                    self.record_reliance(&to, relies);
                     self.on_peer_heartbeat(&to, Channel::Answer, liveness);
                 }
                 // The cancellations that the giver of a grant knows are applied before the grant counts.
-                self.take_cancellations(&to, &cancellations);
-                self.note_taken(&to, cancellations.life, told);
+                self.apply_cancellations(&to, &cancellations);
+                self.record_acknowledged_cancellations(&to, cancellations.incarnation, sent_cancellations);
                 if granted {
-                    self.record_grant(&to, sent, cancellations.unread);
+                    self.record_grant(&to, sent, cancellations.has_not_read_store);
                 }
                 if let Some(grants) = permits {
                     self.on_permit_grants(&to, sent, &grants);
                 }
-                self.on_moves(&to, moves, refused);
+                self.on_leader_reply(&to, moves, refused);
                 if self.lacks_cancellations(&to) {
-                    self.greet(true);
+                    self.send_heartbeats(true);
                 }
             }
-            (Purpose::Heartbeat { to, .. }, _) => self.record_peer_contact(&to, false, false),
-            (Purpose::Relay { asker, report }, result) => self.on_relayed(asker, &report, result),
-            (Purpose::ForwardStatus { asker, job }, result) => match result {
+            (CallPurpose::Heartbeat { to, .. }, _) => self.record_peer_contact(&to, false, false),
+            (CallPurpose::Relay { requester, report }, result) => self.on_relay_answer(requester, &report, result),
+            (CallPurpose::ForwardStatus { requester, job }, result) => match result {
                 // The watch may have delivered the end of the job since its owner answered.
-                _ if self.over.contains_key(&job) => self.tell_over(asker, &job),
-                Some(PeerReply::Answer(answer)) if answer.status == 200 && !self.stale => self.answer(asker, answer),
-                _ => self.read_status(asker, job),
+                _ if self.ended_jobs.contains_key(&job) => self.answer_ended_job(requester, &job),
+                Some(PeerReply::Answer(answer)) if answer.status == 200 && !self.is_reply_stale => {
+                    self.send_answer(requester, answer)
+                }
+                _ => self.read_status(requester, job),
             },
-            (Purpose::ForwardSubmission { asker, job }, result) => self.on_passed_on(asker, job, result),
-            (Purpose::ForwardWithdraw { asker }, result) => {
+            (CallPurpose::ForwardSubmission { requester, job }, result) => {
+                self.on_forwarded_submission_reply(requester, job, result)
+            }
+            (CallPurpose::ForwardCancellation { requester }, result) => {
                 let answer = match result {
                     Some(PeerReply::Answer(answer)) => answer,
-                    _ => Answer::later(503, 1, "the job's controller cannot be reached"),
+                    _ => Answer::retry_later(503, 1, "the job's controller cannot be reached"),
                 };
-                self.answer(asker, answer);
+                self.send_answer(requester, answer);
             }
             _ => {}
         }
     }
 
     /// Resources that one task of a job needs: processors, accelerators and GB of memory.
-    pub(crate) fn size(spec: &JobSpec) -> [f64; 3] {
+    pub(crate) fn task_resources(spec: &JobSpec) -> [f64; 3] {
         [spec.cpus, spec.gpus, spec.memory_gb]
     }
 }
--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -96,7 +96,7 @@
 impl Controller {
     /// Updates the permit ledgers, then advances drains and evictions.
     pub(crate) fn tick_disruption(&mut self) {
-        if self.disruption.is_none() || !self.entitled() {
+        if self.disruption.is_none() || !self.is_entitled() {
             return;
         }
         self.settle_ledgers();
@@ -146,12 +146,15 @@
         if self.disruption.is_none() {
             return;
         }
-        let since: BTreeMap<Partition, Epoch> = match &self.member.epoch {
-            Some((record, _)) => (0..).map(Partition).zip(record.parts.iter().map(|p| p.since)).collect(),
+        let since: BTreeMap<Partition, Epoch> = match &self.membership.epoch {
+            Some((record, _)) => (0..)
+                .map(Partition)
+                .zip(record.partitions.iter().map(|p| p.since_epoch))
+                .collect(),
             None => return,
         };
         for h in self.machines.values_mut().flat_map(|m| m.held.iter_mut()) {
-            let is_superseded = |stop: &crate::machine_view::Stop| {
+            let is_superseded = |stop: &crate::machine_view::StopRequest| {
                 let permit = stop.permit;
                 permit.is_some_and(|(partition, granted_by)| since.get(&partition) != Some(&granted_by))
             };
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
 use crate::jobs::Job;
-use crate::machine_view::{Held, HeldState, Machine};
+use crate::machine_view::{HeldTask, HeldTaskState, Machine};
 use crate::protocol::{Priority, Shape, TaskState};
 use crate::settings::Disruption as DisruptionSettings;
 use tidelatch_disruption::{
@@ -20,8 +20,8 @@
 }
 
 /// Whether a task runs and has not been told to stop.
-fn is_running(held: &Held) -> bool {
-    held.state == HeldState::Seen(TaskState::Running) && held.stop.is_none()
+fn is_running(held: &HeldTask) -> bool {
+    held.state == HeldTaskState::Reported(TaskState::Running) && held.stop.is_none()
 }
 
 impl Controller {
@@ -33,7 +33,7 @@
             disruption.census_count.set(disruption.census_count.get() + 1);
         }
         let mut census = Census::default();
-        census.set_unaccounted(u32::try_from(self.unconfirmed(job.partition)).unwrap_or(u32::MAX));
+        census.set_unaccounted(u32::try_from(self.count_unconfirmed_machines(job.partition)).unwrap_or(u32::MAX));
         let shares_team_and_class =
             |other: &&Job| other.spec.team == job.spec.team && other.spec.class == job.spec.class;
         for (name, other) in self.jobs.iter().filter(|(_, other)| shares_team_and_class(other)) {
@@ -81,7 +81,7 @@
         let runs_on = |index: u32, machine: &MachineId| {
             let machine = self.machines.get(machine).filter(|m| self.has_reported_recently(m));
             machine.is_some_and(|m| {
-                let matches_unit = |h: &&Held| h.task.index == index && h.task.job == *id;
+                let matches_unit = |h: &&HeldTask| h.task.index == index && h.task.job == *id;
                 m.held.iter().filter(matches_unit).any(is_running)
             })
         };
@@ -94,9 +94,9 @@
     fn has_reported_recently(&self, m: &Machine) -> bool {
         let max_report_age_ms = 2 * self.settings.report_ms();
         let is_recent = m
-            .reported
+            .last_report_at
             .is_some_and(|t| self.now.ms.saturating_sub(t) <= max_report_age_ms);
-        is_recent && !m.gone && !m.retiring
+        is_recent && !m.is_deleted && !m.retiring
     }
 
     /// Whether an attempt runs on a machine, according to this controller's view of the machine.
@@ -127,7 +127,7 @@
         let settled_partitions = self
             .tenures
             .iter()
-            .filter(|(_, tenure)| tenure.settled)
+            .filter(|(_, tenure)| tenure.are_machines_accounted_for)
             .map(|(p, _)| *p);
         let settled_partitions: Vec<Partition> = settled_partitions.collect();
         let Some(Disruption {
@@ -182,7 +182,7 @@
             .jobs
             .get(&id)
             .filter(|job| job.partition == self.partition)?;
-        let is_cancelled = job.ending.is_some() || self.controller.cancellations.calls_off(&id);
+        let is_cancelled = job.ending.is_some() || self.controller.cancellations.is_cancelled_or_requested(&id);
         (!is_cancelled).then_some((id, job))
     }
 
@@ -202,13 +202,13 @@
     /// Whether the holder of a permit can no longer stop the permit's attempt: the holder no longer owns the machine,
     /// and the machine has since reported under the present fencing token.
     fn is_fenced(&self, machine: &Machine, permit: &SpentPermit) -> bool {
-        let Some((record, _)) = &self.controller.member.epoch else {
+        let Some((record, _)) = &self.controller.membership.epoch else {
             return false;
         };
-        let still_owns = record.parts.iter().any(|part| {
-            part.owner.as_str() == permit.asker().as_str() && tenure(part.since) == permit.machine_tenure()
+        let still_owns = record.partitions.iter().any(|part| {
+            part.owner.as_str() == permit.asker().as_str() && tenure(part.since_epoch) == permit.machine_tenure()
         });
-        !still_owns && machine.token >= record.n
+        !still_owns && machine.seen_epoch >= record.number
     }
 }
 
@@ -223,7 +223,7 @@
         let machine = MachineId::new(permit.machine().as_str());
         let m = self.controller.machines.get(&machine);
         let matches_permit =
-            |h: &&Held| h.task.index == unit.index() && h.task.job == id && h.attempt.0 == permit.attempt().0;
+            |h: &&HeldTask| h.task.index == unit.index() && h.task.job == id && h.attempt.0 == permit.attempt().0;
         let held = m.and_then(|m| m.held.iter().find(matches_permit));
         match m.zip(held) {
             Some((m, held)) if is_running(held) && self.is_fenced(m, permit) => UnitState::RunsFenced,
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -6,9 +6,9 @@
 //! roster is finished. Each write is conditional on the leader's key and the epoch, so no earlier leader can write
 //! after a later one. Versions that do not know the keys ignore them.
 
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
-use crate::ids::{MachineId, Stamp};
+use crate::ids::{MachineId, Revision};
 use crate::messages::Level;
 use crate::protocol::TxnAnswer;
 use crate::settings::DrainRule;
@@ -49,7 +49,7 @@
 /// A drain as stored in the state service: its head with the head's revision, and its parts by number.
 #[derive(Debug, Default)]
 struct StoredDrain {
-    head: Option<(DrainHead, Stamp)>,
+    head: Option<(DrainHead, Revision)>,
     parts: BTreeMap<u32, MachineSetPart>,
 }
 
@@ -144,7 +144,7 @@
     }
 
     /// Applies the new value of a key without the prefix; `None` or an unreadable value removes the key's record.
-    fn apply_key(&mut self, key: &str, value: Option<Value>, revision: Stamp) {
+    fn apply_key(&mut self, key: &str, value: Option<Value>, revision: Revision) {
         self.listed_keys.insert(key.to_owned());
         let (name, part) = parse_key(key);
         let drain = self.stored.entry(name.to_owned()).or_default();
@@ -190,7 +190,7 @@
     }
 
     /// The head of a drain and the head's revision, or `None` if no head is known.
-    fn head(&self, name: &str) -> Option<&(DrainHead, Stamp)> {
+    fn head(&self, name: &str) -> Option<&(DrainHead, Revision)> {
         self.stored.get(name)?.head.as_ref()
     }
 }
@@ -215,12 +215,12 @@
             .filter(|key| !listed.contains(key))
             .collect();
         for key in gone {
-            records.apply_key(&key, None, Stamp(0));
+            records.apply_key(&key, None, Revision(0));
         }
     }
 
     /// Applies the new value of a drain key, or its deletion.
-    pub(crate) fn apply_drain(&mut self, key: &str, value: Option<Value>, revision: Stamp) {
+    pub(crate) fn apply_drain(&mut self, key: &str, value: Option<Value>, revision: Revision) {
         if let Some(disruption) = &mut self.disruption {
             disruption.drain_records.apply_key(key, value, revision);
         }
@@ -231,7 +231,7 @@
     pub(crate) fn lead_drains(&mut self) {
         let now = self.now.ms;
         let next_check_ms = now + self.settings.report_ms() / CHECKS_PER_REPORT_PERIOD;
-        let revision = self.member.ledger;
+        let revision = self.membership.revision;
         let Some(rules) = self.settings.operator.disruption.as_ref().map(|d| d.drains.clone()) else {
             return;
         };
@@ -247,7 +247,7 @@
             // The head was stored, but the response to its write was lost.
             records.pending_drain = None;
         }
-        if !self.state_writes.take(now, 0.0, WRITE_BUDGET_RESERVE) {
+        if !self.state_writes.try_take(now, 0.0, WRITE_BUDGET_RESERVE) {
             return;
         }
         let removed = records
@@ -287,18 +287,18 @@
 
     /// Sends a transaction that changes drain keys. It is conditional on the leader's key, the epoch and, if given, the
     /// revision of a key.
-    fn write_drain(&mut self, expected: Option<(String, Stamp)>, changes: Vec<Value>, write: DrainWrite) {
+    fn write_drain(&mut self, expected: Option<(String, Revision)>, changes: Vec<Value>, write: DrainWrite) {
         let mut conditions = vec![self.leader_condition(), self.epoch_condition()];
         conditions.extend(expected.map(|(key, revision)| json!({ "k": key, "stamp": revision })));
         if let Some(disruption) = &mut self.disruption {
             disruption.drain_records.is_writing = true;
         }
-        self.txn(conditions, changes, Purpose::Drain { write });
+        self.txn(conditions, changes, CallPurpose::WriteDrain { write });
     }
 
     /// Deletes the keys of a drain, as many as fit in one transaction.
     fn delete_drain(&mut self, name: &str) {
-        let max_ops = self.limits.ops.max(1);
+        let max_ops = self.write_limits.max_ops.max(1);
         let keys = self
             .disruption
             .as_ref()
@@ -320,11 +320,11 @@
             return false;
         }
         let mut targets = MachineSet::default();
-        let machines = self.machines.iter().filter(|(_, m)| !m.gone && !m.retiring);
+        let machines = self.machines.iter().filter(|(_, m)| !m.is_deleted && !m.retiring);
         for (id, _) in machines.filter(|(_, m)| rule.selects(&m.model, &m.zone, m.spot)) {
             targets.insert(&MachineName::new(id.as_str()));
         }
-        let parts = targets.parts(self.fill());
+        let parts = targets.parts(self.max_record_bytes());
         self.log(
             Level::Info,
             format!(
@@ -347,7 +347,7 @@
     /// Writes the next parts of the drain that is being created, and its head after the last part. Returns false if no
     /// drain is being created.
     fn write_pending_drain(&mut self) -> bool {
-        let max_ops = self.limits.ops.max(1);
+        let max_ops = self.write_limits.max_ops.max(1);
         let Some(pending_drain) = self
             .disruption
             .as_ref()
@@ -376,7 +376,7 @@
             done: pending_drain.parts.is_empty(),
         };
         let change = json!({ "write": key, "value": head });
-        self.write_drain(Some((key, Stamp(0))), vec![change], DrainWrite::Head);
+        self.write_drain(Some((key, Revision(0))), vec![change], DrainWrite::Head);
         true
     }
 
@@ -398,7 +398,7 @@
         let remaining: Vec<&MachineId> = self
             .machines
             .iter()
-            .filter(|(id, m)| !m.gone && is_covered(id))
+            .filter(|(id, m)| !m.is_deleted && is_covered(id))
             .map(|(id, _)| id)
             .collect();
         let next = DrainHead {
@@ -471,8 +471,8 @@
     /// Whether the owner of a machine supports drains and is not suspected of having failed.
     fn owner_can_drain(&self, id: &MachineId) -> bool {
         let partition = self.machines.get(id).map(|m| m.partition);
-        let owner = partition.and_then(|p| self.holding(p)).map(|h| &h.owner);
-        owner.is_some_and(|owner| (*owner == self.me || self.grants_permits(owner)) && !self.suspects(owner))
+        let owner = partition.and_then(|p| self.partition_owner(p)).map(|h| &h.owner);
+        owner.is_some_and(|owner| (*owner == self.own_name || self.grants_permits(owner)) && !self.is_suspected(owner))
     }
 
     /// Handles the response to a drain write, or `None` if there was no response.
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -3,7 +3,7 @@
 use super::interruption::{BlockReason, Cause};
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, TaskId};
-use crate::machine_view::{Held, Machine};
+use crate::machine_view::{HeldTask, Machine};
 use crate::messages::Level;
 use crate::protocol::Shape;
 use std::collections::BTreeSet;
@@ -42,7 +42,7 @@
             .is_some_and(|drained| drained.is_evicting())
         {
             Some(Cause::Drain)
-        } else if m.vacating.is_some() {
+        } else if m.vacating_for.is_some() {
             Some(Cause::HandOver)
         } else if disruption.emptying_since_ms.contains_key(id) {
             Some(Cause::Emptying)
@@ -57,7 +57,9 @@
         let to_empty: Vec<(MachineId, Cause)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.confirmed && !m.gone && !m.retiring && self.acting(m.partition).is_some())
+            .filter(|(_, m)| {
+                m.is_confirmed && !m.is_deleted && !m.retiring && self.active_tenure(m.partition).is_some()
+            })
             .filter_map(|(id, _)| Some((id.clone(), self.eviction_cause(id)?)))
             .collect();
         // Teams and classes that were denied a permit in this pass: no other task of the same class is tried.
@@ -107,14 +109,14 @@
                 .get(&task.job)
                 .is_some_and(|job| job.spec.shape == Shape::Array)
         };
-        let has_started = |held: &Held| held.running_since.is_some() || held.stop.is_some();
+        let has_started = |held: &HeldTask| held.running_since.is_some() || held.stop.is_some();
         let unstarted = m
             .held
             .iter()
             .filter(|held| !has_started(held) && is_array_task(&held.task));
         let unstarted: Vec<(TaskId, Attempt)> = unstarted.map(|held| (held.task.clone(), held.attempt)).collect();
         for (task, attempt) in unstarted {
-            self.stop_held(id, &task, attempt);
+            self.request_stop(id, &task, attempt);
         }
     }
 
@@ -142,7 +144,7 @@
     }
 
     /// Whether to wait for a task of a drained machine to finish rather than evict it, within the drain's `patience_s`.
-    fn should_wait_for_task(&self, id: &MachineId, m: &Machine, held: &Held) -> bool {
+    fn should_wait_for_task(&self, id: &MachineId, m: &Machine, held: &HeldTask) -> bool {
         let Some(job) = self
             .jobs
             .get(&held.task.job)
@@ -154,15 +156,15 @@
             return false;
         }
         let spec = &job.spec;
-        let machine_type = self.types.iter().find(|t| t.name == m.model);
+        let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
         let fetch_rate = machine_type.map_or(1.0, |t| t.fetch_gb_per_s.max(1e-3));
         let ran_s = held
             .running_since
             .map_or(0.0, |t| self.now.ms.saturating_sub(t) as f64 / 1000.0);
         let has_checkpoints = spec.checkpoint_s > 0.0;
-        let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
+        let age_s = self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0;
         let interruption = Interruption {
-            remaining_s: (self.estimates.run_s(spec) - ran_s).max(0.0),
+            remaining_s: (self.estimates.expected_run_s(spec) - ran_s).max(0.0),
             lost_s: if has_checkpoints { ran_s.min(spec.save_s) } else { ran_s },
             fetch_s: spec.image_gb / fetch_rate,
             slack_s: spec.deadline_s.map(|deadline_s| deadline_s - age_s),
--- a/crates/tidelatch-core/src/disruption/interruption.rs
+++ b/crates/tidelatch-core/src/disruption/interruption.rs
@@ -3,7 +3,7 @@
 use super::{controller_name, machine_name, tenure, unit};
 use crate::controller::Controller;
 use crate::ids::{Attempt, ControllerId, Epoch, MachineId, Partition, TaskId};
-use crate::machine_view::Stop;
+use crate::machine_view::StopRequest;
 use crate::messages::Level;
 use crate::protocol::Shape;
 use crate::settings::DISRUPTION_LEVEL;
@@ -109,7 +109,7 @@
         if !self.attempt_runs(machine, task, attempt) {
             return Err(BlockReason::NotRunning(task.clone()));
         }
-        let owns_team = self.acting(partition).is_some();
+        let owns_team = self.active_tenure(partition).is_some();
         let is_gang = self
             .jobs
             .get(&task.job)
@@ -118,7 +118,7 @@
             return Err(BlockReason::GangNotLocal);
         }
         let tasks = if is_gang {
-            self.gang_tasks(&task.job).ok_or(BlockReason::GangNotLocal)?
+            self.stoppable_gang_tasks(&task.job).ok_or(BlockReason::GangNotLocal)?
         } else {
             vec![(machine.clone(), task.clone(), attempt)]
         };
@@ -144,7 +144,7 @@
     /// The epoch since which this controller owns a machine, or `None` if it does not act for the machine.
     fn machine_owned_since(&self, machine: &MachineId) -> Option<Epoch> {
         let partition = self.machines.get(machine)?.partition;
-        self.acting(partition).map(|tenure| tenure.since)
+        self.active_tenure(partition).map(|tenure| tenure.since_epoch)
     }
 
     /// Grants permits for all candidates and stops them. Called if this controller owns both the team and the machines.
@@ -155,15 +155,15 @@
         cause: Cause,
     ) -> Result<(), BlockReason> {
         let since = self
-            .acting(partition)
-            .map(|tenure| tenure.since)
+            .active_tenure(partition)
+            .map(|tenure| tenure.since_epoch)
             .ok_or(BlockReason::NoOwner)?;
         let first = candidates.first().ok_or(BlockReason::NoOwner)?;
         let census = self.census(&first.task.job).ok_or(BlockReason::NoOwner)?;
-        self.evaluated += census.units();
+        self.evaluated_candidates += census.units();
         let requests: Vec<PermitRequest> = candidates
             .iter()
-            .map(|candidate| candidate.permit_request(&self.me))
+            .map(|candidate| candidate.permit_request(&self.own_name))
             .collect();
         let (now_ms, valid_for_ms) = (self.now.ms, self.permit_validity_ms());
         let ledger = self.disruption.as_mut().and_then(|d| d.ledgers.get_mut(&partition));
@@ -192,8 +192,8 @@
         candidate: &Candidate,
         cause: Cause,
     ) -> Result<(), BlockReason> {
-        let holding = self.holding(partition).ok_or(BlockReason::NoOwner)?;
-        let (owner, since) = (holding.owner.clone(), holding.since);
+        let holding = self.partition_owner(partition).ok_or(BlockReason::NoOwner)?;
+        let (owner, since) = (holding.owner.clone(), holding.since_epoch);
         if !self.grants_permits(&owner) {
             return Err(BlockReason::PermitsUnsupported(owner));
         }
@@ -220,15 +220,15 @@
 
     /// Whether another controller grants permits: its version supports them, and its settings enable them.
     pub(super) fn grants_permits(&self, owner: &ControllerId) -> bool {
-        self.member
+        self.membership
             .members
             .get(owner)
-            .is_some_and(|member| member.knows >= DISRUPTION_LEVEL)
+            .is_some_and(|member| member.feature_level >= DISRUPTION_LEVEL)
     }
 
     /// The time in ms for which a permit granted now is valid: never longer than this controller itself may act.
     pub(super) fn permit_validity_ms(&self) -> u64 {
-        self.entitlement_left_ms().min(self.settings.entitlement_ms())
+        self.remaining_entitlement_ms().min(self.settings.entitlement_ms())
     }
 
     /// Stops a task and records the permit, given as the granting partition and the epoch of its owner, with the stop.
@@ -245,11 +245,11 @@
             Level::Info,
             format!("{machine}: permit used: {task} of {team} stops, {cause}; {budget}"),
         );
-        self.stop_held(machine, task, *attempt);
+        self.request_stop(machine, task, *attempt);
         let m = self.machines.get_mut(*machine);
         let held = m.and_then(|m| m.held.iter_mut().find(|h| h.task == **task && h.attempt == *attempt));
         if let Some(stop) = held.and_then(|h| h.stop.as_mut()) {
-            *stop = Stop {
+            *stop = StopRequest {
                 permit: Some(permit),
                 ..*stop
             };
--- a/crates/tidelatch-core/src/disruption/machine_drains.rs
+++ b/crates/tidelatch-core/src/disruption/machine_drains.rs
@@ -39,8 +39,8 @@
 
 /// Whether a machine holds nothing, and no delayed command can change that.
 fn is_empty(m: &Machine) -> bool {
-    let is_state_known = m.confirmed || !m.up();
-    is_state_known && m.clean() && m.unaccounted.is_empty() && !m.storing
+    let is_state_known = m.is_confirmed || !m.is_up();
+    is_state_known && m.is_empty_and_fenced() && m.unaccounted_partitions.is_empty() && !m.is_boot_write_pending
 }
 
 impl Controller {
@@ -62,14 +62,14 @@
 
     /// Returns machines to service whose drain has ended, unless they are being deleted already.
     fn end_drains(&mut self, active: &BTreeMap<MachineId, ActiveDrain>) {
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let Some(disruption) = &mut self.disruption else { return };
         let machines = &mut self.machines;
         let mut ended = Vec::new();
         disruption.drained_machines.retain(|id, drained| {
             let Some(m) = machines
                 .get_mut(id)
-                .filter(|m| !m.gone && acting.contains(&m.partition))
+                .filter(|m| !m.is_deleted && acting.contains(&m.partition))
             else {
                 return false;
             };
@@ -86,14 +86,14 @@
                 Level::Info,
                 format!("{id}: drain {drain} was withdrawn: back in service"),
             );
-            self.want_batch();
+            self.schedule_batch();
         }
     }
 
     /// Cordons the active machines of this controller that are not being drained yet.
     fn begin_drains(&mut self, active: &BTreeMap<MachineId, ActiveDrain>) {
         let now = self.now.ms;
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let mut begun = Vec::new();
         for (id, active) in active {
             let is_already_drained = self
@@ -103,7 +103,7 @@
             let Some(m) = self.machines.get_mut(id).filter(|_| !is_already_drained) else {
                 continue;
             };
-            if !acting.contains(&m.partition) || m.gone || m.retiring {
+            if !acting.contains(&m.partition) || m.is_deleted || m.retiring {
                 continue;
             }
             m.cordoned = true;
@@ -184,9 +184,9 @@
         };
         let max_report_age_ms = 2 * self.settings.report_ms();
         let is_available = |other: &Machine| {
-            other.clean()
-                && other.moving.is_none()
-                && (other.is_booting() || other.usable(self.now.ms, max_report_age_ms))
+            other.is_empty_and_fenced()
+                && other.moving_to.is_none()
+                && (other.is_booting() || other.is_usable(self.now.ms, max_report_age_ms))
         };
         let mut machines = self.machines.iter();
         let found = machines.find(|(id, other)| {
@@ -202,10 +202,10 @@
 
     /// Whether a replacement machine is lost, ready or still booting.
     fn replacement_state(&self, machine: &MachineId) -> Replacement {
-        let Some(m) = self.machines.get(machine).filter(|m| !m.gone && !m.retiring) else {
+        let Some(m) = self.machines.get(machine).filter(|m| !m.is_deleted && !m.retiring) else {
             return Replacement::Lost;
         };
-        if m.usable(self.now.ms, 2 * self.settings.report_ms()) {
+        if m.is_usable(self.now.ms, 2 * self.settings.report_ms()) {
             Replacement::Ready
         } else {
             Replacement::Booting
--- a/crates/tidelatch-core/src/disruption/permit_exchange.rs
+++ b/crates/tidelatch-core/src/disruption/permit_exchange.rs
@@ -13,13 +13,13 @@
     pub(crate) fn permit_listing(&mut self, to: &ControllerId) -> Option<Box<PermitListing>> {
         let granter = controller_name(to);
         let grants_permits = self.grants_permits(to);
-        let life = self.member.inc.0;
+        let life = self.membership.incarnation.0;
         let holder = &mut self.disruption.as_mut()?.permit_holder;
         if !grants_permits || !holder.needs_message(&granter) {
             return None;
         }
         Some(Box::new(PermitListing {
-            life,
+            incarnation: life,
             message: holder.message_for(&granter),
         }))
     }
@@ -31,8 +31,8 @@
         from: &ControllerId,
         listing: &PermitListing,
     ) -> Option<Box<PermitGrants>> {
-        let registered_incarnation = self.member.members.get(from).map(|member| member.inc.0);
-        if registered_incarnation != Some(listing.life) || !self.entitled() {
+        let registered_incarnation = self.membership.members.get(from).map(|member| member.incarnation.0);
+        if registered_incarnation != Some(listing.incarnation) || !self.is_entitled() {
             return None;
         }
         let requester = controller_name(from);
@@ -42,7 +42,7 @@
         // one whose permits it does not list.
         let mut has_changes = false;
         for ledger in ledgers.values_mut() {
-            has_changes |= ledger.take_message(&requester, listing.life, message);
+            has_changes |= ledger.take_message(&requester, listing.incarnation, message);
         }
         if !has_changes {
             return None;
@@ -63,18 +63,18 @@
     fn grant_permit(&mut self, from: &ControllerId, wanted: &WantedPermit) -> Option<Permit> {
         let task = task(&wanted.unit)?;
         let partition = self.jobs.get(&task.job)?.partition;
-        self.acting(partition)?;
+        self.active_tenure(partition)?;
         let machine = MachineId::new(wanted.machine.as_str());
-        let (epoch, _) = self.member.epoch.as_ref()?;
+        let (epoch, _) = self.membership.epoch.as_ref()?;
         let owns_machine = epoch
-            .parts
+            .partitions
             .iter()
-            .any(|part| part.owner == *from && tenure(part.since) == wanted.machine_tenure);
+            .any(|part| part.owner == *from && tenure(part.since_epoch) == wanted.machine_tenure);
         if !owns_machine || !self.attempt_runs(&machine, &task, Attempt(wanted.attempt.0)) {
             return None;
         }
         let census = self.census(&task.job)?;
-        self.evaluated += census.units();
+        self.evaluated_candidates += census.units();
         let request = PermitRequest {
             unit: wanted.unit.clone(),
             attempt: wanted.attempt,
@@ -103,7 +103,7 @@
     pub(super) fn drop_obsolete_permit_requests(&mut self) {
         let mut attempts_to_evict: BTreeSet<(TaskId, u64)> = BTreeSet::new();
         for (id, m) in self.machines.iter().filter(|(id, _)| self.eviction_cause(id).is_some()) {
-            if self.acting(m.partition).is_some() {
+            if self.active_tenure(m.partition).is_some() {
                 attempts_to_evict.extend(m.held.iter().map(|h| (h.task.clone(), h.attempt.0)));
             }
             let _ = id;
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -5,7 +5,7 @@
 //! partition's owner. It then reads the changes since the first read and applies them, so the records are as fresh as
 //! if all had been read at that time. When a suspicion is cleared, its preparations are dropped.
 
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Partition};
 use crate::membership::{Stage, next_epoch};
@@ -72,20 +72,20 @@
 impl Controller {
     /// The partitions that this controller would take over if all suspected controllers were gone.
     fn partitions_to_prepare(&self) -> BTreeSet<Partition> {
-        let Some((epoch, _)) = &self.member.epoch else {
+        let Some((epoch, _)) = &self.membership.epoch else {
             return BTreeSet::new();
         };
         let mut members = self.members_for_partitions();
-        members.retain(|name, _| !self.suspects(name));
+        members.retain(|name, _| !self.is_suspected(name));
         let names = self.settings.names();
         let next = next_epoch(&names, &members, Some(epoch), self.settings.partitions());
-        let planned = next.map_or(Vec::new(), |next| next.parts);
-        let is_own = |owner: &ControllerId| *owner == self.me;
+        let planned = next.map_or(Vec::new(), |next| next.partitions);
+        let is_own = |owner: &ControllerId| *owner == self.own_name;
         // Handing a partition back from a live owner to its home controller needs no preparation.
         let at_risk = |owner: &ControllerId| !is_own(owner) && !members.contains_key(owner);
         (0..)
             .map(Partition)
-            .zip(epoch.parts.iter().zip(&planned))
+            .zip(epoch.partitions.iter().zip(&planned))
             .filter(|(_, (current, planned))| at_risk(&current.owner) && is_own(&planned.owner))
             .map(|(partition, _)| partition)
             .collect()
@@ -151,7 +151,10 @@
 
     /// Addresses of the partition's machines that are not gone.
     fn worker_addresses(&self, partition: Partition) -> Vec<String> {
-        let machines = self.machines.values().filter(|m| m.partition == partition && !m.gone);
+        let machines = self
+            .machines
+            .values()
+            .filter(|m| m.partition == partition && !m.is_deleted);
         let addresses = machines.map(|m| m.addr.clone());
         addresses.filter(|address| address.contains(':')).collect()
     }
@@ -171,7 +174,9 @@
             prepared.connections += addresses.len();
             addresses_to_connect.extend(addresses);
             if let ReadProgress::Due(cursor) = &prepared.reading
-                && self.state_reads.take(self.now.ms, 1.0, READ_SHARE_RESERVED_FOR_OTHERS)
+                && self
+                    .state_reads
+                    .try_take(self.now.ms, 1.0, READ_SHARE_RESERVED_FOR_OTHERS)
             {
                 reads.push((*partition, prepared.attempt, cursor.clone()));
                 prepared.reading = ReadProgress::InProgress;
@@ -180,7 +185,7 @@
         let connections = addresses_to_connect
             .into_iter()
             .map(|address| Output::Connect { address });
-        self.out.extend(connections);
+        self.outputs.extend(connections);
         for (partition, attempt, cursor) in reads {
             self.read_ahead(partition, attempt, &cursor);
         }
@@ -191,8 +196,8 @@
     fn read_ahead(&mut self, partition: Partition, attempt: u64, cursor: &str) {
         let path = Self::done_bits_path(partition, cursor);
         let timeout = self.settings.lease_ms() / 4;
-        let purpose = Purpose::ReadAhead { partition, attempt };
-        self.call(Target::State, Method::Get, path, String::new(), timeout, purpose);
+        let purpose = CallPurpose::ReadAhead { partition, attempt };
+        self.send_call(Target::State, Method::Get, path, String::new(), timeout, purpose);
     }
 
     /// Handles a page of records that are read ahead.
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -8,13 +8,13 @@
 use crate::controller::Controller;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
 use crate::jobs::Job;
-use crate::machine_view::{HeldState, Stop};
+use crate::machine_view::{HeldTaskState, StopRequest};
 use crate::messages::Level;
 use crate::protocol::{Shape, TaskState};
 
 /// What is known about the attempt that a gang's tasks share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Gang {
+pub(crate) struct GangAttempt {
     /// The attempt number.
     pub(crate) attempt: Attempt,
     /// When it was assigned, or first seen by this owner (ms).
@@ -27,7 +27,7 @@
     missing_since: Option<u64>,
 }
 
-impl Gang {
+impl GangAttempt {
     /// Creates an attempt that begins now, or that a report shows for the first time.
     pub(crate) fn new(attempt: Attempt, now: u64) -> Self {
         Self {
@@ -70,9 +70,9 @@
         if self.spec.shape != Shape::Gang {
             return;
         }
-        let gang = self.gang.get_or_insert(Gang::new(attempt, now));
+        let gang = self.gang.get_or_insert(GangAttempt::new(attempt, now));
         if attempt > gang.attempt {
-            *gang = Gang::new(attempt, now);
+            *gang = GangAttempt::new(attempt, now);
         }
         if attempt == gang.attempt && matches!(state, TaskState::Running | TaskState::Saving) {
             gang.has_run = true;
@@ -90,7 +90,7 @@
 
     /// Whether more tasks of a gang may be started now: none of its tasks is on any machine, or its attempt still
     /// waits for missing tasks.
-    pub(crate) fn gang_may_start(&self) -> bool {
+    pub(crate) fn can_start_gang_tasks(&self) -> bool {
         self.placed.is_empty() || self.gang.is_some_and(|g| !g.has_run && !g.has_ended)
     }
 }
@@ -99,8 +99,8 @@
     /// Whether every member controller has announced that it supports gangs. A gang is accepted only then. A
     /// controller that announces nothing runs the previous version. A controller that joins later raises the epoch,
     /// and every acceptance is conditional on the epoch.
-    pub(crate) fn all_know_gangs(&self) -> bool {
-        self.settings.features.gangs && self.member.members.values().all(|m| m.knows >= 1)
+    pub(crate) fn all_members_support_gangs(&self) -> bool {
+        self.settings.features.gangs && self.membership.members.values().all(|m| m.feature_level >= 1)
     }
 
     /// Combines what this controller knows about the tasks of a gang on all their machines.
@@ -118,8 +118,8 @@
                     }
                     observation.held.push(entry);
                     observation.is_stopping |= h.stop.is_some_and(|s| s.grace_s > 0.0);
-                    observation.is_stopping |= h.state == HeldState::Seen(TaskState::Saving);
-                    observation.has_lost_machine |= m.retiring || m.gone;
+                    observation.is_stopping |= h.state == HeldTaskState::Reported(TaskState::Saving);
+                    observation.has_lost_machine |= m.retiring || m.is_deleted;
                     observation.has_notice |= m.has_preemption_notice;
                 }
             }
@@ -129,11 +129,11 @@
 
     /// Checks every gang that has tasks on machines, and completes, stops or ends it as a whole.
     pub(crate) fn tick_gangs(&mut self) {
-        if !self.entitled() {
+        if !self.is_entitled() {
             return;
         }
         let now = self.now.ms;
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let mut decisions: Vec<(JobId, GangObservation, GangDecision)> = Vec::new();
         for (id, job) in &self.jobs {
             let is_placed_gang = job.spec.shape == Shape::Gang && !job.placed.is_empty() && job.ending.is_none();
@@ -185,7 +185,7 @@
     }
 
     /// Decides how a gang proceeds. `missing` says whether tasks of it are on no machine.
-    fn decide_gang(&self, job: &Job, gang: &Gang, observation: &GangObservation, missing: bool) -> GangDecision {
+    fn decide_gang(&self, job: &Job, gang: &GangAttempt, observation: &GangObservation, missing: bool) -> GangDecision {
         let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
         let wait = self.settings.gang_ms().map_or(lease, |(wait, _)| wait);
@@ -208,8 +208,8 @@
 
     /// Whether tasks of a job may be on machines that have not reported since the takeover.
     fn may_be_on_unconfirmed_machines(&self, job: &Job) -> bool {
-        let since = self.tenures.get(&job.partition).map(|t| t.since);
-        since.is_some_and(|since| job.epoch < since) && self.unconfirmed(job.partition) > 0
+        let since = self.tenures.get(&job.partition).map(|t| t.since_epoch);
+        since.is_some_and(|since| job.epoch < since) && self.count_unconfirmed_machines(job.partition) > 0
     }
 
     /// Requests that a task stops at once, whatever was requested before. Returns whether that is a new request.
@@ -222,8 +222,8 @@
         let Some(h) = held.filter(|h| h.stop.is_none_or(|s| s.grace_s > 0.0)) else {
             return false;
         };
-        h.stop = Some(Stop::new(0.0, now));
-        self.poked.insert(machine.clone());
+        h.stop = Some(StopRequest::new(0.0, now));
+        self.machines_with_urgent_commands.insert(machine.clone());
         true
     }
 
@@ -232,21 +232,21 @@
     pub(crate) fn stop_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         for (machine, task, attempt) in self.observe_gang(id, job).held {
-            self.stop_held(&machine, &task, attempt);
+            self.request_stop(&machine, &task, attempt);
         }
     }
 
     /// All tasks of a gang that is complete and running, each with its machine. None if it cannot be stopped as a
     /// whole now.
-    pub(crate) fn gang_tasks(&self, id: &JobId) -> Option<Vec<(MachineId, TaskId, Attempt)>> {
+    pub(crate) fn stoppable_gang_tasks(&self, id: &JobId) -> Option<Vec<(MachineId, TaskId, Attempt)>> {
         let job = self.jobs.get(id)?;
-        self.gang_loss(id, job)?;
+        self.gang_stop_cost_s(id, job)?;
         Some(self.observe_gang(id, job).held)
     }
 
     /// The work that stopping a gang would lose, in seconds summed over all its tasks. None if it cannot be stopped
     /// as a whole now: one of its machines may not receive the request in time, or the gang is already ending.
-    pub(crate) fn gang_loss(&self, id: &JobId, job: &Job) -> Option<f64> {
+    pub(crate) fn gang_stop_cost_s(&self, id: &JobId, job: &Job) -> Option<f64> {
         let now = self.now.ms;
         let gang = job.gang?;
         let observation = self.observe_gang(id, job);
@@ -254,7 +254,7 @@
         let all_are_reachable = observation.held.iter().all(|(machine, _, _)| {
             let m = self.machines.get(machine);
             m.is_some_and(|m| {
-                m.heard
+                m.last_heard_at
                     .is_some_and(|t| now.saturating_sub(t) <= 2 * self.settings.report_ms())
             })
         });
@@ -292,9 +292,9 @@
         let tenure = self.tenures.get_mut(&partition)?;
         tenure.next_attempt += 1;
         // Attempt numbers contain the epoch at which the tenure began, so no other tenure can assign the same number.
-        let attempt = Attempt((tenure.since.0 << 24) + tenure.next_attempt);
+        let attempt = Attempt((tenure.since_epoch.0 << 24) + tenure.next_attempt);
         if let Some(job) = self.jobs.get_mut(id).filter(|j| j.spec.shape == Shape::Gang) {
-            job.gang = Some(Gang::new(attempt, now));
+            job.gang = Some(GangAttempt::new(attempt, now));
         }
         Some(attempt)
     }
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -5,7 +5,7 @@
 mod requests;
 mod status_reads;
 
-pub(crate) use bitmap::Piece;
+pub(crate) use bitmap::BitmapPiece;
 pub use bitmap::bits_from_hex;
 pub(crate) use record::{EndedJob, bytes_of};
 pub use record::{JobRecord, StoredJobStatus};
@@ -14,11 +14,11 @@
 use bitmap::InFlightPiece;
 use record::StatusOnlyRecord;
 
-use crate::calls::{Asker, Purpose as Call};
+use crate::calls::{CallPurpose as Call, Requester};
 use crate::controller::Controller;
 use crate::failures::JobFailures;
-use crate::gangs::Gang;
-use crate::ids::{Epoch, JobId, MachineId, Partition, Stamp, TaskId};
+use crate::gangs::GangAttempt;
+use crate::ids::{Epoch, JobId, MachineId, Partition, Revision, TaskId};
 use crate::membership::JOB_PREFIX;
 use crate::messages::{Answer, Level};
 use crate::protocol::{JobSpec, Shape};
@@ -39,11 +39,11 @@
 pub(crate) struct Job {
     pub(crate) spec: JobSpec,
     /// Revision of the job's record in the state service.
-    pub(crate) stamp: Stamp,
+    pub(crate) revision: Revision,
     /// Epoch under which the job was accepted.
     pub(crate) epoch: Epoch,
     /// Time of day of the acceptance, in milliseconds.
-    pub(crate) at_wall: u64,
+    pub(crate) accepted_wall_ms: u64,
     pub(crate) partition: Partition,
     /// Bitmap of the finished tasks, by task index.
     pub(crate) done_bits: Vec<u64>,
@@ -51,40 +51,40 @@
     /// Bitmap of the finished tasks that the state service has stored.
     stored_bits: Vec<u64>,
     /// Pieces of the bitmap that are yet to be written.
-    dirty: BTreeSet<Piece>,
+    dirty: BTreeSet<BitmapPiece>,
     /// Pieces whose write has been sent and not answered.
-    in_flight: BTreeSet<Piece>,
+    in_flight: BTreeSet<BitmapPiece>,
     /// Pieces whose key exists in the store, or may exist because a write was sent.
-    stored_pieces: BTreeSet<Piece>,
+    stored_pieces: BTreeSet<BitmapPiece>,
     /// Chunks whose own key holds bits beyond the first piece, because values could be larger when it was written.
     oversized_chunks: BTreeSet<u32>,
     /// Machines that hold each placed task, including those where it is uncertain whether they hold it.
     pub(crate) placed: BTreeMap<u32, Vec<MachineId>>,
     /// Every task below this index is done or placed.
-    pub(crate) cursor: u32,
+    pub(crate) first_unplaced_index: u32,
     /// The end that is being stored; no task is started from then on.
     pub(crate) ending: Option<Ending>,
     /// A write of the end has been sent and not answered.
     pub(crate) is_end_in_flight: bool,
     /// Users who wait for the job's cancellation to be stored.
-    pub(crate) requesters: Vec<Asker>,
+    pub(crate) requesters: Vec<Requester>,
     pub(crate) failures: JobFailures,
     /// A zone that a replica has left to make room for another job's replica, and the time until which no replica
     /// returns there.
-    pub(crate) shunned: Option<(String, u64)>,
+    pub(crate) avoided_zone: Option<(String, u64)>,
     /// The gang's current attempt, if a machine may have any of its tasks.
-    pub(crate) gang: Option<Gang>,
+    pub(crate) gang: Option<GangAttempt>,
 }
 
 impl Job {
     /// Creates a job with no finished or placed task. `record` holds the epoch, time and revision of its acceptance.
-    fn new(spec: JobSpec, record: (Epoch, u64, Stamp), partition: Partition) -> Self {
+    fn new(spec: JobSpec, record: (Epoch, u64, Revision), partition: Partition) -> Self {
         let words = (spec.tasks as usize).div_ceil(64);
         Self {
             spec,
-            stamp: record.2,
+            revision: record.2,
             epoch: record.0,
-            at_wall: record.1,
+            accepted_wall_ms: record.1,
             partition,
             done_bits: vec![0; words],
             done_count: 0,
@@ -94,28 +94,30 @@
             stored_pieces: BTreeSet::new(),
             oversized_chunks: BTreeSet::new(),
             placed: BTreeMap::new(),
-            cursor: 0,
+            first_unplaced_index: 0,
             ending: None,
             is_end_in_flight: false,
             requesters: Vec::new(),
             failures: JobFailures::default(),
-            shunned: None,
+            avoided_zone: None,
             gang: None,
         }
     }
 
     /// Discards everything but what the job record holds.
     fn reset(&mut self) {
-        let record = (self.epoch, self.at_wall, self.stamp);
+        let record = (self.epoch, self.accepted_wall_ms, self.revision);
         *self = Self::new(self.spec.clone(), record, self.partition);
     }
 
     /// Returns up to `limit` tasks that are not done and cannot be on a machine, lowest index first.
-    pub(crate) fn waiting(&mut self, limit: usize) -> Vec<u32> {
-        while self.cursor < self.spec.tasks && (self.is_done(self.cursor) || self.placed.contains_key(&self.cursor)) {
-            self.cursor += 1;
+    pub(crate) fn waiting_tasks(&mut self, limit: usize) -> Vec<u32> {
+        while self.first_unplaced_index < self.spec.tasks
+            && (self.is_done(self.first_unplaced_index) || self.placed.contains_key(&self.first_unplaced_index))
+        {
+            self.first_unplaced_index += 1;
         }
-        (self.cursor..self.spec.tasks)
+        (self.first_unplaced_index..self.spec.tasks)
             .filter(|i| !self.is_done(*i) && !self.placed.contains_key(i))
             .take(limit)
             .collect()
@@ -130,8 +132,8 @@
     }
 
     /// Whether tasks of this job may be started.
-    pub(crate) fn startable(&self, now: u64) -> bool {
-        self.ending.is_none() && !self.failures.is_held(now)
+    pub(crate) fn can_start_tasks(&self, now: u64) -> bool {
+        self.ending.is_none() && !self.failures.is_backing_off(now)
     }
 }
 
@@ -140,7 +142,7 @@
 pub(crate) enum Purpose {
     /// Stores the acceptance of a submission.
     Accept {
-        requester: Asker,
+        requester: Requester,
         id: JobId,
         spec: Box<JobSpec>,
         epoch: Epoch,
@@ -152,25 +154,25 @@
     /// Reads whether a job with this id exists, because the outcome of its acceptance is unknown or the submission
     /// is invalid.
     CheckExisting {
-        requester: Asker,
+        requester: Requester,
         id: JobId,
         answer_if_absent: Answer,
     },
     /// Reads the record of a job for the users who poll it.
     Status { id: JobId },
     /// Reads the record of a job that is to be cancelled and that this controller does not know.
-    CancelRead { requester: Asker, id: JobId },
+    CancelRead { requester: Requester, id: JobId },
     /// Stores the end of a job.
-    End { id: JobId, ending: Ending },
+    StoreEnd { id: JobId, ending: Ending },
     /// Stores bits of finished tasks.
-    Flush { pieces: Vec<InFlightPiece> },
+    FlushDoneBits { pieces: Vec<InFlightPiece> },
     /// Deletes bitmaps of ended jobs.
-    Sweep { keys: Vec<String> },
+    DeleteBitmaps { keys: Vec<String> },
 }
 
 impl Controller {
     /// Applies a job record that the watch or a listing returned.
-    pub(crate) fn apply_job(&mut self, id: JobId, value: Option<Value>, stamp: Stamp) {
+    pub(crate) fn on_job_record_changed(&mut self, id: JobId, value: Option<Value>, stamp: Revision) {
         // Job records are never deleted, so an absent value is ignored.
         let Some(record) = value.and_then(|v| serde_json::from_value::<JobRecord>(v).ok()) else {
             return;
@@ -188,8 +190,8 @@
     }
 
     /// Adds a job from its record, updates its revision, or closes it if the record says that it has ended.
-    pub(crate) fn apply_job_record(&mut self, id: JobId, record: JobRecord, stamp: Stamp) {
-        if self.over.contains_key(&id) {
+    pub(crate) fn apply_job_record(&mut self, id: JobId, record: JobRecord, stamp: Revision) {
+        if self.ended_jobs.contains_key(&id) {
             return;
         }
         if let Some(ended_job) = EndedJob::from_record(&record) {
@@ -201,7 +203,7 @@
             return;
         }
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.stamp = job.stamp.max(stamp);
+            job.revision = job.revision.max(stamp);
             return;
         }
         let Some(spec) = record.spec else { return };
@@ -213,12 +215,12 @@
         self.admission.add_job(&job.spec);
         self.jobs.insert(id, job);
         if self.tenures.contains_key(&partition) {
-            self.want_batch();
+            self.schedule_batch();
             if gang {
                 // The batch runs now: a gang enters it with all of its tasks, so waiting for more tasks gains
                 // nothing, while its users wait for seconds.
-                self.batch_due = Some(self.now.ms);
-                self.tick_batch();
+                self.batch_due_ms = Some(self.now.ms);
+                self.run_due_batch();
             }
         }
     }
@@ -228,11 +230,11 @@
     fn remember_ended_job(&mut self, id: &JobId, ended_job: EndedJob) {
         // A fifth of the memory, at about 300 bytes per job.
         let limit = (self.settings.platform.facts.machine_limits.ram_mb * 1e6 / 5.0 / 300.0) as usize;
-        self.over.insert(id.clone(), ended_job);
-        self.over_order.push_back(id.clone());
-        while self.over_order.len() > limit.max(1000) {
-            if let Some(oldest) = self.over_order.pop_front() {
-                self.over.remove(&oldest);
+        self.ended_jobs.insert(id.clone(), ended_job);
+        self.ended_job_order.push_back(id.clone());
+        while self.ended_job_order.len() > limit.max(1000) {
+            if let Some(oldest) = self.ended_job_order.pop_front() {
+                self.ended_jobs.remove(&oldest);
             }
         }
     }
@@ -243,14 +245,14 @@
         if let Some(job) = self.jobs.remove(id) {
             self.admission.remove_job(self.now.ms, &job.spec);
             for requester in job.requesters {
-                self.tell_over(requester, id);
+                self.answer_ended_job(requester, id);
             }
             // Machines that may still run its tasks are told to stop them.
             for machines in job.placed.values() {
                 for machine in machines {
                     if let Some(m) = self.machines.get_mut(machine) {
-                        m.drop_unsent(id);
-                        self.poked.insert(machine.clone());
+                        m.drop_unsent_starts(id);
+                        self.machines_with_urgent_commands.insert(machine.clone());
                     }
                 }
             }
@@ -265,7 +267,7 @@
             job.reset();
         }
         for requester in requesters {
-            self.answer(requester, Answer::later(503, 1, "membership is changing"));
+            self.send_answer(requester, Answer::retry_later(503, 1, "membership is changing"));
         }
     }
 
@@ -276,32 +278,36 @@
         job.is_end_in_flight = true;
         let record = JobRecord {
             epoch: job.epoch,
-            at: job.at_wall,
+            at: job.accepted_wall_ms,
             st: match ending {
                 Ending::Done => StoredJobStatus::Done,
                 Ending::Cancelled => StoredJobStatus::Cancelled,
             },
             n: job.spec.tasks,
             team: job.spec.team.clone(),
-            size: Self::size(&job.spec),
+            size: Self::task_resources(&job.spec),
             ended: self.settings.features.cancellations.then_some(self.now.wall_ms),
             spec: None,
         };
         let key = format!("{JOB_PREFIX}{id}");
-        let mut conditions = vec![json!({ "k": key, "stamp": job.stamp })];
+        let mut conditions = vec![json!({ "k": key, "stamp": job.revision })];
         let mut changes = vec![json!({ "write": key, "value": record })];
-        let deletions_in_txn = self.limits.ops.saturating_sub(1);
+        let deletions_in_txn = self.write_limits.max_ops.saturating_sub(1);
         let partition = job.partition;
         let mut keys = job.stored_pieces.iter().map(|c| c.key(partition, id));
         changes.extend(keys.by_ref().take(deletions_in_txn).map(|k| json!({ "delete": k })));
         let remaining: Vec<String> = keys.collect();
-        self.cloud.stale_keys.extend(remaining);
+        self.capacity.stale_keys.extend(remaining);
         conditions.push(self.epoch_condition());
-        self.txn(conditions, changes, Call::Job(Purpose::End { id: id.clone(), ending }));
+        self.txn(
+            conditions,
+            changes,
+            Call::Job(Purpose::StoreEnd { id: id.clone(), ending }),
+        );
     }
 
     /// Records that a task has finished. After the last one the job's end is stored at once.
-    pub(crate) fn task_done(&mut self, task: &TaskId) {
+    pub(crate) fn record_task_done(&mut self, task: &TaskId) {
         let (chunk_bits, piece_bits) = (self.chunk_bits(), self.piece_bits());
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -321,7 +327,7 @@
     }
 
     /// Stores the end of every job of a partition whose tasks are all done.
-    pub(crate) fn complete_finished(&mut self, partition: Partition) {
+    pub(crate) fn store_ends_of_finished_jobs(&mut self, partition: Partition) {
         let finished: Vec<JobId> = self
             .jobs
             .iter()
@@ -351,14 +357,14 @@
             Purpose::CheckExisting { requester, id, .. } if self.can_answer_without_read(&id) => {
                 self.on_status(requester, id.as_str(), true);
             }
-            Purpose::CancelRead { requester, id } if self.can_answer_without_read(&id) || self.stale => {
-                self.on_withdraw(requester, id.as_str(), true);
+            Purpose::CancelRead { requester, id } if self.can_answer_without_read(&id) || self.is_reply_stale => {
+                self.on_cancel_request(requester, id.as_str(), true);
             }
             Purpose::CheckExisting {
                 requester,
                 id,
                 answer_if_absent,
-            } if self.stale => self.check_existing_job(requester, id, answer_if_absent),
+            } if self.is_reply_stale => self.check_existing_job(requester, id, answer_if_absent),
             // The 404 predates the job, which the watch has reported since.
             Purpose::CheckExisting { requester, id, .. }
                 if matches!(result, Some((404, _))) && self.jobs.contains_key(&id) =>
@@ -368,34 +374,37 @@
             Purpose::CancelRead { requester, id }
                 if matches!(result, Some((404, _))) && self.jobs.contains_key(&id) =>
             {
-                self.on_withdraw(requester, id.as_str(), true);
+                self.on_cancel_request(requester, id.as_str(), true);
             }
             Purpose::CheckExisting {
                 requester,
                 id,
                 answer_if_absent,
             } => match result {
-                Some((404, _)) => self.answer(requester, answer_if_absent),
+                Some((404, _)) => self.send_answer(requester, answer_if_absent),
                 result => self.answer_from_read(requester, &id, result),
             },
             Purpose::CancelRead { requester, id } => match result {
-                Some((404, _)) => self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#)),
+                Some((404, _)) => self.send_answer(requester, Answer::new(404, r#"{"error":"no such job"}"#)),
                 Some((200, body)) => {
                     self.apply_read_record(&id, &body);
-                    if self.over.contains_key(&id) {
-                        self.tell_over(requester, &id);
+                    if self.ended_jobs.contains_key(&id) {
+                        self.answer_ended_job(requester, &id);
                     } else {
-                        self.answer(requester, Answer::later(503, 1, "try again"));
+                        self.send_answer(requester, Answer::retry_later(503, 1, "try again"));
                     }
                 }
-                _ => self.answer(requester, Answer::later(503, 1, "the state service does not answer")),
+                _ => self.send_answer(
+                    requester,
+                    Answer::retry_later(503, 1, "the state service does not answer"),
+                ),
             },
-            Purpose::End { id, ending } => self.on_end_reply(id, ending, result),
-            Purpose::Flush { pieces } => self.on_flush_reply(pieces, result),
-            Purpose::Sweep { keys } => match result {
+            Purpose::StoreEnd { id, ending } => self.on_end_reply(id, ending, result),
+            Purpose::FlushDoneBits { pieces } => self.on_flush_reply(pieces, result),
+            Purpose::DeleteBitmaps { keys } => match result {
                 Some((200 | 409, _)) => {}
                 // The deletion failed or its outcome is unknown: it is retried later.
-                _ => self.cloud.stale_keys.extend(keys),
+                _ => self.capacity.stale_keys.extend(keys),
             },
         }
     }
@@ -410,9 +419,9 @@
                     done: ending == Ending::Done,
                     tasks: job.spec.tasks,
                     team: job.spec.team.clone(),
-                    size: Self::size(&job.spec),
+                    size: Self::task_resources(&job.spec),
                 };
-                let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
+                let age_s = self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0;
                 let outcome = match (ended_job.done, job.spec.deadline_s) {
                     (true, Some(deadline_s)) => format!("done after {age_s:.0} s, deadline {deadline_s:.0} s"),
                     (true, None) => format!("done after {age_s:.0} s"),
@@ -428,13 +437,16 @@
             Some((409, _)) => {
                 // The epoch has changed, or an earlier copy of this write was applied: the watch will report which.
                 for requester in std::mem::take(&mut job.requesters) {
-                    self.answer(requester, Answer::later(503, 1, "membership is changing"));
+                    self.send_answer(requester, Answer::retry_later(503, 1, "membership is changing"));
                 }
             }
             _ => {
                 // The write may still be applied: it is sent again until it has a definite answer.
                 for requester in std::mem::take(&mut job.requesters) {
-                    self.answer(requester, Answer::later(503, 1, "the state service does not answer"));
+                    self.send_answer(
+                        requester,
+                        Answer::retry_later(503, 1, "the state service does not answer"),
+                    );
                 }
             }
         }
@@ -442,11 +454,11 @@
 
     /// Retries writes of job ends that have no definite answer, and sends the bits of finished tasks that are due.
     pub(crate) fn tick_jobs(&mut self) {
-        if !self.entitled() || self.now.ms < self.flush_due {
+        if !self.is_entitled() || self.now.ms < self.flush_due_ms {
             return;
         }
-        self.flush_due = self.now.ms + self.settings.report_ms() / 3;
-        let acting = self.acting_partitions();
+        self.flush_due_ms = self.now.ms + self.settings.report_ms() / 3;
+        let acting = self.active_partitions();
         let unconfirmed: Vec<(JobId, Ending)> = self
             .jobs
             .iter()
@@ -454,7 +466,7 @@
             .filter_map(|(id, j)| j.ending.map(|e| (id.clone(), e)))
             .collect();
         for (id, ending) in unconfirmed {
-            if self.state_writes.take(self.now.ms, 0.0, 0.1) {
+            if self.state_writes.try_take(self.now.ms, 0.0, 0.1) {
                 self.store_job_end(&id, ending);
             }
         }
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -2,7 +2,7 @@
 //! partition, or answered by a read of the state service.
 
 use super::{Ending, Job, JobRecord, Purpose, StatusOnlyRecord, StoredJobStatus};
-use crate::calls::{Asker, Purpose as Call};
+use crate::calls::{CallPurpose as Call, Requester};
 use crate::controller::Controller;
 use crate::ids::{ControllerId, JobId, Partition};
 use crate::membership::JOB_PREFIX;
@@ -12,7 +12,7 @@
 
 impl Controller {
     /// Reads whether a job exists: its requester gets the job's state, or `answer_if_absent` if there is no such job.
-    pub(crate) fn check_existing_job(&mut self, requester: Asker, id: JobId, answer_if_absent: Answer) {
+    pub(crate) fn check_existing_job(&mut self, requester: Requester, id: JobId, answer_if_absent: Answer) {
         self.read_job(
             &id.clone(),
             Purpose::CheckExisting {
@@ -25,10 +25,10 @@
 
     /// Reads a job's record from the state service. The read is sent whatever the request budget holds.
     pub(super) fn read_job(&mut self, id: &JobId, purpose: Purpose) {
-        self.state_reads.force(self.now.ms, 1.0);
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
         // Users wait 2 s for the answer to a poll.
         let timeout = (self.settings.lease_ms() / 4).min(1500);
-        self.call(
+        self.send_call(
             Target::State,
             Method::Get,
             format!("/store/{JOB_PREFIX}{id}"),
@@ -39,36 +39,28 @@
     }
 
     /// Answers a status request. A request that has just come from a peer has `may_forward` unset and is not forwarded.
-    pub(crate) fn on_status(&mut self, requester: Asker, id: &str, may_forward: bool) {
+    pub(crate) fn on_status(&mut self, requester: Requester, id: &str, may_forward: bool) {
         let Some(id) = JobId::parse(id) else {
             // No job has an invalid id.
-            self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
+            self.send_answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
             return;
         };
-        if self.over.contains_key(&id) {
-            self.tell_over(requester, &id);
+        if self.ended_jobs.contains_key(&id) {
+            self.answer_ended_job(requester, &id);
             return;
         }
         if let Some(job) = self.jobs.get(&id) {
-            if self.acting(job.partition).is_some() && job.ending.is_none() {
+            if self.active_tenure(job.partition).is_some() && job.ending.is_none() {
                 let body = self.live_status_body(&id, job);
-                self.answer(requester, Answer::new(200, body));
+                self.send_answer(requester, Answer::new(200, body));
                 return;
             }
             if let Some(owner) = self.reachable_owner(job.partition, may_forward) {
                 let request = PeerRequest::Forward {
                     job: id.as_str().to_owned(),
-                    withdraw: false,
+                    cancel: false,
                 };
-                self.ask(
-                    owner,
-                    request,
-                    500,
-                    Call::ForwardStatus {
-                        asker: requester,
-                        job: id,
-                    },
-                );
+                self.send_peer_request(owner, request, 500, Call::ForwardStatus { requester, job: id });
                 return;
             }
         }
@@ -78,8 +70,8 @@
     /// The controller to which a request is forwarded: the owner of the partition, if that is another controller that
     /// can be reached and the request has not been forwarded before.
     fn reachable_owner(&self, partition: Partition, may_forward: bool) -> Option<ControllerId> {
-        let owner = &self.holding(partition)?.owner;
-        (may_forward && *owner != self.me && self.reachable(owner)).then(|| owner.clone())
+        let owner = &self.partition_owner(partition)?.owner;
+        (may_forward && *owner != self.own_name && self.is_reachable(owner)).then(|| owner.clone())
     }
 
     /// JSON body of the status answer for an unfinished job of this controller.
@@ -100,32 +92,32 @@
     }
 
     /// Handles a user's request to cancel a job: stores the end, or forwards the request to the owner.
-    pub(crate) fn on_withdraw(&mut self, requester: Asker, id: &str, may_forward: bool) {
+    pub(crate) fn on_cancel_request(&mut self, requester: Requester, id: &str, may_forward: bool) {
         let Some(id) = JobId::parse(id) else {
-            self.answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
+            self.send_answer(requester, Answer::new(404, r#"{"error":"no such job"}"#));
             return;
         };
-        if self.over.contains_key(&id) {
-            self.tell_over(requester, &id);
+        if self.ended_jobs.contains_key(&id) {
+            self.answer_ended_job(requester, &id);
             return;
         }
         let Some(partition) = self.jobs.get(&id).map(|j| j.partition) else {
             self.read_job(&id.clone(), Purpose::CancelRead { requester, id });
             return;
         };
-        if self.acting(partition).is_none() {
+        if self.active_tenure(partition).is_none() {
             match self.reachable_owner(partition, may_forward) {
                 Some(owner) => {
                     let request = PeerRequest::Forward {
                         job: id.as_str().to_owned(),
-                        withdraw: true,
+                        cancel: true,
                     };
                     let timeout = 4 * self.settings.report_ms() / 5;
-                    self.ask(owner, request, timeout, Call::ForwardWithdraw { asker: requester });
+                    self.send_peer_request(owner, request, timeout, Call::ForwardCancellation { requester });
                 }
-                None => self.answer(
+                None => self.send_answer(
                     requester,
-                    Answer::later(503, 1, "the job's controller cannot be reached"),
+                    Answer::retry_later(503, 1, "the job's controller cannot be reached"),
                 ),
             }
             return;
@@ -143,8 +135,8 @@
     /// Whether this controller can answer for a job without the read that has just returned: the job's end is known, or
     /// the controller has come to own the job since the read was sent.
     pub(super) fn can_answer_without_read(&self, id: &JobId) -> bool {
-        let is_own = |j: &Job| j.ending.is_none() && self.acting(j.partition).is_some();
-        self.over.contains_key(id) || self.jobs.get(id).is_some_and(is_own)
+        let is_own = |j: &Job| j.ending.is_none() && self.active_tenure(j.partition).is_some();
+        self.ended_jobs.contains_key(id) || self.jobs.get(id).is_some_and(is_own)
     }
 
     /// Applies the job record that a read returned and returns its status, or `None` if the body cannot be parsed.
@@ -165,15 +157,15 @@
     }
 
     /// Answers a status request with the result of a read.
-    pub(super) fn answer_from_read(&mut self, requester: Asker, id: &JobId, result: Option<(u16, Vec<u8>)>) {
+    pub(super) fn answer_from_read(&mut self, requester: Requester, id: &JobId, result: Option<(u16, Vec<u8>)>) {
         let state = match result {
             Some((200, body)) => self.apply_read_record(id, &body),
             _ => None,
         };
         let answer = match state {
-            None => Answer::later(503, 1, "the state service does not answer"),
-            Some(_) if self.over.contains_key(id) => {
-                self.tell_over(requester, id);
+            None => Answer::retry_later(503, 1, "the state service does not answer"),
+            Some(_) if self.ended_jobs.contains_key(id) => {
+                self.answer_ended_job(requester, id);
                 return;
             }
             Some(state) => Answer::new(
@@ -181,6 +173,6 @@
                 json!({ "uid": id, "status": state.user_facing_name(), "done": 0, "running": 0 }).to_string(),
             ),
         };
-        self.answer(requester, answer);
+        self.send_answer(requester, answer);
     }
 }
--- a/crates/tidelatch-core/src/jobs/status_reads.rs
+++ b/crates/tidelatch-core/src/jobs/status_reads.rs
@@ -6,7 +6,7 @@
 //! once.
 
 use super::Purpose;
-use crate::calls::Asker;
+use crate::calls::Requester;
 use crate::controller::Controller;
 use crate::ids::JobId;
 use crate::messages::Answer;
@@ -22,9 +22,9 @@
 #[derive(Debug)]
 struct OpenRead {
     /// Requests that came before the read was sent; it answers them.
-    requesters: Vec<Asker>,
+    requesters: Vec<Requester>,
     /// Requests that have come since; the next read answers them.
-    next_requesters: Vec<Asker>,
+    next_requesters: Vec<Requester>,
 }
 
 /// All status reads in flight, by job.
@@ -35,7 +35,7 @@
 
 impl Controller {
     /// Answers a status request by a read that is sent after the request came.
-    pub(crate) fn read_status(&mut self, requester: Asker, id: JobId) {
+    pub(crate) fn read_status(&mut self, requester: Requester, id: JobId) {
         match self.status_reads.in_flight.get_mut(&id) {
             Some(read) => read.next_requesters.push(requester),
             None => self.begin_status_read(id, vec![requester]),
@@ -43,14 +43,14 @@
     }
 
     /// Sends a read for the given requests, or refuses them if too many reads are in flight or the budget is spent.
-    fn begin_status_read(&mut self, id: JobId, requesters: Vec<Asker>) {
+    fn begin_status_read(&mut self, id: JobId, requesters: Vec<Requester>) {
         if requesters.is_empty() {
             return;
         }
         let max_in_flight = (self.state_requests_per_s() * MAX_READS_IN_FLIGHT_PER_RPS).max(1.0) as usize;
         let in_flight = self.status_reads.in_flight.len();
-        if in_flight >= max_in_flight || !self.state_reads.take(self.now.ms, 0.0, RESERVED_BUDGET_SHARE) {
-            self.answer_all(requesters, &Answer::later(503, 1, "too many requests at present"));
+        if in_flight >= max_in_flight || !self.state_reads.try_take(self.now.ms, 0.0, RESERVED_BUDGET_SHARE) {
+            self.answer_all(requesters, &Answer::retry_later(503, 1, "too many requests at present"));
             return;
         }
         let read = OpenRead {
@@ -86,7 +86,7 @@
             return;
         }
         // An answer that stayed in buffers while this process was paused may be outdated, so the read is repeated.
-        if self.stale {
+        if self.is_reply_stale {
             requesters.extend(next_requesters);
             self.begin_status_read(id, requesters);
             return;
@@ -102,13 +102,16 @@
         match state {
             None => {
                 requesters.extend(next_requesters);
-                self.answer_all(requesters, &Answer::later(503, 1, "the state service does not answer"));
+                self.answer_all(
+                    requesters,
+                    &Answer::retry_later(503, 1, "the state service does not answer"),
+                );
             }
-            Some(_) if self.over.contains_key(&id) => {
+            Some(_) if self.ended_jobs.contains_key(&id) => {
                 requesters.extend(next_requesters);
                 requesters
                     .into_iter()
-                    .for_each(|requester| self.tell_over(requester, &id));
+                    .for_each(|requester| self.answer_ended_job(requester, &id));
             }
             Some(state) => {
                 let body = json!({ "uid": id, "status": state.user_facing_name(), "done": 0, "running": 0 });
@@ -119,9 +122,9 @@
     }
 
     /// Sends the same answer to all requesters.
-    fn answer_all(&mut self, requesters: Vec<Asker>, answer: &Answer) {
+    fn answer_all(&mut self, requesters: Vec<Requester>, answer: &Answer) {
         requesters
             .into_iter()
-            .for_each(|requester| self.answer(requester, answer.clone()));
+            .for_each(|requester| self.send_answer(requester, answer.clone()));
     }
 }
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -13,7 +13,7 @@
 mod shared_machines;
 mod unresponsive_machines;
 
-pub(crate) use machine::{Guest, Held, HeldState, Machine, Stop};
+pub(crate) use machine::{HeldTask, HeldTaskState, Machine, MisdirectedWorker, StopRequest};
 
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, Partition, TaskId};
@@ -25,7 +25,7 @@
         let now = self.now.ms;
         let (settings, tenures) = (&self.settings, &self.tenures);
         // Tasks of the other partitions that this controller owns stay known if they are on one of these machines.
-        let is_of_another_partition = |held: &Held| {
+        let is_of_another_partition = |held: &HeldTask| {
             let owner = settings.partition_of_team(&held.team);
             owner.is_some_and(|p| p != partition && tenures.contains_key(&p))
         };
@@ -34,7 +34,7 @@
         // and the task would be stopped.
         let mut removed_placements: Vec<(TaskId, MachineId)> = Vec::new();
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.partition == partition) {
-            m.confirmed = false;
+            m.is_confirmed = false;
             m.confirming = false;
             let dropped = m.held.iter().filter(|held| !is_of_another_partition(held));
             removed_placements.extend(dropped.map(|held| (held.task.clone(), id.clone())));
@@ -44,19 +44,19 @@
             // Older starts are fenced by the epoch of this tenure: reports under an older epoch are not accepted.
             m.unanswered_starts.clear();
             m.pending_command = None;
-            m.heard = None;
+            m.last_heard_at = None;
             m.heard_directly = None;
             m.failed_probes = 0;
             m.probing = false;
             m.known_since = now;
             m.idle_since = None;
-            m.moving = None;
+            m.moving_to = None;
             m.retiring = false;
             m.draining = false;
-            m.vacating = None;
+            m.vacating_for = None;
             m.deleting = false;
-            m.storing = false;
-            m.may_hold = m.up();
+            m.is_boot_write_pending = false;
+            m.may_hold_older_tasks = m.is_up();
             m.missed_answers = 0;
             m.last_answered_at = None;
             m.direct_starts.clear();
@@ -71,7 +71,7 @@
     }
 
     /// Adds a task to those that a machine holds and to the placements of its job.
-    pub(super) fn add_held_task(&mut self, machine: &MachineId, held: Held) {
+    pub(super) fn add_held_task(&mut self, machine: &MachineId, held: HeldTask) {
         if let Some(job) = self.jobs.get_mut(&held.task.job) {
             job.placed.entry(held.task.index).or_default().push(machine.clone());
         }
@@ -87,19 +87,19 @@
         let demand = self
             .jobs
             .get(&task.job)
-            .map(|j| (Self::size(&j.spec), j.spec.team.clone(), j.partition));
+            .map(|j| (Self::task_resources(&j.spec), j.spec.team.clone(), j.partition));
         let Some((size, team, partition)) = demand else { return };
         let Some(attempt) = self.next_attempt(&task.job, partition) else {
             return;
         };
-        self.poked.insert(machine.clone());
+        self.machines_with_urgent_commands.insert(machine.clone());
         self.log(Level::Debug, format!("{machine}: {task} placed, attempt {attempt}"));
         self.add_held_task(
             machine,
-            Held {
+            HeldTask {
                 task,
                 attempt,
-                state: HeldState::Booked,
+                state: HeldTaskState::Booked,
                 running_since: None,
                 stop: None,
                 size,
@@ -116,7 +116,7 @@
             machines.retain(|m| m != machine);
             if machines.is_empty() {
                 job.placed.remove(&task.index);
-                job.cursor = job.cursor.min(task.index);
+                job.first_unplaced_index = job.first_unplaced_index.min(task.index);
             }
         }
     }
@@ -130,11 +130,11 @@
             }
         }
         self.remove_placement(task, machine);
-        self.want_batch();
+        self.schedule_batch();
     }
 
     /// Releases all attempts on a machine after proof that they are gone. `why` names the proof in the log.
-    pub(crate) fn release_all(&mut self, machine: &MachineId, why: &str) {
+    pub(crate) fn release_all_attempts(&mut self, machine: &MachineId, why: &str) {
         let held: Vec<(TaskId, Attempt)> = match self.machines.get(machine) {
             Some(m) => m.held.iter().map(|h| (h.task.clone(), h.attempt)).collect(),
             None => return,
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -1,15 +1,15 @@
 //! Commands for workers, sent in answers to their reports and in direct commands.
 
-use super::{Held, HeldState, Machine, Stop};
-use crate::calls::Purpose;
+use super::{HeldTask, HeldTaskState, Machine, StopRequest};
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{Attempt, Epoch, MachineId, TaskId};
 use crate::jobs::Job;
-use crate::messages::{Method, NOT_SENT, NOT_TRIED, Target};
+use crate::messages::{Method, STATUS_NO_FREE_SOCKET, STATUS_NOT_CONNECTED, Target};
 use crate::protocol::{Command, Orders, Report, TaskState};
 
 /// The command that starts a held task.
-fn start_command(held: &Held) -> Command {
+fn start_command(held: &HeldTask) -> Command {
     Command::Start {
         task: held.task.to_string(),
         attempt: held.attempt,
@@ -18,13 +18,13 @@
 
 /// The command that stops a task that its machine reports in `state`. None if the task is to go on running, or is
 /// saving within its time limit.
-fn stop_command(held: &mut Held, state: TaskState, is_wanted: bool, now: u64, report_ms: u64) -> Option<Command> {
+fn stop_command(held: &mut HeldTask, state: TaskState, is_wanted: bool, now: u64, report_ms: u64) -> Option<Command> {
     if !is_wanted && held.stop.is_none() {
-        held.stop = Some(Stop::new(0.0, now));
+        held.stop = Some(StopRequest::new(0.0, now));
     }
     let stop = held.stop?;
     // A task that takes too long to save is killed.
-    let is_late = now.saturating_sub(stop.at) > (stop.grace_s * 2000.0) as u64 + 2 * report_ms;
+    let is_late = now.saturating_sub(stop.requested_at) > (stop.grace_s * 2000.0) as u64 + 2 * report_ms;
     let saves_in_time = state == TaskState::Saving && !is_late && is_wanted && stop.grace_s != 0.0;
     (!saves_in_time).then(|| Command::Stop {
         task: held.task.to_string(),
@@ -36,7 +36,7 @@
 impl Controller {
     /// Collects the commands for a machine. They go out with the answer to the report `answered_report` (session,
     /// sequence number), or in a direct command if that is `None`.
-    pub(crate) fn orders_for(&mut self, id: &MachineId, answered_report: Option<(u64, u64)>) -> Vec<Command> {
+    pub(crate) fn commands_for(&mut self, id: &MachineId, answered_report: Option<(u64, u64)>) -> Vec<Command> {
         let now = self.now.ms;
         let report_ms = self.settings.report_ms();
         let epoch = self.epoch();
@@ -52,12 +52,13 @@
             let job = self.jobs.get(&h.task.job).filter(is_known_here);
             let accepts_starts = job.is_some_and(|j| j.ending.is_none());
             // A cancellation stops tasks from the moment it is requested.
-            let is_wanted = job.is_some_and(|j| !j.is_done(h.task.index)) && !self.cancellations.calls_off(&h.task.job);
+            let is_wanted = job.is_some_and(|j| !j.is_done(h.task.index))
+                && !self.cancellations.is_cancelled_or_requested(&h.task.job);
             match h.state {
-                HeldState::Booked if is_wanted && accepts_starts && h.stop.is_none() => {
+                HeldTaskState::Booked if is_wanted && accepts_starts && h.stop.is_none() => {
                     h.state = match answered_report {
-                        Some((session, seq)) => HeldState::Sent(session, seq),
-                        None => HeldState::AwaitingAnswer,
+                        Some((session, seq)) => HeldTaskState::Sent(session, seq),
+                        None => HeldTaskState::AwaitingAnswer,
                     };
                     if answered_report.is_none()
                         && let Some(epoch) = epoch
@@ -66,9 +67,9 @@
                     }
                     commands.push(start_command(h));
                 }
-                HeldState::Booked => dropped.push((h.task.clone(), h.attempt)),
-                HeldState::Seen(state) => commands.extend(stop_command(h, state, is_wanted, now, report_ms)),
-                HeldState::Sent(..)
+                HeldTaskState::Booked => dropped.push((h.task.clone(), h.attempt)),
+                HeldTaskState::Reported(state) => commands.extend(stop_command(h, state, is_wanted, now, report_ms)),
+                HeldTaskState::Sent(..)
                     if answered_report.is_some()
                         && is_wanted
                         && m.unanswered_starts.contains_key(&(h.task.clone(), h.attempt)) =>
@@ -76,7 +77,7 @@
                     // The same attempt is sent again. The copy that arrives second has no effect.
                     commands.extend(accepts_starts.then(|| start_command(h)));
                 }
-                HeldState::Sent(..) | HeldState::AwaitingAnswer => {}
+                HeldTaskState::Sent(..) | HeldTaskState::AwaitingAnswer => {}
             }
         }
         for (task, attempt) in dropped {
@@ -120,7 +121,7 @@
     }
 
     /// Requests that a held task stops, saving its state first if it has checkpoints.
-    pub(crate) fn stop_held(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
+    pub(crate) fn request_stop(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
         let now = self.now.ms;
         let grace_s = match self.jobs.get(&task.job) {
             Some(j) if j.spec.checkpoint_s > 0.0 => j.spec.save_s.max(0.1),
@@ -129,36 +130,36 @@
         if let Some(m) = self.machines.get_mut(machine)
             && let Some(h) = m.held.iter_mut().find(|h| h.task == *task && h.attempt == attempt)
         {
-            h.stop.get_or_insert(Stop::new(grace_s, now));
-            self.poked.insert(machine.clone());
+            h.stop.get_or_insert(StopRequest::new(grace_s, now));
+            self.machines_with_urgent_commands.insert(machine.clone());
         }
     }
 
     /// Sends urgent commands directly to the workers instead of waiting for their next reports.
-    pub(crate) fn send_direct(&mut self) {
-        if self.poked.is_empty() {
+    pub(crate) fn send_direct_commands(&mut self) {
+        if self.machines_with_urgent_commands.is_empty() {
             return;
         }
-        let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
-            self.poked.clear();
+        let Some(epoch) = self.epoch().filter(|_| self.is_entitled()) else {
+            self.machines_with_urgent_commands.clear();
             return;
         };
         let now = self.now.ms;
         let max_unheard_ms = 2 * self.settings.report_ms();
-        for id in std::mem::take(&mut self.poked) {
+        for id in std::mem::take(&mut self.machines_with_urgent_commands) {
             let Some(m) = self.machines.get(&id) else { continue };
-            let can_command = m.confirmed
-                && m.up()
-                && !m.gone
+            let can_command = m.is_confirmed
+                && m.is_up()
+                && !m.is_deleted
                 && m.pending_command.is_none()
                 && !m.deleting
                 && now >= m.direct_commands_from
-                && m.heard.is_some_and(|t| now.saturating_sub(t) <= max_unheard_ms);
-            if !can_command || self.acting(m.partition).is_none() {
+                && m.last_heard_at.is_some_and(|t| now.saturating_sub(t) <= max_unheard_ms);
+            if !can_command || self.active_tenure(m.partition).is_none() {
                 continue;
             }
             let (addr, session) = (m.addr.clone(), m.last_report_key.0);
-            let commands = self.orders_for(&id, None);
+            let commands = self.commands_for(&id, None);
             let urgent = commands.iter().any(|c| !matches!(c, Command::Forget { .. }));
             if !urgent {
                 continue;
@@ -175,13 +176,13 @@
                 m.pending_command = Some(number);
             }
             let timeout = self.settings.report_ms() / 2;
-            self.call(
+            self.send_call(
                 Target::Worker(addr),
                 Method::Post,
                 "/commands",
                 body,
                 timeout,
-                Purpose::Direct {
+                CallPurpose::SendCommands {
                     machine: id,
                     number,
                     epoch,
@@ -192,7 +193,7 @@
     }
 
     /// Handles the answer to a direct command, or its absence. `sent_under` is the epoch and session of the command.
-    pub(crate) fn on_direct(
+    pub(crate) fn on_direct_command_answer(
         &mut self,
         id: MachineId,
         number: u64,
@@ -207,7 +208,7 @@
         let now = self.now.ms;
         let lease = self.settings.worker_lease_ms();
         let partition = self.machines.get(&id).map(|m| m.partition);
-        if partition.is_none_or(|p| self.acting(p).is_none()) {
+        if partition.is_none_or(|p| self.active_tenure(p).is_none()) {
             // The tenure has ended, or its controller may not act: the next acting owner determines what is on the
             // machine.
             if let Some(m) = self.machines.get_mut(&id) {
@@ -225,24 +226,24 @@
         match (result.map(|(status, _)| status), report) {
             (Some(200), Some(report)) => {
                 m.heard_directly = Some(now);
-                for h in m.held.iter_mut().filter(|h| h.state == HeldState::AwaitingAnswer) {
-                    h.state = HeldState::Sent(report.session, report.seq);
+                for h in m.held.iter_mut().filter(|h| h.state == HeldTaskState::AwaitingAnswer) {
+                    h.state = HeldTaskState::Sent(report.session, report.seq);
                 }
                 self.accept_report(&report, false);
                 if self.machines.get(&id).is_some_and(Machine::has_unsent_commands) {
-                    self.poked.insert(id);
+                    self.machines_with_urgent_commands.insert(id);
                 }
             }
             // Not executed: the worker is in another session or has seen a newer epoch, or the connection was not
             // established.
-            (Some(status @ (409 | NOT_SENT | NOT_TRIED)), report) => {
-                if status != NOT_TRIED {
+            (Some(status @ (409 | STATUS_NOT_CONNECTED | STATUS_NO_FREE_SOCKET)), report) => {
+                if status != STATUS_NO_FREE_SOCKET {
                     m.direct_commands_from = now + lease / 4;
                 }
                 let not_started: Vec<(TaskId, Attempt)> = m
                     .held
                     .iter()
-                    .filter(|h| h.state == HeldState::AwaitingAnswer)
+                    .filter(|h| h.state == HeldTaskState::AwaitingAnswer)
                     .map(|h| (h.task.clone(), h.attempt))
                     .collect();
                 for (task, attempt) in not_started {
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -1,6 +1,6 @@
 //! Processing of workers' reports: updates of the machine view.
 
-use super::{Held, HeldState, Stop};
+use super::{HeldTask, HeldTaskState, StopRequest};
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, TaskId};
 use crate::jobs::Job;
@@ -21,10 +21,14 @@
     pub(super) fn record_boot_time(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get(id) else { return };
         // Machines found at the takeover were rented at an unknown earlier time.
-        let was_rented_before = self.acting(m.partition).is_none_or(|t| m.known_since <= t.active_at);
-        let machine_type = self.types.iter().find(|t| t.name == m.model);
+        let was_rented_before = self
+            .active_tenure(m.partition)
+            .is_none_or(|t| m.known_since <= t.active_since_ms);
+        let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
         if let Some(machine_type) = machine_type.filter(|_| !was_rented_before) {
-            self.cloud.boot_times.note(machine_type, m.known_since, self.now.ms);
+            self.capacity
+                .boot_times
+                .record_boot(machine_type, m.known_since, self.now.ms);
         }
     }
 
@@ -62,7 +66,7 @@
         self.update_idle_since(id);
         if is_first {
             self.update_settled_tenures();
-            self.want_batch();
+            self.schedule_batch();
         }
         true
     }
@@ -73,15 +77,15 @@
         let Some(m) = self.machines.get_mut(&report.machine) else {
             return false;
         };
-        if (report.session, report.seq) <= m.last_report_key || m.gone {
+        if (report.session, report.seq) <= m.last_report_key || m.is_deleted {
             return false;
         }
         let tenure = self.tenures.get(&m.partition);
-        let current = tenure.is_some_and(|tenure| report.epoch >= tenure.since);
+        let current = tenure.is_some_and(|tenure| report.epoch >= tenure.since_epoch);
         // A periodic report under an older epoch may be a late copy, which does not show that the machine is alive. A
         // report sent as the answer to a request cannot be one.
         if current || !is_periodic {
-            m.heard = Some(self.now.ms);
+            m.last_heard_at = Some(self.now.ms);
             m.failed_probes = 0;
         }
         current
@@ -99,8 +103,8 @@
             m.missed_answers += 2;
         }
         m.last_report_key = (report.session, report.seq);
-        m.reported = Some(now);
-        m.token = report.epoch;
+        m.last_report_at = Some(now);
+        m.seen_epoch = report.epoch;
         m.has_preemption_notice = report.notice_s.is_some();
         m.unanswered_starts
             .retain(|_, start| start.epoch >= report.epoch && start.session >= report.session);
@@ -108,10 +112,10 @@
             m.direct_starts.clear();
         }
         m.direct_starts.retain(|_, (epoch, _)| *epoch >= report.epoch);
-        let is_first = !m.confirmed;
-        m.confirmed = true;
-        m.unaccounted
-            .retain(|p| tenures.get(p).is_none_or(|tenure| report.epoch < tenure.since));
+        let is_first = !m.is_confirmed;
+        m.is_confirmed = true;
+        m.unaccounted_partitions
+            .retain(|p| tenures.get(p).is_none_or(|tenure| report.epoch < tenure.since_epoch));
         Some(MachineUpdate {
             is_first,
             is_new_session,
@@ -162,8 +166,8 @@
         let Some(m) = self.machines.get_mut(&report.machine) else {
             return;
         };
-        let is_missing = |h: &Held| match h.state {
-            HeldState::Sent(session, seq) => (session, seq) < key && !listed.contains(&(h.task.clone(), h.attempt)),
+        let is_missing = |h: &HeldTask| match h.state {
+            HeldTaskState::Sent(session, seq) => (session, seq) < key && !listed.contains(&(h.task.clone(), h.attempt)),
             _ => false,
         };
         if m.held.iter().any(is_missing) {
@@ -184,9 +188,9 @@
             .held
             .iter()
             .filter(|h| match h.state {
-                HeldState::Booked | HeldState::AwaitingAnswer => false,
-                HeldState::Sent(session, seq) => (session, seq) < key,
-                HeldState::Seen(_) => true,
+                HeldTaskState::Booked | HeldTaskState::AwaitingAnswer => false,
+                HeldTaskState::Sent(session, seq) => (session, seq) < key,
+                HeldTaskState::Reported(_) => true,
             })
             .map(|h| (h.task.clone(), h.attempt))
             .filter(|attempt| !listed.contains(attempt) && !m.unanswered_starts.contains_key(attempt))
@@ -215,7 +219,7 @@
                 .held
                 .iter()
                 // A booked start that has not been sent does not belong to an older session.
-                .filter(|h| h.state != HeldState::Booked)
+                .filter(|h| h.state != HeldTaskState::Booked)
                 .map(|h| (h.task.clone(), h.attempt))
                 .collect(),
             None => return,
@@ -252,7 +256,7 @@
         let cache_gb = self
             .machines
             .get(id)
-            .and_then(|m| self.types.iter().find(|t| t.name == m.model))
+            .and_then(|m| self.machine_types.iter().find(|t| t.name == m.model))
             .map_or(0.0, |t| t.cache_gb);
         let image = self
             .jobs
@@ -269,7 +273,7 @@
         if has_started {
             h.running_since = Some(now);
         }
-        h.state = HeldState::Seen(state);
+        h.state = HeldTaskState::Reported(state);
         let running_since = h.running_since;
         // A gang's task that waits for the other tasks has already fetched its image.
         let has_image = has_started || state == TaskState::Gathering;
@@ -288,8 +292,8 @@
     /// Adds a task that was not booked in this tenure: one found after a takeover, or one that should not be there.
     fn adopt_task(&mut self, id: &MachineId, task: TaskId, attempt: Attempt, state: TaskState) {
         let now = self.now.ms;
-        let (size, team) = match (self.jobs.get(&task.job), self.over.get(&task.job)) {
-            (Some(j), _) => (Self::size(&j.spec), j.spec.team.clone()),
+        let (size, team) = match (self.jobs.get(&task.job), self.ended_jobs.get(&task.job)) {
+            (Some(j), _) => (Self::task_resources(&j.spec), j.spec.team.clone()),
             (None, Some(over)) => (over.size, over.team.clone()),
             _ => ([0.0; 3], String::new()),
         };
@@ -303,12 +307,12 @@
                 format!("{id}: {task} attempt {attempt} is on a second machine: stopping it"),
             );
         }
-        let held = Held {
+        let held = HeldTask {
             task,
             attempt,
-            state: HeldState::Seen(state),
+            state: HeldTaskState::Reported(state),
             running_since: (state == TaskState::Running).then_some(now),
-            stop: is_duplicate.then_some(Stop::new(0.0, now)),
+            stop: is_duplicate.then_some(StopRequest::new(0.0, now)),
             size,
             team,
         };
@@ -337,14 +341,14 @@
                 {
                     m.failures.clear();
                 }
-                let own = |job: &&Job| self.acting(job.partition).is_some();
+                let own = |job: &&Job| self.active_tenure(job.partition).is_some();
                 if let Some(job) = self.jobs.get(&task.job).filter(own) {
                     if let Some(started_at) = started_at.filter(|_| job.spec.shape != Shape::Service) {
                         self.estimates
-                            .note(&job.spec, now.saturating_sub(started_at) as f64 / 1000.0);
+                            .record_run_time(&job.spec, now.saturating_sub(started_at) as f64 / 1000.0);
                     }
                     self.record_success(&task.job, id);
-                    self.task_done(task);
+                    self.record_task_done(task);
                 }
             }
             "error" => self.record_failure(id, task),
