--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -12,8 +12,8 @@
 //!
 //! [`GroupRecord::also_holds`]: crate::roster::GroupRecord::also_holds
 
-use super::{Held, HeldState, Machine};
-use crate::calls::Purpose;
+use super::{HeldTask, HeldTaskState, Machine};
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, Partition, TaskId};
 use crate::messages::{Level, Method, Target};
@@ -26,37 +26,37 @@
 #[derive(Debug, Default)]
 pub(crate) struct RetainedTasks {
     /// Tasks of partitions that this controller owns.
-    held: Vec<Held>,
+    held: Vec<HeldTask>,
     /// Partitions whose tasks on the machine are not known yet.
     unaccounted: BTreeSet<Partition>,
 }
 
 impl Machine {
     /// Restores what was known about the machine before it was handed over.
-    pub(crate) fn carry(&mut self, carried: RetainedTasks) {
+    pub(crate) fn restore_tasks(&mut self, carried: RetainedTasks) {
         self.held = carried.held;
-        self.unaccounted = carried.unaccounted;
+        self.unaccounted_partitions = carried.unaccounted;
     }
 }
 
 impl Controller {
     /// Whether every member controller supports machines that hold tasks of several partitions.
     pub(crate) fn all_members_support_shared_machines(&self) -> bool {
-        let mut members = self.member.members.values();
-        self.settings.features.shared_machines && members.all(|m| m.knows >= SHARED_MACHINES_LEVEL)
+        let mut members = self.membership.members.values();
+        self.settings.features.shared_machines && members.all(|m| m.feature_level >= SHARED_MACHINES_LEVEL)
     }
 
     /// Whether machines may be handed over with their tasks: every controller of the deployment is a member and
     /// supports such machines. An absent controller might come back with a version that does not.
-    pub(crate) fn may_share_machines(&self) -> bool {
-        let members = &self.member.members;
+    pub(crate) fn can_hand_over_shared_machines(&self) -> bool {
+        let members = &self.membership.members;
         let names = self.settings.names();
         let is_present = |name: &String| members.keys().any(|member| member.as_str() == name);
         self.all_members_support_shared_machines() && names.iter().all(is_present)
     }
 
     /// Whether any machine may hold tasks of a partition that does not own it.
-    pub(crate) fn any_shared_machine(&self) -> bool {
+    pub(crate) fn has_shared_machines(&self) -> bool {
         self.machines.values().any(|m| !m.also_holds.is_empty())
     }
 
@@ -72,12 +72,12 @@
 
     /// The partitions other than the owner whose tasks may be on the machines of a group.
     pub(crate) fn partitions_beside_owner(&self, group: &GroupRecord) -> BTreeSet<Partition> {
-        let machines = || group.m.keys().filter_map(|id| self.machines.get(id));
+        let machines = || group.machines.keys().filter_map(|id| self.machines.get(id));
         let mut partitions: BTreeSet<Partition> = machines().flat_map(|m| self.partitions_on(m)).collect();
-        if !machines().all(|m| m.confirmed || m.gone) {
+        if !machines().all(|m| m.is_confirmed || m.is_deleted) {
             partitions.extend(&group.also_holds);
         }
-        partitions.remove(&group.part);
+        partitions.remove(&group.partition);
         partitions.retain(|p| group.also_holds.contains(p));
         partitions
     }
@@ -86,27 +86,27 @@
     pub(crate) fn set_also_holds(&mut self, id: &MachineId, also_holds: &BTreeSet<Partition>) {
         if let Some(m) = self.machines.get_mut(id) {
             m.also_holds.clone_from(also_holds);
-            m.unaccounted.retain(|p| also_holds.contains(p));
+            m.unaccounted_partitions.retain(|p| also_holds.contains(p));
         }
     }
 
     /// Removes, from a machine that is handed over, the tasks of partitions that this controller still owns, and
     /// returns them. The other tasks are released, as this controller is no longer responsible for them.
-    pub(crate) fn take_carried_tasks(&mut self, id: &MachineId) -> RetainedTasks {
+    pub(crate) fn take_retained_tasks(&mut self, id: &MachineId) -> RetainedTasks {
         let Some(m) = self.machines.get_mut(id) else {
             return RetainedTasks::default();
         };
         let mut carried = RetainedTasks {
             held: Vec::new(),
-            unaccounted: std::mem::take(&mut m.unaccounted),
+            unaccounted: std::mem::take(&mut m.unaccounted_partitions),
         };
         let (settings, tenures) = (&self.settings, &self.tenures);
-        let is_own = |held: &Held| {
+        let is_own = |held: &HeldTask| {
             let partition = settings.partition_of_team(&held.team);
             partition.is_some_and(|p| tenures.contains_key(&p))
         };
         (carried.held, m.held) = std::mem::take(&mut m.held).into_iter().partition(is_own);
-        self.release_all(id, "it was handed to another partition");
+        self.release_all_attempts(id, "it was handed to another partition");
         carried
     }
 
@@ -118,7 +118,7 @@
         let mut placed: Vec<(TaskId, MachineId)> = Vec::new();
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.partition != partition) {
             let (settings, tenures) = (&self.settings, &self.tenures);
-            let of_partition = |h: &Held| settings.partition_of_team(&h.team) == Some(partition);
+            let of_partition = |h: &HeldTask| settings.partition_of_team(&h.team) == Some(partition);
             if tenures.contains_key(&m.partition) {
                 // This controller owns the machine and receives the reports on all its tasks.
                 let held_here = m.held.iter().filter(|h| is_owned && of_partition(h));
@@ -127,9 +127,9 @@
                 m.held.retain(|h| !of_partition(h));
             }
             if is_owned && m.also_holds.contains(&partition) {
-                m.unaccounted.insert(partition);
+                m.unaccounted_partitions.insert(partition);
             } else {
-                m.unaccounted.remove(&partition);
+                m.unaccounted_partitions.remove(&partition);
             }
         }
         for (task, machine) in placed {
@@ -144,26 +144,29 @@
     ///
     /// An unanswered start that has not been reported leaves its task in a state that is not settled. One that has
     /// been reported is listed by the worker, where a late copy of the command has no effect, and the next owner does
-    /// not have an ended attempt of another partition forgotten for three worker leases (`orders_for`). The check of
+    /// not have an ended attempt of another partition forgotten for three worker leases (`commands_for`). The check of
     /// `unanswered_starts` therefore excludes nothing that these two conditions do not, and no test can observe it.
     /// It protects against later changes to what is known about a machine.
-    pub(crate) fn may_go_occupied(&self, machine: &Machine) -> bool {
-        let is_settled = |h: &Held| {
-            let is_fetching_or_running = matches!(h.state, HeldState::Seen(TaskState::Fetching | TaskState::Running));
+    pub(crate) fn can_hand_over_with_tasks(&self, machine: &Machine) -> bool {
+        let is_settled = |h: &HeldTask| {
+            let is_fetching_or_running = matches!(
+                h.state,
+                HeldTaskState::Reported(TaskState::Fetching | TaskState::Running)
+            );
             let job = self.jobs.get(&h.task.job);
             is_fetching_or_running && h.stop.is_none() && job.is_some_and(|j| j.spec.shape != Shape::Gang)
         };
         machine.unanswered_starts.is_empty()
             && machine.pending_command.is_none()
-            && machine.unaccounted.is_empty()
-            && machine.usable(self.now.ms, 2 * self.settings.report_ms())
+            && machine.unaccounted_partitions.is_empty()
+            && machine.is_usable(self.now.ms, 2 * self.settings.report_ms())
             && machine.held.iter().all(is_settled)
     }
 
     /// Requests the status of this controller's tasks on other partitions' machines, and hands over machines that
     /// their own partition no longer uses.
     pub(crate) fn tick_shared_machines(&mut self) {
-        if !self.entitled() || !self.any_shared_machine() {
+        if !self.is_entitled() || !self.has_shared_machines() {
             return;
         }
         self.poll_shared_machines();
@@ -175,10 +178,11 @@
     fn poll_shared_machines(&mut self) {
         let now = self.now.ms;
         let interval_ms = self.settings.report_ms() / 2;
-        let acting = self.acting_partitions();
-        let is_foreign = |m: &Machine| !acting.contains(&m.partition) && m.up() && !m.gone;
-        let is_due =
-            |m: &Machine| !m.probing && now >= m.next_probe_at && !(m.held.is_empty() && m.unaccounted.is_empty());
+        let acting = self.active_partitions();
+        let is_foreign = |m: &Machine| !acting.contains(&m.partition) && m.is_up() && !m.is_deleted;
+        let is_due = |m: &Machine| {
+            !m.probing && now >= m.next_probe_at && !(m.held.is_empty() && m.unaccounted_partitions.is_empty())
+        };
         let machines: Vec<(MachineId, String)> = self
             .machines
             .iter_mut()
@@ -190,9 +194,9 @@
             })
             .collect();
         for (machine, address) in machines {
-            let purpose = Purpose::Probe { machine, sent: now };
+            let purpose = CallPurpose::ReadWorkerStatus { machine, sent: now };
             let target = Target::Worker(address);
-            self.call(target, Method::Get, "/status", String::new(), interval_ms, purpose);
+            self.send_call(target, Method::Get, "/status", String::new(), interval_ms, purpose);
         }
     }
 
@@ -202,16 +206,16 @@
         let id = &report.machine;
         let Some(m) = self.machines.get_mut(id) else { return };
         let key = (report.session, report.seq);
-        if key <= m.last_report_key || m.gone {
+        if key <= m.last_report_key || m.is_deleted {
             return;
         }
         m.last_report_key = key;
-        m.reported = Some(self.now.ms);
-        m.token = report.epoch;
-        for partition in self.acting_partitions() {
+        m.last_report_at = Some(self.now.ms);
+        m.seen_epoch = report.epoch;
+        for partition in self.active_partitions() {
             // As after any takeover, a report counts once its worker has seen the epoch of the tenure.
-            let tenure = self.acting(partition);
-            if tenure.is_some_and(|tenure| report.epoch >= tenure.since) {
+            let tenure = self.active_tenure(partition);
+            if tenure.is_some_and(|tenure| report.epoch >= tenure.since_epoch) {
                 self.update_shared_tasks(partition, report);
             }
         }
@@ -243,9 +247,9 @@
         }
         self.release_unlisted_attempts(id, partition, &listed);
         if let Some(m) = self.machines.get_mut(id)
-            && m.unaccounted.remove(&partition)
+            && m.unaccounted_partitions.remove(&partition)
         {
-            self.want_batch();
+            self.schedule_batch();
         }
     }
 
@@ -254,12 +258,12 @@
         if let Some(job) = self.jobs.get(&task.job) {
             return Some(job.partition);
         }
-        let over = self.over.get(&task.job)?;
+        let over = self.ended_jobs.get(&task.job)?;
         self.settings.partition_of_team(&over.team)
     }
 
     /// Releases an attempt that has exited. Returns what was known about it, if the machine still held it.
-    fn release_exited_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) -> Option<Held> {
+    fn release_exited_attempt(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) -> Option<HeldTask> {
         let machine = self.machines.get(id)?;
         let mut held = machine.held.iter();
         let ended = held.find(|h| h.task == *task && h.attempt == attempt)?.clone();
@@ -293,11 +297,11 @@
     fn return_shared_machines(&mut self) {
         let now = self.now.ms;
         let wait_ms = self.settings.worker_lease_ms();
-        let acting = self.acting_partitions();
+        let acting = self.active_partitions();
         let mut returned: Vec<(MachineId, Partition)> = Vec::new();
         let mut cleared: Vec<MachineId> = Vec::new();
         for (id, m) in &self.machines {
-            if m.also_holds.is_empty() || !acting.contains(&m.partition) || !m.confirmed || m.gone {
+            if m.also_holds.is_empty() || !acting.contains(&m.partition) || !m.is_confirmed || m.is_deleted {
                 continue;
             }
             let partitions = self.partitions_on(m);
@@ -309,13 +313,13 @@
             let has_waited = since.is_some_and(|t| now.saturating_sub(t) > wait_ms);
             if let Some(to) = partitions
                 .first()
-                .filter(|_| has_waited && partitions.len() == 1 && self.may_go_occupied(m))
+                .filter(|_| has_waited && partitions.len() == 1 && self.can_hand_over_with_tasks(m))
             {
                 returned.push((id.clone(), *to));
             }
         }
         for id in cleared {
-            self.group_due(&id, now + self.settings.report_ms());
+            self.schedule_group_write(&id, now + self.settings.report_ms());
         }
         for (id, to) in returned {
             self.log(
@@ -333,7 +337,8 @@
         let settings = &self.settings;
         for m in self.machines.values_mut().filter(|m| !m.also_holds.is_empty()) {
             let partition = m.partition;
-            let is_of_other_partition = |h: &Held| settings.partition_of_team(&h.team).is_some_and(|p| p != partition);
+            let is_of_other_partition =
+                |h: &HeldTask| settings.partition_of_team(&h.team).is_some_and(|p| p != partition);
             if !m.held.is_empty() && m.held.iter().all(is_of_other_partition) {
                 m.only_others_since.get_or_insert(now);
             } else {
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -1,12 +1,12 @@
 //! Unresponsive machines: requests for their state, and their deletion if they are lost.
 
 use super::Machine;
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{Attempt, ControllerId, MachineId, Partition, TaskId};
-use crate::machine_view::{Held, HeldState};
+use crate::machine_view::{HeldTask, HeldTaskState};
 use crate::membership::Stage;
-use crate::messages::{Level, Method, NOT_TRIED, Target};
+use crate::messages::{Level, Method, STATUS_NO_FREE_SOCKET, Target};
 use crate::protocol::{Orders, Report};
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 impl Controller {
     /// Asks the unconfirmed machines of a partition that was taken over which tasks they hold.
     pub(crate) fn confirm_machines(&mut self, partition: Partition) {
-        let Some(epoch) = self.epoch().filter(|_| self.acting(partition).is_some()) else {
+        let Some(epoch) = self.epoch().filter(|_| self.active_tenure(partition).is_some()) else {
             return;
         };
         let now = self.now.ms;
@@ -26,7 +26,7 @@
         let due: Vec<(MachineId, String, u64)> = self
             .machines
             .iter_mut()
-            .filter(|(_, m)| m.partition == partition && !m.confirmed && !m.confirming && !m.gone)
+            .filter(|(_, m)| m.partition == partition && !m.is_confirmed && !m.confirming && !m.is_deleted)
             .filter(|(_, m)| m.addr.contains(':') && now >= m.next_confirm_at)
             .map(|(id, m)| {
                 m.confirming = true;
@@ -41,31 +41,31 @@
                 commands: Vec::new(),
             };
             let body = serde_json::to_string(&orders).unwrap_or_default();
-            self.call(
+            self.send_call(
                 Target::Worker(addr),
                 Method::Post,
                 "/commands",
                 body,
                 interval_ms,
-                Purpose::Confirm { machine: id, sent: now },
+                CallPurpose::ConfirmMachine { machine: id, sent: now },
             );
         }
     }
 
     /// Handles the answer to a request that asks an unconfirmed machine for its tasks.
-    pub(crate) fn on_confirm(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_confirm_answer(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
         let now = self.now.ms;
         if let Some(m) = self.machines.get_mut(&id) {
             m.confirming = false;
         }
-        let was_not_sent = matches!(result, Some((NOT_TRIED, _)));
+        let was_not_sent = matches!(result, Some((STATUS_NO_FREE_SOCKET, _)));
         let report = result.and_then(|(status, body)| Some((status, serde_json::from_slice::<Report>(&body).ok()?)));
         let Some((status, report)) = report else {
             self.count_failed_probe(&id, sent, was_not_sent);
             return;
         };
         let partition = self.machines.get(&id).map(|m| m.partition);
-        if report.machine != id || partition.is_none_or(|p| self.acting(p).is_none()) {
+        if report.machine != id || partition.is_none_or(|p| self.active_tenure(p).is_none()) {
             return;
         }
         self.mark_heard_directly(&id);
@@ -84,16 +84,16 @@
         let partitions: Vec<Partition> = self
             .tenures
             .iter()
-            .filter(|(_, t)| t.stage == Stage::Active && !t.settled)
+            .filter(|(_, t)| t.stage == Stage::Active && !t.are_machines_accounted_for)
             .map(|(p, _)| *p)
             .collect();
         for p in partitions {
-            let unconfirmed = self.unconfirmed(p);
+            let unconfirmed = self.count_unconfirmed_machines(p);
             if unconfirmed == 0
                 && let Some(t) = self.tenures.get_mut(&p)
             {
-                t.settled = true;
-                let ms = self.now.ms.saturating_sub(t.active_at);
+                t.are_machines_accounted_for = true;
+                let ms = self.now.ms.saturating_sub(t.active_since_ms);
                 self.log(
                     Level::Info,
                     format!("partition {p}: every machine is accounted for, {ms} ms after the takeover"),
@@ -103,12 +103,12 @@
     }
 
     /// The number of machines that may hold tasks of the partition that this controller does not know.
-    pub(crate) fn unconfirmed(&self, partition: Partition) -> usize {
+    pub(crate) fn count_unconfirmed_machines(&self, partition: Partition) -> usize {
         self.machines
             .values()
             .filter(|m| {
-                let own = m.partition == partition && m.may_hold && !m.confirmed;
-                (own || m.unaccounted.contains(&partition)) && !m.gone
+                let own = m.partition == partition && m.may_hold_older_tasks && !m.is_confirmed;
+                (own || m.unaccounted_partitions.contains(&partition)) && !m.is_deleted
             })
             .count()
     }
@@ -119,7 +119,7 @@
         self.update_settled_tenures();
         let partitions: Vec<Partition> = self.tenures.keys().copied().collect();
         for p in partitions {
-            let Some(active_at) = self.acting(p).map(|t| t.active_at) else {
+            let Some(active_at) = self.active_tenure(p).map(|t| t.active_since_ms) else {
                 continue;
             };
             self.confirm_machines(p);
@@ -127,7 +127,8 @@
             self.give_up_lost_machines(p, active_at);
         }
         let lease = self.settings.worker_lease_ms();
-        self.guests.retain(|_, g| now.saturating_sub(g.last_seen) < lease);
+        self.misdirected_workers
+            .retain(|_, g| now.saturating_sub(g.last_seen) < lease);
     }
 
     /// Sends status requests to machines whose report is overdue.
@@ -137,9 +138,9 @@
         let due: Vec<(MachineId, String)> = self
             .machines
             .iter_mut()
-            .filter(|(_, m)| m.partition == partition && m.up() && !m.gone && !m.retiring && !m.probing)
+            .filter(|(_, m)| m.partition == partition && m.is_up() && !m.is_deleted && !m.retiring && !m.probing)
             .filter(|(_, m)| now >= m.next_probe_at)
-            .filter(|(_, m)| now.saturating_sub(m.heard.unwrap_or(0).max(active_at)) > report_ms * 3 / 2)
+            .filter(|(_, m)| now.saturating_sub(m.last_heard_at.unwrap_or(0).max(active_at)) > report_ms * 3 / 2)
             .map(|(id, m)| {
                 m.probing = true;
                 m.next_probe_at = now + report_ms / 4;
@@ -147,21 +148,21 @@
             })
             .collect();
         for (id, addr) in due {
-            self.call(
+            self.send_call(
                 Target::Worker(addr),
                 Method::Get,
                 "/status",
                 String::new(),
                 report_ms / 3,
-                Purpose::Probe { machine: id, sent: now },
+                CallPurpose::ReadWorkerStatus { machine: id, sent: now },
             );
         }
     }
 
     /// Handles the answer to a status request.
-    pub(crate) fn on_probe(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_probe_answer(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
         // No socket was free on this controller, which says nothing about the machine.
-        let was_not_sent = matches!(result, Some((NOT_TRIED, _)));
+        let was_not_sent = matches!(result, Some((STATUS_NO_FREE_SOCKET, _)));
         let report = match result {
             Some((200, body)) => serde_json::from_slice::<Report>(&body).ok(),
             _ => None,
@@ -169,7 +170,7 @@
         let acting = self
             .machines
             .get(&id)
-            .is_some_and(|m| self.acting(m.partition).is_some());
+            .is_some_and(|m| self.active_tenure(m.partition).is_some());
         let Some(m) = self.machines.get_mut(&id) else { return };
         m.probing = false;
         match report.filter(|r| r.machine == id) {
@@ -201,7 +202,7 @@
         let partition = self.machines.get(id).map(|m| m.partition);
         let tenure = partition.and_then(|p| self.tenures.get(&p));
         // A request of an earlier tenure says nothing about this one.
-        let is_of_this_tenure = tenure.is_some_and(|t| sent >= t.active_at);
+        let is_of_this_tenure = tenure.is_some_and(|t| sent >= t.active_since_ms);
         if is_zone_heard
             && is_of_this_tenure
             && !was_not_sent
@@ -217,7 +218,7 @@
     /// Just after a takeover few workers report here; the others are heard only by their first answers.
     fn is_zone_reachable(&self, machine: &Machine, sent: u64) -> bool {
         let (zone, report_ms) = (&machine.zone, self.settings.report_ms());
-        let blocks_older_tasks = !machine.confirmed && machine.may_hold;
+        let blocks_older_tasks = !machine.is_confirmed && machine.may_hold_older_tasks;
         let from = sent.saturating_sub(if blocks_older_tasks {
             2 * report_ms
         } else {
@@ -230,8 +231,12 @@
             .filter_map(|m| m.heard_directly)
             .any(|t| t >= from);
         let is_peer_reachable = |name: &str| {
-            let peer = self.member.peers.get(&ControllerId::new(name));
-            peer.is_some_and(|p| p.reachable && p.heard.is_some_and(|t| self.now.ms.saturating_sub(t) <= report_ms))
+            let peer = self.membership.peers.get(&ControllerId::new(name));
+            peer.is_some_and(|p| {
+                p.is_reachable
+                    && p.last_heard_ms
+                        .is_some_and(|t| self.now.ms.saturating_sub(t) <= report_ms)
+            })
         };
         let mut peers = platform.siblings.iter().filter(|s| s.area == *zone);
         workers && (platform.area == *zone || peers.any(|s| is_peer_reachable(&s.host_name)))
@@ -257,8 +262,8 @@
         let is_overdue = |since: u64, limit: u64| now.saturating_sub(since) > limit;
         let had_time_to_answer = now.saturating_sub(active_at) > 2 * self.settings.report_ms();
         let oldest = self.oldest_cancellation(partition);
-        let is_in_scope = |m: &Machine| m.partition == partition && m.up() && !m.gone;
-        let unconfirmed = self.unconfirmed(partition);
+        let is_in_scope = |m: &Machine| m.partition == partition && m.is_up() && !m.is_deleted;
+        let unconfirmed = self.count_unconfirmed_machines(partition);
         let most_are_unconfirmed =
             unconfirmed > 1 && unconfirmed * 2 > self.machines.values().filter(|m| is_in_scope(m)).count();
         let unknown_limit = if most_are_unconfirmed {
@@ -267,11 +272,13 @@
             cancel_ms / 2
         };
         for (id, m) in self.machines.iter().filter(|(_, m)| is_in_scope(m) && !m.retiring) {
-            let is_overdue_task = |h: &Held| {
+            let is_overdue_task = |h: &HeldTask| {
                 let since = self.cancelled_since(&h.task.job);
-                h.state != HeldState::Booked && since.is_some_and(|since| is_overdue(since, cancel_ms / 2))
+                h.state != HeldTaskState::Booked && since.is_some_and(|since| is_overdue(since, cancel_ms / 2))
             };
-            let is_unknown = m.may_hold && !m.confirmed && oldest.is_some_and(|since| is_overdue(since, unknown_limit));
+            let is_unknown = m.may_hold_older_tasks
+                && !m.is_confirmed
+                && oldest.is_some_and(|since| is_overdue(since, unknown_limit));
             if had_time_to_answer && (is_unknown || m.held.iter().any(is_overdue_task)) {
                 lost.insert(id.clone(), "tasks of a cancelled job may still be on it");
             }
@@ -283,7 +290,7 @@
     pub(super) fn give_up_lost_machines(&mut self, partition: Partition, active_at: u64) {
         let limits = self.response_limits(partition, active_at);
         let mut lost: BTreeMap<MachineId, &str> = BTreeMap::new();
-        let is_in_scope = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.gone && !m.retiring;
+        let is_in_scope = |(_, m): &(&MachineId, &Machine)| m.partition == partition && !m.is_deleted && !m.retiring;
         for (id, m) in self.machines.iter().filter(is_in_scope) {
             if let Some(why) = self.loss_reason(m, &limits) {
                 lost.insert(id.clone(), why);
@@ -310,7 +317,7 @@
             limit_ms: unresponsive_ms,
             few_miss_answers: true,
         };
-        let is_in_scope = |m: &&Machine| m.partition == partition && m.up() && !m.gone;
+        let is_in_scope = |m: &&Machine| m.partition == partition && m.is_up() && !m.is_deleted;
         let up: Vec<&Machine> = self.machines.values().filter(is_in_scope).collect();
         let unresponsive = up
             .iter()
@@ -331,14 +338,14 @@
 
     /// Why a machine counts as lost. None if it does not.
     fn loss_reason(&self, m: &Machine, limits: &ResponseLimits) -> Option<&'static str> {
-        if !m.up() {
-            let is_late = m.heard.is_none() && limits.is_unheard_for(m, self.boot_limit_ms(m));
+        if !m.is_up() {
+            let is_late = m.last_heard_at.is_none() && limits.is_unheard_for(m, self.boot_limit_ms(m));
             return is_late.then_some("never came up");
         }
         let report_ms = self.settings.report_ms();
         let epoch_limit_ms = self.settings.worker_lease_ms() + self.settings.silent_ms();
         let tenure_ms = limits.now.saturating_sub(limits.active_at.max(m.known_since));
-        if !m.confirmed && !m.storing && tenure_ms > epoch_limit_ms {
+        if !m.is_confirmed && !m.is_boot_write_pending && tenure_ms > epoch_limit_ms {
             return Some("has not accepted the epoch");
         }
         if m.missed_answers >= MISSED_ANSWERS_LIMIT && limits.few_miss_answers {
@@ -348,7 +355,7 @@
         let is_reclaimed = m.has_preemption_notice && limits.is_unheard_for(m, 2 * report_ms);
         // An unconfirmed machine of a takeover blocks the older tasks of its whole partition, and requests have been
         // sent to it since the takeover began, so it gets less time.
-        let blocks_older_tasks = !m.confirmed && m.may_hold;
+        let blocks_older_tasks = !m.is_confirmed && m.may_hold_older_tasks;
         let dead_ms = if blocks_older_tasks {
             report_ms
         } else {
@@ -360,9 +367,9 @@
 
     /// Time after which a machine that has not come up is given up.
     fn boot_limit_ms(&self, m: &Machine) -> u64 {
-        let machine_type = self.types.iter().find(|t| t.name == m.model);
+        let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
         let give_up_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_LIMIT_S, |t| {
-            self.cloud.boot_times.give_up_after_s(t, m.known_since)
+            self.capacity.boot_times.give_up_after_s(t, m.known_since)
         });
         // After booting, its first reports still have to arrive.
         (give_up_s * 1000.0) as u64 + 2 * self.settings.report_ms()
@@ -374,7 +381,8 @@
     fn may_receive_start_of_finished_job(&self, m: &Machine) -> bool {
         let limit_ms = self.settings.cancel_ms() / 3;
         let listed = |task: &TaskId, attempt: Attempt| {
-            let seen = |h: &Held| matches!(h.state, HeldState::Seen(_)) && h.task == *task && h.attempt == attempt;
+            let seen =
+                |h: &HeldTask| matches!(h.state, HeldTaskState::Reported(_)) && h.task == *task && h.attempt == attempt;
             m.held.iter().any(seen) || m.ended.iter().any(|(t, a, _)| t == task && *a == attempt)
         };
         m.unanswered_starts.iter().any(|((task, attempt), start)| {
@@ -399,7 +407,7 @@
 impl ResponseLimits {
     /// Whether a machine has not been heard for longer than `limit_ms`.
     fn is_unheard_for(&self, m: &Machine, limit_ms: u64) -> bool {
-        let since = m.heard.unwrap_or(m.known_since).max(self.active_at);
+        let since = m.last_heard_at.unwrap_or(m.known_since).max(self.active_at);
         self.now.saturating_sub(since) > limit_ms
     }
 }
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -22,9 +22,9 @@
 };
 pub(crate) use tenure::{Stage, Tenure};
 
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
-use crate::ids::{ControllerId, Incarnation, Stamp};
+use crate::ids::{ControllerId, Incarnation, Revision};
 use crate::messages::{Method, Target};
 use lease_failures::LeaseFailures;
 use serde_json::{Value, json};
@@ -43,24 +43,24 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct PeerStatus {
     /// When the peer's last heartbeat or answer arrived, in milliseconds.
-    pub(crate) heard: Option<u64>,
+    pub(crate) last_heard_ms: Option<u64>,
     /// The last heartbeat to the peer was answered.
-    pub(crate) reachable: bool,
+    pub(crate) is_reachable: bool,
     /// The peer was entitled to act when it was last heard from.
-    pub(crate) entitled: bool,
+    pub(crate) is_entitled: bool,
     /// When the last scheduled heartbeat was sent to the peer, in milliseconds; 0: send one with the next tick.
-    pub(crate) asked: u64,
+    pub(crate) last_heartbeat_sent_ms: u64,
     /// A heartbeat to the peer awaits its answer.
-    pub(crate) asking: bool,
+    pub(crate) awaits_answer: bool,
     /// The heartbeat that awaits its answer requests a grant.
-    pub(crate) asked_grant: bool,
+    pub(crate) awaits_grant: bool,
 }
 
 /// This controller's lease and registration, and its view of the other members.
 #[derive(Debug)]
 pub(crate) struct Membership {
     /// Incarnation of this controller.
-    pub(crate) inc: Incarnation,
+    pub(crate) incarnation: Incarnation,
     /// Lease of this controller in the state service, if it has one.
     lease_id: Option<u64>,
     is_requesting_lease: bool,
@@ -78,7 +78,7 @@
     is_writing_record: bool,
     /// Last known revision of this controller's own key. Writes of the key are conditional on it, so a
     /// delayed duplicate of a write by an earlier incarnation fails.
-    own_revision: Stamp,
+    own_revision: Revision,
     next_record_write_ms: u64,
     has_listed_keys: bool,
     is_listing_keys: bool,
@@ -104,14 +104,14 @@
     /// No new lease, listing or watch is requested before this time, after a failed request.
     retry_ms: u64,
     /// Revision of the state service up to which the shared keys are known.
-    pub(crate) ledger: u64,
+    pub(crate) revision: u64,
     /// When the shared keys were last listed, or their watch last answered.
     pub(crate) last_view_ms: u64,
     pub(crate) members: BTreeMap<ControllerId, MemberRecord>,
-    pub(crate) leader: Option<(LeaderRecord, Stamp)>,
+    pub(crate) leader: Option<(LeaderRecord, Revision)>,
     is_taking_leadership: bool,
     pub(crate) leader_since_ms: u64,
-    pub(crate) epoch: Option<(EpochRecord, Stamp)>,
+    pub(crate) epoch: Option<(EpochRecord, Revision)>,
     is_writing_epoch: bool,
     /// After an attempt to become leader or to raise the epoch, the next attempt waits until this time or
     /// until the watch has reached this revision. Without the wait, a controller whose watch hangs would
@@ -136,7 +136,7 @@
     /// Creates the state of a controller that has just started.
     pub(crate) fn new(inc: Incarnation, forgotten_grants_until_ms: u64) -> Self {
         Self {
-            inc,
+            incarnation: inc,
             lease_id: None,
             is_requesting_lease: false,
             is_extending_lease: false,
@@ -146,7 +146,7 @@
             lease_failures: LeaseFailures::default(),
             written_record: None,
             is_writing_record: false,
-            own_revision: Stamp(0),
+            own_revision: Revision(0),
             next_record_write_ms: 0,
             has_listed_keys: false,
             is_listing_keys: false,
@@ -160,7 +160,7 @@
             forgotten_grants_until_ms,
             peers_relying_on_no_grant: BTreeSet::new(),
             retry_ms: 0,
-            ledger: 0,
+            revision: 0,
             last_view_ms: 0,
             members: BTreeMap::new(),
             leader: None,
@@ -178,51 +178,54 @@
 impl Controller {
     /// Sends a transaction to the state service. It uses one read and, for each change, one write of the
     /// rate limits, even when none is left.
-    pub(crate) fn txn(&mut self, conditions: Vec<Value>, changes: Vec<Value>, purpose: Purpose) {
-        self.state_reads.force(self.now.ms, 1.0);
-        self.state_writes.force(self.now.ms, changes.len() as f64);
+    pub(crate) fn txn(&mut self, conditions: Vec<Value>, changes: Vec<Value>, purpose: CallPurpose) {
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
+        self.state_writes
+            .take_unconditionally(self.now.ms, changes.len() as f64);
         let timeout = self.settings.lease_ms() / 4;
         let body = json!({ "if": conditions, "then": changes }).to_string();
-        self.call(Target::State, Method::Post, "/txn", body, timeout, purpose);
+        self.send_call(Target::State, Method::Post, "/txn", body, timeout, purpose);
     }
 
     /// Obtains or extends the lease, follows the shared keys, and advances registration, leadership and heartbeats.
     pub(crate) fn tick_membership(&mut self) {
         let now = self.now.ms;
         let quarter = self.settings.lease_ms() / 4;
-        match self.member.lease_id {
-            None if !self.member.is_requesting_lease && now >= self.member.retry_ms => {
-                self.member.is_requesting_lease = true;
+        match self.membership.lease_id {
+            None if !self.membership.is_requesting_lease && now >= self.membership.retry_ms => {
+                self.membership.is_requesting_lease = true;
                 let body = json!({ "ttlMs": self.settings.lease_ms() }).to_string();
-                self.state_reads.force(now, 1.0);
-                self.call(
+                self.state_reads.take_unconditionally(now, 1.0);
+                self.send_call(
                     Target::State,
                     Method::Post,
                     "/leases",
                     body,
                     quarter,
-                    Purpose::NewLease { sent: now },
+                    CallPurpose::NewLease { sent: now },
                 );
             }
-            Some(lease_id) if !self.member.is_extending_lease && now >= self.member.last_extension_ms + quarter => {
-                self.member.is_extending_lease = true;
-                self.member.last_extension_ms = now;
-                self.state_reads.force(now, 1.0);
-                self.call(
+            Some(lease_id)
+                if !self.membership.is_extending_lease && now >= self.membership.last_extension_ms + quarter =>
+            {
+                self.membership.is_extending_lease = true;
+                self.membership.last_extension_ms = now;
+                self.state_reads.take_unconditionally(now, 1.0);
+                self.send_call(
                     Target::State,
                     Method::Post,
                     format!("/leases/{lease_id}/extend"),
                     "{}".into(),
                     quarter,
-                    Purpose::ExtendLease { sent: now, lease_id },
+                    CallPurpose::ExtendLease { sent: now, lease_id },
                 );
             }
             _ => {}
         }
-        if !self.member.has_listed_keys && !self.member.is_listing_keys && now >= self.member.retry_ms {
+        if !self.membership.has_listed_keys && !self.membership.is_listing_keys && now >= self.membership.retry_ms {
             self.list_shared_keys(String::new(), 0);
         }
-        if self.member.has_listed_keys && !self.member.is_watching && now >= self.member.retry_ms {
+        if self.membership.has_listed_keys && !self.membership.is_watching && now >= self.membership.retry_ms {
             self.watch_shared_keys();
         }
         self.log_entitlement_loss();
@@ -230,6 +233,6 @@
         self.take_leadership();
         self.raise_epoch();
         self.tick_failure_detection();
-        self.say_hello();
+        self.send_due_heartbeats();
     }
 }
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -1,9 +1,9 @@
 //! The epoch: the leader assigns an owner to each partition and stores the assignment.
 
 use super::records::{EPOCH_KEY, EpochRecord, LeaderRecord, MemberRecord, PartitionOwner};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
-use crate::ids::{ControllerId, Epoch, Incarnation, Stamp};
+use crate::ids::{ControllerId, Epoch, Incarnation, Revision};
 use crate::messages::Level;
 use crate::settings::SHARED_MACHINES_LEVEL;
 use serde_json::{Value, json};
@@ -19,14 +19,14 @@
 ) -> Vec<LeaderRecord> {
     let mut wait = Vec::new();
     if let Some(previous) = previous_owner {
-        wait.extend(previous.wait.iter().cloned());
+        wait.extend(previous.wait_for.iter().cloned());
         wait.push(LeaderRecord {
             name: previous.owner.clone(),
-            inc: previous.inc,
+            incarnation: previous.incarnation,
         });
     }
-    wait.retain(|w| members.get(&w.name).is_some_and(|m| m.inc == w.inc));
-    wait.retain(|w| w.name != *owner || w.inc != inc);
+    wait.retain(|w| members.get(&w.name).is_some_and(|m| m.incarnation == w.incarnation));
+    wait.retain(|w| w.name != *owner || w.incarnation != inc);
     wait
 }
 
@@ -41,7 +41,7 @@
     if members.is_empty() {
         return None;
     }
-    let n = Epoch(old.map_or(0, |e| e.n.0) + 1);
+    let n = Epoch(old.map_or(0, |e| e.number.0) + 1);
     let mut load: BTreeMap<&str, usize> = BTreeMap::new();
     let mut owners: Vec<Option<String>> = Vec::new();
     for p in 0..partitions as usize {
@@ -49,8 +49,8 @@
             .get(p)
             .filter(|name| members.contains_key(&ControllerId::new(name.as_str())));
         let current = old
-            .and_then(|e| e.parts.get(p))
-            .filter(|h| members.get(&h.owner).is_some_and(|m| m.inc == h.inc))
+            .and_then(|e| e.partitions.get(p))
+            .filter(|h| members.get(&h.owner).is_some_and(|m| m.incarnation == h.incarnation))
             .and_then(|h| names.iter().find(|name| name.as_str() == h.owner.as_str()));
         let owner = home.or(current);
         if let Some(name) = owner {
@@ -73,82 +73,85 @@
             }
         };
         let owner = ControllerId::new(owner);
-        let inc = members.get(&owner)?.inc;
-        let previous_owner = old.and_then(|e| e.parts.get(p));
+        let inc = members.get(&owner)?.incarnation;
+        let previous_owner = old.and_then(|e| e.partitions.get(p));
         match previous_owner {
-            Some(h) if h.owner == owner && h.inc == inc => parts.push(h.clone()),
+            Some(h) if h.owner == owner && h.incarnation == inc => parts.push(h.clone()),
             _ => {
                 changed = true;
                 let wait = owners_to_wait_for(previous_owner, members, (&owner, inc));
                 parts.push(PartitionOwner {
                     owner,
-                    inc,
-                    since: n,
-                    wait,
+                    incarnation: inc,
+                    since_epoch: n,
+                    wait_for: wait,
                 });
             }
         }
     }
-    changed.then_some(EpochRecord { n, parts })
+    changed.then_some(EpochRecord {
+        number: n,
+        partitions: parts,
+    })
 }
 
 impl Controller {
     /// The latest known epoch.
     pub(crate) fn epoch(&self) -> Option<Epoch> {
-        self.member.epoch.as_ref().map(|(e, _)| e.n)
+        self.membership.epoch.as_ref().map(|(e, _)| e.number)
     }
 
     /// The transaction condition that the stored epoch is still the one that this controller knows.
     pub(crate) fn epoch_condition(&self) -> Value {
-        let stamp = self.member.epoch.as_ref().map_or(Stamp(0), |(_, s)| *s);
+        let stamp = self.membership.epoch.as_ref().map_or(Revision(0), |(_, s)| *s);
         json!({ "k": EPOCH_KEY, "stamp": stamp })
     }
 
     /// As the leader, raises the epoch if the members require other partition owners.
     pub(super) fn raise_epoch(&mut self) {
         if !self.is_leader()
-            || self.member.is_writing_epoch
-            || !self.member.is_watching
+            || self.membership.is_writing_epoch
+            || !self.membership.is_watching
             || !self.may_change_membership()
         {
             return;
         }
         let names = self.settings.names();
         // When the cluster starts for the first time, the leader waits a quarter of the lease for the others to join.
-        let is_first_epoch = self.member.epoch.is_none();
-        let has_waited = self.now.ms.saturating_sub(self.member.leader_since_ms) >= self.settings.lease_ms() / 4;
-        if is_first_epoch && !has_waited && self.member.members.len() < names.len() {
+        let is_first_epoch = self.membership.epoch.is_none();
+        let has_waited = self.now.ms.saturating_sub(self.membership.leader_since_ms) >= self.settings.lease_ms() / 4;
+        if is_first_epoch && !has_waited && self.membership.members.len() < names.len() {
             return;
         }
-        let old = self.member.epoch.as_ref().map(|(e, _)| e);
+        let old = self.membership.epoch.as_ref().map(|(e, _)| e);
         let members = self.members_for_partitions();
         let Some(next) = next_epoch(&names, &members, old, self.settings.partitions()) else {
             return;
         };
-        self.member.is_writing_epoch = true;
+        self.membership.is_writing_epoch = true;
         let conditions = vec![self.leader_condition(), self.epoch_condition()];
         let change = json!({ "write": EPOCH_KEY, "value": next });
         self.log(
             Level::Info,
-            format!("membership changed: raising the epoch to {}", next.n),
+            format!("membership changed: raising the epoch to {}", next.number),
         );
-        self.txn(conditions, vec![change], Purpose::EpochWrite);
+        self.txn(conditions, vec![change], CallPurpose::EpochWrite);
     }
 
     /// The members that may own partitions. While a machine may hold tasks of a partition that does not own the
     /// machine, these are only the members whose version supports such machines: others would start those tasks a
     /// second time.
     pub(crate) fn members_for_partitions(&self) -> BTreeMap<ControllerId, MemberRecord> {
-        let mut members = self.member.members.clone();
-        if self.any_shared_machine() {
-            members.retain(|_, member| member.knows >= SHARED_MACHINES_LEVEL);
+        let mut members = self.membership.members.clone();
+        if self.has_shared_machines() {
+            members.retain(|_, member| member.feature_level >= SHARED_MACHINES_LEVEL);
         }
         members
     }
 
     /// Handles the reply to the write of a new epoch.
     pub(crate) fn on_epoch_write(&mut self, result: Option<(u16, Vec<u8>)>) {
-        self.member.is_writing_epoch = false;
+        self.membership.is_writing_epoch = false;
         self.await_change_outcome(&result);
         if let Some((status, _)) = result
             && status != 200
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -4,10 +4,10 @@
     BOOT_BATCH_PREFIX, EPOCH_KEY, EpochRecord, JOB_PREFIX, LEADER_KEY, MEMBER_PREFIX, MemberRecord, ROSTER_PREFIX,
     SHARED_PREFIX, STEP_PREFIX, TYPES_KEY,
 };
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::disruption::DRAIN_PREFIX;
-use crate::ids::{ControllerId, JobId, Stamp};
+use crate::ids::{ControllerId, JobId, Revision};
 use crate::messages::{Level, Method, Target};
 use crate::protocol::{Changes, Items, MachineTypes};
 use serde_json::Value;
@@ -15,51 +15,51 @@
 impl Controller {
     /// Requests a page of the shared keys, after the key `cursor`. `first_revision` is the revision of the first page.
     pub(super) fn list_shared_keys(&mut self, cursor: String, first_revision: u64) {
-        self.member.is_listing_keys = true;
-        self.state_reads.force(self.now.ms, 1.0);
+        self.membership.is_listing_keys = true;
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
         let mut path = format!("/store?prefix={SHARED_PREFIX}&most=500");
         if !cursor.is_empty() {
             path.push_str(&format!("&since={cursor}"));
         }
         let timeout = self.settings.lease_ms() / 4;
-        self.call(
+        self.send_call(
             Target::State,
             Method::Get,
             path,
             String::new(),
             timeout,
-            Purpose::ListSharedKeys { cursor, first_revision },
+            CallPurpose::ListSharedKeys { cursor, first_revision },
         );
     }
 
     /// Requests the next changes of the shared keys as a long poll, whose wait is as long as the lease.
     pub(super) fn watch_shared_keys(&mut self) {
-        self.member.is_watching = true;
-        self.member.watch_number += 1;
-        let number = self.member.watch_number;
-        self.state_reads.force(self.now.ms, 1.0);
+        self.membership.is_watching = true;
+        self.membership.watch_number += 1;
+        let number = self.membership.watch_number;
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
         let wait = self.settings.lease_ms();
-        self.call(
+        self.send_call(
             Target::State,
             Method::Get,
             format!(
                 "/changes?prefix={SHARED_PREFIX}&since={}&waitMs={wait}",
-                self.member.ledger
+                self.membership.revision
             ),
             String::new(),
             wait + wait / 4,
-            Purpose::WatchSharedKeys { number },
+            CallPurpose::WatchSharedKeys { number },
         );
     }
 
     /// Delays the next request to the state service after one has failed.
     pub(super) fn back_off(&mut self) {
-        self.member.retry_ms = self.now.ms + self.settings.report_ms() / 8;
+        self.membership.retry_ms = self.now.ms + self.settings.report_ms() / 8;
     }
 
     /// Handles a page of the shared keys.
     pub(crate) fn on_shared_keys(&mut self, cursor: String, first_revision: u64, result: Option<(u16, Vec<u8>)>) {
-        self.member.is_listing_keys = false;
+        self.membership.is_listing_keys = false;
         let page = match result {
             Some((200, body)) => serde_json::from_slice::<Items>(&body).ok(),
             _ => None,
@@ -70,10 +70,10 @@
         };
         if cursor.is_empty() {
             // A new listing replaces everything that was known, so that deleted keys do not remain.
-            self.member.members.clear();
-            self.member.own_revision = Stamp(0);
-            self.member.leader = None;
-            self.roster_listing_begins();
+            self.membership.members.clear();
+            self.membership.own_revision = Revision(0);
+            self.membership.leader = None;
+            self.begin_roster_listing();
             self.drain_listing_begins();
         }
         let listing_revision = if first_revision == 0 {
@@ -88,10 +88,10 @@
         match last {
             Some(last) if page.more => self.list_shared_keys(last, listing_revision),
             _ => {
-                self.member.has_listed_keys = true;
-                self.member.ledger = listing_revision;
+                self.membership.has_listed_keys = true;
+                self.membership.revision = listing_revision;
                 self.record_view_time();
-                self.roster_listed(listing_revision);
+                self.finish_roster_listing(listing_revision);
                 self.drains_listed();
                 self.apply_epoch();
                 self.tick_membership();
@@ -101,14 +101,14 @@
 
     /// Handles the reply to a watch: applies the changes and sends the next watch.
     pub(crate) fn on_watch(&mut self, number: u64, result: Option<(u16, Vec<u8>)>) {
-        if number != self.member.watch_number {
+        if number != self.membership.watch_number {
             return;
         }
-        self.member.is_watching = false;
+        self.membership.is_watching = false;
         match result {
             Some((200, body)) => match serde_json::from_slice::<Changes>(&body) {
                 Ok(changes) => {
-                    self.member.watch_failures = 0;
+                    self.membership.watch_failures = 0;
                     for change in changes.news {
                         if let Some(key) = change.write {
                             self.apply_shared_key(&key, Some(change.value), change.stamp);
@@ -116,7 +116,7 @@
                             self.apply_shared_key(&key, None, change.stamp);
                         }
                     }
-                    self.member.ledger = self.member.ledger.max(changes.ledger);
+                    self.membership.revision = self.membership.revision.max(changes.ledger);
                     self.record_view_time();
                     self.watch_shared_keys();
                     self.apply_epoch();
@@ -127,16 +127,16 @@
             },
             // The state service no longer has the changes since the requested revision.
             Some((410, _)) => {
-                self.member.has_listed_keys = false;
+                self.membership.has_listed_keys = false;
                 self.tick_membership();
             }
             _ => {
                 // The size of a reply is not limited, and one that is too large for this controller would be too
                 // large again. So after the second failure the keys are listed anew, in pages.
-                self.member.watch_failures += 1;
-                if self.member.watch_failures >= 2 {
-                    self.member.watch_failures = 0;
-                    self.member.has_listed_keys = false;
+                self.membership.watch_failures += 1;
+                if self.membership.watch_failures >= 2 {
+                    self.membership.watch_failures = 0;
+                    self.membership.has_listed_keys = false;
                 }
                 self.back_off();
             }
@@ -145,66 +145,70 @@
 
     /// Records that the shared keys are up to date, unless the reply waited in this process's buffers.
     fn record_view_time(&mut self) {
-        if !self.stale {
-            self.member.last_view_ms = self.now.ms;
+        if !self.is_reply_stale {
+            self.membership.last_view_ms = self.now.ms;
         }
     }
 
     /// Applies the new value of a shared key, or its deletion (`None`).
-    pub(super) fn apply_shared_key(&mut self, key: &str, value: Option<Value>, stamp: Stamp) {
+    pub(super) fn apply_shared_key(&mut self, key: &str, value: Option<Value>, stamp: Revision) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             if let Some(id) = JobId::parse(id) {
-                self.apply_job(id, value, stamp);
+                self.on_job_record_changed(id, value, stamp);
             }
         } else if let Some(name) = key.strip_prefix(ROSTER_PREFIX) {
             self.apply_group(name, value, stamp);
         } else if let Some(name) = key.strip_prefix(STEP_PREFIX) {
-            self.apply_step(name, value.map_or(Stamp(0), |_| stamp));
+            self.apply_split_step(name, value.map_or(Revision(0), |_| stamp));
         } else if let Some(drain) = key.strip_prefix(DRAIN_PREFIX) {
             self.apply_drain(drain, value, stamp);
         } else if let Some(name) = key.strip_prefix(BOOT_BATCH_PREFIX) {
             self.apply_boot_batch(name, value);
         } else if let Some(name) = key.strip_prefix(MEMBER_PREFIX) {
             let name = ControllerId::new(name);
-            if name == self.me {
-                self.member.own_revision = match value {
-                    Some(_) => self.member.own_revision.max(stamp),
+            if name == self.own_name {
+                self.membership.own_revision = match value {
+                    Some(_) => self.membership.own_revision.max(stamp),
                     // Deleted at this revision. A greater known revision comes from this controller's own later write.
-                    None if stamp >= self.member.own_revision => Stamp(0),
-                    None => self.member.own_revision,
+                    None if stamp >= self.membership.own_revision => Revision(0),
+                    None => self.membership.own_revision,
                 };
             }
             let record = value.and_then(|v| serde_json::from_value::<MemberRecord>(v).ok());
             // A delayed duplicate of an earlier incarnation's write may have replaced the present record.
-            if name == self.me
-                && record.as_ref().map(|r| r.inc) != Some(self.member.inc)
-                && !self.member.is_writing_record
+            if name == self.own_name
+                && record.as_ref().map(|r| r.incarnation) != Some(self.membership.incarnation)
+                && !self.membership.is_writing_record
             {
-                self.member.written_record = None;
+                self.membership.written_record = None;
             }
             match record {
                 Some(record) => {
-                    self.member.members.insert(name, record);
+                    self.membership.members.insert(name, record);
                 }
                 None => {
                     self.log(Level::Info, format!("controller {name} has left the membership"));
-                    self.member.members.remove(&name);
+                    self.membership.members.remove(&name);
                 }
             }
         } else if key == LEADER_KEY {
-            self.member.leader = value
+            self.membership.leader = value
                 .and_then(|v| serde_json::from_value(v).ok())
                 .map(|record| (record, stamp));
         } else if key == EPOCH_KEY {
             if let Some(record) = value.and_then(|v| serde_json::from_value::<EpochRecord>(v).ok())
-                && self.member.epoch.as_ref().is_none_or(|(e, _)| e.n < record.n)
+                && self
+                    .membership
+                    .epoch
+                    .as_ref()
+                    .is_none_or(|(e, _)| e.number < record.number)
             {
-                self.member.epoch = Some((record, stamp));
+                self.membership.epoch = Some((record, stamp));
             }
         } else if key == TYPES_KEY
             && let Some(types) = value.and_then(|v| serde_json::from_value::<MachineTypes>(v).ok())
         {
-            self.types = types.types;
+            self.machine_types = types.types;
         }
     }
 }
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -1,11 +1,11 @@
 //! The partitions that this controller owns: taking them over and giving them up.
 
 use super::PartitionOwner;
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::failure_detection::RecordsReadAhead;
 use crate::ids::{Epoch, JobId, Partition};
-use crate::jobs::{Piece, bits_from_hex};
+use crate::jobs::{BitmapPiece, bits_from_hex};
 use crate::messages::{Level, Method, Target};
 use crate::protocol::{Changes, Items};
 use serde_json::Value;
@@ -25,16 +25,16 @@
 #[derive(Debug)]
 pub(crate) struct Tenure {
     /// The epoch in which this controller became the owner.
-    pub(crate) since: Epoch,
+    pub(crate) since_epoch: Epoch,
     pub(crate) stage: Stage,
     /// When this controller began to act for the partition, in milliseconds.
-    pub(crate) active_at: u64,
+    pub(crate) active_since_ms: u64,
     /// Number of attempts started in this epoch of ownership; forms the low bits of each attempt number.
     pub(crate) next_attempt: u64,
     /// A read of the stored bitmaps is in progress.
     pub(crate) loading: bool,
     /// Every machine that may hold tasks started before the takeover is accounted for.
-    pub(crate) settled: bool,
+    pub(crate) are_machines_accounted_for: bool,
     /// Keys and values of the bitmaps that have been read so far.
     bits: Vec<(String, Value)>,
     /// Records that were read before the takeover, kept until the changes since then have been read.
@@ -43,26 +43,26 @@
 
 impl Controller {
     /// Whether this controller acts for a partition at the time `now`, which is at or after its last step.
-    pub fn acts_at(&self, now: u64, partition: Partition) -> bool {
+    pub fn acts_for_partition_at(&self, now: u64, partition: Partition) -> bool {
         let active = |t: &Tenure| t.stage == Stage::Active;
         self.is_entitled_at(now) && self.tenures.get(&partition).is_some_and(active)
     }
 
     /// The owner of a partition in the latest known epoch.
-    pub(crate) fn holding(&self, partition: Partition) -> Option<&PartitionOwner> {
-        self.member.epoch.as_ref()?.0.parts.get(partition.0 as usize)
+    pub(crate) fn partition_owner(&self, partition: Partition) -> Option<&PartitionOwner> {
+        self.membership.epoch.as_ref()?.0.partitions.get(partition.0 as usize)
     }
 
     /// The partition's ownership record if this controller acts for the partition now.
-    pub(crate) fn acting(&self, partition: Partition) -> Option<&Tenure> {
-        if !self.entitled() {
+    pub(crate) fn active_tenure(&self, partition: Partition) -> Option<&Tenure> {
+        if !self.is_entitled() {
             return None;
         }
         self.tenures.get(&partition).filter(|t| t.stage == Stage::Active)
     }
 
     /// The partitions whose takeover by this controller is complete.
-    pub(crate) fn acting_partitions(&self) -> Vec<Partition> {
+    pub(crate) fn active_partitions(&self) -> Vec<Partition> {
         let active = self.tenures.iter().filter(|(_, t)| t.stage == Stage::Active);
         active.map(|(p, _)| *p).collect()
     }
@@ -70,37 +70,37 @@
     /// Applies the latest epoch: gives up partitions that this controller no longer owns, and starts the takeover
     /// of those that it owns now.
     pub(super) fn apply_epoch(&mut self) {
-        let Some((epoch, _)) = self.member.epoch.clone() else {
+        let Some((epoch, _)) = self.membership.epoch.clone() else {
             return;
         };
-        let inc = self.member.inc;
-        for (i, assignment) in epoch.parts.iter().enumerate() {
+        let inc = self.membership.incarnation;
+        for (i, assignment) in epoch.partitions.iter().enumerate() {
             let partition = Partition(i as u32);
-            let is_own = assignment.owner == self.me && assignment.inc == inc;
-            let owned_since = self.tenures.get(&partition).map(|t| t.since);
+            let is_own = assignment.owner == self.own_name && assignment.incarnation == inc;
+            let owned_since = self.tenures.get(&partition).map(|t| t.since_epoch);
             if !is_own {
                 if self.tenures.remove(&partition).is_some() {
                     self.reset_partition(partition);
                     let to = &assignment.owner;
                     self.log(
                         Level::Info,
-                        format!("epoch {}: partition {partition} is now owned by {to}", epoch.n),
+                        format!("epoch {}: partition {partition} is now owned by {to}", epoch.number),
                     );
                 }
-            } else if owned_since != Some(assignment.since) {
+            } else if owned_since != Some(assignment.since_epoch) {
                 self.log(
                     Level::Info,
-                    format!("epoch {}: taking over partition {partition}", epoch.n),
+                    format!("epoch {}: taking over partition {partition}", epoch.number),
                 );
                 self.tenures.insert(
                     partition,
                     Tenure {
-                        since: assignment.since,
+                        since_epoch: assignment.since_epoch,
                         stage: Stage::Waiting,
-                        active_at: 0,
+                        active_since_ms: 0,
                         next_attempt: 0,
                         loading: false,
-                        settled: false,
+                        are_machines_accounted_for: false,
                         bits: Vec::new(),
                         read_ahead: None,
                     },
@@ -116,18 +116,17 @@
     pub(crate) fn advance_takeovers(&mut self) {
         let partitions: Vec<Partition> = self.tenures.keys().copied().collect();
         for partition in partitions {
-            let Some(assignment) = self.holding(partition).cloned() else {
+            let Some(assignment) = self.partition_owner(partition).cloned() else {
                 continue;
             };
             let Some(tenure) = self.tenures.get(&partition) else {
                 continue;
             };
             if tenure.stage == Stage::Waiting {
-                let may_load = assignment.wait.iter().all(|w| {
-                    self.member
-                        .members
-                        .get(&w.name)
-                        .is_none_or(|m| m.inc != w.inc || m.ack >= assignment.since.0)
+                let may_load = assignment.wait_for.iter().all(|w| {
+                    self.membership.members.get(&w.name).is_none_or(|m| {
+                        m.incarnation != w.incarnation || m.acknowledged_epoch >= assignment.since_epoch.0
+                    })
                 });
                 if may_load && let Some(t) = self.tenures.get_mut(&partition) {
                     t.stage = Stage::Loading;
@@ -137,7 +136,7 @@
                 .tenures
                 .get(&partition)
                 .is_some_and(|t| t.stage == Stage::Loading && !t.loading);
-            if needs_loading && self.entitled() && self.now.ms >= self.member.retry_ms {
+            if needs_loading && self.is_entitled() && self.now.ms >= self.membership.retry_ms {
                 self.load_records(partition);
             }
         }
@@ -152,7 +151,7 @@
         let Some(t) = self.tenures.get_mut(&partition) else {
             return;
         };
-        let since = t.since.0;
+        let since = t.since_epoch.0;
         let path = format!(
             "/changes?prefix={}&since={}&waitMs=0",
             Self::done_bits_prefix(partition),
@@ -160,15 +159,15 @@
         );
         t.loading = true;
         t.read_ahead = Some(read_ahead);
-        self.state_reads.force(self.now.ms, 1.0);
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
-        let purpose = Purpose::DoneBitsChanges { partition, since };
-        self.call(Target::State, Method::Get, path, String::new(), timeout, purpose);
+        let purpose = CallPurpose::DoneBitsChanges { partition, since };
+        self.send_call(Target::State, Method::Get, path, String::new(), timeout, purpose);
     }
 
     /// Handles the changes since the bitmaps were read ahead. If the read failed, reads all bitmaps.
     pub(crate) fn on_done_bits_changes(&mut self, partition: Partition, since: u64, result: Option<(u16, Vec<u8>)>) {
-        let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since.0 == since) else {
+        let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since_epoch.0 == since) else {
             return;
         };
         t.loading = false;
@@ -205,26 +204,26 @@
             return;
         };
         t.loading = true;
-        let since = t.since.0;
+        let since = t.since_epoch.0;
         if cursor.is_empty() {
             t.bits.clear();
         }
         let path = Self::done_bits_path(partition, &cursor);
-        self.state_reads.force(self.now.ms, 1.0);
+        self.state_reads.take_unconditionally(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
-        self.call(
+        self.send_call(
             Target::State,
             Method::Get,
             path,
             String::new(),
             timeout,
-            Purpose::DoneBits { partition, since },
+            CallPurpose::DoneBits { partition, since },
         );
     }
 
     /// Handles a page of a partition's stored bitmaps.
     pub(crate) fn on_done_bits(&mut self, partition: Partition, since: u64, result: Option<(u16, Vec<u8>)>) {
-        let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since.0 == since) else {
+        let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since_epoch.0 == since) else {
             return;
         };
         t.loading = false;
@@ -255,21 +254,21 @@
             return;
         };
         t.stage = Stage::Active;
-        t.active_at = now;
-        let since = t.since;
+        t.active_since_ms = now;
+        let since = t.since_epoch;
         let (chunk_bits, piece_bits) = (self.chunk_bits(), self.piece_bits());
         for (key, value) in bits {
             let mut parts = key.split('/').skip(2);
             let (Some(job), Some(chunk)) = (parts.next(), parts.next()) else {
                 continue;
             };
-            let (Some(job), Some(piece)) = (JobId::parse(job), Piece::parse(chunk)) else {
+            let (Some(job), Some(piece)) = (JobId::parse(job), BitmapPiece::parse(chunk)) else {
                 continue;
             };
             let Some(hex) = value.as_str() else { continue };
             match self.jobs.get_mut(&job) {
-                Some(job) => job.restore(piece, &bits_from_hex(hex), chunk_bits, piece_bits),
-                None => self.cloud.stale_keys.push(key),
+                Some(job) => job.restore_done_bits(piece, &bits_from_hex(hex), chunk_bits, piece_bits),
+                None => self.capacity.stale_keys.push(key),
             }
         }
         let (machines, jobs) = (
@@ -283,7 +282,7 @@
         self.open_ledger(partition, since);
         self.tick_drained_machines();
         self.confirm_machines(partition);
-        self.complete_finished(partition);
-        self.want_batch();
+        self.store_ends_of_finished_jobs(partition);
+        self.schedule_batch();
     }
 }
--- a/crates/tidelatch-core/src/messages.rs
+++ b/crates/tidelatch-core/src/messages.rs
@@ -1,16 +1,16 @@
 //! The typed messages of a controller: its inputs and outputs, and the requests and replies between controllers.
 
 use crate::cancellations::CancellationNotice;
-use crate::capacity::room_for;
+use crate::capacity::count_fitting_tasks;
 use crate::ids::{ControllerId, MachineId, Partition};
 use tidelatch_disruption::{Permit, PermitMessage};
 use tidelatch_failure_detector::Heartbeat;
 
 /// Status of a call that was never sent because no connection was established: nothing can have been executed.
-pub const NOT_SENT: u16 = 0;
+pub const STATUS_NOT_CONNECTED: u16 = 0;
 
 /// Status of a call for which no socket was free: nothing was sent, so it tells nothing about the other side.
-pub const NOT_TRIED: u16 = 1;
+pub const STATUS_NO_FREE_SOCKET: u16 = 1;
 
 /// The time of an input.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -64,7 +64,7 @@
         }
     }
     /// Creates an answer with an error message that asks the client to retry after some seconds.
-    pub fn later(status: u16, seconds: u32, why: &str) -> Self {
+    pub fn retry_later(status: u16, seconds: u32, why: &str) -> Self {
         Self {
             status,
             retry_after_s: Some(seconds),
@@ -102,26 +102,26 @@
     /// Whether they are production work.
     pub urgent: bool,
     /// Resources that each task needs: processors, accelerators and GB of memory.
-    pub size: [f64; 3],
+    pub task_resources: [f64; 3],
     /// Number of tasks.
     pub count: u32,
 }
 
 impl WaitingTasks {
     /// Whether the tasks may run on a machine.
-    pub fn takes(&self, machine: &IdleMachine) -> bool {
-        self.allows(&machine.model, &machine.zone, machine.spot)
+    pub fn accepts_machine(&self, machine: &IdleMachine) -> bool {
+        self.accepts_kind(&machine.model, &machine.zone, machine.spot)
     }
 
     /// Whether the tasks may run on machines of this type and zone, spot or not.
-    pub fn allows(&self, model: &String, zone: &String, spot: bool) -> bool {
+    pub fn accepts_kind(&self, model: &String, zone: &String, spot: bool) -> bool {
         let allows_name = |list: &[String], name: &String| list.is_empty() || list.contains(name);
         (self.spot || !spot) && allows_name(&self.models, model) && allows_name(&self.zones, zone)
     }
 
     /// Number of tasks of this size that fit into the free resources. May exceed `count`.
-    pub fn fits(&self, free: &[f64; 3]) -> u32 {
-        room_for(&self.size, free)
+    pub fn count_fitting(&self, free: &[f64; 3]) -> u32 {
+        count_fitting_tasks(&self.task_resources, free)
     }
 }
 
@@ -153,24 +153,24 @@
     /// The partition.
     pub partition: Partition,
     /// Revision of the state service that the digest reflects.
-    pub ledger: u64,
+    pub revision: u64,
     /// Queued and running demand, in accelerators (or processors where none are used).
     pub demand: f64,
     /// Requested machines.
-    pub needs: Vec<MachineRequest>,
+    pub machine_requests: Vec<MachineRequest>,
     /// Queued tasks, including those for which capacity will become free soon enough.
-    pub wants: Vec<WaitingTasks>,
+    pub waiting_tasks: Vec<WaitingTasks>,
     /// Machines that run no tasks.
     pub idle: Vec<IdleMachine>,
     /// Machines whose tasks can all be preempted for production work, the least lost work first.
-    pub yielding: Vec<IdleMachine>,
+    pub vacatable_machines: Vec<IdleMachine>,
     /// Machines in use with free resources that no queued task of the partition needs.
     pub spare_room: Vec<SpareRoom>,
 }
 
 /// Order of the leader to move a machine to another partition.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Move {
+pub struct MachineMove {
     /// The machine.
     pub machine: MachineId,
     /// The partition that it moves to.
@@ -185,7 +185,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermitListing {
     /// The requester's incarnation.
-    pub life: u64,
+    pub incarnation: u64,
     /// The requested and the used permits.
     pub message: PermitMessage,
 }
@@ -212,7 +212,7 @@
         /// The job's id.
         job: String,
         /// True: cancel the job; false: return its status.
-        withdraw: bool,
+        cancel: bool,
     },
     /// Forwards a user's submission that the sender cannot store.
     Submit {
@@ -228,13 +228,13 @@
         /// The sender requests a grant, a promise not to change the membership.
         wants_grant: bool,
         /// The sender relies, or may come to rely, on a grant of the receiver.
-        relies: bool,
+        relies_on_grant: bool,
         /// Digests of the sender's partitions.
         digests: Vec<Digest>,
         /// Cancellations that the receiver may not know of.
-        told: CancellationNotice,
+        cancellations: CancellationNotice,
         /// Heartbeat for the receiver's failure detector; `None`: the sender runs no detector.
-        liveness: Option<Heartbeat>,
+        detector_heartbeat: Option<Heartbeat>,
         /// Permits that the sender requests and has used; `None`: there are none to report.
         permits: Option<Box<PermitListing>>,
     },
@@ -252,15 +252,15 @@
         /// The replying controller promises not to change the membership for the duration of a controller's lease.
         granted: bool,
         /// The replying controller relies, or may come to rely, on a grant of the requester.
-        relies: bool,
+        relies_on_grant: bool,
         /// Machines to move to other partitions (from the leader only).
-        moves: Vec<Move>,
+        moves: Vec<MachineMove>,
         /// Kinds of machine that the cloud refused recently (from the leader only).
         refused: Vec<MachineRequest>,
         /// Cancellations that the requester may not know of.
-        told: CancellationNotice,
+        cancellations: CancellationNotice,
         /// Heartbeat for the requester's failure detector; `None`: the replying controller runs no detector.
-        liveness: Option<Heartbeat>,
+        detector_heartbeat: Option<Heartbeat>,
         /// Granted permits; `None`: none were requested.
         permits: Option<Box<PermitGrants>>,
     },
@@ -286,7 +286,7 @@
     Reply {
         /// Number of the call.
         call: u64,
-        /// Status (or [`NOT_SENT`] or [`NOT_TRIED`]) and body; `None`: there was no reply before the timeout.
+        /// Status (or [`STATUS_NOT_CONNECTED`] or [`STATUS_NO_FREE_SOCKET`]) and body; `None`: there was no reply before the timeout.
         result: Option<(u16, Vec<u8>)>,
     },
     /// A request from another controller.
@@ -342,7 +342,7 @@
         timeout_ms: u64,
     },
     /// Sends a request to another controller; its result comes back as [`Input::PeerReply`].
-    Ask {
+    PeerRequest {
         /// Number of the call.
         id: u64,
         /// The receiver.
@@ -353,7 +353,7 @@
         timeout_ms: u64,
     },
     /// Replies to a request of another controller.
-    Tell {
+    PeerReply {
         /// Number of the request.
         id: u64,
         /// The reply.
--- a/crates/tidelatch-core/src/protocol/state_service.rs
+++ b/crates/tidelatch-core/src/protocol/state_service.rs
@@ -1,6 +1,6 @@
 //! Answers of the state service: keys, lists, changes, transactions and leases.
 
-use crate::ids::Stamp;
+use crate::ids::Revision;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -12,7 +12,7 @@
     /// The value.
     pub value: Value,
     /// Revision of the key's last change.
-    pub stamp: Stamp,
+    pub stamp: Revision,
 }
 
 /// A page of a list.
@@ -40,7 +40,7 @@
     #[serde(default)]
     pub value: Value,
     /// Revision of the change.
-    pub stamp: Stamp,
+    pub stamp: Revision,
 }
 
 /// Answer to a watch request.
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -11,7 +11,7 @@
 mod replica_swaps;
 mod victims;
 
-pub use ranking::{Claim, EstimateCorrections, next_in_turn, starved_s, urgency};
+pub use ranking::{EstimateCorrections, TeamUsage, choose_next_team, starvation_age_s, urgency};
 
 use crate::controller::Controller;
 use crate::ids::{JobId, Partition};
@@ -33,12 +33,12 @@
     remaining_work_s: f64,
     /// Between 0 and 1; larger for jobs with less remaining work than the mean of all waiting jobs.
     short_job_factor: f64,
-    /// None of its tasks has started for longer than [`starved_s`] allows.
+    /// None of its tasks has started for longer than [`starvation_age_s`] allows.
     is_starved: bool,
     /// See [`urgency`].
     urgency: f64,
     /// Time of submission, wall clock, in milliseconds.
-    submitted_wall_ms: u64,
+    accepted_wall_ms: u64,
     /// Indices of the tasks that the next batches may place.
     tasks: Vec<u32>,
 }
@@ -55,15 +55,15 @@
 impl Controller {
     /// Schedules a placement batch after the usual batching delay, unless one is due earlier. Called when something
     /// may be placed that could not be placed before.
-    pub(crate) fn want_batch(&mut self) {
+    pub(crate) fn schedule_batch(&mut self) {
         let due = self.now.ms + self.settings.batch_wait_ms();
-        self.batch_due = Some(self.batch_due.map_or(due, |d| d.min(due)));
+        self.batch_due_ms = Some(self.batch_due_ms.map_or(due, |d| d.min(due)));
     }
 
     /// Runs a batch if it is due, or early if enough tasks of unstarted jobs for a full batch wait.
-    pub(crate) fn tick_batch(&mut self) {
+    pub(crate) fn run_due_batch(&mut self) {
         let full_batch_tasks = self.settings.operator.batch_tasks;
-        let is_due = match self.batch_due {
+        let is_due = match self.batch_due_ms {
             Some(due) => self.now.ms >= due || self.count_tasks_of_unstarted_jobs() >= full_batch_tasks,
             None => false,
         };
@@ -104,10 +104,11 @@
             // A machine that was taken over and has not reported yet counts as full for each team of the partition: it
             // may run tasks of any of them.
             let may_be_full_for = |p: Partition| {
-                (p == m.partition && !m.confirmed && m.may_hold()) || (m.unaccounted.contains(&p) && !m.gone)
+                (p == m.partition && !m.is_confirmed && m.may_hold_older_tasks())
+                    || (m.unaccounted_partitions.contains(&p) && !m.is_deleted)
             };
-            if (!m.confirmed || !m.unaccounted.is_empty())
-                && let Some(t) = self.types.iter().find(|t| t.name == m.model)
+            if (!m.is_confirmed || !m.unaccounted_partitions.is_empty())
+                && let Some(t) = self.machine_types.iter().find(|t| t.name == m.model)
             {
                 for (i, u) in used.iter_mut().enumerate() {
                     if may_be_full_for(Partition(i as u32 % self.settings.partitions())) {
@@ -124,24 +125,24 @@
     /// Selects batches from the queues of all partitions of this controller and places them, until nothing more can be
     /// placed or the search budget is used up.
     pub(crate) fn run_batch(&mut self) {
-        self.batch_due = None;
-        let acting = self.acting_partitions();
-        if !self.entitled() {
+        self.batch_due_ms = None;
+        let acting = self.active_partitions();
+        if !self.is_entitled() {
             return;
         }
         let now = self.now.ms;
-        self.guaranteed = self.jobs_within_guarantees();
-        self.resting.retain(|_, (_, until)| now < *until);
+        self.jobs_within_guarantee = self.jobs_within_guarantees();
+        self.postponed_jobs.retain(|_, (_, until)| now < *until);
         let mut demands = Vec::new();
         let mut evaluations_left = self.settings.search_evaluations();
         for partition in acting {
             demands.extend(self.place_partition(partition, &mut evaluations_left));
         }
-        demands.extend(self.resting.values().filter_map(|(demand, _)| demand.clone()));
-        self.cloud.wishes = demands;
+        demands.extend(self.postponed_jobs.values().filter_map(|(demand, _)| demand.clone()));
+        self.capacity.demands = demands;
         if evaluations_left == 0 {
             // The rest is placed in the next batch, so that heartbeats and polls are not delayed.
-            self.want_batch();
+            self.schedule_batch();
         }
         let has_waiting_tasks = self
             .jobs
@@ -149,13 +150,14 @@
             .any(|j| self.tenures.contains_key(&j.partition) && j.waiting_count() > 0);
         if has_waiting_tasks {
             let due = self.now.ms + self.settings.batch_retry_ms();
-            self.batch_due = Some(self.batch_due.map_or(due, |d| d.min(due)));
+            self.batch_due_ms = Some(self.batch_due_ms.map_or(due, |d| d.min(due)));
         }
     }
 
     /// Jobs that fit into their team's guarantee together with all unfinished jobs that the team submitted earlier.
     fn jobs_within_guarantees(&self) -> BTreeSet<JobId> {
-        let mut jobs_by_age: Vec<(u64, &JobId, &Job)> = self.jobs.iter().map(|(id, j)| (j.at_wall, id, j)).collect();
+        let mut jobs_by_age: Vec<(u64, &JobId, &Job)> =
+            self.jobs.iter().map(|(id, j)| (j.accepted_wall_ms, id, j)).collect();
         jobs_by_age.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
         let mut unfinished_by_team: BTreeMap<&str, [f64; 2]> = BTreeMap::new();
         let mut job_ids = BTreeSet::new();
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -2,13 +2,13 @@
 //! starts.
 
 use super::batch_selection::{SelectedTask, select_batch};
-use super::ranking::{Claim, MAX_START_DELAY_S, urgency};
+use super::ranking::{MAX_START_DELAY_S, TeamUsage, urgency};
 use super::victims::{fits, subtract};
 use super::{PartitionQueue, WaitingJob};
 use crate::capacity::UnplacedTasks;
 use crate::controller::Controller;
 use crate::ids::{JobId, MachineId, Partition, TaskId};
-use crate::placement::{Amounts, Batch, JobTerms, Slot};
+use crate::placement::{Amounts, Batch, JobTerms, MachineSlot};
 use crate::protocol::{JobSpec, Priority, Shape};
 use crate::settings::Team;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
     unplaceable: BTreeSet<usize>,
     /// Tasks that found no machine: index of the job and index of the task.
     unplaced: Vec<(usize, u32)>,
-    claims: Vec<Claim>,
+    claims: Vec<TeamUsage>,
 }
 
 impl Controller {
@@ -66,7 +66,7 @@
         } = progress;
         for (j, w) in waiting.iter().enumerate().filter(|(j, _)| unplaceable.contains(j)) {
             if let Some(terms) = jobs.get(j).filter(|_| w.priority >= Priority::Prod) {
-                self.kept_room.entry(w.team).or_insert(terms.size);
+                self.reserved_room.entry(w.team).or_insert(terms.size);
             }
         }
         let (mut demands, jobs_without_machine) =
@@ -85,7 +85,7 @@
             let until = self.now.ms + self.settings.batch_retry_ms();
             for j in unplaceable {
                 if let Some(w) = waiting.get(j) {
-                    self.resting.insert(w.id.clone(), (demands.remove(&j), until));
+                    self.postponed_jobs.insert(w.id.clone(), (demands.remove(&j), until));
                 }
             }
         }
@@ -106,7 +106,7 @@
     fn smallest_size(&self, waiting: &[WaitingJob]) -> Amounts {
         let mut smallest = [f64::MAX; 3];
         for job in waiting.iter().filter_map(|w| self.jobs.get(&w.id)) {
-            let size = Self::size(&job.spec);
+            let size = Self::task_resources(&job.spec);
             smallest
                 .iter_mut()
                 .zip(size)
@@ -116,9 +116,9 @@
     }
 
     /// Usage and share of each team, in the unit in which the team is accounted.
-    fn team_claims(&self, used: &[Amounts]) -> Vec<Claim> {
+    fn team_claims(&self, used: &[Amounts]) -> Vec<TeamUsage> {
         let teams = self.settings.platform.facts.teams.iter().enumerate();
-        let claim = |(i, team): (usize, &Team)| Claim {
+        let claim = |(i, team): (usize, &Team)| TeamUsage {
             used: used.get(i).map_or(0.0, |used| self.amount_in_team_unit(i, used)),
             share: if team.gpus > 0.0 || team.gpus_max > 0.0 {
                 team.gpus.max(0.5)
@@ -137,13 +137,13 @@
             Some(terms)
         };
         let mut jobs: Vec<JobTerms> = waiting.iter().filter_map(terms).collect();
-        for (w, terms) in waiting.iter().zip(jobs.iter_mut()).filter(|(_, t)| t.gang) {
+        for (w, terms) in waiting.iter().zip(jobs.iter_mut()).filter(|(_, t)| t.is_gang) {
             self.exclude_machines_with_attempt(&w.id, ids, terms);
         }
         for (w, terms) in waiting.iter().zip(jobs.iter_mut()) {
-            terms.barred.extend(self.reserved_for_others(&w.id, ids));
+            terms.excluded_machines.extend(self.reserved_for_others(&w.id, ids));
             if self.has_failures(&w.id) {
-                terms.barred.extend(self.failed_places(&w.id, ids));
+                terms.excluded_machines.extend(self.failed_machine_indices(&w.id, ids));
             }
         }
         if let Some((gang, machines)) = self.reserve_machines_for_gang(partition, waiting, &jobs) {
@@ -153,7 +153,7 @@
             let priority = waiting.get(gang).map_or(Priority::Low, |w| w.priority);
             for (j, (w, terms)) in waiting.iter().zip(jobs.iter_mut()).enumerate() {
                 if j != gang && w.priority <= priority {
-                    terms.barred.extend(&reserved);
+                    terms.excluded_machines.extend(&reserved);
                 }
             }
         }
@@ -165,7 +165,7 @@
         &mut self,
         progress: &mut BatchProgress,
         waiting: &[WaitingJob],
-        (ids, slots): (&[MachineId], &mut Vec<Slot>),
+        (ids, slots): (&[MachineId], &mut Vec<MachineSlot>),
         (jobs, room): (&mut Vec<JobTerms>, &mut Vec<Amounts>),
         evaluations_left: &mut usize,
     ) {
@@ -191,7 +191,7 @@
             let moves =
                 max_moves.min(evaluations_left.saturating_sub(task_count * machine_count) / machine_count.max(1));
             *evaluations_left = evaluations_left.saturating_sub((task_count + moves) * machine_count.max(4));
-            self.evaluated += ((task_count + moves) * machine_count) as u64;
+            self.evaluated_candidates += ((task_count + moves) * machine_count) as u64;
             let choices = Batch::new(slots, jobs, room, &tasks)
                 .guaranteed_first(is_guaranteed)
                 .place(moves);
@@ -232,7 +232,7 @@
         unplaced: &[(usize, u32)],
         waiting: &[WaitingJob],
         jobs: &[JobTerms],
-        (room, slots): (&mut [Amounts], &[Slot]),
+        (room, slots): (&mut [Amounts], &[MachineSlot]),
     ) -> (BTreeMap<usize, UnplacedTasks>, Vec<usize>) {
         let mut demands: BTreeMap<usize, UnplacedTasks> = BTreeMap::new();
         let mut jobs_without_machine: Vec<usize> = Vec::new();
@@ -244,7 +244,7 @@
                 continue;
             }
             subtract(left, &terms.size);
-            if !terms.gang {
+            if !terms.is_gang {
                 jobs_without_machine.push(*j);
             }
             let Some(w) = waiting.get(*j) else { continue };
@@ -276,11 +276,12 @@
         jobs: &[JobTerms],
     ) -> Option<(usize, BTreeSet<MachineId>)> {
         let waited_periods = |w: &WaitingJob| {
-            self.now.wall_ms.saturating_sub(w.submitted_wall_ms)
+            self.now.wall_ms.saturating_sub(w.accepted_wall_ms)
                 / (1000.0 * GANG_RESERVATION_FRACTION * MAX_START_DELAY_S) as u64
         };
-        let gangs = (0..waiting.len()).filter(|j| jobs.get(*j).is_some_and(|t| t.gang && t.in_zone.is_empty()));
-        let longest_waiting = gangs.min_by_key(|j| waiting.get(*j).map_or(u64::MAX, |w| w.submitted_wall_ms))?;
+        let gangs =
+            (0..waiting.len()).filter(|j| jobs.get(*j).is_some_and(|t| t.is_gang && t.tasks_by_zone.is_empty()));
+        let longest_waiting = gangs.min_by_key(|j| waiting.get(*j).map_or(u64::MAX, |w| w.accepted_wall_ms))?;
         let (w, terms) = waiting.get(longest_waiting).zip(jobs.get(longest_waiting))?;
         if waited_periods(w) % 2 == 0 {
             return None;
@@ -289,8 +290,13 @@
         let mut by_zone: BTreeMap<&str, Vec<(u32, &MachineId)>> = BTreeMap::new();
         for (id, m) in self.machines.iter().filter(|(_, m)| m.partition == partition) {
             let is_usable =
-                m.usable(self.now.ms, 3 * self.settings.report_ms()) && terms.admits(&m.model, &m.zone, m.spot);
-            let Some(t) = self.types.iter().find(|t| t.name == m.model).filter(|_| is_usable) else {
+                m.is_usable(self.now.ms, 3 * self.settings.report_ms()) && terms.admits(&m.model, &m.zone, m.spot);
+            let Some(t) = self
+                .machine_types
+                .iter()
+                .find(|t| t.name == m.model)
+                .filter(|_| is_usable)
+            else {
                 continue;
             };
             let mut room = [t.cpus, t.gpus, t.memory_gb];
@@ -303,7 +309,7 @@
                 }
             }
             let zone = if terms.one_zone { m.zone.as_str() } else { "" };
-            let fit = crate::capacity::room_for(&terms.size, &room);
+            let fit = crate::capacity::count_fitting_tasks(&terms.size, &room);
             by_zone.entry(zone).or_default().push((fit, id));
         }
         let tasks = w.tasks.len() as u32;
@@ -332,38 +338,42 @@
         };
         let Some(gang) = job.gang else { return };
         for (index, machine) in ids.iter().enumerate() {
-            if self.machines.get(machine).is_some_and(|m| m.lists(id, gang.attempt)) {
-                terms.barred.insert(index);
+            if self
+                .machines
+                .get(machine)
+                .is_some_and(|m| m.lists_as_ended(id, gang.attempt))
+            {
+                terms.excluded_machines.insert(index);
             }
         }
     }
 
     /// The zone in which to rent machines for a gang that must run in one zone: the one with the most free room,
     /// preferring zones in which the cloud still rents out suitable machines.
-    pub(super) fn choose_gang_zone(&self, terms: &JobTerms, slots: &[Slot]) -> Option<String> {
-        if !terms.gang || !terms.one_zone || terms.in_zone.values().any(|n| *n > 0) {
+    pub(super) fn choose_gang_zone(&self, terms: &JobTerms, slots: &[MachineSlot]) -> Option<String> {
+        if !terms.is_gang || !terms.one_zone || terms.tasks_by_zone.values().any(|n| *n > 0) {
             return None;
         }
         let mut best: Option<(bool, u32, &String)> = None;
         for zone in &self.settings.platform.facts.zones {
             let fits = |t: &&crate::protocol::MachineType| {
-                crate::capacity::room_for(&terms.size, &[t.cpus, t.gpus, t.memory_gb]) > 0
+                crate::capacity::count_fitting_tasks(&terms.size, &[t.cpus, t.gpus, t.memory_gb]) > 0
                     && terms.admits(&t.name, zone, false)
                     && t.zones.contains(zone)
             };
-            let mut suitable_types = self.types.iter().filter(fits).peekable();
+            let mut suitable_types = self.machine_types.iter().filter(fits).peekable();
             if suitable_types.peek().is_none() {
                 continue;
             }
             let is_rentable = suitable_types.any(|t| {
                 let kind = (t.name.clone(), zone.clone(), false);
-                !self.cloud.is_refused(&kind, self.now.ms)
+                !self.capacity.is_refused(&kind, self.now.ms)
             });
             let slots_in_zone = slots
                 .iter()
                 .filter(|s| s.zone == *zone && terms.admits(&s.model, zone, s.spot));
             let room = slots_in_zone
-                .map(|s| crate::capacity::room_for(&terms.size, &s.free))
+                .map(|s| crate::capacity::count_fitting_tasks(&terms.size, &s.free))
                 .sum();
             if best.is_none_or(|(r, n, _)| (is_rentable, room) > (r, n)) {
                 best = Some((is_rentable, room, zone));
@@ -373,20 +383,20 @@
     }
 
     /// Usable machines of a partition with room for at least `smallest`, and a slot for each.
-    pub(super) fn machine_slots(&self, partition: Partition, smallest: &Amounts) -> (Vec<MachineId>, Vec<Slot>) {
+    pub(super) fn machine_slots(&self, partition: Partition, smallest: &Amounts) -> (Vec<MachineId>, Vec<MachineSlot>) {
         let max_report_age_ms = 3 * self.settings.report_ms();
         let mut ids = Vec::new();
         let mut slots = Vec::new();
         for (id, m) in &self.machines {
-            if m.partition != partition || !m.usable(self.now.ms, max_report_age_ms) {
+            if m.partition != partition || !m.is_usable(self.now.ms, max_report_age_ms) {
                 continue;
             }
-            let Some(t) = self.types.iter().find(|t| t.name == m.model) else {
+            let Some(t) = self.machine_types.iter().find(|t| t.name == m.model) else {
                 continue;
             };
             let total = [t.cpus, t.gpus, t.memory_gb];
             let mut free = total;
-            free.iter_mut().zip(m.taken()).for_each(|(f, u)| *f -= u);
+            free.iter_mut().zip(m.used_resources()).for_each(|(f, u)| *f -= u);
             if smallest.iter().zip(free).any(|(l, f)| *l > f + 1e-6) {
                 continue;
             }
@@ -398,7 +408,7 @@
                     .map(|j| j.spec.image.clone()),
             );
             ids.push(id.clone());
-            slots.push(Slot {
+            slots.push(MachineSlot {
                 model: m.model.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
@@ -407,7 +417,7 @@
                 images,
                 fetch_s_per_gb: 1.0 / t.fetch_gb_per_s.max(1e-3),
                 boot_s: t.boot_s,
-                doubts: m.failures.len() as f64,
+                recent_failures: m.failures.len() as f64,
                 price: if m.spot { t.spot_price } else { t.price },
             });
         }
@@ -426,12 +436,12 @@
         }
         let spec = &job.spec;
         let urgency = urgency(slack_s, 1.0, spec);
-        let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
+        let age_s = self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0;
         let most_per_zone = spec.spread.then(|| spec.tasks.div_ceil(2));
         let cheapest = self.cheapest_task_price(spec);
         // The restriction to cheap zones holds for as long as machines rented for the job take to boot. After that,
         // any room is better than none.
-        let boot_s = self.types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
+        let boot_s = self.machine_types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
         let cheap_zones = match most_per_zone {
             Some(_) if spec.shape == Shape::Service && age_s < CHEAP_ZONE_BOOT_TIMES * boot_s => {
                 self.find_cheap_zones(spec, cheapest)
@@ -441,31 +451,31 @@
         let cheap_zone_capacity = most_per_zone.unwrap_or(0).saturating_mul(cheap_zones.len() as u32);
         Some(JobTerms {
             cheap_zones,
-            most_elsewhere: spec.tasks.saturating_sub(cheap_zone_capacity),
-            size: Self::size(spec),
+            max_tasks_outside_cheap_zones: spec.tasks.saturating_sub(cheap_zone_capacity),
+            size: Self::task_resources(spec),
             models: spec.models.clone(),
             zone: spec.zone.clone(),
             one_zone: spec.one_zone,
-            most_per_zone,
-            shunned: job
-                .shunned
+            max_tasks_per_zone: most_per_zone,
+            avoided_zone: job
+                .avoided_zone
                 .as_ref()
                 .filter(|(_, until)| self.now.ms < *until)
                 .map(|(z, _)| z.clone()),
             spot: spec.spot,
             image: spec.image.clone(),
             image_gb: spec.image_gb,
-            guaranteed: self.guaranteed.contains(id),
+            guaranteed: self.jobs_within_guarantee.contains(id),
             deadline_s: spec.deadline_s.unwrap_or(0.0),
-            estimate_s: self.estimates.run_s(spec),
+            estimate_s: self.estimates.expected_run_s(spec),
             rank: f64::from(spec.priority as u8) * 10.0 + urgency,
-            service: spec.shape == Shape::Service,
-            gang: spec.shape == Shape::Gang,
-            barred: BTreeSet::new(),
-            within_s: self.job_start_objective_s(id),
-            cheapest,
-            wait_left_s: (self.job_start_objective_s(id) - age_s).max(0.0),
-            in_zone,
+            is_service: spec.shape == Shape::Service,
+            is_gang: spec.shape == Shape::Gang,
+            excluded_machines: BTreeSet::new(),
+            start_objective_s: self.job_start_objective_s(id),
+            cheapest_task_price: cheapest,
+            start_time_left_s: (self.job_start_objective_s(id) - age_s).max(0.0),
+            tasks_by_zone: in_zone,
             team,
         })
     }
@@ -474,18 +484,18 @@
     /// the cheapest one. Empty if that is true for all zones or for none, or if the job names a zone or may use spot
     /// machines.
     pub(super) fn find_cheap_zones(&self, spec: &JobSpec, cheapest: f64) -> Vec<String> {
-        let size = Self::size(spec);
+        let size = Self::task_resources(spec);
         let mut cheap: BTreeSet<&String> = BTreeSet::new();
         let mut all: BTreeSet<&String> = BTreeSet::new();
-        for t in &self.types {
-            let fit = crate::capacity::room_for(&size, &[t.cpus, t.gpus, t.memory_gb]);
+        for t in &self.machine_types {
+            let fit = crate::capacity::count_fitting_tasks(&size, &[t.cpus, t.gpus, t.memory_gb]);
             if fit == 0 || !spec.models.as_ref().is_none_or(|m| m.contains(&t.name)) {
                 continue;
             }
             all.extend(&t.zones);
             for zone in &t.zones {
                 let kind = (t.name.clone(), zone.clone(), false);
-                if t.price / f64::from(fit) < 1.2 * cheapest && !self.cloud.is_refused(&kind, self.now.ms) {
+                if t.price / f64::from(fit) < 1.2 * cheapest && !self.capacity.is_refused(&kind, self.now.ms) {
                     cheap.insert(zone);
                 }
             }
@@ -499,10 +509,10 @@
     /// Price per hour of one task on the cheapest type of machine that its job may use, fully packed; 0 if there is
     /// none.
     pub(super) fn cheapest_task_price(&self, spec: &JobSpec) -> f64 {
-        let size = Self::size(spec);
+        let size = Self::task_resources(spec);
         let mut best = f64::MAX;
-        for t in &self.types {
-            let fit = crate::capacity::room_for(&size, &[t.cpus, t.gpus, t.memory_gb]);
+        for t in &self.machine_types {
+            let fit = crate::capacity::count_fitting_tasks(&size, &[t.cpus, t.gpus, t.memory_gb]);
             let is_allowed = spec.models.as_ref().is_none_or(|m| m.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
             if fit > 0 && is_allowed {
--- a/crates/tidelatch-core/src/queue/batch_selection.rs
+++ b/crates/tidelatch-core/src/queue/batch_selection.rs
@@ -1,7 +1,7 @@
 //! Selection of one batch of tasks from the queues: by priority, then by fair share among the teams.
 
 use super::WaitingJob;
-use super::ranking::{Claim, next_in_turn};
+use super::ranking::{TeamUsage, choose_next_team};
 use crate::placement::JobTerms;
 use crate::protocol::Priority;
 use std::collections::{BTreeSet, VecDeque};
@@ -25,7 +25,7 @@
     waiting: &[WaitingJob],
     next_tasks: &mut [usize],
     unplaceable_jobs: &BTreeSet<usize>,
-    claims: &mut [Claim],
+    claims: &mut [TeamUsage],
     jobs: &[JobTerms],
     batch_size: usize,
 ) -> Vec<SelectedTask> {
@@ -48,7 +48,7 @@
             }
         }
         while batch.len() < batch_size {
-            let Some(team) = next_in_turn(claims, &ready_teams) else {
+            let Some(team) = choose_next_team(claims, &ready_teams) else {
                 break;
             };
             let Some(queue) = queues.get_mut(team) else { break };
@@ -57,7 +57,7 @@
                 break;
             };
             // A gang is selected as a whole, even beyond the batch size.
-            let is_gang = jobs.get(job_index).is_some_and(|t| t.gang);
+            let is_gang = jobs.get(job_index).is_some_and(|t| t.is_gang);
             let count = if is_gang { w.tasks.len() - *next_task } else { 1 };
             let first_task = *next_task;
             *next_task += count;
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -5,7 +5,7 @@
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
 use crate::membership::Stage;
 use crate::messages::Level;
-use crate::placement::{Batch, JobTerms, Slot};
+use crate::placement::{Batch, JobTerms, MachineSlot};
 use crate::protocol::Shape;
 use std::collections::BTreeSet;
 
@@ -19,14 +19,14 @@
     /// [`MACHINES_PER_CONSOLIDATION`] machines, so that only few replicas are unavailable at any moment.
     pub(crate) fn consolidate(&mut self) {
         let now = self.now.ms;
-        if !self.entitled() || now < self.consolidate_due {
+        if !self.is_entitled() || now < self.consolidation_due_ms {
             return;
         }
-        self.consolidate_due = now + self.settings.report_ms();
+        self.consolidation_due_ms = now + self.settings.report_ms();
         let active_partitions: Vec<Partition> = self
             .tenures
             .iter()
-            .filter(|(_, t)| t.stage == Stage::Active && t.settled)
+            .filter(|(_, t)| t.stage == Stage::Active && t.are_machines_accounted_for)
             .map(|(p, _)| *p)
             .collect();
         for p in active_partitions {
@@ -37,7 +37,7 @@
             let machines = self.machines.values().filter(|m| m.partition == p).count() as u64;
             let min_interval_ms = self.settings.worker_lease_ms() / (machines / MACHINES_PER_CONSOLIDATION).max(1);
             let is_too_early = self
-                .consolidated
+                .last_consolidations_ms
                 .get(&p)
                 .is_some_and(|t| now.saturating_sub(*t) < min_interval_ms);
             if has_no_waiting_services && !is_too_early {
@@ -63,10 +63,10 @@
             self.evict_now(&id);
         } else {
             for (task, attempt) in held {
-                self.stop_held(&id, &task, attempt);
+                self.request_stop(&id, &task, attempt);
             }
         }
-        self.consolidated.insert(partition, self.now.ms);
+        self.last_consolidations_ms.insert(partition, self.now.ms);
     }
 
     /// The cheapest machine to empty and the tasks it holds: fewest replicas for its price among the machines that
@@ -78,7 +78,7 @@
         let mut candidates: Vec<(f64, MachineId)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.partition == partition && m.usable(now, max_report_age_ms) && !m.held.is_empty())
+            .filter(|(_, m)| m.partition == partition && m.is_usable(now, max_report_age_ms) && !m.held.is_empty())
             .filter(|(_, m)| {
                 m.held.iter().all(|h| {
                     let is_service = self
@@ -91,7 +91,7 @@
                 })
             })
             .filter_map(|(id, m)| {
-                let t = self.types.iter().find(|t| t.name == m.model)?;
+                let t = self.machine_types.iter().find(|t| t.name == m.model)?;
                 let price = if m.spot { t.spot_price } else { t.price };
                 Some((m.held.len() as f64 / price.max(1e-9), id.clone()))
             })
@@ -135,7 +135,12 @@
     }
 
     /// Whether all tasks of a machine fit on other machines that already have their images.
-    pub(super) fn can_relocate_tasks(&self, mut slots: Vec<Slot>, id: &MachineId, held: &[(TaskId, Attempt)]) -> bool {
+    pub(super) fn can_relocate_tasks(
+        &self,
+        mut slots: Vec<MachineSlot>,
+        id: &MachineId,
+        held: &[(TaskId, Attempt)],
+    ) -> bool {
         let Some(zone) = self.machines.get(id).map(|m| m.zone.clone()) else {
             return false;
         };
@@ -156,7 +161,7 @@
                 }
             };
             // The task no longer counts in the zone that it leaves.
-            if let Some(n) = jobs.get_mut(at).and_then(|j| j.in_zone.get_mut(&zone)) {
+            if let Some(n) = jobs.get_mut(at).and_then(|j| j.tasks_by_zone.get_mut(&zone)) {
                 *n = n.saturating_sub(1);
             }
             tasks.push(at);
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -1,7 +1,7 @@
 //! Selection and ordering of the jobs of a partition that may be placed now.
 
 use super::limit_preemption::JobBlockedByLimit;
-use super::ranking::{EstimateCorrections, class_start_objective_s, starved_s, urgency};
+use super::ranking::{EstimateCorrections, class_start_objective_s, starvation_age_s, urgency};
 use super::{PartitionQueue, WaitingJob};
 use crate::controller::Controller;
 use crate::ids::{JobId, Partition};
@@ -41,19 +41,19 @@
 impl CollectionContext<'_> {
     /// Seconds since the job was submitted.
     fn age_s(&self, job: &Job) -> f64 {
-        self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0
+        self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0
     }
 
     /// Seconds until a job must start to meet its deadline; `f64::MAX` without one.
     fn slack_s(&self, job: &Job) -> f64 {
-        let left_s = |deadline_s: f64| deadline_s - self.age_s(job) - self.estimates.run_s(&job.spec);
+        let left_s = |deadline_s: f64| deadline_s - self.age_s(job) - self.estimates.expected_run_s(&job.spec);
         job.spec.deadline_s.map_or(f64::MAX, left_s)
     }
 
     /// Whether the job has waited for so long without a started task that it precedes all other work of its priority,
     /// regardless of its deadline and size. This prevents starvation.
     fn is_starved(&self, job: &Job) -> bool {
-        let starvation_age_s = starved_s(
+        let starvation_age_s = starvation_age_s(
             class_start_objective_s(self.objectives, &job.spec.class),
             job.spec.shape,
         );
@@ -62,7 +62,7 @@
 
     /// Adds a job of a team to the collected jobs; `room` is what is left under the team's limit.
     fn collect_job(&self, id: &JobId, job: &mut Job, team: usize, room: &Amounts, collected: &mut CollectedJobs) {
-        let size = Controller::size(&job.spec);
+        let size = Controller::task_resources(&job.spec);
         let max_tasks = count_fitting_tasks(&size, room);
         let slack_s = self.slack_s(job);
         if max_tasks == 0 && job.spec.priority >= Priority::Prod && job.waiting_count() > 0 {
@@ -71,7 +71,7 @@
                 collected.blocked_jobs.push(JobBlockedByLimit {
                     id: id.clone(),
                     team,
-                    submitted_wall_ms: job.at_wall,
+                    accepted_wall_ms: job.accepted_wall_ms,
                     slack_s,
                     size,
                     count: job.waiting_count(),
@@ -84,7 +84,7 @@
             return;
         }
         collected.waiting.push(WaitingJob {
-            remaining_work_s: f64::from(job.waiting_count()) * self.estimates.run_s(&job.spec),
+            remaining_work_s: f64::from(job.waiting_count()) * self.estimates.expected_run_s(&job.spec),
             short_job_factor: 1.0,
             is_starved,
             id: id.clone(),
@@ -92,7 +92,7 @@
             priority: job.spec.priority,
             slack_s,
             urgency: 0.0,
-            submitted_wall_ms: job.at_wall,
+            accepted_wall_ms: job.accepted_wall_ms,
             tasks,
         });
     }
@@ -102,13 +102,13 @@
 fn select_tasks_to_place(job: &mut Job, max_tasks: usize, is_starved: bool) -> Vec<u32> {
     // A gang enters a batch with all of its tasks or not at all.
     let is_gang = job.spec.shape == Shape::Gang;
-    let mut tasks = job.waiting(if is_gang {
+    let mut tasks = job.waiting_tasks(if is_gang {
         max_tasks
     } else {
         max_tasks.min(MAX_TASKS_PER_JOB_AND_BATCH)
     });
     if is_gang {
-        let is_complete = job.gang_may_start() && tasks.len() >= job.waiting_count() as usize;
+        let is_complete = job.can_start_gang_tasks() && tasks.len() >= job.waiting_count() as usize;
         return if is_complete { tasks } else { Vec::new() };
     }
     if is_starved && job.spec.shape == Shape::Array {
@@ -135,34 +135,37 @@
         } = collected;
         self.reserve_room_under_limits(&mut waiting, room, &blocked_size_by_team);
         let partitions = self.settings.partitions() as usize;
-        self.kept_room
+        self.reserved_room
             .retain(|team, _| team % partitions != partition.0 as usize);
         // Jobs that have no room now have priority for the next room that becomes free.
-        self.kept_room.extend(blocked_size_by_team);
-        blocked_jobs.sort_by(|a, b| (a.submitted_wall_ms, &a.id).cmp(&(b.submitted_wall_ms, &b.id)));
+        self.reserved_room.extend(blocked_size_by_team);
+        blocked_jobs.sort_by(|a, b| (a.accepted_wall_ms, &a.id).cmp(&(b.accepted_wall_ms, &b.id)));
         PartitionQueue { waiting, blocked_jobs }
     }
 
     /// The jobs of a partition that may be placed now.
     fn collect_jobs(&mut self, partition: Partition, room: &[Amounts]) -> CollectedJobs {
         let mut collected = CollectedJobs::default();
-        let Some(tenure_epoch) = self.tenures.get(&partition).map(|tenure| tenure.since) else {
+        let Some(tenure_epoch) = self.tenures.get(&partition).map(|tenure| tenure.since_epoch) else {
             return collected;
         };
-        let has_unconfirmed_machines = self.unconfirmed(partition) > 0;
+        let has_unconfirmed_machines = self.count_unconfirmed_machines(partition) > 0;
         let teams = self.settings.platform.facts.teams.iter().enumerate();
         let names: BTreeMap<&str, usize> = teams.map(|(i, t)| (t.name.as_str(), i)).collect();
-        let epoch = self.member.epoch.as_ref().map(|(record, _)| record.n);
+        let epoch = self.membership.epoch.as_ref().map(|(record, _)| record.number);
         let context = CollectionContext {
             now: self.now,
             estimates: &self.estimates,
             objectives: &self.settings.platform.facts.objectives,
         };
         for (id, job) in &mut self.jobs {
-            if job.partition != partition || !job.startable(context.now.ms) || self.resting.contains_key(id) {
+            if job.partition != partition
+                || !job.can_start_tasks(context.now.ms)
+                || self.postponed_jobs.contains_key(id)
+            {
                 continue;
             }
-            if self.cancellations.calls_off(id) {
+            if self.cancellations.is_cancelled_or_requested(id) {
                 continue;
             }
             // Tasks from before the takeover may run on a machine that has not reported yet. A job of an epoch that
@@ -205,7 +208,7 @@
             b.priority
                 .cmp(&a.priority)
                 .then(b.urgency.total_cmp(&a.urgency))
-                .then(a.submitted_wall_ms.cmp(&b.submitted_wall_ms))
+                .then(a.accepted_wall_ms.cmp(&b.accepted_wall_ms))
         });
     }
 
@@ -222,7 +225,7 @@
         blocked_size_by_team: &BTreeMap<usize, Amounts>,
     ) {
         let mut room_left: BTreeMap<usize, Amounts> = BTreeMap::new();
-        for (team, reserved) in blocked_size_by_team.iter().chain(&self.kept_room) {
+        for (team, reserved) in blocked_size_by_team.iter().chain(&self.reserved_room) {
             if let Some(room) = room.get(*team) {
                 let reduced = |i: usize| room.get(i).copied().unwrap_or(0.0) - reserved.get(i).copied().unwrap_or(0.0);
                 room_left.insert(*team, [reduced(0), reduced(1), f64::MAX]);
@@ -233,7 +236,7 @@
                 continue;
             };
             let Some(job) = self.jobs.get(&w.id) else { continue };
-            let size = Self::size(&job.spec);
+            let size = Self::task_resources(&job.spec);
             let fitting = count_fitting_tasks(&size, room_left);
             if job.spec.shape == Shape::Gang && fitting < w.tasks.len() {
                 w.tasks.clear();
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -18,7 +18,7 @@
     pub(super) id: JobId,
     pub(super) team: usize,
     /// Time of submission, wall clock, in milliseconds.
-    pub(super) submitted_wall_ms: u64,
+    pub(super) accepted_wall_ms: u64,
     /// Seconds until it must start to meet its deadline; `f64::MAX` without one.
     pub(super) slack_s: f64,
     /// Size of each of its tasks.
@@ -71,7 +71,7 @@
     ) -> Vec<UnplacedTasks> {
         // A machine that has not reported counts as full for each team, so it is unknown whether a team has reached
         // its limit.
-        if blocked_jobs.is_empty() || self.unconfirmed(partition) > 0 {
+        if blocked_jobs.is_empty() || self.count_unconfirmed_machines(partition) > 0 {
             return Vec::new();
         }
         let max_report_age_ms = 3 * self.settings.report_ms();
@@ -93,7 +93,7 @@
             let Some(mut terms) = self.job_terms(&job.id, job.team, job.slack_s) else {
                 continue;
             };
-            let waited_s = self.now.wall_ms.saturating_sub(job.submitted_wall_ms) as f64 / 1000.0;
+            let waited_s = self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0;
             let has_waited_long_enough = waited_s >= self.preemption_delay_s(&job.id, terms.guaranteed);
             for waiting in (1..=job.count).rev() {
                 let Some(plan) = search.find_cheapest_plan(&terms) else {
@@ -106,12 +106,12 @@
                 stops.extend(search.apply_plan(&plan, &mut terms));
             }
         }
-        self.evaluated += search.evaluations as u64;
+        self.evaluated_candidates += search.evaluations as u64;
         for (machine, task, attempt) in stops {
             let text = format!("{machine}: stopping {task} for production work of its team, which is at its limit");
             self.log(Level::Info, text);
             self.note_involuntary(&task, "preempted under its team's limit");
-            self.stop_held(&machine, &task, attempt);
+            self.request_stop(&machine, &task, attempt);
             if self.jobs.get(&task.job).is_some_and(|j| j.spec.shape == Shape::Gang) {
                 self.stop_gang(&task.job);
             }
@@ -126,7 +126,7 @@
         let now = self.now.ms;
         let is_responsive = |heard: Option<u64>| heard.is_some_and(|t| now.saturating_sub(t) <= max_report_age_ms);
         let machines = self.machines.values();
-        for m in machines.filter(|m| m.partition == partition && is_responsive(m.heard)) {
+        for m in machines.filter(|m| m.partition == partition && is_responsive(m.last_heard_at)) {
             for h in m.held.iter().filter(|h| h.stop.is_some()) {
                 // A replica that is being moved uses its room again elsewhere.
                 let job = self.jobs.get(&h.task.job);
@@ -249,7 +249,7 @@
         }
         if let Some(machine) = self.machines.get_mut(plan.machine_index) {
             subtract(&mut machine.free, &terms.size);
-            *terms.in_zone.entry(machine.zone.clone()).or_default() += 1;
+            *terms.tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
         }
         if let Some(room_left) = self.room_left.get_mut(terms.team) {
             subtract(room_left, &terms.size);
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -94,7 +94,7 @@
                 continue;
             }
             unplaceable_jobs.insert(*j);
-            if terms.service && w.priority >= Priority::Prod {
+            if terms.is_service && w.priority >= Priority::Prod {
                 blocked_replicas.push(*j);
             }
         }
@@ -104,7 +104,7 @@
             machines,
             ..
         } = search;
-        self.evaluated += evaluations as u64;
+        self.evaluated_candidates += evaluations as u64;
         self.stop_preempted(stops);
         PreemptionResult {
             machines,
@@ -117,7 +117,7 @@
         for (machine, task, attempt) in stops {
             self.log(Level::Info, format!("{machine}: stopping {task} to make room"));
             self.note_involuntary(&task, "preempted");
-            self.stop_held(&machine, &task, attempt);
+            self.request_stop(&machine, &task, attempt);
             if self.jobs.get(&task.job).is_some_and(|j| j.spec.shape == Shape::Gang) {
                 self.stop_gang(&task.job);
             }
@@ -130,7 +130,7 @@
         let start_objective_s = self.job_start_objective_s(id);
         // Work within the guarantee is also subject to the start objective of guaranteed work.
         let start_objective_s = if guaranteed {
-            start_objective_s.min(self.guarantee_s())
+            start_objective_s.min(self.guaranteed_start_limit_s())
         } else {
             start_objective_s
         };
@@ -139,7 +139,7 @@
 
     /// Boot time of the slowest machine type, in seconds.
     fn longest_boot_s(&self) -> f64 {
-        self.types.iter().map(|t| t.boot_s).fold(0.0, f64::max)
+        self.machine_types.iter().map(|t| t.boot_s).fold(0.0, f64::max)
     }
 
     /// Guarantee of each team, in the unit in which the team is accounted.
@@ -183,7 +183,7 @@
             .used
             .get(w.team)
             .is_some_and(|used| used + amount_in_team_unit <= guarantee + 1e-6);
-        let waited_s = controller.now.wall_ms.saturating_sub(w.submitted_wall_ms) as f64 / 1000.0;
+        let waited_s = controller.now.wall_ms.saturating_sub(w.accepted_wall_ms) as f64 / 1000.0;
         let delay_s = controller.preemption_delay_s(&w.id, terms.guaranteed);
         let can_preempt_lower = w.priority >= Priority::Prod && waited_s >= delay_s;
         let can_reclaim_guarantee = is_within_guarantee && waited_s > controller.longest_boot_s();
@@ -236,7 +236,7 @@
             let Some((machine, free_now)) = self.reserve_room(&request) else {
                 break;
             };
-            *terms.in_zone.entry(machine.zone.clone()).or_default() += 1;
+            *terms.tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
             if !free_now {
                 waiting_for_stops += 1;
                 reserved.insert(machine.id.clone());
--- a/crates/tidelatch-core/src/queue/replica_swaps.rs
+++ b/crates/tidelatch-core/src/queue/replica_swaps.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::disruption::Cause;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
-use crate::machine_view::{Held, Machine};
+use crate::machine_view::{HeldTask, Machine};
 use crate::messages::Level;
 use crate::placement::{Amounts, JobTerms};
 use crate::protocol::{Priority, Shape};
@@ -56,7 +56,7 @@
     ) {
         let now = self.now.ms;
         let swapped_recently = self
-            .swapped
+            .last_replica_swaps_ms
             .get(&partition)
             .is_some_and(|t| now.saturating_sub(*t) < 2 * self.settings.report_ms());
         if blocked_replicas.is_empty() || swapped_recently {
@@ -73,11 +73,11 @@
             }
         }
         let (moves, evaluations_left) = (search.moves, search.evaluations_left);
-        self.evaluated += max_evaluations.saturating_sub(evaluations_left) as u64;
+        self.evaluated_candidates += max_evaluations.saturating_sub(evaluations_left) as u64;
         // If the search budget is used up, the rest is tried again later, so that heartbeats and polls are not
         // delayed.
         if evaluations_left == 0 || !moves.is_empty() {
-            self.swapped.insert(partition, now);
+            self.last_replica_swaps_ms.insert(partition, now);
         }
         for (machine, task, attempt) in moves {
             self.move_replica(&machine, &task, attempt);
@@ -96,12 +96,12 @@
                 Level::Info,
                 format!("{machine}: moving {task} to another zone so that a replica that cannot run elsewhere fits"),
             );
-            self.stop_held(machine, task, attempt);
+            self.request_stop(machine, task, attempt);
         }
         let zone = self.machines.get(machine).map(|m| m.zone.clone()).unwrap_or_default();
         let until = self.now.ms + 2 * self.settings.worker_lease_ms();
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.shunned = Some((zone, until));
+            job.avoided_zone = Some((zone, until));
         }
     }
 }
@@ -162,7 +162,7 @@
     }
 
     /// Whether a task has run for longer than a worker lease and no task of its job has been chosen yet.
-    fn can_be_chosen(&self, held: &Held) -> bool {
+    fn can_be_chosen(&self, held: &HeldTask) -> bool {
         let now = self.controller.now.ms;
         let min_run_ms = self.controller.settings.worker_lease_ms();
         let has_run_long_enough = held.running_since.is_some_and(|t| now.saturating_sub(t) > min_run_ms);
@@ -170,19 +170,20 @@
     }
 
     /// Finds a machine in another zone that a replica could move to.
-    fn find_destination(&mut self, m: &'a Machine, held: &Held) -> Option<MachineId> {
+    fn find_destination(&mut self, m: &'a Machine, held: &HeldTask) -> Option<MachineId> {
         let controller = self.controller;
         let (name, job) = controller.jobs.get_key_value(&held.task.job)?;
-        let is_movable = job.spec.shape == Shape::Service && job.partition == self.partition && job.shunned.is_none();
+        let is_movable =
+            job.spec.shape == Shape::Service && job.partition == self.partition && job.avoided_zone.is_none();
         if !is_movable || self.immovable_replicas.contains(&(name, m.zone.as_str())) {
             return None;
         }
         let team = controller.settings.team(&job.spec.team).map_or(0, |(t, _)| t);
         let mut terms = controller.job_terms(&held.task.job, team, f64::MAX)?;
-        if let Some(n) = terms.in_zone.get_mut(&m.zone) {
+        if let Some(n) = terms.tasks_by_zone.get_mut(&m.zone) {
             *n = n.saturating_sub(1);
         }
-        terms.shunned = Some(m.zone.clone());
+        terms.avoided_zone = Some(m.zone.clone());
         let mut to = None;
         for ((model, zone, spot), machines) in &self.destinations {
             if to.is_none() && terms.admits(model, zone, *spot) {
--- a/crates/tidelatch-core/src/queue/victims.rs
+++ b/crates/tidelatch-core/src/queue/victims.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
 use crate::jobs::Job;
-use crate::machine_view::{Held, Machine};
+use crate::machine_view::{HeldTask, Machine};
 use crate::placement::Amounts;
 use crate::protocol::{Priority, Shape};
 use std::collections::BTreeSet;
@@ -74,16 +74,16 @@
     /// The usable machines of a partition with the tasks that could be stopped there. `max_report_age_ms` is the
     /// maximum age of a machine's last report.
     pub(super) fn candidate_machines(&self, partition: Partition, max_report_age_ms: u64) -> Vec<CandidateMachine> {
-        let is_usable = |m: &Machine| m.partition == partition && m.usable(self.now.ms, max_report_age_ms);
+        let is_usable = |m: &Machine| m.partition == partition && m.is_usable(self.now.ms, max_report_age_ms);
         let machines = self.machines.iter().filter(|(_, m)| is_usable(m));
         machines.filter_map(|(id, m)| self.candidate_machine(id, m)).collect()
     }
 
     fn candidate_machine(&self, id: &MachineId, m: &Machine) -> Option<CandidateMachine> {
-        let t = self.types.iter().find(|t| t.name == m.model)?;
+        let t = self.machine_types.iter().find(|t| t.name == m.model)?;
         let mut free = [t.cpus, t.gpus, t.memory_gb];
         let mut free_now = free;
-        subtract(&mut free_now, &m.taken());
+        subtract(&mut free_now, &m.used_resources());
         let mut victims = Vec::new();
         // Room that pending stops will free counts as free.
         for held in m.held.iter().filter(|h| h.stop.is_none()) {
@@ -112,7 +112,7 @@
     }
 
     /// The task as a victim; `None` if it cannot be stopped now, or its job or team is unknown.
-    fn victim(&self, held: &Held) -> Option<Victim> {
+    fn victim(&self, held: &HeldTask) -> Option<Victim> {
         let job = self.jobs.get(&held.task.job)?;
         let (team, _) = self.settings.team(&held.team)?;
         Some(Victim {
@@ -129,9 +129,9 @@
     }
 
     /// Seconds of work lost when a task is stopped; `None` if it cannot be stopped now.
-    fn lost_work_s(&self, held: &Held, job: &Job) -> Option<f64> {
+    fn lost_work_s(&self, held: &HeldTask, job: &Job) -> Option<f64> {
         if job.spec.shape == Shape::Gang {
-            return self.gang_loss(&held.task.job, job);
+            return self.gang_stop_cost_s(&held.task.job, job);
         }
         let ran_s = held.running_since.map_or(0, |t| self.now.ms.saturating_sub(t)) as f64 / 1000.0;
         let has_checkpoints = job.spec.checkpoint_s > 0.0;
--- a/crates/tidelatch-core/src/roster.rs
+++ b/crates/tidelatch-core/src/roster.rs
@@ -56,8 +56,8 @@
 impl Controller {
     /// Maximum size in bytes of a machine group or boot batch when it is written: 3/4 of the limit on a value,
     /// because the numbers that it holds about its machines may grow by some digits.
-    pub(crate) fn fill(&self) -> usize {
-        self.limits.value * 3 / 4
+    pub(crate) fn max_record_bytes(&self) -> usize {
+        self.write_limits.value_bytes * 3 / 4
     }
 
     /// Drops the pending roster writes of a partition at the start of a tenure.
@@ -76,13 +76,13 @@
             .roster
             .groups
             .iter_mut()
-            .filter(|(_, group)| group.record.part == partition)
+            .filter(|(_, group)| group.record.partition == partition)
         {
             group.write_in_flight = false;
             group.refused_at = None;
             // An earlier owner may have ended while it was splitting this group.
             let is_in_group = |id: &MachineId| machines.get(id).is_some_and(|m| m.group == *name);
-            if !group.record.m.keys().all(is_in_group) {
+            if !group.record.machines.keys().all(is_in_group) {
                 self.roster.due_writes.entry(name.clone()).or_insert(now);
             }
         }
@@ -94,7 +94,7 @@
     /// Sends the roster writes that are due: new boot batches and changed machine groups. Also marks boot batches
     /// that can be deleted.
     pub(crate) fn tick_roster(&mut self) {
-        if !self.entitled() {
+        if !self.is_entitled() {
             return;
         }
         self.send_boot_batches();
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -1,7 +1,7 @@
 //! Machines that have come up: their first reports, and the boot batches in which they are recorded.
 
 use super::records::{BootEntry, MAX_MACHINES_PER_RECORD, entry_bytes};
-use crate::calls::{Asker, Purpose};
+use crate::calls::{CallPurpose, Requester};
 use crate::controller::Controller;
 use crate::ids::MachineId;
 use crate::membership::BOOT_BATCH_PREFIX;
@@ -15,7 +15,7 @@
     pub(super) machine: MachineId,
     pub(super) entry: BootEntry,
     /// Waits for the answer to the first report; none once it has been answered.
-    pub(super) requester: Option<Asker>,
+    pub(super) requester: Option<Requester>,
     /// When the first report came, in milliseconds.
     pub(super) reported_at: u64,
 }
@@ -44,7 +44,7 @@
             .insert(name.to_owned(), entries.keys().cloned().collect());
         for (id, entry) in entries {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.come_up(&entry.addr, entry.seen);
+                m.mark_up(&entry.address, entry.last_report);
             }
             self.roster.boot_entries.insert(id, entry);
         }
@@ -52,19 +52,19 @@
 
     /// Queues a machine's first report for the next boot batch. The machine may hold tasks only once a boot batch
     /// records that it is up.
-    pub(crate) fn store_first_report(&mut self, requester: Asker, report: &Report) {
+    pub(crate) fn queue_first_report(&mut self, requester: Requester, report: &Report) {
         let now = self.now.ms;
         if self.roster.booted.is_empty() {
             self.roster.boot_batch_due_at = now + self.settings.batch_wait_ms();
         }
         if let Some(m) = self.machines.get_mut(&report.machine) {
-            m.storing = true;
+            m.is_boot_write_pending = true;
         }
         self.roster.booted.push(BootedMachine {
             machine: report.machine.clone(),
             entry: BootEntry {
-                addr: report.addr.clone(),
-                seen: (report.session, report.seq),
+                address: report.addr.clone(),
+                last_report: (report.session, report.seq),
             },
             requester: Some(requester),
             reported_at: now,
@@ -73,19 +73,19 @@
 
     /// Answers a first report, with commands if the machine is recorded and has not reported since. `machine` is the
     /// recorded machine with the session and sequence number of the report; none if it was not recorded.
-    pub(super) fn answer_first_report(&mut self, requester: Asker, machine: Option<(&MachineId, (u64, u64))>) {
-        let Some(epoch) = self.epoch().filter(|_| self.entitled()) else {
-            let later = crate::messages::Answer::later(503, 1, "not entitled to act at present");
-            self.answer(requester, later);
+    pub(super) fn answer_first_report(&mut self, requester: Requester, machine: Option<(&MachineId, (u64, u64))>) {
+        let Some(epoch) = self.epoch().filter(|_| self.is_entitled()) else {
+            let later = crate::messages::Answer::retry_later(503, 1, "not entitled to act at present");
+            self.send_answer(requester, later);
             return;
         };
         let commands = match machine {
-            Some((id, seen)) if self.machines.get(id).is_some_and(|m| m.last() == seen) => {
-                self.orders_for(id, Some(seen))
+            Some((id, seen)) if self.machines.get(id).is_some_and(|m| m.last_report_key() == seen) => {
+                self.commands_for(id, Some(seen))
             }
             _ => Vec::new(),
         };
-        self.answer_orders(requester, epoch, commands);
+        self.answer_with_commands(requester, epoch, commands);
     }
 
     /// Sends an unconfirmed boot batch again, and the next new boot batch if it is due.
@@ -102,9 +102,13 @@
         for requester in overdue {
             self.answer_first_report(requester, None);
         }
-        let is_own = |c: &Self, id: &MachineId| c.machines.get(id).is_some_and(|m| c.acting(m.partition).is_some());
+        let is_own = |c: &Self, id: &MachineId| {
+            c.machines
+                .get(id)
+                .is_some_and(|m| c.active_tenure(m.partition).is_some())
+        };
         if let Some(batch) = self.roster.unconfirmed_boot_batches.pop() {
-            if self.state_writes.take(now, 0.0, 0.0) {
+            if self.state_writes.try_take(now, 0.0, 0.0) {
                 if batch.entries.keys().any(|id| is_own(self, id)) {
                     self.send_boot_batch(batch, Vec::new());
                 }
@@ -115,10 +119,10 @@
         if self.roster.booted.is_empty() || now < self.roster.boot_batch_due_at {
             return;
         }
-        if !self.state_writes.take(now, 0.0, 0.0) {
+        if !self.state_writes.try_take(now, 0.0, 0.0) {
             return;
         }
-        let max_bytes = self.fill();
+        let max_bytes = self.max_record_bytes();
         let mut bytes = 2;
         let fits = |n: &&BootedMachine| {
             bytes += entry_bytes(&n.machine, &n.entry);
@@ -130,11 +134,11 @@
         let mut entries = BTreeMap::new();
         let mut requesters = Vec::new();
         for n in booted {
-            requesters.extend(n.requester.map(|r| (r, n.machine.clone(), n.entry.seen)));
+            requesters.extend(n.requester.map(|r| (r, n.machine.clone(), n.entry.last_report)));
             if is_own(self, &n.machine) {
                 entries.insert(n.machine, n.entry);
             } else if let Some(m) = self.machines.get_mut(&n.machine) {
-                m.storing = false;
+                m.is_boot_write_pending = false;
             }
         }
         let Some(first) = entries.keys().next() else {
@@ -152,7 +156,7 @@
     /// A unique name for a boot batch, from its first machine, this controller's incarnation and a counter.
     fn boot_batch_key(&mut self, first: &MachineId) -> String {
         self.roster.boot_batch_count += 1;
-        let (incarnation, number) = (self.member.inc.0, self.roster.boot_batch_count);
+        let (incarnation, number) = (self.membership.incarnation.0, self.roster.boot_batch_count);
         format!("{first}.{incarnation:x}.{number}")
     }
 
@@ -169,7 +173,7 @@
             // A batch of one machine cannot be split. The machine's next report queues it again.
             for id in first.keys() {
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.storing = false;
+                    m.is_boot_write_pending = false;
                 }
             }
             return;
@@ -184,25 +188,18 @@
     }
 
     /// Writes a boot batch, on condition that its key does not exist yet and the epoch is current.
-    fn send_boot_batch(&mut self, batch: BootBatch, requesters: Vec<(Asker, MachineId, (u64, u64))>) {
+    fn send_boot_batch(&mut self, batch: BootBatch, requesters: Vec<(Requester, MachineId, (u64, u64))>) {
         let key = format!("{BOOT_BATCH_PREFIX}{}", batch.key);
         let conditions = vec![json!({ "k": key, "stamp": 0 }), self.epoch_condition()];
         let changes = vec![json!({ "write": key, "value": batch.entries })];
-        self.txn(
-            conditions,
-            changes,
-            Purpose::BootBatch {
-                batch,
-                askers: requesters,
-            },
-        );
+        self.txn(conditions, changes, CallPurpose::WriteBootBatch { batch, requesters });
     }
 
     /// Handles the answer to the write of a boot batch.
-    pub(crate) fn on_boot_batch(
+    pub(crate) fn on_boot_batch_written(
         &mut self,
         batch: BootBatch,
-        requesters: Vec<(Asker, MachineId, (u64, u64))>,
+        requesters: Vec<(Requester, MachineId, (u64, u64))>,
         result: Option<(u16, Vec<u8>)>,
     ) {
         let is_too_large = matches!(&result, Some((400, _)));
@@ -246,8 +243,8 @@
             .filter(|(_, ids)| !ids.iter().any(|id| machines.contains_key(id)));
         let keys: Vec<String> = empty.map(|(name, _)| format!("{BOOT_BATCH_PREFIX}{name}")).collect();
         for key in keys {
-            if !self.cloud.stale_keys.contains(&key) {
-                self.cloud.stale_keys.push(key);
+            if !self.capacity.stale_keys.contains(&key) {
+                self.capacity.stale_keys.push(key);
             }
         }
     }
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -3,9 +3,9 @@
 
 use super::groups::MachineGroup;
 use super::records::{GroupRecord, entry_bytes};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
-use crate::ids::{MachineId, Partition, Stamp};
+use crate::ids::{MachineId, Partition, Revision};
 use crate::jobs::bytes_of;
 use crate::machine_view::Machine;
 use crate::membership::{ROSTER_PREFIX, STEP_PREFIX};
@@ -40,16 +40,16 @@
     let empty = group.without_machines();
     let empty_bytes = bytes_of(&empty);
     let mut pieces: Vec<(usize, GroupRecord)> = Vec::new();
-    for (id, seen) in &group.m {
+    for (id, seen) in &group.machines {
         let added_bytes = entry_bytes(id, seen);
         match pieces.last_mut().filter(|(bytes, _)| bytes + added_bytes <= max_bytes) {
             Some((bytes, piece)) => {
                 *bytes += added_bytes;
-                piece.m.insert(id.clone(), *seen);
+                piece.machines.insert(id.clone(), *seen);
             }
             None => {
                 let mut piece = empty.clone();
-                piece.m.insert(id.clone(), *seen);
+                piece.machines.insert(id.clone(), *seen);
                 pieces.push((empty_bytes + added_bytes, piece));
             }
         }
@@ -59,8 +59,8 @@
 
 /// A unique name for a new machine group: its first machine, the revision of the group that it comes from, and a
 /// suffix. A machine is in only one machine group at a revision, so no other group has this name.
-fn new_group_name(group: &str, revision: Stamp, record: &GroupRecord, suffix: &str) -> String {
-    let first = record.m.keys().next().map_or(group, MachineId::as_str);
+fn new_group_name(group: &str, revision: Revision, record: &GroupRecord, suffix: &str) -> String {
+    let first = record.machines.keys().next().map_or(group, MachineId::as_str);
     format!("{first}.{revision}.{suffix}")
 }
 
@@ -78,19 +78,19 @@
         let Some(group) = self.roster.groups.get(name) else {
             return;
         };
-        if self.acting(group.record.part).is_none() {
+        if self.active_tenure(group.record.partition).is_none() {
             return;
         }
         let (revision, step_revision) = (group.revision, group.step_revision);
         let division = self.divide_group(name, group);
         let staying = &division.staying;
-        if staying.m.len() == group.record.m.len() && staying.also_holds == group.record.also_holds {
+        if staying.machines.len() == group.record.machines.len() && staying.also_holds == group.record.also_holds {
             self.roster.due_writes.remove(name);
             return;
         }
         let change = self.plan_group_change(name, revision, division);
         let reserve = if change.has_hand_overs { 0.1 } else { 0.3 };
-        if !self.state_writes.take(self.now.ms, 0.0, reserve) {
+        if !self.state_writes.try_take(self.now.ms, 0.0, reserve) {
             return;
         }
         self.roster.due_writes.remove(name);
@@ -100,7 +100,7 @@
     /// Whether the outcome of all earlier writes of a machine group is known, so that it can be written again. Once the
     /// watch has reached the revision at which a write was refused, the hand-overs in that write are cancelled.
     fn is_ready_to_write(&mut self, name: &str) -> bool {
-        let revision = self.member.ledger;
+        let revision = self.membership.revision;
         let Some(group) = self.roster.groups.get_mut(name) else {
             self.roster.due_writes.remove(name);
             return false;
@@ -115,9 +115,9 @@
             return false;
         }
         group.refused_at = None;
-        for id in group.record.m.keys() {
+        for id in group.record.machines.keys() {
             if let Some(m) = self.machines.get_mut(id).filter(|m| m.group == name) {
-                m.moving = None;
+                m.moving_to = None;
             }
         }
         true
@@ -130,7 +130,7 @@
             moving: BTreeMap::new(),
         };
         let empty = group.record.without_machines();
-        for id in group.record.m.keys() {
+        for id in group.record.machines.keys() {
             let machine = self.machines.get(id);
             let Some(m) = machine.filter(|m| m.group == name) else {
                 // The machine is in a machine group with a later revision, or has already left that one, because this
@@ -142,13 +142,13 @@
                         .is_some_and(|g| g.revision > group.revision)
                 };
                 if machine.is_none_or(is_in_later_group) {
-                    division.staying.m.remove(id);
+                    division.staying.machines.remove(id);
                 }
                 continue;
             };
-            if m.gone {
-                division.staying.m.remove(id);
-            } else if let Some(to) = m.moving {
+            if m.is_deleted {
+                division.staying.machines.remove(id);
+            } else if let Some(to) = m.moving_to {
                 self.add_moving_machine(&mut division, &empty, id, m, to);
             }
         }
@@ -169,20 +169,22 @@
         let mut also_holds = self.partitions_on(machine);
         also_holds.remove(&to);
         let destination = (to, also_holds);
-        if !division.moving.contains_key(&destination) && division.moving.len() + 1 >= self.limits.ops {
+        if !division.moving.contains_key(&destination) && division.moving.len() + 1 >= self.write_limits.max_ops {
             return;
         }
         let record = division
             .moving
             .entry(destination.clone())
             .or_insert_with(|| GroupRecord {
-                part: to,
+                partition: to,
                 also_holds: destination.1,
                 ..empty.clone()
             });
-        if record.m.is_empty() || bytes_of(record) + entry_bytes(id, &machine.last()) <= self.fill() {
-            record.m.insert(id.clone(), machine.last());
-            division.staying.m.remove(id);
+        if record.machines.is_empty()
+            || bytes_of(record) + entry_bytes(id, &machine.last_report_key()) <= self.max_record_bytes()
+        {
+            record.machines.insert(id.clone(), machine.last_report_key());
+            division.staying.machines.remove(id);
         }
     }
 
@@ -192,10 +194,10 @@
     /// are split into smaller groups, in one write if a transaction can hold them all. Otherwise some of them are
     /// written to new machine groups first, while the old group keeps its value: a machine that is in both belongs to
     /// the group with the later revision.
-    fn plan_group_change(&mut self, name: &str, revision: Stamp, division: Division) -> GroupChange {
+    fn plan_group_change(&mut self, name: &str, revision: Revision, division: Division) -> GroupChange {
         let Division { staying, moving } = division;
-        let mut pieces = split_group(&staying, self.fill());
-        if pieces.len() > 1 && moving.len() + pieces.len() > self.limits.ops {
+        let mut pieces = split_group(&staying, self.max_record_bytes());
+        if pieces.len() > 1 && moving.len() + pieces.len() > self.write_limits.max_ops {
             self.log(
                 Level::Info,
                 format!("machine group {name}: larger than a value may be, splitting it in steps"),
@@ -223,12 +225,18 @@
 
     /// Plans one step of splitting a machine group: new machine groups for as many of its machines as a transaction can
     /// hold. Machines that are being handed over are left out as long as there are others.
-    fn plan_split_step(&self, name: &str, revision: Stamp, staying: &GroupRecord) -> GroupChange {
-        let is_staying = |id: &MachineId| self.machines.get(id).is_none_or(|m| m.moving.is_none());
+    fn plan_split_step(&self, name: &str, revision: Revision, staying: &GroupRecord) -> GroupChange {
+        let is_staying = |id: &MachineId| self.machines.get(id).is_none_or(|m| m.moving_to.is_none());
         let mut not_moving = staying.clone();
-        not_moving.m.retain(|id, _| is_staying(id));
-        let to_split = if not_moving.m.is_empty() { staying } else { &not_moving };
-        let pieces = split_group(to_split, self.fill()).into_iter().take(self.limits.ops - 1);
+        not_moving.machines.retain(|id, _| is_staying(id));
+        let to_split = if not_moving.machines.is_empty() {
+            staying
+        } else {
+            &not_moving
+        };
+        let pieces = split_group(to_split, self.max_record_bytes())
+            .into_iter()
+            .take(self.write_limits.max_ops - 1);
         GroupChange {
             created: pieces
                 .map(|piece| (new_group_name(name, revision, &piece, "s"), piece))
@@ -240,7 +248,7 @@
 
     /// Sends the write of a changed machine group, on condition that the group still has the revision for which the
     /// write was planned and the epoch is current.
-    fn send_group_change(&mut self, name: &str, revision: Stamp, step_revision: Stamp, change: GroupChange) {
+    fn send_group_change(&mut self, name: &str, revision: Revision, step_revision: Revision, change: GroupChange) {
         let is_split_step = change.remaining.is_none();
         let mut conditions = vec![
             self.epoch_condition(),
@@ -257,7 +265,7 @@
             .map(|(new_name, record)| (new_name, Some(record)));
         let mut changes: Vec<(String, Option<GroupRecord>)> = created.collect();
         if let Some(remaining) = change.remaining {
-            changes.push((name.to_owned(), Some(remaining).filter(|r| !r.m.is_empty())));
+            changes.push((name.to_owned(), Some(remaining).filter(|r| !r.machines.is_empty())));
         }
         let write = |(name, record): &(String, Option<GroupRecord>)| match record {
             Some(record) => json!({ "write": group_key(name), "value": record }),
@@ -271,8 +279,8 @@
             // put machines back into groups that they have left since.
             conditions.push(json!({ "k": step_key, "stamp": step_revision }));
             writes.push(json!({ "write": step_key, "value": true }));
-        } else if step_revision != Stamp(0) && !self.cloud.stale_keys.contains(&step_key) {
-            self.cloud.stale_keys.push(step_key);
+        } else if step_revision != Revision(0) && !self.capacity.stale_keys.contains(&step_key) {
+            self.capacity.stale_keys.push(step_key);
         }
         if let Some(group) = self.roster.groups.get_mut(name) {
             group.write_in_flight = true;
@@ -281,19 +289,19 @@
         self.txn(
             conditions,
             writes,
-            Purpose::MachineGroup {
+            CallPurpose::WriteMachineGroup {
                 group,
-                stamp: revision,
+                revision,
                 changes,
             },
         );
     }
 
     /// Handles the answer to the write of a changed machine group.
-    pub(crate) fn on_group(
+    pub(crate) fn on_group_written(
         &mut self,
         name: String,
-        revision: Stamp,
+        revision: Revision,
         changes: Vec<(String, Option<GroupRecord>)>,
         result: Option<(u16, Vec<u8>)>,
     ) {
@@ -304,12 +312,12 @@
             let is_complete = changes.iter().any(|(key, _)| *key == name);
             for (key, record) in changes {
                 let value = record.and_then(|r| serde_json::to_value(r).ok());
-                self.apply_group(&key, value, Stamp(answer.ledger));
+                self.apply_group(&key, value, Revision(answer.ledger));
             }
             if let Some(group) = self.roster.groups.get_mut(&name).filter(|_| !is_complete) {
                 // Some of its machines are in other groups now: the next step is due.
                 group.write_in_flight = false;
-                group.step_revision = Stamp(answer.ledger);
+                group.step_revision = Revision(answer.ledger);
                 self.roster.due_writes.insert(name, self.now.ms);
             }
             return;
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -2,7 +2,7 @@
 
 use super::records::GroupRecord;
 use crate::controller::Controller;
-use crate::ids::{MachineId, Partition, Stamp};
+use crate::ids::{MachineId, Partition, Revision};
 use crate::machine_view::Machine;
 use crate::messages::Level;
 use serde_json::Value;
@@ -11,24 +11,24 @@
 #[derive(Debug, Clone)]
 pub(super) struct MachineGroup {
     /// Revision of its stored value.
-    pub(super) revision: Stamp,
+    pub(super) revision: Revision,
     pub(super) record: GroupRecord,
     /// A write of it is in flight.
     pub(super) write_in_flight: bool,
     /// Revision of the key that each step of splitting it writes; 0: it is not being split in steps.
-    pub(super) step_revision: Stamp,
+    pub(super) step_revision: Revision,
     /// The revision at which a write of it was refused. Once the watch has reached this revision, the reason is known.
     pub(super) refused_at: Option<u64>,
 }
 
 impl Controller {
     /// Starts a new listing of the shared keys.
-    pub(crate) fn roster_listing_begins(&mut self) {
+    pub(crate) fn begin_roster_listing(&mut self) {
         self.roster.listed_groups.clear();
     }
 
     /// Completes a listing of the shared keys as of a revision: machine groups that were not listed have been deleted.
-    pub(crate) fn roster_listed(&mut self, revision: u64) {
+    pub(crate) fn finish_roster_listing(&mut self, revision: u64) {
         let listed = std::mem::take(&mut self.roster.listed_groups);
         let deleted: Vec<String> = self
             .roster
@@ -38,13 +38,13 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in deleted {
-            self.apply_group(&name, None, Stamp(revision + 1));
+            self.apply_group(&name, None, Revision(revision + 1));
         }
     }
 
     /// Applies a machine group's new value, or its deletion (`value` is none), as of a revision. A revision that is
     /// not newer than the known one is ignored.
-    pub(crate) fn apply_group(&mut self, name: &str, value: Option<Value>, revision: Stamp) {
+    pub(crate) fn apply_group(&mut self, name: &str, value: Option<Value>, revision: Revision) {
         self.roster.listed_groups.insert(name.to_owned());
         if self.roster.groups.get(name).is_some_and(|g| g.revision >= revision) {
             return;
@@ -56,8 +56,8 @@
         }
         let old = self.roster.groups.remove(name);
         let is_in_group = |c: &Self, id: &MachineId| c.machines.get(id).is_some_and(|m| m.group == name);
-        for id in old.iter().flat_map(|r| r.record.m.keys()) {
-            let is_kept = record.as_ref().is_some_and(|r| r.m.contains_key(id));
+        for id in old.iter().flat_map(|r| r.record.machines.keys()) {
+            let is_kept = record.as_ref().is_some_and(|r| r.machines.contains_key(id));
             if !is_kept && is_in_group(self, id) {
                 self.remove_machine(id);
             }
@@ -66,7 +66,7 @@
             self.roster.due_writes.remove(name);
             return;
         };
-        for (id, seen) in &record.m {
+        for (id, seen) in &record.machines {
             match self.machines.get(id) {
                 Some(m) if m.group == name => {
                     self.set_also_holds(id, &record.also_holds);
@@ -75,7 +75,7 @@
                 // The machine's group was written at a later revision: the machine was handed over after this one.
                 Some(m) if self.roster.groups.get(&m.group).is_some_and(|g| g.revision > revision) => continue,
                 // A machine group that had become too large was split. Nothing else has changed for its machines.
-                Some(m) if m.partition == record.part && m.moving.is_none() => {
+                Some(m) if m.partition == record.partition && m.moving_to.is_none() => {
                     if let Some(m) = self.machines.get_mut(id) {
                         m.group = name.to_owned();
                     }
@@ -88,9 +88,9 @@
         }
         // A write of the group that was in flight has either produced this value or can no longer be applied, because
         // its revision has changed. Changes that are still to be written are applied to this value.
-        let has_unwritten_change = |m: &Machine| m.group == name && (m.gone || m.moving.is_some());
+        let has_unwritten_change = |m: &Machine| m.group == name && (m.is_deleted || m.moving_to.is_some());
         if record
-            .m
+            .machines
             .keys()
             .any(|id| self.machines.get(id).is_some_and(has_unwritten_change))
         {
@@ -102,7 +102,7 @@
                 revision,
                 record,
                 write_in_flight: false,
-                step_revision: old.as_ref().map_or(Stamp(0), |group| group.step_revision),
+                step_revision: old.as_ref().map_or(Revision(0), |group| group.step_revision),
                 refused_at: old.and_then(|group| group.refused_at).filter(|at| *at > revision.0),
             },
         );
@@ -110,25 +110,25 @@
 
     /// Adds a machine that was not known, or that comes from another partition, to the view of the machines.
     fn add_machine(&mut self, id: &MachineId, group: &str, record: &GroupRecord, seen: (u64, u64)) {
-        let carried = self.take_carried_tasks(id);
+        let carried = self.take_retained_tasks(id);
         let kind = if record.spot { " (spot)" } else { "" };
         self.log(
             Level::Debug,
             format!(
                 "{id}: added to the roster, {} in zone {}{kind}, partition {}",
-                record.model, record.zone, record.part
+                record.model, record.zone, record.partition
             ),
         );
         let entry = self.roster.boot_entries.get(id);
-        let last_report = entry.map_or(seen, |e| e.seen.max(seen));
-        let addr = entry.map_or(String::new(), |e| e.addr.clone());
+        let last_report = entry.map_or(seen, |e| e.last_report.max(seen));
+        let addr = entry.map_or(String::new(), |e| e.address.clone());
         let mut machine = Machine::new(group, record, addr, last_report, self.now.ms);
-        machine.carry(carried);
+        machine.restore_tasks(carried);
         self.machines.insert(id.clone(), machine);
     }
 
     /// Records the revision of a machine group's step key; 0: the group is not being split in steps.
-    pub(crate) fn apply_step(&mut self, name: &str, revision: Stamp) {
+    pub(crate) fn apply_split_step(&mut self, name: &str, revision: Revision) {
         if let Some(group) = self.roster.groups.get_mut(name) {
             group.step_revision = revision;
         }
@@ -139,15 +139,15 @@
         let Some(partition) = self.machines.get(id).map(|m| m.partition) else {
             return;
         };
-        self.release_all(id, "its roster entry is gone");
+        self.release_all_attempts(id, "its roster entry is gone");
         self.machines.remove(id);
         // The cloud's list may still show the machine for a while, and a delayed report of it may arrive.
-        self.cloud.note_deleted(id.clone(), self.now.ms);
+        self.capacity.note_deleted(id.clone(), self.now.ms);
         self.log(Level::Debug, format!("{id}: removed from partition {partition}"));
     }
 
     /// Schedules a write of a machine's group for `at` (in milliseconds), or earlier if one is due before.
-    pub(crate) fn group_due(&mut self, machine: &MachineId, at: u64) {
+    pub(crate) fn schedule_group_write(&mut self, machine: &MachineId, at: u64) {
         if let Some(group) = self.machines.get(machine).map(|m| m.group.clone()) {
             let due = self.roster.due_writes.entry(group).or_insert(at);
             *due = (*due).min(at);
@@ -160,10 +160,10 @@
         let is_acting = self
             .machines
             .get(id)
-            .is_some_and(|m| self.acting(m.partition).is_some());
+            .is_some_and(|m| self.active_tenure(m.partition).is_some());
         if let Some(m) = self.machines.get_mut(id).filter(|_| is_acting) {
-            m.moving = Some(to);
-            self.group_due(id, self.now.ms);
+            m.moving_to = Some(to);
+            self.schedule_group_write(id, self.now.ms);
         }
     }
 }
--- a/crates/tidelatch-core/src/roster/rentals.rs
+++ b/crates/tidelatch-core/src/roster/rentals.rs
@@ -1,10 +1,10 @@
 //! Creation of machine groups for machines that the leader has rented or adopted.
 
 use super::records::{GroupRecord, MAX_MACHINES_PER_RECORD, entry_bytes};
-use crate::calls::Purpose;
+use crate::calls::CallPurpose;
 use crate::capacity::MachineKind;
 use crate::controller::Controller;
-use crate::ids::{MachineId, Partition, Stamp};
+use crate::ids::{MachineId, Partition, Revision};
 use crate::jobs::bytes_of;
 use crate::membership::ROSTER_PREFIX;
 use crate::protocol::TxnAnswer;
@@ -30,7 +30,7 @@
         if self.roster.new_groups.is_empty() {
             self.plan_new_groups();
         }
-        if self.roster.new_groups.is_empty() || !self.state_writes.take(self.now.ms, 0.0, -0.2) {
+        if self.roster.new_groups.is_empty() || !self.state_writes.try_take(self.now.ms, 0.0, -0.2) {
             return;
         }
         let mut conditions = vec![self.leader_condition(), self.epoch_condition()];
@@ -41,17 +41,17 @@
             changes.push(json!({ "write": key, "value": record }));
         }
         self.roster.new_groups_in_flight = true;
-        self.txn(conditions, changes, Purpose::NewGroups);
+        self.txn(conditions, changes, CallPurpose::WriteNewMachineGroups);
     }
 
     /// Assigns rented machines to new machine groups, as many as fit in one transaction.
     fn plan_new_groups(&mut self) {
-        let (max_groups, max_bytes) = (self.limits.ops, self.fill());
+        let (max_groups, max_bytes) = (self.write_limits.max_ops, self.max_record_bytes());
         let wall_ms = self.now.wall_ms;
         let mut groups: Vec<(String, GroupRecord)> = Vec::new();
         let mut bytes: Vec<usize> = Vec::new();
-        let revision = self.member.ledger;
-        for rented in &self.cloud.pending_registration {
+        let revision = self.membership.revision;
+        for rented in &self.capacity.pending_registration {
             if self.machines.contains_key(&rented.machine) {
                 continue;
             }
@@ -59,8 +59,8 @@
             let fits = |((_, group), bytes): (&(String, GroupRecord), &usize)| {
                 let kind = (&group.model, &group.zone, group.spot);
                 let is_same_kind =
-                    group.part == rented.partition && kind == (&rented.kind.0, &rented.kind.1, rented.kind.2);
-                is_same_kind && group.m.len() < MAX_MACHINES_PER_RECORD && bytes + added_bytes <= max_bytes
+                    group.partition == rented.partition && kind == (&rented.kind.0, &rented.kind.1, rented.kind.2);
+                is_same_kind && group.machines.len() < MAX_MACHINES_PER_RECORD && bytes + added_bytes <= max_bytes
             };
             let at = match groups.iter().zip(&bytes).position(fits) {
                 Some(at) => at,
@@ -72,13 +72,13 @@
                         true => format!("{}.found.{revision}", rented.machine),
                     };
                     let record = GroupRecord {
-                        part: rented.partition,
+                        partition: rented.partition,
                         model: rented.kind.0.clone(),
                         zone: rented.kind.1.clone(),
                         spot: rented.kind.2,
                         rented_at_ms: wall_ms,
                         also_holds: BTreeSet::new(),
-                        m: BTreeMap::new(),
+                        machines: BTreeMap::new(),
                     };
                     bytes.push(bytes_of(&record));
                     groups.push((name, record));
@@ -86,19 +86,19 @@
                 }
             };
             if let Some(((_, group), bytes)) = groups.get_mut(at).zip(bytes.get_mut(at)) {
-                group.m.insert(rented.machine.clone(), (0, 0));
+                group.machines.insert(rented.machine.clone(), (0, 0));
                 *bytes += added_bytes;
             }
         }
         if groups.is_empty() {
             // All of them are in the roster already.
-            self.cloud.pending_registration.clear();
+            self.capacity.pending_registration.clear();
         }
         self.roster.new_groups = groups;
     }
 
     /// Handles the answer to the write of new machine groups.
-    pub(crate) fn on_new_groups(&mut self, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_new_groups_written(&mut self, result: Option<(u16, Vec<u8>)>) {
         self.roster.new_groups_in_flight = false;
         let (status, answer) = match result {
             Some((status, body)) => (status, serde_json::from_slice::<TxnAnswer>(&body).unwrap_or_default()),
@@ -108,9 +108,9 @@
             // The transaction was too large: smaller groups are planned. A group of one machine cannot become
             // smaller, so its machine is dropped and later returned to the cloud as one that is not in the roster.
             let rejected = std::mem::take(&mut self.roster.new_groups);
-            let is_single = rejected.len() <= 1 && rejected.iter().all(|(_, r)| r.m.len() <= 1);
-            let dropped: BTreeSet<&MachineId> = rejected.iter().flat_map(|(_, r)| r.m.keys()).collect();
-            self.cloud
+            let is_single = rejected.len() <= 1 && rejected.iter().all(|(_, r)| r.machines.len() <= 1);
+            let dropped: BTreeSet<&MachineId> = rejected.iter().flat_map(|(_, r)| r.machines.keys()).collect();
+            self.capacity
                 .pending_registration
                 .retain(|r| !is_single || !dropped.contains(&r.machine));
         }
@@ -120,13 +120,15 @@
             let groups = std::mem::take(&mut self.roster.new_groups);
             let mut registered = BTreeSet::new();
             for (name, record) in groups {
-                registered.extend(record.m.keys().cloned());
-                self.cloud.min_digest_revision.insert(record.part, answer.ledger);
+                registered.extend(record.machines.keys().cloned());
+                self.capacity
+                    .min_digest_revision
+                    .insert(record.partition, answer.ledger);
                 if status == 200 {
-                    self.apply_group(&name, serde_json::to_value(record).ok(), Stamp(answer.ledger));
+                    self.apply_group(&name, serde_json::to_value(record).ok(), Revision(answer.ledger));
                 }
             }
-            self.cloud
+            self.capacity
                 .pending_registration
                 .retain(|r| !registered.contains(&r.machine));
             self.send_new_groups();
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -1,12 +1,12 @@
 //! Submissions: validation, deferral, and storing of the acceptance.
 
 use crate::admission::Deferral;
-use crate::calls::{Asker, Purpose as Call};
+use crate::calls::{CallPurpose as Call, Requester};
 use crate::controller::Controller;
-use crate::ids::{Epoch, JobId, Stamp};
+use crate::ids::{Epoch, JobId, Revision};
 use crate::jobs::{JobRecord, Purpose, StoredJobStatus, bytes_of};
 use crate::membership::JOB_PREFIX;
-use crate::messages::{Answer, Level, NOT_SENT, NOT_TRIED};
+use crate::messages::{Answer, Level, STATUS_NO_FREE_SOCKET, STATUS_NOT_CONNECTED};
 use crate::protocol::{JobSpec, Malformed, Shape, TxnAnswer, parse_submission, submission_id};
 use serde_json::json;
 
@@ -15,7 +15,7 @@
 impl Controller {
     /// Whether a task of the job fits an empty machine of some type that the job allows.
     fn fits_allowed_machine_type(&self, spec: &JobSpec) -> bool {
-        self.types.iter().any(|t| {
+        self.machine_types.iter().any(|t| {
             spec.models.as_ref().is_none_or(|m| m.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
                 && t.cpus >= spec.cpus
@@ -26,18 +26,18 @@
 
     /// Handles a submission of a user, or of a peer that cannot store it itself. Only a user's submission may be
     /// forwarded, so `may_forward` is false for a peer's.
-    pub(crate) fn on_submission(&mut self, requester: Asker, body: &[u8], may_forward: bool) {
+    pub(crate) fn on_submission(&mut self, requester: Requester, body: &[u8], may_forward: bool) {
         let id = submission_id(body);
         // A submission of a known job is answered with the job's state, whatever the rest of the body says.
         if let Some(id) = &id
-            && (self.over.contains_key(id) || self.jobs.contains_key(id))
+            && (self.ended_jobs.contains_key(id) || self.jobs.contains_key(id))
         {
             self.on_status(requester, id.as_str(), true);
             return;
         }
         let submission = may_forward.then(|| body.to_vec());
-        if !self.entitled() || self.member.epoch.is_none() {
-            let refusal = Answer::later(503, 1, "not entitled to act at present");
+        if !self.is_entitled() || self.membership.epoch.is_none() {
+            let refusal = Answer::retry_later(503, 1, "not entitled to act at present");
             self.forward_submission(requester, id, submission, refusal);
             return;
         }
@@ -56,12 +56,12 @@
                 return;
             }
             (Err(answer), _) => {
-                self.answer(requester, answer);
+                self.send_answer(requester, answer);
                 return;
             }
         };
         if let Some(answer) = self.defer_submission(&spec) {
-            self.answer(requester, answer);
+            self.send_answer(requester, answer);
             return;
         }
         self.store_acceptance((requester, submission), id, spec, 0);
@@ -69,18 +69,22 @@
 
     /// Returns 429 or 503 for a submission that cannot be accepted now.
     fn defer_submission(&mut self, spec: &JobSpec) -> Option<Answer> {
-        if !self.state_reads.take(self.now.ms, 0.0, -0.5) {
-            return Some(Answer::later(503, 1, "too many requests at present"));
+        if !self.state_reads.try_take(self.now.ms, 0.0, -0.5) {
+            return Some(Answer::retry_later(503, 1, "too many requests at present"));
         }
-        let controllers = self.member.members.len();
+        let controllers = self.membership.members.len();
         let admitted = self
             .admission
             .admit(self.now.ms, spec, &mut self.state_writes, controllers);
         let deferral = admitted.err()?;
         self.log_deferral(spec, deferral);
         Some(match deferral {
-            Deferral::QueueFull { retry_after_s } => Answer::later(429, retry_after_s, "the team's queue is full"),
-            Deferral::WriteRate { retry_after_s } => Answer::later(503, retry_after_s, "too many requests at present"),
+            Deferral::QueueFull { retry_after_s } => {
+                Answer::retry_later(429, retry_after_s, "the team's queue is full")
+            }
+            Deferral::WriteRate { retry_after_s } => {
+                Answer::retry_later(503, retry_after_s, "too many requests at present")
+            }
         })
     }
 
@@ -107,8 +111,8 @@
                 return unprocessable("more than the team's limit");
             }
         }
-        if self.types.is_empty() {
-            return Some(Answer::later(503, 1, "the machine types are not known yet"));
+        if self.machine_types.is_empty() {
+            return Some(Answer::retry_later(503, 1, "the machine types are not known yet"));
         }
         if !self.fits_allowed_machine_type(spec) {
             return unprocessable("a task fits no allowed machine type");
@@ -132,9 +136,9 @@
         if self.settings.gang_ms().is_none() {
             return error(422, "this deployment has no times set for gangs");
         }
-        if !self.all_know_gangs() {
+        if !self.all_members_support_gangs() {
             let lease_s = (self.settings.lease_ms() / 1000).max(1) as u32;
-            return Some(Answer::later(
+            return Some(Answer::retry_later(
                 503,
                 lease_s,
                 "a controller that does not know gangs is still serving",
@@ -146,7 +150,7 @@
     /// Sends the write that stores a job's acceptance. `retries` counts the earlier attempts.
     fn store_acceptance(
         &mut self,
-        (requester, submission): (Asker, Option<Vec<u8>>),
+        (requester, submission): (Requester, Option<Vec<u8>>),
         id: JobId,
         spec: JobSpec,
         retries: u32,
@@ -160,7 +164,7 @@
             st: StoredJobStatus::Queued,
             n: spec.tasks,
             team: spec.team.clone(),
-            size: Self::size(&spec),
+            size: Self::task_resources(&spec),
             ended: None,
             spec: Some(spec.clone()),
         };
@@ -189,7 +193,7 @@
     /// Handles the answer to the write of an acceptance. `accepted_at` is the epoch and the time of day that it holds.
     pub(crate) fn on_accept_reply(
         &mut self,
-        (requester, submission): (Asker, Option<Vec<u8>>),
+        (requester, submission): (Requester, Option<Vec<u8>>),
         id: JobId,
         spec: JobSpec,
         accepted_at: (Epoch, u64),
@@ -206,7 +210,7 @@
                     st: StoredJobStatus::Queued,
                     n: spec.tasks,
                     team: spec.team.clone(),
-                    size: Self::size(&spec),
+                    size: Self::task_resources(&spec),
                     ended: None,
                     spec: Some(spec),
                 };
@@ -217,24 +221,24 @@
                     );
                     self.log(Level::Debug, text);
                 }
-                self.apply_job_record(id.clone(), record, Stamp(stamp));
-                if self.over.contains_key(&id) || self.stale {
+                self.apply_job_record(id.clone(), record, Revision(stamp));
+                if self.ended_jobs.contains_key(&id) || self.is_reply_stale {
                     // Another controller may have told a user of the job's end since.
                     self.on_status(requester, id.as_str(), true);
                     return;
                 }
                 let body = json!({ "uid": id, "status": "queued" }).to_string();
-                self.answer(requester, Answer::new(201, body));
+                self.send_answer(requester, Answer::new(201, body));
             }
             Some((409, body)) => {
                 let failed = serde_json::from_slice::<TxnAnswer>(&body).unwrap_or_default().failed;
                 if failed.iter().any(|k| k.starts_with(JOB_PREFIX)) {
-                    self.check_existing_job(requester, id, Answer::later(503, 1, "try again"));
-                } else if retries < 3 && self.epoch() > Some(accepted_at.0) && self.entitled() {
+                    self.check_existing_job(requester, id, Answer::retry_later(503, 1, "try again"));
+                } else if retries < 3 && self.epoch() > Some(accepted_at.0) && self.is_entitled() {
                     // The epoch has changed, and this controller knows the new one by now.
                     self.store_acceptance((requester, submission), id, spec, retries + 1);
                 } else {
-                    self.answer(requester, Answer::later(503, 1, "membership is changing"));
+                    self.send_answer(requester, Answer::retry_later(503, 1, "membership is changing"));
                 }
             }
             None => {
@@ -242,14 +246,17 @@
                 self.check_existing_job(
                     requester,
                     id,
-                    Answer::later(503, 1, "the state service does not answer"),
+                    Answer::retry_later(503, 1, "the state service does not answer"),
                 );
             }
-            Some((503 | NOT_SENT | NOT_TRIED, _)) => {
-                let refusal = Answer::later(503, 1, "the state service does not answer");
+            Some((503 | STATUS_NOT_CONNECTED | STATUS_NO_FREE_SOCKET, _)) => {
+                let refusal = Answer::retry_later(503, 1, "the state service does not answer");
                 self.forward_submission(requester, Some(id), submission, refusal);
             }
-            Some(_) => self.answer(requester, Answer::later(503, 1, "the state service does not answer")),
+            Some(_) => self.send_answer(
+                requester,
+                Answer::retry_later(503, 1, "the state service does not answer"),
+            ),
         }
     }
 }
--- a/crates/tidelatch-core/src/submissions/forwarding.rs
+++ b/crates/tidelatch-core/src/submissions/forwarding.rs
@@ -5,7 +5,7 @@
 //! entitled controller may accept any job, so a peer is asked to do it. That is safe whatever the outcome of the write
 //! by this controller: an acceptance is written only if the job has no record yet.
 
-use crate::calls::{Asker, Purpose as Call};
+use crate::calls::{CallPurpose as Call, Requester};
 use crate::controller::Controller;
 use crate::ids::JobId;
 use crate::messages::{Answer, PeerReply, PeerRequest};
@@ -15,38 +15,43 @@
     /// if it came from a peer, because a submission is forwarded only once.
     pub(super) fn forward_submission(
         &mut self,
-        requester: Asker,
+        requester: Requester,
         job: Option<JobId>,
         submission: Option<Vec<u8>>,
         refusal: Answer,
     ) {
-        let Some((submission, peer)) = submission.zip(self.entitled_peer()) else {
-            self.answer(requester, refusal);
+        let Some((submission, peer)) = submission.zip(self.next_entitled_peer()) else {
+            self.send_answer(requester, refusal);
             return;
         };
         // Users wait 5 s for an answer; workers wait 4 s for theirs.
         let timeout = 4 * self.settings.report_ms() / 5;
-        self.ask(
+        self.send_peer_request(
             peer,
             PeerRequest::Submit { submission },
             timeout,
-            Call::ForwardSubmission { asker: requester, job },
+            Call::ForwardSubmission { requester, job },
         );
     }
 
     /// Handles a peer's answer to a forwarded submission; `None` if there was no answer.
-    pub(crate) fn on_passed_on(&mut self, requester: Asker, job: Option<JobId>, result: Option<PeerReply>) {
+    pub(crate) fn on_forwarded_submission_reply(
+        &mut self,
+        requester: Requester,
+        job: Option<JobId>,
+        result: Option<PeerReply>,
+    ) {
         // The watch may have reported the job's end since.
-        if let Some(job) = job.filter(|job| self.over.contains_key(job)) {
-            self.tell_over(requester, &job);
+        if let Some(job) = job.filter(|job| self.ended_jobs.contains_key(job)) {
+            self.answer_ended_job(requester, &job);
             return;
         }
         let answer = match result {
             // An answer that stayed in buffers while this process was paused may be older than what other controllers
             // have told users since.
-            Some(PeerReply::Answer(answer)) if !self.stale => answer,
-            _ => Answer::later(503, 1, "no other controller can store it"),
+            Some(PeerReply::Answer(answer)) if !self.is_reply_stale => answer,
+            _ => Answer::retry_later(503, 1, "no other controller can store it"),
         };
-        self.answer(requester, answer);
+        self.send_answer(requester, answer);
     }
 }
--- a/crates/tidelatch-core/tests/boot_times.rs
+++ b/crates/tidelatch-core/tests/boot_times.rs
@@ -24,14 +24,14 @@
     let machine = |(n, rented_ms): (usize, &u64)| BootingMachine {
         id: MachineId::new(format!("n-{n:06}")),
         model: "m2".to_owned(),
-        since: *rented_ms,
+        rented_at_ms: *rented_ms,
     };
     rented_ms.iter().enumerate().map(machine).collect()
 }
 
 /// Late machines for which replacements are rented.
 fn machines_to_replace(boots: &BootTimes, machines: &[BootingMachine], now: u64) -> BTreeSet<MachineId> {
-    boots.discounted(machines, &[machine_type()], now, GRACE_MS)
+    boots.late_machines_to_replace(machines, &[machine_type()], now, GRACE_MS)
 }
 
 #[test]
@@ -68,7 +68,7 @@
 #[test]
 fn all_late_machines_are_replaced_once_a_machine_rented_later_has_booted() {
     let mut boots = BootTimes::default();
-    boots.note(&machine_type(), 10_000, 50_000);
+    boots.record_boot(&machine_type(), 10_000, 50_000);
     assert_eq!(
         machines_to_replace(&boots, &booting_machines(&[0; 8]), LATE_MS + GRACE_MS + 1).len(),
         8
@@ -82,7 +82,7 @@
 fn slow_boots_raise_the_limit_and_usual_boots_lower_it_again() {
     let mut boots = BootTimes::default();
     let slow_ms = 160_000;
-    boots.note(&machine_type(), 0, slow_ms);
+    boots.record_boot(&machine_type(), 0, slow_ms);
     let limit_s = |boots: &BootTimes| boots.late_after_s(&machine_type());
     assert_eq!(
         limit_s(&boots) * 1000.0,
@@ -90,15 +90,15 @@
         "one slow boot does not raise the limit"
     );
     for _ in 0..3 {
-        boots.note(&machine_type(), 0, slow_ms);
+        boots.record_boot(&machine_type(), 0, slow_ms);
     }
     assert_eq!(limit_s(&boots) * 1000.0, slow_ms as f64);
     for n in 0..16 {
-        boots.note(&machine_type(), n, n + 40_000);
+        boots.record_boot(&machine_type(), n, n + 40_000);
     }
     assert_eq!(limit_s(&boots) * 1000.0, LATE_MS as f64);
     for n in 0..16 {
-        boots.note(&machine_type(), n, n + 1_000);
+        boots.record_boot(&machine_type(), n, n + 1_000);
     }
     assert_eq!(
         limit_s(&boots) * 1000.0,
--- a/crates/tidelatch-core/tests/failure_detection.rs
+++ b/crates/tidelatch-core/tests/failure_detection.rs
@@ -64,10 +64,10 @@
         name: from.to_owned(),
         entitled: true,
         wants_grant: false,
-        relies: false,
+        relies_on_grant: false,
         digests: Vec::new(),
-        told: CancellationNotice::default(),
-        liveness: Some(heartbeat),
+        cancellations: CancellationNotice::default(),
+        detector_heartbeat: Some(heartbeat),
         permits: None,
     };
     let input = Input::PeerRequest { id: ms, request };
@@ -75,7 +75,7 @@
     let is_answer = |output: &Output| {
         matches!(
             output,
-            Output::Tell {
+            Output::PeerReply {
                 reply: PeerReply::Heartbeat { .. },
                 ..
             }
--- a/crates/tidelatch-core/tests/planning.rs
+++ b/crates/tidelatch-core/tests/planning.rs
@@ -2,17 +2,17 @@
 //! tasks that found none.
 
 use std::collections::{BTreeMap, BTreeSet};
-use tidelatch_core::capacity::{Lane, UnplacedTasks, absorb, plan};
+use tidelatch_core::capacity::{MachineTimeline, UnplacedTasks, assign_to_existing_machines, plan_machine_requests};
 use tidelatch_core::ids::Partition;
-use tidelatch_core::placement::{Amounts, Batch, JobTerms, Slot};
+use tidelatch_core::placement::{Amounts, Batch, JobTerms, MachineSlot};
 use tidelatch_core::protocol::MachineType;
 use tidelatch_core::protocol::Shape;
 use tidelatch_core::protocol::parse_submission;
-use tidelatch_core::queue::{Claim, EstimateCorrections, next_in_turn, starved_s, urgency};
+use tidelatch_core::queue::{EstimateCorrections, TeamUsage, choose_next_team, starvation_age_s, urgency};
 
 /// A machine with free processors, memory and this number of free accelerators.
-fn slot(zone: &str, spot: bool, free_gpus: f64) -> Slot {
-    Slot {
+fn slot(zone: &str, spot: bool, free_gpus: f64) -> MachineSlot {
+    MachineSlot {
         model: "m".into(),
         zone: zone.into(),
         spot,
@@ -21,7 +21,7 @@
         images: BTreeSet::new(),
         fetch_s_per_gb: 1.0,
         boot_s: 30.0,
-        doubts: 0.0,
+        recent_failures: 0.0,
         price: 7.0,
     }
 }
@@ -33,10 +33,10 @@
         models: None,
         zone: None,
         one_zone: false,
-        most_per_zone: None,
+        max_tasks_per_zone: None,
         cheap_zones: Vec::new(),
-        most_elsewhere: 0,
-        shunned: None,
+        max_tasks_outside_cheap_zones: 0,
+        avoided_zone: None,
         spot: true,
         image: "i".into(),
         image_gb: 5.0,
@@ -44,13 +44,13 @@
         deadline_s: 0.0,
         estimate_s: 50.0,
         rank,
-        service: false,
-        gang: false,
-        barred: Default::default(),
-        within_s: 0.0,
-        cheapest: 0.0,
-        wait_left_s: 0.0,
-        in_zone: BTreeMap::new(),
+        is_service: false,
+        is_gang: false,
+        excluded_machines: Default::default(),
+        start_objective_s: 0.0,
+        cheapest_task_price: 0.0,
+        start_time_left_s: 0.0,
+        tasks_by_zone: BTreeMap::new(),
         team: 0,
     }
 }
@@ -58,7 +58,7 @@
 const UNLIMITED: Amounts = [f64::MAX; 3];
 
 /// Places tasks, each given by the index of its job, within the team's limit. Returns the index of each task's machine.
-fn place(slots: &mut [Slot], jobs: &mut [JobTerms], tasks: &[usize], team_limit: Amounts) -> Vec<Option<usize>> {
+fn place(slots: &mut [MachineSlot], jobs: &mut [JobTerms], tasks: &[usize], team_limit: Amounts) -> Vec<Option<usize>> {
     Batch::new(slots, jobs, &mut [team_limit], tasks).place(100)
 }
 
@@ -74,8 +74,8 @@
     );
 
     let mut spread = terms(1.0);
-    spread.most_per_zone = Some(1);
-    spread.in_zone.insert("a".into(), 1);
+    spread.max_tasks_per_zone = Some(1);
+    spread.tasks_by_zone.insert("a".into(), 1);
     let placed = place(
         &mut [slot("a", false, 2.0), slot("b", false, 2.0)],
         &mut [spread],
@@ -151,10 +151,10 @@
 
 #[test]
 fn the_team_with_the_lowest_usage_of_its_share_is_served_next() {
-    let claims = [Claim { used: 4.0, share: 4.0 }, Claim { used: 6.0, share: 8.0 }];
-    assert_eq!(next_in_turn(&claims, &[true, true]), Some(1));
-    assert_eq!(next_in_turn(&claims, &[true, false]), Some(0));
-    assert_eq!(next_in_turn(&claims, &[false, false]), None);
+    let claims = [TeamUsage { used: 4.0, share: 4.0 }, TeamUsage { used: 6.0, share: 8.0 }];
+    assert_eq!(choose_next_team(&claims, &[true, true]), Some(1));
+    assert_eq!(choose_next_team(&claims, &[true, false]), Some(0));
+    assert_eq!(choose_next_team(&claims, &[false, false]), None);
 }
 
 fn machine_type(name: &str, size: Amounts, price: f64) -> MachineType {
@@ -176,7 +176,7 @@
 fn unplaced_tasks(count: u32, service: bool) -> UnplacedTasks {
     let mut terms = terms(1.0);
     terms.spot = !service;
-    terms.service = service;
+    terms.is_service = service;
     terms.estimate_s = if service { 0.0 } else { 50.0 };
     terms.deadline_s = if service { 0.0 } else { 155.0 };
     let mut unplaced = UnplacedTasks::new(Partition(0), &terms, service, if service { f64::MAX } else { 100.0 });
@@ -185,8 +185,8 @@
 }
 
 /// A machine that is ready after a time, with the times at which its running tasks end and the resources they free.
-fn timeline(ready_s: f64, free_gpus: f64, busy: Vec<(f64, Amounts)>) -> Lane {
-    Lane {
+fn timeline(ready_s: f64, free_gpus: f64, busy: Vec<(f64, Amounts)>) -> MachineTimeline {
+    MachineTimeline {
         model: "m".into(),
         zone: "a".into(),
         spot: false,
@@ -206,7 +206,7 @@
         timeline(0.0, 0.0, vec![(3.0, [1.0, 1.0, 1.0])]),
         timeline(39.0, 2.0, Vec::new()),
     ];
-    absorb(&mut unplaced, &mut timelines, &types, &|_| false, 10.0);
+    assign_to_existing_machines(&mut unplaced, &mut timelines, &types, &|_| false, 10.0);
     assert_eq!(unplaced[0].count, 0);
 }
 
@@ -215,12 +215,12 @@
     let types = [machine_type("m", [24.0, 2.0, 100.0], 7.0)];
     let full_machine = || timeline(0.0, 0.0, vec![(60.0, [1.0, 1.0, 1.0])]);
     let mut unplaced = [unplaced_tasks(1, false)];
-    absorb(&mut unplaced, &mut [full_machine()], &types, &|_| false, f64::MAX);
+    assign_to_existing_machines(&mut unplaced, &mut [full_machine()], &types, &|_| false, f64::MAX);
     assert_eq!(unplaced[0].count, 1, "with a machine of its own it meets its deadline");
     let mut unplaced = [unplaced_tasks(1, false)];
     unplaced[0].slack_s = 10.0;
     unplaced[0].deadline_s = 300.0;
-    absorb(&mut unplaced, &mut [full_machine()], &types, &|_| false, f64::MAX);
+    assign_to_existing_machines(&mut unplaced, &mut [full_machine()], &types, &|_| false, f64::MAX);
     assert_eq!(
         unplaced[0].count, 0,
         "it would be late even with a new machine, so it waits and none is rented"
@@ -235,16 +235,16 @@
     ];
     let mut service = unplaced_tasks(1, true);
     service.size = [8.0, 1.0, 43.0];
-    let machine_requests = plan(&[service.clone()], Vec::new(), &types, &|_| false, &BTreeMap::new());
+    let machine_requests = plan_machine_requests(&[service.clone()], Vec::new(), &types, &|_| false, &BTreeMap::new());
     assert_eq!(machine_requests.len(), 1);
     assert_eq!(
         machine_requests[0].model, "large",
         "a quarter of a large machine costs less than a small machine"
     );
     let refused = |kind: &(String, String, bool)| kind.0 == "large";
-    let machine_requests = plan(&[service], Vec::new(), &types, &refused, &BTreeMap::new());
+    let machine_requests = plan_machine_requests(&[service], Vec::new(), &types, &refused, &BTreeMap::new());
     assert_eq!(machine_requests[0].model, "small");
-    let machine_requests = plan(
+    let machine_requests = plan_machine_requests(
         &[unplaced_tasks(3, false)],
         Vec::new(),
         &types,
@@ -264,12 +264,16 @@
         "runtimeS":50,"waypointS":0,"stowS":0}"#;
     let (_, spec) = parse_submission(body).expect("well formed");
     let mut corrections = EstimateCorrections::default();
-    corrections.note(&spec, 100.0);
-    assert_eq!(corrections.run_s(&spec), 50.0, "one task is too few for a correction");
-    (0..20).for_each(|_| corrections.note(&spec, 100.0));
-    assert!((corrections.run_s(&spec) - 100.0).abs() < 1e-6);
-    (0..400).for_each(|_| corrections.note(&spec, 25.0));
-    assert!(corrections.run_s(&spec) < 30.0, "older tasks lose weight");
+    corrections.record_run_time(&spec, 100.0);
+    assert_eq!(
+        corrections.expected_run_s(&spec),
+        50.0,
+        "one task is too few for a correction"
+    );
+    (0..20).for_each(|_| corrections.record_run_time(&spec, 100.0));
+    assert!((corrections.expected_run_s(&spec) - 100.0).abs() < 1e-6);
+    (0..400).for_each(|_| corrections.record_run_time(&spec, 25.0));
+    assert!(corrections.expected_run_s(&spec) < 30.0, "older tasks lose weight");
 }
 
 #[test]
@@ -277,10 +281,10 @@
     // Regression, seen in the scenario hanbit-railplan-grown: the first services took all machines of the scarce zones.
     // The last replicas of later services, which may run only there because of spreading, waited for minutes.
     let mut jobs = [terms(1.0)];
-    jobs[0].service = true;
-    jobs[0].most_per_zone = Some(2);
+    jobs[0].is_service = true;
+    jobs[0].max_tasks_per_zone = Some(2);
     jobs[0].cheap_zones = vec!["a".into()];
-    jobs[0].most_elsewhere = 2;
+    jobs[0].max_tasks_outside_cheap_zones = 2;
     let mut slots = [slot("b", false, 2.0), slot("c", false, 2.0)];
     let chosen = place(&mut slots, &mut jobs, &[0, 0, 0, 0], UNLIMITED);
     assert_eq!(
@@ -308,10 +312,10 @@
     assert!(urgency(0.0, large, &spec) > urgency(-60.0, small, &spec));
     assert!(urgency(-60.0, large, &spec) > urgency(-500.0, small, &spec));
     // Even the largest job must begin within four minutes. It comes first early enough for a boot and an image fetch.
-    assert_eq!(starved_s(120.0, Shape::Array), 90.0);
-    assert_eq!(starved_s(500.0, Shape::Array), 180.0);
-    assert_eq!(starved_s(0.0, Shape::Array), 90.0);
-    assert_eq!(starved_s(5.0, Shape::Service), 90.0);
+    assert_eq!(starvation_age_s(120.0, Shape::Array), 90.0);
+    assert_eq!(starvation_age_s(500.0, Shape::Array), 180.0);
+    assert_eq!(starvation_age_s(0.0, Shape::Array), 90.0);
+    assert_eq!(starvation_age_s(5.0, Shape::Service), 90.0);
 }
 
 #[test]
@@ -325,7 +329,7 @@
         timeline(25.0, 2.0, Vec::new()),
     ];
     let mut unplaced = [unplaced_tasks(9, false)];
-    absorb(&mut unplaced, &mut timelines, &types, &|_| false, f64::MAX);
+    assign_to_existing_machines(&mut unplaced, &mut timelines, &types, &|_| false, f64::MAX);
     // Two start at once, one as the first task ends, and two on the booting machine. Tasks placed here end too late to
     // make room for others.
     assert_eq!(unplaced[0].count, 4, "{timelines:?}");
@@ -333,14 +337,14 @@
     spread.most_per_zone = Some(2);
     let mut unplaced = [spread];
     let mut timelines = vec![timeline(0.0, 2.0, Vec::new()), timeline(0.0, 2.0, Vec::new())];
-    absorb(&mut unplaced, &mut timelines, &types, &|_| false, f64::MAX);
+    assign_to_existing_machines(&mut unplaced, &mut timelines, &types, &|_| false, f64::MAX);
     assert_eq!(unplaced[0].count, 2, "two tasks may run in the zone");
 }
 
 /// A gang whose tasks take eight processors each and must run in one zone.
 fn gang(job_rank: f64) -> JobTerms {
     JobTerms {
-        gang: true,
+        is_gang: true,
         one_zone: true,
         size: [8.0, 0.0, 1.0],
         rank: job_rank,
@@ -353,7 +357,7 @@
     // Regression: a gang must not be placed because the room of all zones together, or room beyond the team's limit,
     // would be enough.
     let zones = ["a", "a", "b", "b", "b"];
-    let mut slots: Vec<Slot> = zones.iter().map(|zone| slot(zone, false, 0.0)).collect();
+    let mut slots: Vec<MachineSlot> = zones.iter().map(|zone| slot(zone, false, 0.0)).collect();
     slots[0].free[0] = 8.0;
     let placed = place(&mut slots.clone(), &mut [gang(1.0)], &[0; 7], UNLIMITED);
     let used: Vec<Option<&str>> = placed.iter().map(|p| p.and_then(|p| zones.get(p).copied())).collect();
@@ -381,7 +385,7 @@
 #[test]
 fn a_gang_avoids_machines_with_recent_failures_while_others_have_room() {
     let mut slots = vec![slot("a", false, 0.0), slot("a", false, 0.0)];
-    slots[1].doubts = 1.0;
+    slots[1].recent_failures = 1.0;
     assert_eq!(
         place(&mut slots, &mut [gang(1.0)], &[0, 0], UNLIMITED),
         [Some(0), Some(0)]
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -160,7 +160,7 @@
             } => {}
             Output::Log { text, .. } => self.note(&format!("berth-{controller}: {text}")),
             Output::Answer { id, answer } => self.deliver_answer(controller, id, answer),
-            Output::Tell { id, reply } => self.reply_to_peer(id, reply),
+            Output::PeerReply { id, reply } => self.reply_to_peer(id, reply),
             Output::Call {
                 id: call,
                 target,
@@ -181,7 +181,7 @@
                     timeout_ms,
                 );
             }
-            Output::Ask {
+            Output::PeerRequest {
                 id: call,
                 to,
                 request,
@@ -228,7 +228,10 @@
     pub(super) fn check_partition_owners(&mut self) {
         for p in 0..self.controllers.len() as u32 {
             let is_acting = |process: &SimulatedController| {
-                process.core.as_ref().is_some_and(|c| c.acts_at(self.now, Partition(p)))
+                process
+                    .core
+                    .as_ref()
+                    .is_some_and(|c| c.acts_for_partition_at(self.now, Partition(p)))
             };
             if self.controllers.iter().filter(|process| is_acting(process)).count() > 1 {
                 self.record_breach(format!("two controllers act for partition {p}"));
@@ -241,7 +244,7 @@
         self.controllers
             .iter()
             .flat_map(|process| &process.core)
-            .map(Controller::evaluations)
+            .map(Controller::evaluated_candidates)
             .sum()
     }
 
--- a/crates/tidelatch/src/daemon/dispatcher.rs
+++ b/crates/tidelatch/src/daemon/dispatcher.rs
@@ -14,7 +14,9 @@
 use std::time::Instant;
 use tidelatch_core::ids::ControllerId;
 use tidelatch_core::settings::Settings;
-use tidelatch_core::{Answer, Input, Level, NOT_SENT, NOT_TRIED, Output, PeerReply, PeerRequest, Target};
+use tidelatch_core::{
+    Answer, Input, Level, Output, PeerReply, PeerRequest, STATUS_NO_FREE_SOCKET, STATUS_NOT_CONNECTED, Target,
+};
 
 /// Executes the core's outputs, and converts events into the core's inputs.
 pub(super) struct Dispatcher {
@@ -104,7 +106,7 @@
                     let _ = reply.try_send(answer);
                 }
             }
-            Output::Tell { id, reply } => {
+            Output::PeerReply { id, reply } => {
                 if let Some(sender) = self.pending_peer_requests.remove(&id) {
                     let _ = sender.try_send(reply);
                 }
@@ -131,7 +133,7 @@
                 });
                 self.start_http_call(id, request, timeout_ms);
             }
-            Output::Ask {
+            Output::PeerRequest {
                 id,
                 to,
                 request,
@@ -207,8 +209,8 @@
 /// got the request, `None` if it may have.
 fn status_without_response(stage: CallStage) -> Option<(u16, Vec<u8>)> {
     match stage {
-        CallStage::WaitingForSocket => Some((NOT_TRIED, Vec::new())),
-        CallStage::Connecting => Some((NOT_SENT, Vec::new())),
+        CallStage::WaitingForSocket => Some((STATUS_NO_FREE_SOCKET, Vec::new())),
+        CallStage::Connecting => Some((STATUS_NOT_CONNECTED, Vec::new())),
         CallStage::Sent => None,
     }
 }
--- a/crates/tidelatch/src/daemon/inbox.rs
+++ b/crates/tidelatch/src/daemon/inbox.rs
@@ -120,7 +120,7 @@
 
 /// Rejects an event whose sender no longer waits, without passing it to the core.
 pub(super) fn reject_expired(event: Event) {
-    let answer = Answer::later(503, 1, "overloaded");
+    let answer = Answer::retry_later(503, 1, "overloaded");
     // The requester may have disconnected.
     match event {
         Event::Request { reply, .. } => drop(reply.try_send(answer)),
