--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -340,7 +340,7 @@
     }
 
     /// Handles the answer to a call that was made for a job; `None` if there was no answer.
-    pub(crate) fn on_job_reply(&mut self, purpose: Purpose, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_job_reply(&mut self, purpose: Purpose, reply: Option<(u16, Vec<u8>)>) {
         match purpose {
             Purpose::Accept {
                 requester,
@@ -350,10 +350,10 @@
                 at,
                 retries,
                 submission,
-            } => self.on_accept_reply((requester, submission), id, *spec, (epoch, at), retries, result),
+            } => self.on_accept_reply((requester, submission), id, *spec, (epoch, at), retries, reply),
             // When a read returns, this controller may know more than it says: it may have accepted the job, or read
             // its end. Answers that stayed in buffers while this process was paused are discarded and read again.
-            Purpose::Status { id } => self.on_status_read(id, result),
+            Purpose::Status { id } => self.on_status_read(id, reply),
             Purpose::CheckExisting { requester, id, .. } if self.can_answer_without_read(&id) => {
                 self.on_status(requester, id.as_str(), true);
             }
@@ -367,24 +367,22 @@
             } if self.is_reply_stale => self.check_existing_job(requester, id, answer_if_absent),
             // The 404 predates the job, which the watch has reported since.
             Purpose::CheckExisting { requester, id, .. }
-                if matches!(result, Some((404, _))) && self.jobs.contains_key(&id) =>
+                if matches!(reply, Some((404, _))) && self.jobs.contains_key(&id) =>
             {
                 self.on_status(requester, id.as_str(), true);
             }
-            Purpose::CancelRead { requester, id }
-                if matches!(result, Some((404, _))) && self.jobs.contains_key(&id) =>
-            {
+            Purpose::CancelRead { requester, id } if matches!(reply, Some((404, _))) && self.jobs.contains_key(&id) => {
                 self.on_cancel_request(requester, id.as_str(), true);
             }
             Purpose::CheckExisting {
                 requester,
                 id,
                 answer_if_absent,
-            } => match result {
+            } => match reply {
                 Some((404, _)) => self.send_answer(requester, answer_if_absent),
-                result => self.answer_from_read(requester, &id, result),
+                reply => self.answer_from_read(requester, &id, reply),
             },
-            Purpose::CancelRead { requester, id } => match result {
+            Purpose::CancelRead { requester, id } => match reply {
                 Some((404, _)) => self.send_answer(requester, Answer::new(404, r#"{"error":"no such job"}"#)),
                 Some((200, body)) => {
                     self.apply_read_record(&id, &body);
@@ -399,9 +397,9 @@
                     Answer::retry_later(503, 1, "the state service does not answer"),
                 ),
             },
-            Purpose::StoreEnd { id, ending } => self.on_end_reply(id, ending, result),
-            Purpose::FlushDoneBits { pieces } => self.on_flush_reply(pieces, result),
-            Purpose::DeleteBitmaps { keys } => match result {
+            Purpose::StoreEnd { id, ending } => self.on_end_reply(id, ending, reply),
+            Purpose::FlushDoneBits { pieces } => self.on_flush_reply(pieces, reply),
+            Purpose::DeleteBitmaps { keys } => match reply {
                 Some((200 | 409, _)) => {}
                 // The deletion failed or its outcome is unknown: it is retried later.
                 _ => self.capacity.stale_keys.extend(keys),
