--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -311,7 +311,11 @@
     assert!(runs, "{}", world.trace());
     let owner = world.owner_of_team(0);
     let elsewhere = (owner + 1) % 3;
-    let machine = world.machines_of("job-000001").first().cloned().expect("it runs");
+    let machine = world
+        .machines_of("job-000001")
+        .first()
+        .cloned()
+        .expect("the job runs on a machine");
     world.workers.get_mut(&machine).expect("a worker").node = elsewhere;
     let answered = Rc::new(Cell::new(0));
     let (name, count) = (machine.clone(), answered.clone());
--- a/crates/tidelatch-standin/tests/compound_fault_regressions.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_regressions.rs
@@ -193,7 +193,11 @@
         let leader = world.owner_of_team(0);
         let mut stuck = Vec::new();
         for n in 1..=3 {
-            let machine = world.machines_of(&id(n)).first().cloned().expect("it runs");
+            let machine = world
+                .machines_of(&id(n))
+                .first()
+                .cloned()
+                .expect("the job runs on a machine");
             world.note(&format!("{machine} hangs"));
             world.workers.get_mut(&machine).expect("a worker").hanging = true;
             stuck.push(machine);
@@ -325,7 +329,11 @@
         let full = |w: &World| (1..=3).all(|n| w.running(&id(n)) == 4);
         assert!(world.run_until(40_000, full), "{}", world.trace());
         world.run(5000);
-        let dead = world.machines_of("job-000001").first().cloned().expect("it runs");
+        let dead = world
+            .machines_of("job-000001")
+            .first()
+            .cloned()
+            .expect("the job runs on a machine");
         world.note(&format!("{dead} dies"));
         world.workers.get_mut(&dead).expect("a worker").hanging = true;
         let owner = world.owner_of_team(0);
--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -1,5 +1,5 @@
-//! The fault injectors: each does to messages what it says, the same every time, and the controllers keep the
-//! rules under it.
+//! Tests of the fault injectors: each affects the messages that it describes, in the same way for the same seed, and
+//! the controllers keep the rules of the protocol under it. The last tests cover what the simulation tells the checker.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,7 +7,8 @@
 use tidelatch_standin::support::{assert_no_breaches, is_done, with_service};
 use tidelatch_standin::{Delivery, Message, World, job};
 
-fn fate(injector: &mut FaultInjector, at: u64, from: &str, to: &str, what: &str) -> Delivery {
+/// What an injector does with one message.
+fn delivery_of(injector: &mut FaultInjector, at: u64, from: &str, to: &str, what: &str) -> Delivery {
     let body = "{}";
     injector(&Message {
         at,
@@ -18,98 +19,135 @@
     })
 }
 
-/// Answers of a controller to the balancer's question.
-fn healthy(world: &mut World, node: usize) -> bool {
-    let asked = world.user(node, tidelatch_core::Method::Get, "/up", "", ("up".into(), "health"));
+/// Whether a controller answers the load balancer's health check with 200.
+fn is_healthy(world: &mut World, node: usize) -> bool {
+    let request = world.user(node, tidelatch_core::Method::Get, "/up", "", ("up".into(), "health"));
     world.run(10);
-    world.status(asked) == 200
+    world.status(request) == 200
 }
 
-/// A user cancels until it is told something final.
+/// Cancels a job, at one controller after the other, until the user is told a final state.
 fn cancel(world: &mut World, id: &str) -> String {
     for i in 0..40 {
-        let asked = world.withdraw(i % 3, id);
+        let request = world.withdraw(i % 3, id);
         world.run(1500);
-        if world.status(asked) == 200 {
-            return world.said(asked);
+        if world.status(request) == 200 {
+            return world.said(request);
         }
     }
-    panic!("{id} is not cancelled:\n{}", world.trace());
+    panic!(
+        "{id} has no final state after 40 requests to cancel it:\n{}",
+        world.trace()
+    );
 }
 
 #[test]
-fn shares_are_about_what_they_say_and_the_same_with_each_seed() {
-    for (make, what) in [
+fn injectors_affect_their_share_of_messages_and_are_repeatable() {
+    // Guards against injectors that affect too few, too many or the wrong messages, or that do something else when
+    // they are run again with the same seed.
+    for (make_injector, what) in [
         (faults::late_writes as fn(u64, f64) -> FaultInjector, "POST /txn"),
         (faults::lost_answers, "POST /txn"),
         (faults::late_copies, "POST /agent/beat"),
     ] {
-        let fates = |seed: u64| -> Vec<Delivery> {
-            let mut injector = make(seed, 0.3);
+        let deliveries = |seed: u64| -> Vec<Delivery> {
+            let mut injector = make_injector(seed, 0.3);
             (0..1000)
-                .map(|at| fate(&mut injector, at, "berth-0", "state", what))
+                .map(|at| delivery_of(&mut injector, at, "berth-0", "state", what))
                 .collect()
         };
-        assert_eq!(fates(7), fates(7));
-        assert_ne!(fates(7), fates(8));
-        let hit: Vec<Delivery> = fates(7).into_iter().filter(|f| *f != Delivery::Pass).collect();
-        assert!((200..400).contains(&hit.len()), "{what}: {}", hit.len());
-        for f in hit {
-            let right = match f {
+        assert_eq!(deliveries(7), deliveries(7));
+        assert_ne!(deliveries(7), deliveries(8));
+        let affected: Vec<Delivery> = deliveries(7)
+            .into_iter()
+            .filter(|delivery| *delivery != Delivery::Pass)
+            .collect();
+        assert!((200..400).contains(&affected.len()), "{what}: {}", affected.len());
+        for delivery in affected {
+            let is_expected = match delivery {
                 Delivery::Late(ms) => (2_000..12_000).contains(&ms),
                 Delivery::Copied(ms) => (2_000..45_000).contains(&ms),
                 Delivery::AnswerLost => true,
                 _ => false,
             };
-            assert!(right, "{f:?}");
+            assert!(is_expected, "{delivery:?}");
         }
-        let mut injector = make(7, 1.0);
+        let mut injector = make_injector(7, 1.0);
         assert_eq!(
-            fate(&mut injector, 0, "berth-0", "cloud", "POST /hosts"),
+            delivery_of(&mut injector, 0, "berth-0", "cloud", "POST /hosts"),
             Delivery::Pass
         );
     }
 }
 
 #[test]
-fn troubles_are_put_together_and_end() {
-    let mut both = faults::all(vec![
+fn combined_faults_affect_only_their_messages_and_end() {
+    // Guards against injectors that affect messages other than their own, that do not end in time, or that hide each
+    // other when they are combined.
+    let mut combined = faults::all(vec![
         faults::during(100..200, faults::mute("n-000001")),
         faults::refused(1),
     ]);
-    let beat = "POST /agent/beat";
-    assert_eq!(fate(&mut both, 99, "n-000001", "berth-0", beat), Delivery::Pass);
-    assert_eq!(fate(&mut both, 100, "n-000001", "berth-0", beat), Delivery::Lost);
-    assert_eq!(fate(&mut both, 199, "n-000001", "berth-0", beat), Delivery::Lost);
-    assert_eq!(fate(&mut both, 200, "n-000001", "berth-0", beat), Delivery::Pass);
+    let report = "POST /agent/beat";
     assert_eq!(
-        fate(&mut both, 150, "berth-0", "n-000001", "POST /commands"),
+        delivery_of(&mut combined, 99, "n-000001", "berth-0", report),
         Delivery::Pass
     );
-    assert_eq!(fate(&mut both, 150, "berth-1", "state", "POST /txn"), Delivery::Refused);
-    assert_eq!(fate(&mut both, 150, "berth-0", "state", "POST /txn"), Delivery::Pass);
-    assert_eq!(fate(&mut both, 150, "berth-1", "cloud", "POST /hosts"), Delivery::Pass);
-    let mut deaf = faults::deaf("n-000001");
-    assert_eq!(fate(&mut deaf, 0, "n-000001", "berth-0", beat), Delivery::AnswerLost);
     assert_eq!(
-        fate(&mut deaf, 0, "berth-0", "n-000001", "POST /commands"),
+        delivery_of(&mut combined, 100, "n-000001", "berth-0", report),
+        Delivery::Lost
+    );
+    assert_eq!(
+        delivery_of(&mut combined, 199, "n-000001", "berth-0", report),
+        Delivery::Lost
+    );
+    assert_eq!(
+        delivery_of(&mut combined, 200, "n-000001", "berth-0", report),
+        Delivery::Pass
+    );
+    assert_eq!(
+        delivery_of(&mut combined, 150, "berth-0", "n-000001", "POST /commands"),
+        Delivery::Pass
+    );
+    assert_eq!(
+        delivery_of(&mut combined, 150, "berth-1", "state", "POST /txn"),
+        Delivery::Refused
+    );
+    assert_eq!(
+        delivery_of(&mut combined, 150, "berth-0", "state", "POST /txn"),
+        Delivery::Pass
+    );
+    assert_eq!(
+        delivery_of(&mut combined, 150, "berth-1", "cloud", "POST /hosts"),
+        Delivery::Pass
+    );
+    let mut no_input = faults::deaf("n-000001");
+    assert_eq!(
+        delivery_of(&mut no_input, 0, "n-000001", "berth-0", report),
+        Delivery::AnswerLost
+    );
+    assert_eq!(
+        delivery_of(&mut no_input, 0, "berth-0", "n-000001", "POST /commands"),
         Delivery::Lost
     );
     let mut cut = faults::cut_off(1);
-    assert_eq!(fate(&mut cut, 0, "berth-1", "state", "POST /txn"), Delivery::Lost);
-    assert_eq!(fate(&mut cut, 0, "berth-1", "berth-2", "relay"), Delivery::Lost);
-    assert_eq!(fate(&mut cut, 0, "berth-2", "berth-1", "relay"), Delivery::Lost);
-    assert_eq!(fate(&mut cut, 0, "n-000001", "berth-1", beat), Delivery::Pass);
     assert_eq!(
-        fate(&mut cut, 0, "berth-1", "n-000001", "POST /commands"),
+        delivery_of(&mut cut, 0, "berth-1", "state", "POST /txn"),
+        Delivery::Lost
+    );
+    assert_eq!(delivery_of(&mut cut, 0, "berth-1", "berth-2", "relay"), Delivery::Lost);
+    assert_eq!(delivery_of(&mut cut, 0, "berth-2", "berth-1", "relay"), Delivery::Lost);
+    assert_eq!(delivery_of(&mut cut, 0, "n-000001", "berth-1", report), Delivery::Pass);
+    assert_eq!(
+        delivery_of(&mut cut, 0, "berth-1", "n-000001", "POST /commands"),
         Delivery::Pass
     );
-    assert_eq!(fate(&mut cut, 0, "berth-0", "berth-2", "relay"), Delivery::Pass);
+    assert_eq!(delivery_of(&mut cut, 0, "berth-0", "berth-2", "relay"), Delivery::Pass);
 }
 
-/// A short day with arrays, a service and cancellations, under writes that come late, answers that are lost
-/// and copies of reports.
-fn day(seed: u64) -> World {
+/// Runs arrays, a service and a cancellation under late writes, lost answers and late copies of reports. The owner of
+/// team 0 crashes in between.
+fn run_with_faults(seed: u64) -> World {
     let mut world = World::new();
     world.run(3000);
     world.keep_reports();
@@ -137,14 +175,16 @@
 }
 
 #[test]
-fn a_day_under_many_troubles_keeps_the_rules_and_is_the_same_every_time() {
+fn a_run_with_many_faults_keeps_the_rules_and_is_repeatable() {
+    // Guards against breaches of the rules when late writes, lost answers, copied reports, a crash and a cancellation
+    // come together, and against simulations that differ with the same seed.
     for seed in 0..6 {
-        let mut world = day(seed);
+        let mut world = run_with_faults(seed);
         assert_no_breaches(&world);
-        assert_eq!(world.trace(), day(seed).trace(), "seed {seed}");
+        assert_eq!(world.trace(), run_with_faults(seed).trace(), "seed {seed}");
         let jobs = ["job-000001", "job-000002", "job-000003"];
-        let open = world.unanswered(75_000, &jobs);
-        assert!(open.is_empty(), "seed {seed}: {open:?}\n{}", world.trace());
+        let unanswered = world.unanswered(75_000, &jobs);
+        assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}\n{}", world.trace());
         assert!(is_done(&world, "job-000002"), "seed {seed}\n{}", world.trace());
         assert_eq!(world.running("job-000001"), 1, "seed {seed}\n{}", world.trace());
         assert_no_breaches(&world);
@@ -152,35 +192,38 @@
 }
 
 #[test]
-fn the_state_service_refuses_one_controller_whose_leases_run_out_and_whose_watches_wait() {
+fn a_controller_refused_by_the_state_service_loses_its_partitions() {
+    // Guards against a controller that goes on acting, or stays healthy for the load balancer, while the state service
+    // refuses it alone: its leases run out, and its watches hear of nothing.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let before = world.epoch();
     let name = format!("berth-{owner}");
     world.note(&format!("the state service refuses {name} alone"));
     world.meddle(faults::refused(owner));
-    // The others are served: they go on without it.
+    // The state service still answers the others, which go on without the refused controller.
     world.run(25_000);
     assert!(world.epoch() > before, "{}", world.trace());
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
-    assert!(!healthy(&mut world, owner), "{}", world.trace());
-    assert!(healthy(&mut world, (owner + 1) % 3), "{}", world.trace());
+    assert!(!is_healthy(&mut world, owner), "{}", world.trace());
+    assert!(is_healthy(&mut world, (owner + 1) % 3), "{}", world.trace());
     world.accepted((owner + 1) % 3, &job(2, 0, "sweep", 2));
-    let over = world.run_until(60_000, |w| is_done(w, "job-000002"));
-    assert!(over, "{}", world.trace());
+    let is_finished = world.run_until(60_000, |w| is_done(w, "job-000002"));
+    assert!(is_finished, "{}", world.trace());
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     world.calm();
     world.run(20_000);
-    assert!(healthy(&mut world, owner), "{}", world.trace());
+    assert!(is_healthy(&mut world, owner), "{}", world.trace());
     assert_no_breaches(&world);
 }
 
 #[test]
 fn a_refused_write_is_not_carried_out() {
+    // Guards against a fault injector that answers a write with a refusal and carries it out nevertheless.
     let mut world = World::new();
     world.run(3000);
     let team = (0..3).find(|t| world.owner_of_team(*t) == 2).expect("it owns a team");
-    // Nor does a peer store it: what is passed on does not arrive.
+    // Submissions that are passed on are lost, so that no peer stores the job either.
     let mut refused = faults::refused(2);
     world.meddle(move |m| match m.what {
         "submit" => Delivery::Lost,
@@ -197,10 +240,12 @@
 }
 
 #[test]
-fn an_open_watch_of_a_refused_controller_hears_nothing() {
-    // How often a controller opens a watch in 3 s while others' jobs are written, refused or not: a watch
-    // that hears of a change ends, and is opened again.
-    let opened = |refused: bool| {
+fn an_open_watch_of_a_refused_controller_receives_no_changes() {
+    // Guards against a fault injector that refuses the requests of a controller but still sends changes to its open
+    // watch.
+    // Returns how often a controller opens a watch in 3 s while jobs of others are written, refused or not. A watch
+    // that receives a change ends, and is opened again.
+    let count_opened_watches = |refused: bool| {
         let mut world = World::new();
         world.run(3000);
         let count = Rc::new(Cell::new(0));
@@ -209,7 +254,7 @@
             if l.from == "berth-2" && l.what.starts_with("GET /changes") {
                 counter.set(counter.get() + 1);
             }
-            // Its leases are refused, and so is what it writes; its watches are opened as ever.
+            // Its requests for leases and its writes are refused. It can still open watches.
             let watch = l.what.starts_with("GET /changes");
             if refused && l.from == "berth-2" && l.to == "state" && !watch {
                 Delivery::Refused
@@ -217,7 +262,7 @@
                 Delivery::Pass
             }
         });
-        // By now the controller has asked for something and was refused.
+        // Within this time the controller has sent a request that was refused.
         world.run(2500);
         let before = count.get();
         for i in 0..3 {
@@ -234,28 +279,39 @@
         assert_no_breaches(&world);
         count.get() - before
     };
-    let (open, refused) = (opened(false), opened(true));
-    assert!(open > 0, "{open}");
-    assert_eq!(refused, 0);
+    let (when_served, when_refused) = (count_opened_watches(false), count_opened_watches(true));
+    assert!(when_served > 0, "{when_served}");
+    assert_eq!(when_refused, 0);
 }
 
 #[test]
-fn work_on_a_deaf_machine_goes_elsewhere() {
+fn work_on_a_machine_that_receives_nothing_moves_elsewhere() {
+    // Guards against tasks that stay assigned to a machine whose reports arrive, but which no answer and no command
+    // reaches.
     let mut world = with_service(0);
-    let deaf = world.machines_of("job-000001").first().cloned().expect("it runs");
-    world.note(&format!("nothing reaches {deaf} any more; its reports arrive"));
-    world.meddle(faults::deaf(&deaf));
-    let well = |w: &World| w.running("job-000001") == 2 && !w.machines_of("job-000001").contains(&deaf);
-    assert!(world.run_until(110_000, well), "{}", world.trace());
+    let machine = world
+        .machines_of("job-000001")
+        .first()
+        .cloned()
+        .expect("the job runs on a machine");
+    world.note(&format!("nothing reaches {machine} any more; its reports arrive"));
+    world.meddle(faults::deaf(&machine));
+    let has_moved = |w: &World| w.running("job-000001") == 2 && !w.machines_of("job-000001").contains(&machine);
+    assert!(world.run_until(110_000, has_moved), "{}", world.trace());
     assert_no_breaches(&world);
 }
 
 #[test]
-fn a_cancelled_job_on_a_mute_machine_is_gone_in_time() {
+fn a_cancelled_job_on_a_machine_whose_reports_are_lost_ends_in_time() {
+    // Guards against cancelled tasks that go on running because their machine's reports reach no controller.
     let mut world = with_service(0);
-    let mute = world.machines_of("job-000001").first().cloned().expect("it runs");
-    world.note(&format!("reports of {mute} reach nobody any more"));
-    world.meddle(faults::mute(&mute));
+    let machine = world
+        .machines_of("job-000001")
+        .first()
+        .cloned()
+        .expect("the job runs on a machine");
+    world.note(&format!("reports of {machine} reach nobody any more"));
+    world.meddle(faults::mute(&machine));
     world.run(1000);
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
     world.run(60_000);
@@ -266,7 +322,9 @@
 }
 
 #[test]
-fn reports_of_before_come_to_all_controllers_when_an_epoch_begins() {
+fn earlier_reports_are_repeated_to_all_controllers_when_an_epoch_begins() {
+    // Guards against a simulation that repeats no earlier reports when an epoch begins, and against controllers that
+    // take such copies for the present state.
     let mut world = with_service(0);
     world.keep_reports();
     world.accepted(0, &job(2, 0, "sweep", 4));
@@ -281,22 +339,24 @@
     );
     assert!(!world.trace().contains(" 0 reports of before"), "{}", world.trace());
     world.start(owner);
-    let over = world.run_until(60_000, |w| is_done(w, "job-000002") && w.running("job-000001") == 2);
-    assert!(over, "{}", world.trace());
+    let is_finished = world.run_until(60_000, |w| is_done(w, "job-000002") && w.running("job-000001") == 2);
+    assert!(is_finished, "{}", world.trace());
     world.run(40_000);
     assert_no_breaches(&world);
 }
 
 #[test]
-fn a_cancellation_at_the_moment_of_the_last_tasks_end_is_answered_for_good() {
+fn a_cancellation_at_the_end_of_the_last_task_gets_one_final_answer() {
+    // Guards against users who are told different final states of a job that is cancelled 0 to 500 ms after its last
+    // task has ended, and against tasks that start afterwards.
     for after in [0, 1, 2, 3, 5, 10, 50, 500] {
         for node in 0..3 {
             let mut world = World::new();
             world.run(3000);
             world.accepted(0, &job(1, 0, "sweep", 2));
             world.cancel_at_end(node, "job-000001", after);
-            let asked = world.run_until(60_000, |w| w.cancelled_at_end.contains_key("job-000001"));
-            assert!(asked, "{after}\n{}", world.trace());
+            let cancelled = world.run_until(60_000, |w| w.cancelled_at_end.contains_key("job-000001"));
+            assert!(cancelled, "{after}\n{}", world.trace());
             let request = world.cancelled_at_end["job-000001"];
             world.run(3000);
             let first = match world.status(request) {
@@ -317,14 +377,16 @@
 }
 
 #[test]
-fn a_controller_cut_from_state_and_peers_steps_down() {
+fn a_controller_cut_off_from_the_state_service_and_its_peers_steps_down() {
+    // Guards against a controller that goes on acting, or stays healthy for the load balancer, though it reaches
+    // neither the state service nor its peers.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     world.note(&format!("berth-{owner} is cut from the state service and its peers"));
     world.meddle(faults::cut_off(owner));
     world.run(25_000);
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
-    assert!(!healthy(&mut world, owner), "{}", world.trace());
+    assert!(!is_healthy(&mut world, owner), "{}", world.trace());
     world.calm();
     world.run(20_000);
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
@@ -332,10 +394,15 @@
 }
 
 #[test]
-fn the_world_tells_the_checker_of_a_task_that_appears_on_a_second_machine() {
-    // The world's own eyes: what a test does to a machine by hand is seen as well.
+fn the_simulation_tells_the_checker_of_a_task_on_a_second_machine() {
+    // Guards against a checker that misses a task on two machines: the simulation looks at the machines itself, so
+    // that it also sees what a test changes on a machine by hand.
     let mut world = with_service(0);
-    let on = world.machines_of("job-000001").first().cloned().expect("it runs");
+    let on = world
+        .machines_of("job-000001")
+        .first()
+        .cloned()
+        .expect("the job runs on a machine");
     let mut second = world.workers[&on].clone();
     second.name = "n-900000".to_owned();
     world.workers.insert("n-900000".to_owned(), second);
@@ -349,10 +416,12 @@
 }
 
 #[test]
-fn the_world_tells_the_checker_when_a_cancelled_jobs_last_task_is_gone() {
+fn the_simulation_tells_the_checker_when_the_last_task_of_a_cancelled_job_is_gone() {
+    // Guards against a wrong measurement of how long a cancelled job stays on its machines.
     let mut world = with_service(0);
     assert_eq!(world.gone_after_confirmation("job-000001"), None);
-    // A cancellation stops tasks from when it is asked; without direct commands they go with the next reports.
+    // A cancellation stops tasks at once by direct commands. Without these the tasks end with the answers to the
+    // next reports.
     world.meddle(|l| {
         if l.what == "POST /commands" {
             Delivery::Lost
@@ -369,16 +438,21 @@
 }
 
 #[test]
-fn the_world_tells_the_checker_when_tasks_end_with_their_machines_lease() {
-    // Within one long run, in which nobody looks at the machines but the world itself.
+fn the_simulation_tells_the_checker_when_tasks_end_with_the_lease_of_their_worker() {
+    // Guards against ends of tasks that the checker learns of too late. The lease ends within one long run, during
+    // which only the simulation itself looks at the machines.
     let mut world = with_service(0);
-    let cut = world.machines_of("job-000001").first().cloned().expect("it runs");
+    let cut = world
+        .machines_of("job-000001")
+        .first()
+        .cloned()
+        .expect("the job runs on a machine");
     world.note(&format!("nothing comes from {cut}, and nothing reaches it"));
     let ended = Rc::new(Cell::new(0));
     let seen = ended.clone();
     let machine = cut.clone();
     world.meddle(move |l| {
-        // Its first report of the next session goes out when its lease has ended.
+        // The worker sends the first report of its next session when its lease has ended.
         if l.from == machine && l.body.contains("\"shift\":2,") && seen.get() == 0 {
             seen.set(l.at);
         }
@@ -391,20 +465,24 @@
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
     world.cloud.down = true;
     world.run(60_000);
-    let told = world.answers.values().filter(|(_, a)| a.body.contains("withdrawn"));
-    let told = told.map(|(at, _)| *at).min().expect("its user was told");
-    assert!(ended.get() > told, "{}", world.trace());
+    let confirmations = world.answers.values().filter(|(_, a)| a.body.contains("withdrawn"));
+    let confirmed_at = confirmations
+        .map(|(at, _)| *at)
+        .min()
+        .expect("the user was told that the job is cancelled");
+    assert!(ended.get() > confirmed_at, "{}", world.trace());
     let gone = world.gone_after_confirmation("job-000001");
-    assert_eq!(gone, Some(ended.get() - told), "{}", world.trace());
+    assert_eq!(gone, Some(ended.get() - confirmed_at), "{}", world.trace());
     assert_no_breaches(&world);
 }
 
 #[test]
-fn the_world_tells_the_checker_of_orders_to_start() {
+fn the_simulation_tells_the_checker_of_orders_to_start() {
+    // Guards against orders to start a task that the checker does not count.
     let mut world = World::new();
     world.run(3000);
     assert_eq!(world.checker().start_orders(), 0);
-    // With the answers to reports, and, to a machine that has room, directly.
+    // Orders go out with the answers to reports, and directly to a machine that has room.
     world.accepted(0, &job(1, 0, "standing", 1));
     let up = world.run_until(30_000, |w| w.running("job-000001") == 1);
     assert!(up, "{}", world.trace());
--- a/crates/tidelatch-standin/tests/partial_failures.rs
+++ b/crates/tidelatch-standin/tests/partial_failures.rs
@@ -1,6 +1,6 @@
-//! Partial failures that the operators added later: answers that do not reach a machine, late copies,
-//! controllers without state service and peers, and processes that are back within a moment. Each
-//! test names the guard that it is there for.
+//! Partial failures: answers that do not reach a machine, late copies of messages, controllers without the state
+//! service and their peers, and processes that are back within a moment. The comment at the head of each test names
+//! the failure and what prevents it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,26 +9,33 @@
 use tidelatch_standin::support::{assert_no_breaches, assert_trace, with_service};
 use tidelatch_standin::{Delivery, Size, World, faults, gang, job};
 
-/// No answer and no command reaches a machine any more; its reports do, and it tells its state.
-fn deafen(world: &mut World, machine: &str) {
+/// Loses every answer and command to a machine. Its reports still arrive, and it still tells its state.
+fn lose_messages_to(world: &mut World, machine: &str) {
     world.note(&format!("nothing reaches {machine} any more; its reports arrive"));
     world.meddle(faults::deaf(machine));
 }
 
 #[test]
-fn work_on_a_machine_that_no_answer_reaches_goes_elsewhere() {
-    // Guard: a worker whose lease ends though it is answered, or that never starts what it is sent, is
-    // given up. It would be given the same tasks again and again, for it reports and looks empty.
+fn work_on_a_machine_that_no_answer_reaches_moves_elsewhere() {
+    // Guards against a machine that is given the same tasks again and again, because it reports and looks empty, but
+    // no answer reaches it. A worker whose lease ends though it is answered, or that never starts what it is sent, is
+    // given up.
     let mut world = with_service(0);
-    let deaf = world.machines_of("job-000001").first().cloned().expect("it runs");
+    let without_answers = world
+        .machines_of("job-000001")
+        .first()
+        .cloned()
+        .expect("the job runs on a machine");
     // The cloud has no other machine: the work runs again only once this one has been returned.
     world.cloud.most = 1;
-    deafen(&mut world, &deaf);
-    let well = |w: &World| {
-        w.running("job-000001") == 2 && !w.machines_of("job-000001").contains(&deaf) && w.cloud.deleted.contains(&deaf)
+    lose_messages_to(&mut world, &without_answers);
+    let has_moved = |w: &World| {
+        w.running("job-000001") == 2
+            && !w.machines_of("job-000001").contains(&without_answers)
+            && w.cloud.deleted.contains(&without_answers)
     };
-    assert!(world.run_until(110_000, well), "{}", world.trace());
-    // It holds nothing of the team's limit: two more tasks are all that is left of it.
+    assert!(world.run_until(110_000, has_moved), "{}", world.trace());
+    // The deleted machine does not count against the team's limit: two more tasks use up what is left of it.
     world.cloud.most = 20;
     world.accepted(1, &job(2, 0, "standing", 2));
     assert!(
@@ -40,10 +47,10 @@
 }
 
 #[test]
-fn a_machine_that_does_not_take_the_token_does_not_hold_up_a_take_over_for_ever() {
-    // Guard: a machine that reports under an old token, and takes no newer one, is deleted. Until then
-    // older tasks may be on it, and wait. No controller stands in its zone, and no other machine of it is
-    // heard, so nothing says that it has died.
+fn a_machine_that_does_not_accept_the_token_delays_a_takeover_for_a_limited_time() {
+    // Guards against a takeover that never finishes because a machine reports under an old token and accepts no newer
+    // one. Such a machine is deleted. Until then older tasks may be on it, and wait. No controller is in its zone, and
+    // no other machine of the zone is heard from, so nothing says that the machine has died.
     let mut world = World::new();
     world.run(3000);
     let mut service = job(1, 0, "standing", 2);
@@ -56,28 +63,33 @@
     );
     world.accepted(0, &job(2, 0, "sweep", 8));
     let owner = world.owner_of_team(0);
-    let deaf = world.machines_of("job-000001").first().cloned().expect("it runs");
-    deafen(&mut world, &deaf);
+    let without_answers = world
+        .machines_of("job-000001")
+        .first()
+        .cloned()
+        .expect("the job runs on a machine");
+    lose_messages_to(&mut world, &without_answers);
     world.crash(owner);
     world.run(300);
     world.start(owner);
     let done = |w: &World| w.store.get("t/j/job-000002").is_some_and(|j| j["st"] == "done");
     assert!(world.run_until(100_000, done), "{}", world.trace());
-    assert!(world.cloud.deleted.contains(&deaf), "{}", world.trace());
+    assert!(world.cloud.deleted.contains(&without_answers), "{}", world.trace());
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "machine_that_takes_no_token");
 }
 
 #[test]
 fn late_copies_of_reports_and_commands_change_nothing() {
-    // Guard: order by session and sequence number; tokens; what was started by a direct command is not
-    // forgotten while a copy of the command may still come.
+    // Guards against late copies of reports, commands and transactions that take effect a second time. They are
+    // recognised by session and sequence number and by token, and what a direct command started is not forgotten while
+    // a copy of the command may still come.
     let mut world = World::new();
     world.run(3000);
     let n = Rc::new(Cell::new(0u64));
     world.meddle(move |l| {
         n.set(n.get() + 1);
-        // Seconds, about a lease, and well over a lease.
+        // Copies come after a few seconds, after about a lease, and after well over a lease.
         let late = [3_000, 17_000, 26_000, 44_000][n.get() as usize % 4] + 7 * (n.get() % 100);
         let repeated = l.what == "POST /agent/beat" || l.what == "POST /commands" || l.what == "POST /txn";
         if repeated {
@@ -99,15 +111,15 @@
         if i == 4 {
             world.accepted(0, &job(20, 0, "standing", 1));
             world.run(5000);
-            let mut told = 0;
+            let mut cancellation = 0;
             for _ in 0..10 {
-                told = world.withdraw(0, "job-000020");
+                cancellation = world.withdraw(0, "job-000020");
                 world.run(1500);
-                if world.status(told) == 200 {
+                if world.status(cancellation) == 200 {
                     break;
                 }
             }
-            assert_eq!(world.said(told), "withdrawn", "{}", world.trace());
+            assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
         }
     }
     world.run(60_000);
@@ -118,7 +130,7 @@
         world.run(1500);
         assert_eq!(world.said(poll), "done", "job {j}\n{}", world.trace());
     }
-    // Machines that are gone do not come back by what they once reported.
+    // Late copies of their reports do not bring back machines that are gone.
     world.withdraw(0, "job-000001");
     world.run(60_000);
     assert!(world.roster().is_empty(), "{:?}\n{}", world.roster(), world.trace());
@@ -126,9 +138,9 @@
 }
 
 #[test]
-fn a_repeated_direct_start_of_a_cancelled_task_finds_it_known() {
-    // Guard: an attempt that a direct command started is not forgotten for three leases after the
-    // command, for a copy of it would start the task again, long after its user's cancellation.
+fn a_repeated_direct_start_of_a_cancelled_task_is_recognised() {
+    // Guards against a late copy of a direct command that starts a task again, long after its user's cancellation. An
+    // attempt that a direct command started is not forgotten for three leases after the command.
     let mut world = World::new();
     world.run(3000);
     world.accepted(0, &job(1, 0, "standing", 1));
@@ -146,7 +158,7 @@
         }
         Delivery::Pass
     });
-    // It goes to the same machine, which has room, and goes there directly.
+    // The task goes to the same machine, which has room, by a direct command.
     world.accepted(0, &job(2, 0, "standing", 1));
     assert!(
         world.run_until(4000, |w| w.running("job-000002") == 1),
@@ -154,9 +166,9 @@
         world.trace()
     );
     assert_eq!(copied.get(), 1, "one direct start\n{}", world.trace());
-    let told = world.withdraw(0, "job-000002");
+    let cancellation = world.withdraw(0, "job-000002");
     world.run(1000);
-    assert_eq!(world.said(told), "withdrawn", "{}", world.trace());
+    assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
     world.run(60_000);
     assert_eq!(world.running("job-000001"), 1);
     assert_eq!(
@@ -169,17 +181,18 @@
 }
 
 #[test]
-fn late_reports_of_a_deleted_machine_do_not_bring_it_back() {
-    // Guard: a machine in no roster is taken in only if it lives: if it has taken the present token
-    // with an answer. Controllers that have all been restarted remember no deletion.
+fn late_reports_of_a_deleted_machine_do_not_add_it_to_the_roster() {
+    // Guards against late copies of reports that bring a deleted machine back into the roster. Controllers that have
+    // all been restarted remember no deletion. A machine in no roster is therefore taken in only if it is alive: if it
+    // has accepted the present token with an answer.
     let mut world = World::new();
     world.run(3000);
     world.accepted(0, &job(1, 0, "sweep", 2));
     let n = Rc::new(Cell::new(0u64));
     world.meddle(move |l| {
         n.set(n.get() + 1);
-        let beat = l.what == "POST /agent/beat";
-        if beat {
+        let is_report = l.what == "POST /agent/beat";
+        if is_report {
             Delivery::Copied(30_000 + 900 * (n.get() % 20))
         } else {
             Delivery::Pass
@@ -207,7 +220,8 @@
 
 #[test]
 fn a_machine_that_was_rented_late_is_taken_in() {
-    // The other side of the guard above: a rental that is carried out late brings a machine that lives.
+    // Guards against a machine that is paid for and forgotten, because its rental is carried out late, after a crash
+    // of all controllers. Unlike the deleted machine in the test above it is alive, and so it is taken in.
     let mut world = World::new();
     world.run(3000);
     let held = Rc::new(Cell::new(false));
@@ -217,7 +231,7 @@
             once.set(true);
             return Delivery::Late(9000);
         }
-        // Whoever asked for it is gone by then.
+        // The rental is carried out after the controller that asked for it has crashed.
         Delivery::Pass
     });
     let owner = world.owner_of_team(0);
@@ -238,7 +252,7 @@
         world.trace()
     );
     world.run(60_000);
-    // Either it is used, or it was returned; none is paid for and forgotten.
+    // The machine is in use or has been returned. No machine is paid for and forgotten.
     let mut roster = world.roster();
     roster.sort();
     let rented: Vec<String> = world.cloud.machines.keys().cloned().collect();
@@ -247,9 +261,10 @@
 }
 
 #[test]
-fn a_controller_that_has_only_its_workers_left_steps_down() {
-    // Guard: entitlement ends with the lease when no peer can grant anything; and the balancer is
-    // told, for its users would be put off without end.
+fn a_controller_that_reaches_only_its_workers_steps_down() {
+    // Guards against a controller that goes on acting after it has lost the state service and its peers. Its
+    // entitlement ends with its lease when no peer can grant anything. The load balancer is told, because the
+    // controller's users would otherwise be told to retry without end.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
@@ -277,7 +292,7 @@
         world.trace()
     );
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
-    // The others lose the state service as well, and get it back first.
+    // The others lose the state service as well, and reach it again before this controller does.
     world.store.down = true;
     world.run(15_000);
     world.store.down = false;
@@ -294,36 +309,37 @@
 }
 
 #[test]
-fn a_large_array_is_not_kept_from_starting_by_small_urgent_ones() {
-    // Guard: what nothing has been started of for long comes first within its priority.
+fn a_large_array_starts_despite_a_stream_of_small_urgent_arrays() {
+    // Guards against starvation of a large array by small ones with near due times that keep coming. Jobs of which
+    // nothing has started for long come first within their priority.
     let mut world = World::new();
     world.cloud.most = 2;
     world.run(3000);
     world.accepted(0, &job(1, 0, "sweep", 40));
-    let first = |w: &World| w.trace().contains("starts job-000001/");
-    let mut began = None;
+    let has_started = |w: &World| w.trace().contains("starts job-000001/");
+    let mut started_at = None;
     for i in 0..80 {
-        let mut small = job(100 + i, 0, "sweep", 4);
-        small["dueS"] = serde_json::json!(12.0);
-        world.submit(0, &small);
+        let mut small_array = job(100 + i, 0, "sweep", 4);
+        small_array["dueS"] = serde_json::json!(12.0);
+        world.submit(0, &small_array);
         world.run(3000);
-        if first(&world) {
-            began = Some(world.now);
+        if has_started(&world) {
+            started_at = Some(world.now);
             break;
         }
     }
     assert!(
-        began.is_some_and(|t| t < 200_000),
-        "the large one has not begun\n{}",
+        started_at.is_some_and(|t| t < 200_000),
+        "the large array has not started\n{}",
         world.trace()
     );
     assert_no_breaches(&world);
 }
 
 #[test]
-fn replicas_move_for_those_that_may_not_run_where_there_is_room() {
-    // Guard: spreading leaves the last replica one zone, which is full of services that could run
-    // elsewhere. Zone b has room for two, and a first service takes it.
+fn replicas_move_to_make_room_for_replicas_bound_to_a_full_zone() {
+    // Guards against a replica that never starts: spreading leaves the last replica one zone, which is full of
+    // services that could run elsewhere. Zone b has room for two, and a first service takes it.
     let mut world = World::sized(
         &Operator::default(),
         Size {
@@ -354,9 +370,10 @@
 }
 
 #[test]
-fn after_troubles_of_all_kinds_every_accepted_job_is_answered_for_within_75_s() {
-    // Guard: whatever was under way when it began (an end being stored, a question passed on, bitmaps
-    // being read), nobody's questions are held for good, however the others fare.
+fn every_accepted_job_is_answered_for_within_75_s_after_many_faults() {
+    // Guards against requests of users that are held forever, because of what was under way when the faults began: an
+    // end being stored, a request that was passed on, bitmaps being read. This must not depend on how the requests of
+    // others fare.
     let mut world = World::new();
     world.run(3000);
     for i in 0..6 {
@@ -367,10 +384,10 @@
         world.accepted(i as usize % 3, &gang(i, i % 3, 2 + i % 2));
     }
     world.run(8000);
-    let told = world.withdraw(0, "job-000003");
+    let cancellation = world.withdraw(0, "job-000003");
     world.run(2);
-    // All at once: the state service fails for one of them, peers refuse, one crashes in mid-election,
-    // and one stands still.
+    // All at once: one controller does not reach the state service, messages between peers are lost, one controller
+    // crashes in the middle of an election, and one stands still.
     let n = Rc::new(Cell::new(0u64));
     world.meddle(move |l| {
         n.set(n.get() + 1);
@@ -406,12 +423,12 @@
         "job-000007",
         "job-000008",
     ];
-    let open = world.unanswered(75_000, &jobs);
-    assert!(open.is_empty(), "{open:?}\n{}", world.trace());
-    // Accepted and not cancelled: it runs, or it is done.
-    let told_withdrawn = world.said(told) == "withdrawn";
+    let unanswered = world.unanswered(75_000, &jobs);
+    assert!(unanswered.is_empty(), "{unanswered:?}\n{}", world.trace());
+    // A job that was accepted and not cancelled runs, or it is done.
+    let is_cancelled = world.said(cancellation) == "withdrawn";
     assert_eq!(world.running("job-000000"), 1, "{}", world.trace());
-    assert!(told_withdrawn || world.running("job-000003") <= 1, "{}", world.trace());
+    assert!(is_cancelled || world.running("job-000003") <= 1, "{}", world.trace());
     for j in jobs.iter().skip(1).filter(|j| **j != "job-000003") {
         let poll = world.poll(0, j);
         world.run(1500);
--- a/crates/tidelatch-standin/tests/rules.rs
+++ b/crates/tidelatch-standin/tests/rules.rs
@@ -1,5 +1,6 @@
-//! The failures that the service must get through without breaking a rule, each with the guard that
-//! it is there for. Traces of them are kept under `traces/`; `UPDATE_TRACES=1` writes them anew.
+//! Failures that the service must survive without breaking a rule of the protocol. The comment at the head of each
+//! test names the failure and what prevents it. Expected traces are kept under `traces/`; `UPDATE_TRACES=1` writes
+//! them anew.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,7 +8,9 @@
 use tidelatch_standin::{Delivery, World, job};
 
 #[test]
-fn a_quiet_day_runs_a_service_and_an_array() {
+fn a_service_and_an_array_run_without_faults() {
+    // The baseline without faults: a service and an array run, a user is told that the array is done, and a question
+    // about an unknown job is answered with 404.
     let mut world = with_service(0);
     world.accepted(1, &job(2, 1, "sweep", 3));
     assert!(
@@ -28,8 +31,9 @@
 }
 
 #[test]
-fn a_lost_answer_to_an_acceptance_is_settled_by_a_read() {
-    // Guard: an unknown outcome of the acceptance is read from the store, not guessed.
+fn an_acceptance_without_an_answer_is_resolved_by_a_read() {
+    // Guards against a submission that is lost or stored twice because the answer to the storing transaction was lost.
+    // The controller reads the unknown outcome from the state service and does not guess it.
     let mut world = World::new();
     world.run(3000);
     world.meddle(|l| match l.what {
@@ -48,36 +52,38 @@
 }
 
 #[test]
-fn a_known_job_is_never_refused_whatever_its_body_says() {
-    // Guard: before 400 or 422 the store is read, for this controller may not have heard of the job.
+fn a_resubmission_with_an_invalid_body_is_not_refused_if_its_job_is_accepted() {
+    // Guards against a 400 or 422 for a job that another controller has accepted. The watch of this controller is cut,
+    // so it may not have heard of the job: it has to read the state service before such an answer.
     let mut world = World::new();
     world.run(3000);
     world.meddle(|l| {
-        let deaf = l.from == "berth-1" && l.what.starts_with("GET /changes");
-        if deaf { Delivery::Lost } else { Delivery::Pass }
+        let without_watch = l.from == "berth-1" && l.what.starts_with("GET /changes");
+        if without_watch { Delivery::Lost } else { Delivery::Pass }
     });
     world.run(10_000);
     world.accepted(0, &job(1, 0, "sweep", 1));
     world.run(200);
-    let mut odd = job(1, 0, "sweep", 1);
-    odd["wagons"] = serde_json::json!(0);
-    let request = world.submit(1, &odd);
+    let mut invalid = job(1, 0, "sweep", 1);
+    invalid["wagons"] = serde_json::json!(0);
+    let request = world.submit(1, &invalid);
     world.run(500);
     assert_eq!(world.status(request), 200, "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 #[test]
-fn a_take_over_with_a_silent_machine_starts_nothing_twice() {
-    // Guard: no older task starts while a machine of the roster is not accounted for.
+fn a_takeover_with_an_unresponsive_machine_starts_no_task_twice() {
+    // Guards against a task that runs on two machines: its machine is unreachable but still runs it when another
+    // controller takes over the partition. No older task starts while a machine of the roster is not accounted for.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let machines = world.machines_of("job-000001");
-    let silent = machines.first().cloned().expect("a machine runs the service");
-    // The machine is cut off, and keeps running its tasks; then its controller crashes for good.
-    let cut = silent.clone();
+    let unresponsive = machines.first().cloned().expect("a machine runs the service");
+    // The machine is cut off and keeps running its tasks. Then its controller crashes and is not restarted.
+    let cut_off = unresponsive.clone();
     world.meddle(move |l| {
-        if l.from == cut || l.to == cut {
+        if l.from == cut_off || l.to == cut_off {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -86,23 +92,27 @@
     world.crash(owner);
     world.run(12_000);
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
-    assert!(world.workers.contains_key(&silent), "not given up yet");
+    assert!(
+        world.workers.contains_key(&unresponsive),
+        "the machine has not been given up yet"
+    );
     world.run(40_000);
-    assert!(world.cloud.deleted.contains(&silent), "{}", world.trace());
+    assert!(world.cloud.deleted.contains(&unresponsive), "{}", world.trace());
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "take_over_with_a_silent_machine");
 }
 
 #[test]
-fn a_deposed_controller_starts_nothing_late() {
-    // Guard: entitlement ends before the lease; and answers under an older token are dropped.
+fn a_deposed_controller_starts_no_task_late() {
+    // Guards against a controller that has lost its lease, still reaches its workers and starts tasks that the new
+    // owner starts too. Its entitlement ends before its lease, and answers under an older token are dropped.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
-    let cut = name.clone();
-    // The owner alone is refused by the state service. Its workers still reach it.
+    let cut_off = name.clone();
+    // Only the owner is cut off from the state service. Its workers still reach it.
     world.meddle(move |l| {
-        if l.from == cut && l.to == "state" {
+        if l.from == cut_off && l.to == "state" {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -120,14 +130,19 @@
     );
     world.calm();
     world.run(10_000);
-    assert_eq!(world.owner_of_team(0), owner, "it comes home once it is well");
+    assert_eq!(
+        world.owner_of_team(0),
+        owner,
+        "the partition returns to its home controller once that has recovered"
+    );
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "deposed_controller");
 }
 
 #[test]
-fn a_late_beat_changes_nothing() {
-    // Guard: a report with an older session or number is no evidence of anything.
+fn a_late_report_changes_nothing() {
+    // Guards against a task that is started twice because a late report, sent before the task started, does not list
+    // it. A report with an older session or sequence number is no evidence of anything.
     let mut world = World::new();
     world.run(3000);
     world.accepted(0, &job(1, 0, "standing", 1));
@@ -136,7 +151,8 @@
         "{}",
         world.trace()
     );
-    // One beat of its machine arrives half a minute late (and between two others), when more has been started there.
+    // One report of its machine arrives half a minute late, between two newer ones, after another task was started
+    // there.
     let delayed = Rc::new(Cell::new(0));
     let count = delayed.clone();
     world.meddle(move |l| {
@@ -153,7 +169,7 @@
         "{}",
         world.trace()
     );
-    // A second machine with room, where a task believed lost would be started once more.
+    // A second machine with room, on which a task that is believed lost would be started again.
     world.accepted(0, &job(3, 0, "standing", 1));
     assert!(
         world.run_until(15_000, |w| w.running("job-000003") == 1),
@@ -167,56 +183,59 @@
 }
 
 #[test]
-fn a_live_owner_that_has_not_heard_of_the_new_epoch_is_waited_for() {
-    // Guard: a partition that comes home is not acted for before its last owner, which is alive, has
-    // acknowledged the epoch: until then that owner goes on telling users what it knows.
+fn a_takeover_waits_for_a_live_owner_that_has_not_heard_of_the_new_epoch() {
+    // Guards against two controllers that give users different answers. A partition returns to its home controller
+    // while its last owner is alive but hears nothing of the new epoch. The home controller does not act for the
+    // partition before that owner has acknowledged the epoch: until then the owner goes on telling users what it
+    // knows.
     let mut world = with_service(0);
-    let home = world.owner_of_team(0);
-    world.crash(home);
+    let home_controller = world.owner_of_team(0);
+    world.crash(home_controller);
     world.run(12_000);
-    let guest = world.owner_of_team(0);
-    assert_ne!(guest, home);
+    let last_owner = world.owner_of_team(0);
+    assert_ne!(last_owner, home_controller);
     world.run_ms = 12_000;
-    world.accepted(guest, &job(2, 0, "sweep", 1));
+    world.accepted(last_owner, &job(2, 0, "sweep", 1));
     assert!(
         world.run_until(30_000, |w| w.running("job-000002") == 1),
         "{}",
         world.trace()
     );
-    let deaf = format!("berth-{guest}");
+    let without_watch = format!("berth-{last_owner}");
     world.meddle(move |l| {
-        if l.from == deaf && l.what.starts_with("GET /changes") {
+        if l.from == without_watch && l.what.starts_with("GET /changes") {
             Delivery::Lost
         } else {
             Delivery::Pass
         }
     });
     world.run(4000);
-    world.start(home);
+    world.start(home_controller);
     for _ in 0..12 {
         world.run(2000);
-        world.poll(home, "job-000002");
+        world.poll(home_controller, "job-000002");
         world.run(300);
-        world.poll(guest, "job-000002");
+        world.poll(last_owner, "job-000002");
         world.run(300);
     }
     world.calm();
     world.run(20_000);
-    let poll = world.poll(guest, "job-000002");
+    let poll = world.poll(last_owner, "job-000002");
     world.run(500);
     assert_eq!(world.said(poll), "done", "{}", world.trace());
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
-    let tries = world.trace().matches("raising the epoch to 3").count();
+    let attempts = world.trace().matches("raising the epoch to 3").count();
     assert!(
-        tries <= 12,
-        "a leader that hears nothing must not burn the budget of changes: {tries} tries"
+        attempts <= 12,
+        "a leader that hears nothing must not use up the budget of changes: {attempts} attempts"
     );
     assert_trace(&world, "live_owner_is_waited_for");
 }
 
 #[test]
-fn an_answer_that_is_lost_starts_the_task_again_and_not_twice() {
-    // Guard: a start sent with a beat's answer is gone only if a later beat comes without it.
+fn a_start_whose_answer_is_lost_is_repeated_and_runs_once() {
+    // Guards against a task that never starts, or starts twice, after the answer to a report was lost together with
+    // the start that it carried. The start counts as lost only if a later report comes without the task.
     let mut world = World::new();
     world.run(3000);
     let lost = Rc::new(Cell::new(0));
@@ -240,26 +259,27 @@
 }
 
 #[test]
-fn a_withdrawal_that_races_a_start_wins() {
-    // Guard: nothing starts once the withdrawal is being stored, and what started is stopped.
+fn a_cancellation_that_races_a_start_wins() {
+    // Guards against a task that starts after its user was told that the job is cancelled. Nothing starts once the
+    // cancellation is being stored, and what has started is stopped.
     let mut world = with_service(0);
     world.accepted(0, &job(2, 0, "standing", 2));
-    let mut told = 0;
+    let mut confirmed = 0;
     for _ in 0..5 {
         let request = world.withdraw(1, "job-000002");
         world.run(1500);
         if world.status(request) == 200 {
-            told = request;
+            confirmed = request;
             break;
         }
     }
-    assert_eq!(world.said(told), "withdrawn", "{}", world.trace());
+    assert_eq!(world.said(confirmed), "withdrawn", "{}", world.trace());
     world.run(45_000);
     assert!(world.machines_of("job-000002").is_empty(), "{}", world.trace());
     let poll = world.poll(2, "job-000002");
     world.run(500);
     assert_eq!(world.said(poll), "withdrawn");
-    // Now with a machine that has room, and withdrawals round the moment of the start.
+    // Now with a machine that has room, and cancellations shortly before and after the start.
     world.accepted(0, &job(3, 0, "standing", 1));
     assert!(
         world.run_until(30_000, |w| w.running("job-000003") == 1),
@@ -276,17 +296,19 @@
         world.run(20);
         assert_eq!(world.said(request), "withdrawn", "{}", world.trace());
         let starts = |w: &World| w.trace().matches(&format!("starts {name}/")).count();
-        let begun = starts(&world);
+        let starts_before = starts(&world);
         world.run(6000);
-        assert_eq!(starts(&world), begun, "{}", world.trace());
+        assert_eq!(starts(&world), starts_before, "{}", world.trace());
         assert!(world.machines_of(&name).is_empty(), "{}", world.trace());
     }
     assert_trace(&world, "withdrawal_races_a_start");
 }
 
 #[test]
-fn a_withdrawal_that_races_the_last_completion_gets_one_answer() {
-    // Guard: the end of a job is one conditional write; what it says is what everyone is told.
+fn a_cancellation_that_races_the_last_completion_gets_one_answer() {
+    // Guards against different answers about one job that is cancelled while its last task completes and the answers
+    // to the writes are lost. The end of a job is one conditional write, and every user is told the end that it
+    // stored.
     let mut world = with_service(0);
     world.accepted(0, &job(2, 0, "sweep", 1));
     assert!(
@@ -294,7 +316,7 @@
         "{}",
         world.trace()
     );
-    // Ends are carried out, but their answers are lost for a while.
+    // For a while, transactions that store the end of a job are carried out, but their answers are lost.
     let until = world.now + 12_000;
     world.meddle(move |l| match l.what {
         "POST /txn" if l.at < until && l.body.contains("\"st\":") => Delivery::AnswerLost,
@@ -314,8 +336,9 @@
 }
 
 #[test]
-fn a_restart_within_the_lease_is_a_new_life() {
-    // Guard: each life has a number of its own, so that it takes over from its predecessor.
+fn a_restart_within_the_lease_is_a_new_incarnation() {
+    // Guards against a restarted controller that is taken for its predecessor because that one's lease has not ended.
+    // Each incarnation has a number of its own, so that it takes over from its predecessor.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let epoch = world.epoch();
@@ -331,8 +354,9 @@
 }
 
 #[test]
-fn a_full_team_with_a_machine_out_of_reach_starts_nothing_more() {
-    // Guard: tasks count against the limit until they are proven gone.
+fn a_team_at_its_limit_with_an_unreachable_machine_starts_no_more_tasks() {
+    // Guards against a team that exceeds its limit because tasks on an unreachable machine are taken for ended. Tasks
+    // count against the limit until they are proven gone.
     let mut world = World::new();
     world.run(3000);
     world.accepted(0, &job(1, 0, "standing", 4));
@@ -341,9 +365,9 @@
         "{}",
         world.trace()
     );
-    let cut = world.machines_of("job-000001").first().cloned().expect("a machine");
+    let cut_off = world.machines_of("job-000001").first().cloned().expect("a machine");
     world.meddle(move |l| {
-        if l.from == cut || l.to == cut {
+        if l.from == cut_off || l.to == cut_off {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -358,7 +382,8 @@
 }
 
 #[test]
-fn all_controllers_crash_and_the_work_goes_on() {
+fn tasks_survive_a_crash_of_all_controllers() {
+    // Guards against tasks that are lost when all controllers crash and are back before the workers' leases end.
     let mut world = with_service(2);
     for i in 0..3 {
         world.crash(i);
@@ -371,7 +396,7 @@
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert!(
         world.workers.values().all(|w| w.session == 1),
-        "no worker's lease ended"
+        "every worker is still in its first session"
     );
     let poll = world.poll(1, "job-000001");
     world.run(500);
@@ -380,22 +405,23 @@
 }
 
 #[test]
-fn a_worker_cut_from_its_controller_is_served_through_another() {
-    // Guard: any entitled controller may answer, and passes the report on to the owner.
+fn a_worker_cut_off_from_its_controller_is_served_through_another() {
+    // Guards against workers whose leases end because they cannot reach the controller that owns their machines. Any
+    // entitled controller may answer a report, and passes it on to the owner.
     let mut world = with_service(0);
     let owner = format!("berth-{}", world.owner_of_team(0));
     let machines = world.machines_of("job-000001");
-    let cut = machines.clone();
+    let cut_off = machines.clone();
     world.meddle(move |l| {
-        let between =
-            (cut.iter().any(|m| m == l.from) && l.to == owner) || (cut.iter().any(|m| m == l.to) && l.from == owner);
+        let between = (cut_off.iter().any(|m| m == l.from) && l.to == owner)
+            || (cut_off.iter().any(|m| m == l.to) && l.from == owner);
         if between { Delivery::Lost } else { Delivery::Pass }
     });
     world.run(60_000);
     assert_eq!(world.machines_of("job-000001"), machines, "{}", world.trace());
     assert!(
         world.workers.values().all(|w| w.session == 1),
-        "no worker's lease ended"
+        "every worker is still in its first session"
     );
     let request = world.withdraw(1, "job-000001");
     world.run(35_000);
@@ -405,9 +431,10 @@
 }
 
 #[test]
-fn a_direct_start_without_an_answer_stays_where_it_may_arrive() {
-    // Guard: such a start is pinned to its machine; it is neither started elsewhere, nor forgotten
-    // once it has ended, until a newer token or session fences the command that is still out.
+fn a_direct_start_without_an_answer_is_pinned_to_its_machine() {
+    // Guards against a task that runs twice because the direct command to start it arrives late. Such a start is
+    // pinned to its machine: it is neither started elsewhere, nor forgotten once it has ended, until a newer token or
+    // session fences the command that is still in flight.
     let mut world = World::new();
     world.run(3000);
     world.accepted(0, &job(1, 0, "standing", 1));
@@ -417,8 +444,7 @@
         world.trace()
     );
     world.run(6000);
-    // A second machine with room, and the first one's direct commands are held back; its beats too,
-    // for a while, so that the start cannot be sent again.
+    // A second machine gets room. Then the first direct command to start a task is held back.
     world.accepted(0, &job(2, 0, "standing", 2));
     assert!(
         world.run_until(30_000, |w| w.running("job-000002") == 2),
@@ -442,7 +468,8 @@
         "{}",
         world.trace()
     );
-    // It was sent again with a beat, ran, and the late copy found it known: nothing ran after the end.
+    // The start was sent again with the answer to a report, and the task ran. The worker recognised the late
+    // command, so nothing ran after the end.
     assert_eq!(
         world.trace().matches("starts job-000003/0").count(),
         1,
@@ -453,9 +480,10 @@
 }
 
 #[test]
-fn a_controller_that_comes_back_from_a_cut_does_not_wait_for_its_old_watch() {
-    // Guard: from an incident. The partition had been given back to it, and had no owner for 7 s,
-    // until the watch that went out before the cut had run out of time.
+fn a_reconnected_controller_does_not_wait_for_its_old_watch() {
+    // Guards against a partition without an owner, as in an incident: it had been given back to a controller that
+    // reached the state service again, and had no owner for 7 s, until the watch that was opened before the
+    // disconnection had timed out.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
@@ -472,7 +500,7 @@
     let epoch = world.epoch();
     assert!(world.run_until(8000, |w| w.epoch() > epoch), "{}", world.trace());
     world.run(1500);
-    let acting = format!("berth-{owner}: epoch {}: taking over partition 0", world.epoch());
-    assert!(world.trace().contains(&acting), "{}", world.trace());
+    let takeover_line = format!("berth-{owner}: epoch {}: taking over partition 0", world.epoch());
+    assert!(world.trace().contains(&takeover_line), "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
