--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -1,49 +1,53 @@
-//! Cancellations that meet an outage: whoever feeds the workers then has to know of them. The gap: the state
-//! service refuses one controller alone, another confirms cancellations, and then it is down for all for longer
-//! than a cancellation has, while workers go on reporting to the first.
+//! Cancellations shortly before an outage of the state service: a controller that gives tasks to workers in the outage
+//! has to know of them. In most tests the state service first refuses one controller alone, another controller confirms
+//! cancellations, and then the state service is down for all, for longer than `cancel_s`, while workers go on reporting
+//! to the refused controller.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tidelatch_core::settings::Features;
 use tidelatch_standin::{CANCEL_MS, Delivery, World, job};
 
-/// What becomes of the controller that confirmed, once the outage has begun.
+/// What happens to the controller that confirmed the cancellations once the outage has begun.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Confirmer {
-    Lives,
+enum ConfirmerFate {
+    Survives,
     Freezes,
-    /// It ends, and is back within some milliseconds, knowing nothing.
-    Ends(u64),
-    EndsForGood,
-    /// So do both that are not refused: whoever is left has grants only of those who know nothing.
-    BothEnd(u64),
+    /// It crashes and is restarted after so many milliseconds, with nothing in memory.
+    Restarts(u64),
+    /// It crashes and is restarted only after the outage.
+    RestartsAfterOutage,
+    /// Both controllers that are not refused crash and are restarted after so many milliseconds. The refused one then
+    /// has grants only of controllers that know nothing.
+    BothOthersRestart(u64),
 }
 
-/// Greetings that are lost from shortly before the cancellations until the confirmer's fate.
+/// Which hello messages between controllers are lost, from shortly before the cancellations until the fate of the
+/// confirming controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Greetings {
-    Pass,
-    /// Those to and from the refused controller.
+enum HelloLoss {
+    Nothing,
+    /// Hello messages to and from the refused controller are lost.
     LostToRefused,
     LostToAll,
 }
 
-/// One spacing of the two troubles.
+/// One combination of times and faults around the refusal and the outage.
 #[derive(Debug, Clone, Copy)]
-struct Gap {
-    /// The refusal begins so long before the outage.
+struct Scenario {
+    /// Time from the beginning of the refusal to the outage, if the cancellations do not need more.
     refused_ms: u64,
-    /// The cancellations are asked for so long before the outage.
-    asked_ms: u64,
+    /// Time from the cancellations to the outage.
+    cancelled_ms: u64,
     outage_ms: u64,
-    confirmer: Confirmer,
-    greetings: Greetings,
-    /// Workers are reached by the refused controller only, also for direct commands.
-    captive: bool,
+    confirmer: ConfirmerFate,
+    hello_loss: HelloLoss,
+    /// Workers reach, and are reached by, the refused controller only. This includes direct commands.
+    only_refused_reachable: bool,
 }
 
-/// Plays the gap: job 1 is of the refused controller's team, job 2 of the confirming one's.
-fn play(gap: Gap, features: Features) -> World {
+/// Runs a scenario. Job 1 is of the refused controller's team, job 2 of the confirming controller's.
+fn run_scenario(scenario: Scenario, features: Features) -> World {
     let mut world = World::new();
     for node in 0..3 {
         world.crash(node);
@@ -65,19 +69,20 @@
     for w in world.workers.values_mut() {
         w.node = refused;
     }
-    let captive = gap.captive;
-    let silent = Rc::new(Cell::new(false));
-    let lost = silent.clone();
+    let only_refused_reachable = scenario.only_refused_reachable;
+    let loses_hellos = Rc::new(Cell::new(false));
+    let hellos_are_lost = loses_hellos.clone();
     world.meddle(move |l| {
         let worker = |who: &str| who.starts_with("n-");
-        let elsewhere = captive && ((worker(l.from) && l.to != name) || (worker(l.to) && l.from != name));
-        let unheard = match gap.greetings {
-            Greetings::Pass => false,
-            Greetings::LostToRefused => l.from == name || l.to == name,
-            Greetings::LostToAll => true,
+        let elsewhere =
+            only_refused_reachable && ((worker(l.from) && l.to != name) || (worker(l.to) && l.from != name));
+        let is_affected = match scenario.hello_loss {
+            HelloLoss::Nothing => false,
+            HelloLoss::LostToRefused => l.from == name || l.to == name,
+            HelloLoss::LostToAll => true,
         };
-        let greeting = l.what == "hello" && lost.get() && unheard;
-        if elsewhere || greeting {
+        let is_lost_hello = l.what == "hello" && hellos_are_lost.get() && is_affected;
+        if elsewhere || is_lost_hello {
             Delivery::Lost
         } else if l.from == name && l.to == "state" {
             Delivery::Refused
@@ -85,43 +90,43 @@
             Delivery::Pass
         }
     });
-    world.run(gap.refused_ms.saturating_sub(gap.asked_ms));
-    silent.set(true);
+    world.run(scenario.refused_ms.saturating_sub(scenario.cancelled_ms));
+    loses_hellos.set(true);
     let owner = world.owner_of_team(0);
     world.withdraw(confirming, "job-000002");
     if owner != refused {
-        // By then the refused controller's teams are in other hands.
+        // By then another controller owns the team of the refused one.
         world.withdraw(owner, "job-000001");
     }
-    world.run(gap.asked_ms);
+    world.run(scenario.cancelled_ms);
     world.note("the state service is down");
     world.store.down = true;
     world.run(20);
-    silent.set(gap.greetings == Greetings::LostToRefused && gap.confirmer == Confirmer::Lives);
-    match gap.confirmer {
-        Confirmer::Lives => {}
-        Confirmer::Freezes => world.freeze(confirming),
-        Confirmer::Ends(away) => {
+    loses_hellos.set(scenario.hello_loss == HelloLoss::LostToRefused && scenario.confirmer == ConfirmerFate::Survives);
+    match scenario.confirmer {
+        ConfirmerFate::Survives => {}
+        ConfirmerFate::Freezes => world.freeze(confirming),
+        ConfirmerFate::Restarts(away_ms) => {
             world.crash(confirming);
-            world.run(away);
+            world.run(away_ms);
             world.start(confirming);
         }
-        Confirmer::EndsForGood => world.crash(confirming),
-        Confirmer::BothEnd(away) => {
+        ConfirmerFate::RestartsAfterOutage => world.crash(confirming),
+        ConfirmerFate::BothOthersRestart(away_ms) => {
             let others: Vec<usize> = (0..3).filter(|n| *n != refused).collect();
             others.iter().for_each(|n| world.crash(*n));
-            world.run(away);
+            world.run(away_ms);
             others.iter().for_each(|n| world.start(*n));
         }
     }
-    world.run(gap.outage_ms);
+    world.run(scenario.outage_ms);
     world.note("the state service is back");
     world.store.down = false;
     world.calm();
-    if gap.confirmer == Confirmer::Freezes {
+    if scenario.confirmer == ConfirmerFate::Freezes {
         world.thaw(confirming);
     }
-    if gap.confirmer == Confirmer::EndsForGood {
+    if scenario.confirmer == ConfirmerFate::RestartsAfterOutage {
         world.start(confirming);
     }
     world.run(CANCEL_MS);
@@ -134,31 +139,34 @@
     world
 }
 
-fn sweep() -> Vec<Gap> {
+/// All combinations that are tested.
+fn all_scenarios() -> Vec<Scenario> {
     let mut all = Vec::new();
-    // From a moment to well past a controller's lease, which is 7.2 s here.
+    // From a moment to well over a controller's lease, which is 7.2 s here.
     for refused_ms in [200, 2000, 9000, 16_000] {
-        for asked_ms in [5, 150] {
+        for cancelled_ms in [5, 150] {
             for outage_ms in [CANCEL_MS - 1500, CANCEL_MS + 1500, 58_500] {
                 for confirmer in [
-                    Confirmer::Lives,
-                    Confirmer::Freezes,
-                    Confirmer::Ends(300),
-                    Confirmer::Ends(6000),
-                    Confirmer::EndsForGood,
-                    Confirmer::BothEnd(300),
+                    ConfirmerFate::Survives,
+                    ConfirmerFate::Freezes,
+                    ConfirmerFate::Restarts(300),
+                    ConfirmerFate::Restarts(6000),
+                    ConfirmerFate::RestartsAfterOutage,
+                    ConfirmerFate::BothOthersRestart(300),
                 ] {
-                    for captive in [true, false] {
-                        for greetings in [Greetings::Pass, Greetings::LostToRefused, Greetings::LostToAll] {
-                            let long = outage_ms == 58_500 && asked_ms == 5;
-                            if (greetings == Greetings::Pass && confirmer == Confirmer::Lives) || (captive && long) {
-                                all.push(Gap {
+                    for only_refused_reachable in [true, false] {
+                        for hello_loss in [HelloLoss::Nothing, HelloLoss::LostToRefused, HelloLoss::LostToAll] {
+                            let is_long = outage_ms == 58_500 && cancelled_ms == 5;
+                            if (hello_loss == HelloLoss::Nothing && confirmer == ConfirmerFate::Survives)
+                                || (only_refused_reachable && is_long)
+                            {
+                                all.push(Scenario {
                                     refused_ms,
-                                    asked_ms,
+                                    cancelled_ms,
                                     outage_ms,
                                     confirmer,
-                                    greetings,
-                                    captive,
+                                    hello_loss,
+                                    only_refused_reachable,
                                 });
                             }
                         }
@@ -171,14 +179,15 @@
 }
 
 #[test]
-fn cancelled_tasks_are_gone_in_time_whoever_is_refused_before_an_outage() {
-    // Guard: greetings and grants carry the ends known, and nobody is told of one that only one controller
-    // knows. Without that the controller that confirmed could end, and the refused one would feed the tasks.
-    for gap in sweep() {
-        let world = play(gap, Features::default());
+fn cancelled_tasks_are_gone_in_time_when_one_controller_is_refused_before_an_outage() {
+    // Guards against cancelled tasks that keep running: the controller that confirmed the cancellation ends, and the
+    // refused one, which does not know of it, goes on giving the tasks to the workers. Hello messages and grants carry
+    // the known ends of jobs, and no user is told of an end that only one controller knows.
+    for scenario in all_scenarios() {
+        let world = run_scenario(scenario, Features::default());
         assert!(
             world.broken.is_empty(),
-            "{gap:?}: {:?}\n{}",
+            "{scenario:?}: {:?}\n{}",
             world.broken,
             world.trace()
         );
@@ -186,23 +195,41 @@
 }
 
 #[test]
-fn the_version_before_breaks_the_rule_in_the_gap() {
-    // That the sweep can tell: played by controllers that tell each other nothing, tasks stay.
+fn controllers_that_do_not_exchange_cancellations_break_the_rule() {
+    // Checks that the scenarios above can find the failure: with controllers that tell each other of no cancellations,
+    // as the version before did, cancelled tasks stay.
     let before = Features {
         cancellations: false,
         ..Features::default()
     };
-    let broke = |gap: &Gap| play(*gap, before).broken.iter().any(|b| b.starts_with("ran_cancelled"));
-    let shows = |confirmer: Confirmer| sweep().iter().filter(|g| g.confirmer == confirmer).any(broke);
-    assert!(shows(Confirmer::Ends(300)), "the confirmer's end does not show");
-    assert!(shows(Confirmer::BothEnd(300)), "the end of both others does not show");
+    let breaks_rule = |scenario: &Scenario| {
+        run_scenario(*scenario, before)
+            .broken
+            .iter()
+            .any(|b| b.starts_with("ran_cancelled"))
+    };
+    let finds_breach = |confirmer: ConfirmerFate| {
+        all_scenarios()
+            .iter()
+            .filter(|s| s.confirmer == confirmer)
+            .any(breaks_rule)
+    };
+    assert!(
+        finds_breach(ConfirmerFate::Restarts(300)),
+        "no scenario breaks the rule when the confirming controller restarts"
+    );
+    assert!(
+        finds_breach(ConfirmerFate::BothOthersRestart(300)),
+        "no scenario breaks the rule when both other controllers restart"
+    );
 }
 
 #[test]
-fn an_end_that_was_read_from_the_watch_is_told_on_before_its_reader_ends() {
-    // Guard: who answers from the watch has confirmed as well. Its writer may never learn that the change
-    // went through, and ends; the reader may end after it has answered.
-    for (reader_ends, captive) in [(false, true), (true, true), (true, false)] {
+fn an_end_read_from_a_watch_is_passed_on_before_its_reader_crashes() {
+    // Guards against a confirmed cancellation that is lost. A controller that answers a user from its watch has
+    // confirmed the end as well. The writer of the end may never learn that its change was carried out, and crash, and
+    // the reader may crash after it has answered.
+    for (reader_crashes, only_refused_reachable) in [(false, true), (true, true), (true, false)] {
         let mut world = World::new();
         world.run_ms = 300_000;
         world.run(3000);
@@ -213,18 +240,19 @@
         assert!(world.run_until(40_000, all_run), "{}", world.trace());
         let (refused, writer) = (world.owner_of_team(0), world.owner_of_team(1));
         let reader = 3 - refused - writer;
-        let (old, from) = (format!("berth-{refused}"), format!("berth-{writer}"));
+        let (refused_name, writer_name) = (format!("berth-{refused}"), format!("berth-{writer}"));
         world.workers.values_mut().for_each(|w| w.node = refused);
         world.meddle(move |l| {
             let worker = |who: &str| who.starts_with("n-");
-            let elsewhere = captive && ((worker(l.from) && l.to != old) || (worker(l.to) && l.from != old));
-            // The writer does not reach its peers just then, and gets no answer.
-            let end = l.from == from && l.what == "POST /txn" && l.body.contains("withdrawn");
-            if elsewhere || (l.from == from && l.what == "hello") {
+            let elsewhere = only_refused_reachable
+                && ((worker(l.from) && l.to != refused_name) || (worker(l.to) && l.from != refused_name));
+            // The writer's hello messages to its peers are lost, and it gets no answer to its transaction.
+            let is_end = l.from == writer_name && l.what == "POST /txn" && l.body.contains("withdrawn");
+            if elsewhere || (l.from == writer_name && l.what == "hello") {
                 Delivery::Lost
-            } else if end {
+            } else if is_end {
                 Delivery::AnswerLost
-            } else if l.from == old && l.to == "state" {
+            } else if l.from == refused_name && l.to == "state" {
                 Delivery::Refused
             } else {
                 Delivery::Pass
@@ -236,10 +264,10 @@
         world.run(30);
         world.note("the state service is down");
         world.store.down = true;
-        let ends = if reader_ends { reader } else { writer };
-        world.crash(ends);
+        let crashed = if reader_crashes { reader } else { writer };
+        world.crash(crashed);
         world.run(300);
-        world.start(ends);
+        world.start(crashed);
         world.run(58_500);
         world.store.down = false;
         world.calm();
@@ -250,9 +278,10 @@
 }
 
 #[test]
-fn machines_that_hang_with_cancelled_tasks_are_deleted_in_time() {
-    // Guard: a worker that hangs ends nothing, and its silence is no evidence. Whoever owns its machine by then
-    // knows since when the job has been cancelled, and deletes the machine while the cloud still has time.
+fn hanging_machines_with_cancelled_tasks_are_deleted_in_time() {
+    // Guards against cancelled tasks that stay on hanging machines. A worker that hangs ends no task, and its silence
+    // is no evidence that they are gone. Whichever controller owns the machine by then knows since when the job has
+    // been cancelled, and deletes the machine while the cloud still has time to do so.
     let cases = [
         (1, None, 1),
         (2, None, 1),
@@ -262,7 +291,7 @@
         (1, Some(20), 3),
         (2, Some(20), 3),
     ];
-    for (hanging, crash_ms, ends) in cases {
+    for (hanging, crash_ms, max_crashes) in cases {
         let mut world = World::new();
         world.run_ms = 300_000;
         world.run(3000);
@@ -279,15 +308,16 @@
             world.note(&format!("{m} hangs"));
             world.workers.get_mut(m).expect("a worker").hanging = true;
         }
-        let cancel = world.withdraw(owner, "job-000001");
+        let cancellation = world.withdraw(owner, "job-000001");
         world.run(20);
-        assert_eq!(world.said(cancel), "withdrawn", "{}", world.trace());
+        assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
         if let Some(ms) = crash_ms {
             world.run(ms);
             world.crash(owner);
         }
-        if ends == 3 {
-            // All of them: whoever owns the machines next knows of it by the store only.
+        if max_crashes == 3 {
+            // All controllers crash: the next owner of the machines learns of the cancellation from the state service
+            // only.
             (0..3).for_each(|n| world.crash(n));
             world.run(6000);
             (0..3).for_each(|n| world.start(n));
@@ -299,10 +329,11 @@
 }
 
 #[test]
-fn a_worker_that_reports_elsewhere_is_told_to_stop_before_its_report_is_passed_on() {
-    // Guard: whoever answers a report stops what is cancelled. Its owner may be slow, or not ready, and the
-    // machine may hear nothing after this one answer. Found by drawn days: a direct start that was carried out
-    // late, after the end of its owner.
+fn a_report_to_another_controller_is_answered_with_stops_before_it_is_passed_on() {
+    // Guards against a cancelled task that keeps running because its worker reports to another controller than the
+    // owner of its machine. The controller that answers a report stops cancelled tasks itself: the owner may be slow
+    // or not ready, and the machine may hear nothing after this one answer. Found by random simulations: a direct
+    // start was carried out late, after its owner had ended.
     let mut world = World::new();
     world.run_ms = 300_000;
     world.run(3000);
@@ -319,7 +350,7 @@
     world.workers.get_mut(&machine).expect("a worker").node = elsewhere;
     let answered = Rc::new(Cell::new(0));
     let (name, count) = (machine.clone(), answered.clone());
-    // Reports passed on are lost, and so are direct commands; one report of the machine is answered.
+    // Reports that are passed on and direct commands are lost. One report of the machine is answered.
     world.meddle(move |l| {
         if l.what == "relay" || (l.to == name && l.what.starts_with("POST /commands")) {
             return Delivery::Lost;
@@ -334,9 +365,9 @@
         }
         Delivery::Pass
     });
-    let cancel = world.withdraw(owner, "job-000001");
+    let cancellation = world.withdraw(owner, "job-000001");
     world.run(20);
-    assert_eq!(world.said(cancel), "withdrawn", "{}", world.trace());
+    assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
     while answered.get() == 0 {
         world.run(1);
     }
--- a/crates/tidelatch-standin/tests/checker.rs
+++ b/crates/tidelatch-standin/tests/checker.rs
@@ -1,12 +1,13 @@
-//! The checker of the protocol's rules: a breach of each rule is listed, and the nearest lawful history
-//! beside it is not.
+//! Tests of the checker of the protocol's rules: it lists a breach of each rule, and lists nothing for the closest
+//! history that keeps the rule.
 
 use serde_json::{Value, json};
 use tidelatch_standin::checker::{Place, Question, SILENCE_MS};
 use tidelatch_standin::{CANCEL_MS, Checker, job};
 
-/// Three machines in zone a, two in b, one of them spot; a team with four accelerators.
-fn checker() -> Checker {
+/// A checker that knows three machines in zone a, two in zone b (one of them spot), and two teams with a limit of four
+/// accelerators each.
+fn new_checker() -> Checker {
     let mut checker = Checker::new(CANCEL_MS);
     checker.limit("team-0", 4.0);
     checker.limit("team-1", 4.0);
@@ -23,8 +24,8 @@
     checker
 }
 
-/// A job of team 0 that was submitted at 0 and accepted at 1 ms.
-fn accepted(checker: &mut Checker, body: &Value) -> String {
+/// Submits a job at 0 ms and accepts it at 1 ms. Returns its id.
+fn accept_job(checker: &mut Checker, body: &Value) -> String {
     let id = body["uid"].as_str().expect("a job has an id").to_owned();
     checker.submitted(body);
     checker.asked(0, &id, Question::Submit);
@@ -32,91 +33,98 @@
     id
 }
 
-fn with(mut body: Value, field: &str, value: Value) -> Value {
+/// Returns a job with one field changed.
+fn with_field(mut body: Value, field: &str, value: Value) -> Value {
     body[field] = value;
     body
 }
 
-/// One breach, of this rule.
-fn breaks(checker: &Checker, rule: &str) {
+/// Checks that one breach is listed, and that it is of this rule.
+fn assert_one_breach(checker: &Checker, rule: &str) {
     let all = checker.breaches();
     assert_eq!(all.len(), 1, "{rule}: {all:?}");
     assert!(all.iter().all(|b| b.starts_with(&format!("{rule}: "))), "{all:?}");
 }
 
-fn lawful(checker: &Checker) {
+/// Checks that no breach is listed.
+fn assert_no_breaches(checker: &Checker) {
     assert!(checker.breaches().is_empty(), "{:?}", checker.breaches());
 }
 
 #[test]
 fn a_task_on_two_machines_has_run_twice() {
-    let mut c = checker();
-    let j = accepted(&mut c, &job(1, 0, "sweep", 2));
+    // Guards against a checker that misses a task on two machines at once, or that lists one which has ended, or lost
+    // its machine, before it started elsewhere.
+    let mut c = new_checker();
+    let j = accept_job(&mut c, &job(1, 0, "sweep", 2));
     c.started(100, "a1", "job-000001/0", 1);
     c.has_image(1100, "a1", "job-000001/0", 1);
     c.started(2000, "a2", "job-000001/0", 2);
-    breaks(&c, "ran_twice");
+    assert_one_breach(&c, "ran_twice");
 
-    // It has ended on the first machine, in the same moment.
-    let mut c = checker();
-    accepted(&mut c, &job(1, 0, "sweep", 2));
+    // The task has ended on the first machine at the same time.
+    let mut c = new_checker();
+    accept_job(&mut c, &job(1, 0, "sweep", 2));
     c.started(100, "a1", "job-000001/0", 1);
     c.has_image(1100, "a1", "job-000001/0", 1);
     c.ended(2000, "a1", "job-000001/0", 1);
     c.started(2000, "a2", "job-000001/0", 2);
     c.has_image(3000, "a2", "job-000001/0", 2);
-    // Another task of the job elsewhere; the same one again where it was.
+    // Another task of the job starts on another machine, and the same task starts again on its own.
     c.started(3000, "a1", "job-000001/1", 2);
     c.ended(3500, "a2", "job-000001/0", 2);
     c.started(3600, "a2", "job-000001/0", 3);
-    lawful(&c);
+    assert_no_breaches(&c);
 
     // The machine is gone, and the task with it.
-    let mut c = checker();
-    accepted(&mut c, &job(1, 0, "sweep", 2));
+    let mut c = new_checker();
+    accept_job(&mut c, &job(1, 0, "sweep", 2));
     c.started(100, "a1", "job-000001/0", 1);
     c.machine_gone(1500, "a1");
     c.started(1500, "a2", "job-000001/0", 2);
-    lawful(&c);
+    assert_no_breaches(&c);
     assert_eq!(c.gone_after_confirmation(&j), None);
 }
 
 #[test]
-fn a_start_that_was_not_heard_of_counts_once_its_image_is_there() {
-    let mut c = checker();
-    accepted(&mut c, &job(1, 0, "sweep", 1));
+fn a_start_that_was_not_reported_counts_once_its_image_is_there() {
+    // Guards against a second run that the checker misses because it was not told of the start, only of the image.
+    let mut c = new_checker();
+    accept_job(&mut c, &job(1, 0, "sweep", 1));
     c.started(100, "a1", "job-000001/0", 1);
     c.has_image(2000, "a2", "job-000001/0", 2);
-    breaks(&c, "ran_twice");
+    assert_one_breach(&c, "ran_twice");
 }
 
 #[test]
 fn more_than_a_teams_limit_breaks_the_quota() {
-    let mut c = checker();
-    accepted(&mut c, &job(1, 0, "sweep", 5));
+    // Guards against a checker that misses a team above its limit, or that lists one at its limit.
+    let mut c = new_checker();
+    accept_job(&mut c, &job(1, 0, "sweep", 5));
     for i in 0..5 {
         c.started(100, ["a1", "a2", "a3"][i % 3], &format!("job-000001/{i}"), 1);
     }
-    breaks(&c, "quota");
+    assert_one_breach(&c, "quota");
 
-    // Two tasks of three accelerators are too much as well.
-    let mut c = checker();
-    accepted(&mut c, &with(job(1, 0, "sweep", 2), "accelerators", json!(3.0)));
+    // Two tasks of three accelerators each exceed the limit as well.
+    let mut c = new_checker();
+    accept_job(&mut c, &with_field(job(1, 0, "sweep", 2), "accelerators", json!(3.0)));
     c.started(100, "a1", "job-000001/0", 1);
     c.started(100, "a2", "job-000001/1", 1);
-    breaks(&c, "quota");
+    assert_one_breach(&c, "quota");
 
-    // A team that has no limit in the settings has no accelerators.
-    let mut c = checker();
-    accepted(&mut c, &job(1, 7, "sweep", 1));
+    // A team without a limit in the settings may use no accelerators.
+    let mut c = new_checker();
+    accept_job(&mut c, &job(1, 7, "sweep", 1));
     c.started(100, "a1", "job-000001/0", 1);
-    breaks(&c, "quota");
-
-    // Exactly the limit; another team's tasks; tasks with no accelerators; one after another.
-    let mut c = checker();
-    accepted(&mut c, &job(1, 0, "sweep", 5));
-    accepted(&mut c, &job(2, 1, "sweep", 4));
-    accepted(&mut c, &with(job(3, 0, "sweep", 9), "accelerators", json!(0.0)));
+    assert_one_breach(&c, "quota");
+
+    // These keep the limit: exactly the limit, another team's tasks, tasks without accelerators, and a task that
+    // starts when another one has ended.
+    let mut c = new_checker();
+    accept_job(&mut c, &job(1, 0, "sweep", 5));
+    accept_job(&mut c, &job(2, 1, "sweep", 4));
+    accept_job(&mut c, &with_field(job(3, 0, "sweep", 9), "accelerators", json!(0.0)));
     for i in 0..4 {
         c.started(100, "a1", &format!("job-000001/{i}"), 1);
         c.started(100, "a2", &format!("job-000002/{i}"), 1);
@@ -126,13 +134,15 @@
     }
     c.ended(5000, "a1", "job-000001/0", 1);
     c.started(5000, "a1", "job-000001/4", 1);
-    lawful(&c);
+    assert_no_breaches(&c);
 }
 
 #[test]
 fn a_task_starts_only_where_its_job_allows() {
-    // Type, zone and spot kind: what the job says, the machine that breaks it, and the one that does not.
-    for (field, value, wrong, right) in [
+    // Guards against a checker that misses a task on a machine of the wrong type, zone or spot kind, or that lists a
+    // task on a machine that its job allows. Each case has a field of the job, its value, a machine that breaks it and
+    // one that does not.
+    for (field, value, forbidden_machine, allowed_machine) in [
         ("models", json!(["g8"]), "a1", None),
         ("models", json!(["g8", "m2"]), "", Some("a1")),
         ("models", json!(null), "", Some("b1")),
@@ -142,81 +152,83 @@
         ("standby", json!(true), "", Some("b2")),
         ("standby", json!(true), "", Some("a1")),
     ] {
-        let body = with(job(1, 0, "sweep", 1), field, value);
-        if !wrong.is_empty() {
-            let mut c = checker();
-            accepted(&mut c, &body);
-            c.started(100, wrong, "job-000001/0", 1);
-            breaks(&c, "wrong_place");
+        let body = with_field(job(1, 0, "sweep", 1), field, value);
+        if !forbidden_machine.is_empty() {
+            let mut c = new_checker();
+            accept_job(&mut c, &body);
+            c.started(100, forbidden_machine, "job-000001/0", 1);
+            assert_one_breach(&c, "wrong_place");
         }
-        if let Some(right) = right {
-            let mut c = checker();
-            accepted(&mut c, &body);
-            c.started(100, right, "job-000001/0", 1);
-            c.has_image(1100, right, "job-000001/0", 1);
-            lawful(&c);
+        if let Some(allowed_machine) = allowed_machine {
+            let mut c = new_checker();
+            accept_job(&mut c, &body);
+            c.started(100, allowed_machine, "job-000001/0", 1);
+            c.has_image(1100, allowed_machine, "job-000001/0", 1);
+            assert_no_breaches(&c);
         }
     }
 }
 
 #[test]
 fn tasks_that_belong_together_start_in_one_zone() {
-    let body = with(job(1, 0, "sweep", 3), "together", json!(true));
-    let mut c = checker();
-    accepted(&mut c, &body);
+    // Guards against a checker that misses a job with `together` in two zones at once.
+    let body = with_field(job(1, 0, "sweep", 3), "together", json!(true));
+    let mut c = new_checker();
+    accept_job(&mut c, &body);
     c.started(100, "a1", "job-000001/0", 1);
     c.started(200, "b1", "job-000001/1", 1);
-    breaks(&c, "wrong_place");
+    assert_one_breach(&c, "wrong_place");
 
-    // One after the other they may change the zone; other jobs' tasks are where they like.
-    let mut c = checker();
-    accepted(&mut c, &body);
-    accepted(&mut c, &job(2, 0, "sweep", 1));
+    // The job may change its zone when no task is left in the old one. Tasks of other jobs may be in any zone.
+    let mut c = new_checker();
+    accept_job(&mut c, &body);
+    accept_job(&mut c, &job(2, 0, "sweep", 1));
     c.started(100, "a1", "job-000001/0", 1);
     c.started(100, "a2", "job-000001/1", 1);
     c.started(100, "b1", "job-000002/0", 1);
     c.ended(5000, "a1", "job-000001/0", 1);
     c.machine_gone(5000, "a2");
     c.started(5000, "b1", "job-000001/1", 2);
-    lawful(&c);
+    assert_no_breaches(&c);
 }
 
 #[test]
 fn at_most_half_of_a_spread_job_starts_in_a_zone() {
-    // Half rounded up: of three two, of four two, of one that one.
-    for (tasks, most) in [(1, 1), (2, 1), (3, 2), (4, 2)] {
-        let body = with(job(1, 0, "standing", tasks), "spread", json!(true));
-        let mut c = checker();
-        accepted(&mut c, &body);
-        for i in 0..most {
+    // Guards against a checker that misses a spread job with too many tasks in one zone. The limit is half of the
+    // tasks, rounded up: two of three, two of four, one of one.
+    for (tasks, max_in_zone) in [(1, 1), (2, 1), (3, 2), (4, 2)] {
+        let body = with_field(job(1, 0, "standing", tasks), "spread", json!(true));
+        let mut c = new_checker();
+        accept_job(&mut c, &body);
+        for i in 0..max_in_zone {
             c.started(100, "a1", &format!("job-000001/{i}"), 1);
         }
-        for i in most..tasks {
+        for i in max_in_zone..tasks {
             c.started(100, "b1", &format!("job-000001/{i}"), 1);
         }
-        lawful(&c);
-        if most == tasks {
+        assert_no_breaches(&c);
+        if max_in_zone == tasks {
             continue;
         }
-        let mut c = checker();
-        accepted(&mut c, &body);
-        for i in 0..=most {
+        let mut c = new_checker();
+        accept_job(&mut c, &body);
+        for i in 0..=max_in_zone {
             c.started(100, ["a1", "a2"][i as usize % 2], &format!("job-000001/{i}"), 1);
         }
-        breaks(&c, "wrong_place");
+        assert_one_breach(&c, "wrong_place");
     }
-    // The job's tasks at that moment count, not those that were there before.
-    let mut c = checker();
-    accepted(&mut c, &with(job(1, 0, "standing", 2), "spread", json!(true)));
+    // Only tasks that are on a machine at that moment count, not those that have ended.
+    let mut c = new_checker();
+    accept_job(&mut c, &with_field(job(1, 0, "standing", 2), "spread", json!(true)));
     c.started(100, "a1", "job-000001/0", 1);
     c.ended(5000, "a1", "job-000001/0", 1);
     c.started(5000, "a2", "job-000001/1", 1);
-    lawful(&c);
+    assert_no_breaches(&c);
 }
 
-/// A job with one task on a machine that was cancelled, and whose user was told so, at 10 s.
-fn cancelled(c: &mut Checker) -> String {
-    let j = accepted(c, &job(1, 0, "standing", 2));
+/// Starts one task of a job, cancels the job and tells its user so at 10 s. Returns the job's id.
+fn cancel_job(c: &mut Checker) -> String {
+    let j = accept_job(c, &job(1, 0, "standing", 2));
     c.started(100, "a1", "job-000001/0", 1);
     c.has_image(1100, "a1", "job-000001/0", 1);
     c.asked(9_900, &j, Question::Withdraw);
@@ -225,49 +237,54 @@
 }
 
 #[test]
-fn nothing_of_a_cancelled_job_is_left_after_cancel_s() {
-    let mut c = checker();
-    cancelled(&mut c);
+fn no_task_of_a_cancelled_job_is_left_after_cancel_s() {
+    // Guards against a checker that misses a cancelled task which is still on a machine after `cancel_s`, or that
+    // lists one which was gone in time.
+    let mut c = new_checker();
+    cancel_job(&mut c);
     c.passes(10_000 + CANCEL_MS + 1);
-    breaks(&c, "ran_cancelled");
+    assert_one_breach(&c, "ran_cancelled");
 
-    // A task that is saving, or that no longer runs since its machine hangs, is on its machine still;
-    // the moment when it goes is looked at, though nobody asked in between.
-    let mut c = checker();
-    cancelled(&mut c);
+    // A task that saves its state, or that no longer runs because its machine hangs, is still on its machine. The
+    // checker looks at the time at which the task is gone, even if no user asked in between.
+    let mut c = new_checker();
+    cancel_job(&mut c);
     c.ended(10_000 + CANCEL_MS + 1, "a1", "job-000001/0", 1);
-    breaks(&c, "ran_cancelled");
+    assert_one_breach(&c, "ran_cancelled");
 
-    let mut c = checker();
-    let j = cancelled(&mut c);
+    let mut c = new_checker();
+    let j = cancel_job(&mut c);
     c.ended(10_000 + CANCEL_MS, "a1", "job-000001/0", 1);
     c.passes(200_000);
-    lawful(&c);
+    assert_no_breaches(&c);
     assert_eq!(c.gone_after_confirmation(&j), Some(CANCEL_MS));
     assert_eq!(c.started_after(&j), 0);
 }
 
 #[test]
 fn a_start_long_after_the_confirmation_is_a_breach_and_one_soon_after_is_counted() {
-    // In flight at the confirmation: permitted, but counted.
-    let mut c = checker();
-    let j = cancelled(&mut c);
+    // Guards against a checker that misses a start of a cancelled job, or that lists a start which was still in flight
+    // at the confirmation.
+
+    // A start that was in flight at the confirmation is permitted, but counted.
+    let mut c = new_checker();
+    let j = cancel_job(&mut c);
     c.ended(10_200, "a1", "job-000001/0", 1);
     assert_eq!(c.gone_after_confirmation(&j), Some(200));
     c.started(12_000, "a2", "job-000001/1", 1);
     assert_eq!(c.gone_after_confirmation(&j), None);
     c.ended(13_000, "a2", "job-000001/1", 1);
     c.passes(200_000);
-    lawful(&c);
+    assert_no_breaches(&c);
     assert_eq!((c.started_after(&j), c.ordered_after(&j)), (1, 0));
     assert_eq!(c.gone_after_confirmation(&j), Some(3000));
     assert_eq!(c.confirmed().collect::<Vec<_>>(), ["job-000001"]);
 
-    // Ordered by a controller after the confirmation.
+    // A controller orders a start after the confirmation.
     c.ordered(200_000, "job-000001/1");
     assert_eq!((c.ordered_after(&j), c.start_orders()), (1, 1));
 
-    // It starts and is gone at once, too late.
+    // The task starts too late, and is gone at once.
     c.started(200_000, "a2", "job-000001/1", 2);
     c.ended(200_000, "a2", "job-000001/1", 2);
     assert_eq!(
@@ -280,10 +297,10 @@
     assert_eq!(c.started_after(&j), 2);
 
     // Orders and starts before the confirmation are not counted, nor those of other jobs after it.
-    let mut c = checker();
+    let mut c = new_checker();
     c.ordered(50, "job-000001/0");
-    let j = cancelled(&mut c);
-    let other = accepted(&mut c, &job(2, 0, "sweep", 1));
+    let j = cancel_job(&mut c);
+    let other = accept_job(&mut c, &job(2, 0, "sweep", 1));
     c.ordered(10_100, "job-000002/0");
     c.started(10_100, "a3", "job-000002/0", 1);
     assert_eq!((c.started_after(&j), c.ordered_after(&j)), (0, 0));
@@ -291,48 +308,52 @@
 }
 
 #[test]
-fn a_job_with_nothing_on_a_machine_is_gone_when_its_user_is_told() {
-    let mut c = checker();
-    let j = accepted(&mut c, &job(1, 0, "sweep", 1));
+fn a_job_with_no_task_on_a_machine_is_gone_when_its_user_is_told() {
+    // Guards against a checker that goes on waiting for the tasks of a cancelled job of which none is on a machine.
+    let mut c = new_checker();
+    let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
     c.asked(5000, &j, Question::Withdraw);
     assert_eq!(c.gone_after_confirmation(&j), None);
     c.answered(5100, &j, 200, "withdrawn");
     assert_eq!(c.gone_after_confirmation(&j), Some(0));
     c.passes(500_000);
-    lawful(&c);
+    assert_no_breaches(&c);
 }
 
 #[test]
 fn an_accepted_job_is_not_denied() {
+    // Guards against a checker that misses a 404, 400 or 422 for an accepted job, or that lists one which is right, or
+    // a request to retry.
     for status in [404, 400, 422] {
-        let mut c = checker();
-        let j = accepted(&mut c, &job(1, 0, "sweep", 1));
+        let mut c = new_checker();
+        let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
         c.asked(5000, &j, Question::Poll);
         c.answered(5001, &j, status, "");
-        breaks(&c, "forgotten");
+        assert_one_breach(&c, "forgotten");
 
-        // Before it was accepted, and about a job that nobody submitted, that is an answer.
-        let mut c = checker();
+        // The status is right before the job is accepted, and for a job that nobody submitted.
+        let mut c = new_checker();
         c.submitted(&job(1, 0, "sweep", 1));
         c.asked(0, "job-000001", Question::Submit);
         c.answered(1, "job-000001", status, "");
         c.answered(1, "job-000099", status, "");
-        lawful(&c);
+        assert_no_breaches(&c);
     }
-    // To be put off is no denial.
+    // A request to retry does not deny the job.
     for status in [429, 503, 504] {
-        let mut c = checker();
-        let j = accepted(&mut c, &job(1, 0, "sweep", 1));
+        let mut c = new_checker();
+        let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
         c.asked(5000, &j, Question::Poll);
         c.answered(5001, &j, status, "");
-        lawful(&c);
+        assert_no_breaches(&c);
     }
 }
 
-/// Users ask about two jobs every 5 s, from 5 s on, until `until`; `answered` says who is answered when.
-fn asks(c: &mut Checker, until: u64, answered: impl Fn(u64, u32) -> bool) {
-    accepted(c, &job(1, 0, "sweep", 1));
-    accepted(c, &job(2, 0, "sweep", 1));
+/// Asks about jobs 1 and 2 every 5 s, from 5 s until `until` (ms). `answered` says at which time a request about which
+/// job gets an answer.
+fn ask_every_5_s(c: &mut Checker, until: u64, answered: impl Fn(u64, u32) -> bool) {
+    accept_job(c, &job(1, 0, "sweep", 1));
+    accept_job(c, &job(2, 0, "sweep", 1));
     for at in (5_000..=until).step_by(5_000) {
         for i in [1, 2] {
             let j = format!("job-{i:06}");
@@ -344,51 +365,56 @@
 }
 
 #[test]
-fn a_job_is_forgotten_if_only_the_questions_about_others_are_answered() {
-    let mut c = checker();
-    asks(&mut c, 5_000 + SILENCE_MS, |_, i| i == 2);
-    breaks(&c, "forgotten");
-
-    // The last question needs not come at that very moment.
-    let mut c = checker();
-    asks(&mut c, SILENCE_MS, |_, i| i == 2);
-    lawful(&c);
+fn a_job_is_forgotten_if_only_requests_about_other_jobs_are_answered() {
+    // Guards against a checker that misses a job about which no user is answered for `SILENCE_MS`, while users of
+    // other jobs are answered.
+    let mut c = new_checker();
+    ask_every_5_s(&mut c, 5_000 + SILENCE_MS, |_, i| i == 2);
+    assert_one_breach(&c, "forgotten");
+
+    // The checker finds this as time passes, also without a request at that moment.
+    let mut c = new_checker();
+    ask_every_5_s(&mut c, SILENCE_MS, |_, i| i == 2);
+    assert_no_breaches(&c);
     c.passes(5_000 + SILENCE_MS);
-    breaks(&c, "forgotten");
+    assert_one_breach(&c, "forgotten");
 
-    // No answer at all is as bad as a bad one.
-    let mut c = checker();
-    accepted(&mut c, &job(1, 0, "sweep", 1));
-    accepted(&mut c, &job(2, 0, "sweep", 1));
+    // A request without any answer counts like one that was answered with 503.
+    let mut c = new_checker();
+    accept_job(&mut c, &job(1, 0, "sweep", 1));
+    accept_job(&mut c, &job(2, 0, "sweep", 1));
     for at in (5_000..=5_000 + SILENCE_MS).step_by(5_000) {
         c.asked(at, "job-000001", Question::Poll);
         c.asked(at, "job-000002", Question::Poll);
         c.answered(at + 1, "job-000002", 200, "queued");
     }
-    breaks(&c, "forgotten");
+    assert_one_breach(&c, "forgotten");
 }
 
 #[test]
-fn a_job_is_not_forgotten_in_a_silence_that_is_short_or_everyones_or_that_nobody_asked_in() {
-    // One answer in between.
-    let mut c = checker();
-    asks(&mut c, 160_000, |at, i| i == 2 || at == 70_000 || at == 140_000);
-    lawful(&c);
-
-    // Nobody is answered: an outage.
-    let mut c = checker();
-    asks(&mut c, 300_000, |_, _| false);
-    lawful(&c);
-
-    // It ends for one earlier than for the other.
-    let mut c = checker();
-    asks(&mut c, 100_000, |at, i| at == 100_000 || i == 2 && at > 85_000);
-    lawful(&c);
-
-    // One question is left open, and nobody asks again for a long time; others do, and are answered.
-    let mut c = checker();
-    accepted(&mut c, &job(1, 0, "sweep", 1));
-    accepted(&mut c, &job(2, 0, "sweep", 1));
+fn a_job_is_not_forgotten_without_a_long_wait_of_its_users_alone() {
+    // Guards against a checker that lists a job as forgotten when its users waited only for a short time, when nobody
+    // was answered, or when nobody asked.
+
+    // There are answers in between.
+    let mut c = new_checker();
+    ask_every_5_s(&mut c, 160_000, |at, i| i == 2 || at == 70_000 || at == 140_000);
+    assert_no_breaches(&c);
+
+    // Nobody is answered, as in an outage.
+    let mut c = new_checker();
+    ask_every_5_s(&mut c, 300_000, |_, _| false);
+    assert_no_breaches(&c);
+
+    // Requests about one job are answered again earlier than those about the other.
+    let mut c = new_checker();
+    ask_every_5_s(&mut c, 100_000, |at, i| at == 100_000 || i == 2 && at > 85_000);
+    assert_no_breaches(&c);
+
+    // One request is not answered, and nobody asks again for a long time. Users of the other job ask and are answered.
+    let mut c = new_checker();
+    accept_job(&mut c, &job(1, 0, "sweep", 1));
+    accept_job(&mut c, &job(2, 0, "sweep", 1));
     c.asked(5_000, "job-000001", Question::Poll);
     for at in (5_000..=150_000).step_by(5_000) {
         c.asked(at, "job-000002", Question::Poll);
@@ -396,58 +422,62 @@
     }
     c.asked(150_000, "job-000001", Question::Poll);
     c.answered(150_500, "job-000001", 200, "queued");
-    lawful(&c);
+    assert_no_breaches(&c);
 }
 
 #[test]
 fn a_job_that_nobody_submitted_is_invented() {
-    let mut c = checker();
+    // Guards against a checker that misses an answer about a job that nobody submitted, or that lists an answer about
+    // a submission that is still open.
+    let mut c = new_checker();
     c.asked(5, "job-000009", Question::Poll);
     c.answered(10, "job-000009", 200, "queued");
-    breaks(&c, "invented");
+    assert_one_breach(&c, "invented");
 
-    let mut c = checker();
+    let mut c = new_checker();
     c.submitted(&job(9, 0, "sweep", 1));
     c.asked(5, "job-000009", Question::Submit);
     // The submission has not been answered yet, and another controller knows of it.
     c.asked(6, "job-000009", Question::Poll);
     c.answered(10, "job-000009", 200, "queued");
-    lawful(&c);
+    assert_no_breaches(&c);
 }
 
 #[test]
 fn a_job_is_done_once_all_of_its_tasks_are() {
-    let mut c = checker();
-    let j = accepted(&mut c, &job(1, 0, "sweep", 3));
+    // Guards against a checker that misses a `done` before all tasks of the job are done.
+    let mut c = new_checker();
+    let j = accept_job(&mut c, &job(1, 0, "sweep", 3));
     c.task_done("job-000001/0");
     c.task_done("job-000001/2");
-    // Twice the same one.
+    // The same task is reported done twice.
     c.task_done("job-000001/2");
     assert!(!c.all_done(&j));
     c.answered(5000, &j, 200, "done");
-    breaks(&c, "not_done");
+    assert_one_breach(&c, "not_done");
 
-    let mut c = checker();
-    let j = accepted(&mut c, &job(1, 0, "sweep", 3));
+    let mut c = new_checker();
+    let j = accept_job(&mut c, &job(1, 0, "sweep", 3));
     for i in 0..3 {
         c.task_done(&format!("job-000001/{i}"));
     }
-    // A late `done` is allowed.
+    // `done` may be told late.
     c.answered(5000, &j, 200, "running");
     c.answered(5100, &j, 200, "done");
-    lawful(&c);
+    assert_no_breaches(&c);
 
-    // A repetition with other terms does not change what was accepted.
-    let mut c = checker();
-    let j = accepted(&mut c, &job(1, 0, "sweep", 3));
+    // A repeated submission with other fields does not change the accepted job.
+    let mut c = new_checker();
+    let j = accept_job(&mut c, &job(1, 0, "sweep", 3));
     c.submitted(&job(1, 0, "sweep", 1));
     c.task_done("job-000001/0");
     c.answered(5000, &j, 200, "done");
-    breaks(&c, "not_done");
+    assert_one_breach(&c, "not_done");
 }
 
 #[test]
-fn a_state_that_was_final_stays() {
+fn a_final_state_does_not_change() {
+    // Guards against a checker that misses a final state which a user is told first, and another state later.
     for (first, then) in [
         ("done", "running"),
         ("done", "queued"),
@@ -456,52 +486,55 @@
         ("withdrawn", "running"),
         ("withdrawn", "done"),
     ] {
-        let mut c = checker();
-        let j = accepted(&mut c, &job(1, 0, "sweep", 1));
+        let mut c = new_checker();
+        let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
         c.task_done("job-000001/0");
         c.asked(4000, &j, Question::Withdraw);
         c.answered(5000, &j, 200, first);
-        // The same again is right, and so is no answer.
+        // The same state again is right, and so is a 503.
         c.answered(5100, &j, 200, first);
         c.answered(5200, &j, 503, "");
-        lawful(&c);
+        assert_no_breaches(&c);
         c.answered(5300, &j, 200, then);
-        breaks(&c, "went_back");
+        assert_one_breach(&c, "went_back");
     }
     // States that are not final may change either way.
-    let mut c = checker();
-    let j = accepted(&mut c, &job(1, 0, "sweep", 1));
+    let mut c = new_checker();
+    let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
     for said in ["running", "queued", "running"] {
         c.answered(5000, &j, 200, said);
     }
-    lawful(&c);
+    assert_no_breaches(&c);
 }
 
 #[test]
-fn only_a_job_whose_user_asked_to_cancel_it_is_withdrawn() {
-    let mut c = checker();
-    let j = accepted(&mut c, &job(1, 0, "sweep", 1));
-    let other = accepted(&mut c, &job(2, 0, "sweep", 1));
+fn only_a_job_whose_user_asked_to_cancel_it_is_cancelled() {
+    // Guards against a checker that misses a `withdrawn` for a job that nobody asked to cancel, or that lists one for
+    // a job whose cancellation was never answered.
+    let mut c = new_checker();
+    let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
+    let other = accept_job(&mut c, &job(2, 0, "sweep", 1));
     c.asked(4000, &other, Question::Withdraw);
     c.asked(4000, &j, Question::Poll);
     c.answered(5000, &j, 200, "withdrawn");
-    breaks(&c, "went_back");
+    assert_one_breach(&c, "went_back");
 
-    // The request was never answered, and a later question is.
-    let mut c = checker();
-    let j = accepted(&mut c, &job(1, 0, "sweep", 1));
+    // The request to cancel was never answered, and a later question is.
+    let mut c = new_checker();
+    let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
     c.asked(4000, &j, Question::Withdraw);
     c.asked(5000, &j, Question::Poll);
     c.answered(5001, &j, 200, "withdrawn");
-    lawful(&c);
+    assert_no_breaches(&c);
 }
 
 #[test]
 fn a_breach_is_listed_once() {
-    let mut c = checker();
-    cancelled(&mut c);
+    // Guards against a checker that lists the same breach again each time it looks.
+    let mut c = new_checker();
+    cancel_job(&mut c);
     for at in 0..100 {
         c.passes(10_000 + CANCEL_MS + 1 + at);
     }
-    breaks(&c, "ran_cancelled");
+    assert_one_breach(&c, "ran_cancelled");
 }
