--- a/crates/tidelatch-standin/tests/compound_fault_regressions.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_regressions.rs
@@ -1,5 +1,5 @@
-//! Compound faults that broke rules elsewhere, one a test. All rules are checked by the world's checker; what a
-//! test asserts beside that is what its combination of faults is about.
+//! Compound faults that have broken rules elsewhere, one in each test. The checker of the simulation checks all rules.
+//! The further assertions of a test are specific to its combination of faults.
 
 use std::collections::BTreeSet;
 use tidelatch_core::settings::Operator;
@@ -7,17 +7,21 @@
 use tidelatch_standin::support::assert_no_breaches;
 use tidelatch_standin::{CANCEL_MS, Delivery, Size, World, job};
 
+/// The id of job `n`.
 fn id(n: u32) -> String {
     format!("job-{n:06}")
 }
 
 /// Whether a job's end is stored.
 fn is_over(world: &World, id: &str) -> bool {
-    let over = |st: &serde_json::Value| st == "done" || st == "withdrawn";
-    world.store.get(&format!("t/j/{id}")).is_some_and(|j| over(&j["st"]))
+    let is_final = |st: &serde_json::Value| st == "done" || st == "withdrawn";
+    world
+        .store
+        .get(&format!("t/j/{id}"))
+        .is_some_and(|j| is_final(&j["st"]))
 }
 
-/// Cancels a job at one controller after the other until its user is told how it ended.
+/// Cancels a job, at one controller after the other, until its user is told its final state. Returns that state.
 fn cancel(world: &mut World, from: usize, id: &str) -> String {
     for i in 0..60 {
         let request = world.withdraw((from + i) % 3, id);
@@ -26,48 +30,55 @@
             return world.said(request);
         }
     }
-    panic!("nobody cancels {id}\n{}", world.trace());
+    panic!(
+        "{id} has no final state after 60 requests to cancel it\n{}",
+        world.trace()
+    );
 }
 
-/// Users who look closely: whenever one is told of something new, all controllers are asked about the job
-/// within the millisecond, and its submission is repeated at all of them.
-struct CloseLooks {
-    seen: BTreeSet<u64>,
-    known: BTreeSet<(String, String)>,
-    looks: u32,
+/// Users who check each answer: whenever one is told a new state of a job, all controllers are asked about the job
+/// within the same millisecond, and its submission is repeated at all of them.
+struct FollowUps {
+    /// Requests whose answers have been read.
+    read_requests: BTreeSet<u64>,
+    /// Pairs of job and state that users have been told.
+    told_states: BTreeSet<(String, String)>,
+    /// How often a new state was followed up.
+    count: u32,
 }
 
-impl CloseLooks {
+impl FollowUps {
     fn new() -> Self {
         Self {
-            seen: BTreeSet::new(),
-            known: BTreeSet::new(),
-            looks: 0,
+            read_requests: BTreeSet::new(),
+            told_states: BTreeSet::new(),
+            count: 0,
         }
     }
 
+    /// Runs the simulation for `ms`, and follows up the answers to users after each millisecond.
     fn run(&mut self, world: &mut World, ms: u64, bodies: &[serde_json::Value]) {
         for _ in 0..ms {
             world.run(1);
-            let news: Vec<(u64, String)> = world
+            let new_answers: Vec<(u64, String)> = world
                 .answers
                 .iter()
-                .filter(|(request, (_, a))| !self.seen.contains(request) && matches!(a.status, 200 | 201))
+                .filter(|(request, (_, a))| !self.read_requests.contains(request) && matches!(a.status, 200 | 201))
                 .map(|(request, (_, a))| (*request, a.body.clone()))
                 .collect();
-            for (request, body) in news {
-                self.seen.insert(request);
+            for (request, body) in new_answers {
+                self.read_requests.insert(request);
                 let body: serde_json::Value = serde_json::from_str(&body).expect("JSON");
                 let (job, said) = (
                     body["uid"].as_str().unwrap_or(""),
                     body["status"].as_str().unwrap_or(""),
                 );
-                // A user may be told the same in other words; only what is new is looked at.
-                let word = if said == "running" { "queued" } else { said };
-                if !self.known.insert((job.to_owned(), word.to_owned())) {
+                // `running` and `queued` count as the same state. Only a new state is followed up.
+                let state = if said == "running" { "queued" } else { said };
+                if !self.told_states.insert((job.to_owned(), state.to_owned())) {
                     continue;
                 }
-                self.looks += 1;
+                self.count += 1;
                 for node in 0..3 {
                     world.poll(node, job);
                     if let Some(body) = bodies.iter().find(|b| b["uid"] == job) {
@@ -80,59 +91,61 @@
 }
 
 #[test]
-fn close_looks_find_nothing_older_at_any_node() {
-    // Guard: only a stored end is told from memory by those who do not own the job; all else is its entitled
-    // owner's word or a fresh read. An owner whose own change has no answer yet reads as well.
+fn answers_right_after_a_change_are_not_older_at_any_controller() {
+    // Guards against users who are told an older state than other users were told before. Controllers that do not own
+    // a job tell only its stored end from memory. All else is the answer of the job's entitled owner, or comes from a
+    // fresh read. An owner whose own change has not been answered yet reads as well.
     for (seed, crash) in [(1, false), (2, false), (3, true), (4, true)] {
         let mut world = World::new();
         world.run_ms = 1500;
         world.run(3000);
         let bodies: Vec<serde_json::Value> = (1..=12).map(|n| job(n, n % 3, "sweep", 1 + n % 2)).collect();
-        let mut looks = CloseLooks::new();
+        let mut follow_ups = FollowUps::new();
         world.accepted(0, &job(90, 0, "sweep", 1));
-        looks.run(&mut world, 9000, &bodies);
+        follow_ups.run(&mut world, 9000, &bodies);
         let injectors: Vec<FaultInjector> = vec![faults::lost_answers(seed, 0.3), faults::late_copies(seed, 0.2)];
         world.meddle(faults::all(injectors));
         for (n, body) in bodies.iter().enumerate() {
             world.submit(n % 3, body);
-            looks.run(&mut world, 300, &bodies);
+            follow_ups.run(&mut world, 300, &bodies);
             if n == 6 && crash {
                 let owner = world.owner_of_team(0);
                 world.crash(owner);
-                looks.run(&mut world, 200, &bodies);
+                follow_ups.run(&mut world, 200, &bodies);
                 world.start(owner);
             }
             if n % 3 == 0 {
-                // Cancelled at two of them in the same moment.
+                // The job is cancelled at two controllers at the same time.
                 let id = body["uid"].as_str().expect("an id");
                 world.withdraw(n % 3, id);
                 world.withdraw((n + 1) % 3, id);
             }
         }
-        looks.run(&mut world, 25_000, &bodies);
+        follow_ups.run(&mut world, 25_000, &bodies);
         world.calm();
-        // What got no answer comes again.
+        // The submissions are repeated, in case they got no answer.
         for (n, body) in bodies.iter().enumerate() {
             world.submit((n + 1) % 3, body);
-            looks.run(&mut world, 50, &bodies);
+            follow_ups.run(&mut world, 50, &bodies);
         }
-        looks.run(&mut world, 20_000, &bodies);
+        follow_ups.run(&mut world, 20_000, &bodies);
         assert_no_breaches(&world);
         assert!(
-            looks.looks >= 18,
-            "seed {seed}: {} looks\n{}",
-            looks.looks,
+            follow_ups.count >= 18,
+            "seed {seed}: {} states followed up\n{}",
+            follow_ups.count,
             world.trace()
         );
-        let all = (1..=12).all(|n| is_over(&world, &id(n)));
-        assert!(all, "seed {seed}\n{}", world.trace());
+        let all_are_over = (1..=12).all(|n| is_over(&world, &id(n)));
+        assert!(all_are_over, "seed {seed}\n{}", world.trace());
     }
 }
 
 #[test]
-fn an_end_whose_answer_is_lost_is_honoured_from_the_moment_it_is_sent() {
-    // Guard: others may tell of it at once. Its writer starts nothing more, stops what runs, and answers
-    // nothing older from its memory.
+fn an_end_whose_answer_is_lost_applies_from_the_moment_it_is_sent() {
+    // Guards against a controller that acts on an older state while its write of a job's end has no answer. Others may
+    // tell users of the end at once, so that its writer starts nothing more, stops what runs, and answers nothing
+    // older from its memory.
     let mut world = World::new();
     world.run_ms = 300_000;
     world.run(3000);
@@ -145,10 +158,10 @@
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
     world.meddle(move |l| {
-        let end = l.from == name && l.what == "POST /txn" && l.body.contains("withdrawn");
-        // Its watch is behind as well.
-        let watch = l.from == name && l.what.starts_with("GET /changes");
-        match (end, watch) {
+        let is_end = l.from == name && l.what == "POST /txn" && l.body.contains("withdrawn");
+        // The owner's watch is lost as well.
+        let is_watch = l.from == name && l.what.starts_with("GET /changes");
+        match (is_end, is_watch) {
             (true, _) => Delivery::AnswerLost,
             (_, true) => Delivery::Lost,
             _ => Delivery::Pass,
@@ -174,9 +187,11 @@
 }
 
 #[test]
-fn full_teams_with_hanging_machines_and_cancellations_keep_their_limits_over_a_change_of_leader() {
-    // Guard: a cancelled task counts against its team's limit until there is evidence, whoever owns it by then;
-    // and the evidence is made in time, so that nobody waits for its room for ever.
+fn teams_at_their_limits_with_hanging_machines_keep_them_over_a_change_of_leader() {
+    // Guards against a team that exceeds its limit, or is kept below it forever, after cancelled tasks stayed on
+    // hanging machines and the leader changed. A cancelled task counts against the limit until there is evidence that
+    // it is gone, whoever owns it by then. The evidence is produced in time, so that nobody waits for the task's
+    // capacity forever.
     for (crash_ms, back_ms) in [(10, 300), (3000, 6000), (12_000, 300)] {
         let mut world = World::new();
         world.run_ms = 300_000;
@@ -184,14 +199,14 @@
         for team in 0..3 {
             world.accepted(0, &job(team + 1, team, "sweep", 4));
         }
-        let full = |w: &World| (1..=3).all(|n| w.running(&id(n)) == 4);
-        assert!(world.run_until(40_000, full), "{}", world.trace());
+        let are_at_limit = |w: &World| (1..=3).all(|n| w.running(&id(n)) == 4);
+        assert!(world.run_until(40_000, are_at_limit), "{}", world.trace());
         for team in 0..3 {
-            // These wait for the room of the others.
+            // These jobs wait for the capacity that the others use.
             world.accepted(0, &job(team + 11, team, "sweep", 4));
         }
         let leader = world.owner_of_team(0);
-        let mut stuck = Vec::new();
+        let mut hanging = Vec::new();
         for n in 1..=3 {
             let machine = world
                 .machines_of(&id(n))
@@ -200,7 +215,7 @@
                 .expect("the job runs on a machine");
             world.note(&format!("{machine} hangs"));
             world.workers.get_mut(&machine).expect("a worker").hanging = true;
-            stuck.push(machine);
+            hanging.push(machine);
         }
         for n in 1..=3 {
             world.withdraw(1, &id(n));
@@ -214,20 +229,21 @@
         }
         world.run(CANCEL_MS);
         assert_no_breaches(&world);
-        for machine in &stuck {
+        for machine in &hanging {
             assert!(world.cloud.deleted.contains(machine), "{machine}\n{}", world.trace());
         }
-        let full = |w: &World| (11..=13).all(|n| w.running(&id(n)) == 4);
-        assert!(world.run_until(30_000, full), "{}", world.trace());
+        let are_at_limit = |w: &World| (11..=13).all(|n| w.running(&id(n)) == 4);
+        assert!(world.run_until(30_000, are_at_limit), "{}", world.trace());
         assert_no_breaches(&world);
     }
 }
 
 #[test]
-fn cancellations_meet_work_that_changes_hands_there_and_back() {
-    // Guard: the new owner stops tasks of ended jobs on every machine that reports, also those that came with
-    // direct starts still in flight; and an end that was asked of the old one is asked again of the new one.
-    for (away, lead) in [(300, 0), (300, 40), (900, 400), (8000, 0), (8000, 7000), (12_000, 9000)] {
+fn cancelled_jobs_end_when_their_partition_changes_owner_and_returns() {
+    // Guards against cancelled tasks that keep running when their partition moves to another owner and back. The new
+    // owner stops tasks of ended jobs on every machine that reports, also those that came with direct starts still in
+    // flight. A cancellation that was requested of the old owner is requested of the new one again.
+    for (away_ms, cancel_after_ms) in [(300, 0), (300, 40), (900, 400), (8000, 0), (8000, 7000), (12_000, 9000)] {
         let mut world = World::new();
         world.run_ms = 300_000;
         world.run(3000);
@@ -239,10 +255,10 @@
         );
         let owner = world.owner_of_team(0);
         let name = format!("berth-{owner}");
-        // Direct commands of the old owner are held up for seconds.
-        let slow = name.clone();
+        // Direct commands of the old owner are delayed by seconds.
+        let old_owner = name.clone();
         world.meddle(move |l| {
-            if l.from == slow && l.what == "POST /commands" {
+            if l.from == old_owner && l.what == "POST /commands" {
                 Delivery::Late(9000)
             } else {
                 Delivery::Pass
@@ -251,10 +267,10 @@
         world.accepted(0, &job(2, 0, "sweep", 2));
         world.run(300);
         world.crash(owner);
-        world.run(away.min(lead));
+        world.run(away_ms.min(cancel_after_ms));
         let first = world.withdraw((owner + 1) % 3, "job-000001");
         world.withdraw((owner + 2) % 3, "job-000002");
-        world.run(away - away.min(lead));
+        world.run(away_ms - away_ms.min(cancel_after_ms));
         world.start(owner);
         let _ = first;
         for n in 1..=2 {
@@ -272,9 +288,10 @@
 }
 
 #[test]
-fn machines_that_are_up_at_once_get_work_only_once_their_entries_are_clear() {
-    // Guard: rental, machine group, boot batch, first start, in this order. A machine whose entry is in doubt gets nothing, for
-    // a new owner would not know that it holds tasks.
+fn machines_get_tasks_only_once_their_roster_entries_are_confirmed() {
+    // Guards against tasks on machines that a new owner does not know of. The order is rental, machine group, boot
+    // batch, first start. A machine whose entry is in doubt gets no task, because a new owner would not know that it
+    // holds tasks.
     for seed in 1..=6 {
         let mut world = World::new();
         world.run_ms = 8000;
@@ -287,7 +304,7 @@
         for n in 1..=4 {
             world.submit(n as usize % 3, &job(n, n % 3, "sweep", 3));
         }
-        // Machines boot in 3 s; the leader ends while their entries are on their way.
+        // Machines boot in 3 s. The leader crashes while their entries are being written.
         world.run(1500 + 700 * seed);
         let leader = world.owner_of_team(0);
         world.crash(leader);
@@ -297,7 +314,7 @@
             world.submit(1, &job(n, n % 3, "sweep", 3));
         }
         world.run(20_000);
-        // All that holds tasks stands in the roster.
+        // Every machine with tasks is in the roster.
         let roster: BTreeSet<String> = world.roster().into_iter().collect();
         for n in 1..=4 {
             for m in world.machines_of(&id(n)) {
@@ -308,16 +325,17 @@
         for n in 1..=4 {
             world.accepted(1, &job(n, n % 3, "sweep", 3));
         }
-        let all = |w: &World| (1..=4).all(|n| is_over(w, &id(n)));
-        assert!(world.run_until(90_000, all), "seed {seed}\n{}", world.trace());
+        let are_over = |w: &World| (1..=4).all(|n| is_over(w, &id(n)));
+        assert!(world.run_until(90_000, are_over), "seed {seed}\n{}", world.trace());
         assert_no_breaches(&world);
     }
 }
 
 #[test]
-fn old_reports_that_come_with_a_new_leader_are_no_evidence_and_no_sign_of_life() {
-    // Guard: session, number and token. Copies that every controller gets just as an epoch begins neither free
-    // room nor keep a machine that has died in the meantime from being given up.
+fn old_reports_at_a_change_of_leader_are_no_evidence() {
+    // Guards against old reports that are taken for the present state. Every controller gets copies of them just as an
+    // epoch begins. By their session, number and token they neither free capacity, nor keep a machine that has died in
+    // the meantime from being given up.
     for back_ms in [None, Some(300), Some(9000)] {
         let mut world = World::new();
         world.run_ms = 300_000;
@@ -326,8 +344,8 @@
         for team in 0..3 {
             world.accepted(0, &job(team + 1, team, "sweep", 4));
         }
-        let full = |w: &World| (1..=3).all(|n| w.running(&id(n)) == 4);
-        assert!(world.run_until(40_000, full), "{}", world.trace());
+        let are_at_limit = |w: &World| (1..=3).all(|n| w.running(&id(n)) == 4);
+        assert!(world.run_until(40_000, are_at_limit), "{}", world.trace());
         world.run(5000);
         let dead = world
             .machines_of("job-000001")
@@ -337,12 +355,16 @@
         world.note(&format!("{dead} dies"));
         world.workers.get_mut(&dead).expect("a worker").hanging = true;
         let owner = world.owner_of_team(0);
-        // Copies of what it said before go on coming, to everybody.
+        // Copies of earlier reports go on arriving.
         let (machine, count) = (dead.clone(), std::cell::Cell::new(0));
         world.meddle(move |l| {
             count.set(count.get() + 1);
-            let copies = l.what == "POST /agent/beat" && l.from != machine && count.get() % 3 == 0;
-            if copies { Delivery::Copied(9000) } else { Delivery::Pass }
+            let is_copied = l.what == "POST /agent/beat" && l.from != machine && count.get() % 3 == 0;
+            if is_copied {
+                Delivery::Copied(9000)
+            } else {
+                Delivery::Pass
+            }
         });
         world.crash(owner);
         if let Some(ms) = back_ms {
@@ -350,19 +372,20 @@
             world.start(owner);
         }
         let since = world.now;
-        let given_up = |w: &World| w.cloud.deleted.contains(&dead);
-        assert!(world.run_until(45_000, given_up), "{}", world.trace());
+        let is_given_up = |w: &World| w.cloud.deleted.contains(&dead);
+        assert!(world.run_until(45_000, is_given_up), "{}", world.trace());
         let ms = world.now - since;
         assert!(ms < 30_000, "after {ms} ms\n{}", world.trace());
-        assert!(world.run_until(40_000, full), "{}", world.trace());
+        assert!(world.run_until(40_000, are_at_limit), "{}", world.trace());
         assert_no_breaches(&world);
     }
 }
 
 #[test]
-fn one_task_jobs_four_a_second_leave_room_for_others_and_stay_within_the_writes() {
-    // Guard: an acceptance and an end cost a change each, a cancellation no more; greetings that tell of
-    // cancellations are few; others are served meanwhile.
+fn four_one_task_jobs_a_second_stay_within_the_write_budget() {
+    // Guards against many small jobs that use up the writes of the state service. An acceptance and an end cost one
+    // change each, a cancellation no more. Hello messages that tell of cancellations are few. Other jobs are served
+    // meanwhile.
     let mut world = World::sized(
         &Operator::default(),
         Size {
@@ -381,35 +404,39 @@
     world.accepted(0, &job(9002, 2, "sweep", 40));
     let sent = world.sent;
     let from = world.now;
-    let mut put_off = Vec::new();
-    let mut asked: Vec<(u32, u64)> = Vec::new();
+    let mut not_accepted = Vec::new();
+    let mut cancellations: Vec<(u32, u64)> = Vec::new();
     for n in 1..=360u32 {
         let node = n as usize % 3;
         let body = job(n, n % 6, "sweep", 1);
         let request = world.submit(node, &body);
         world.run(250);
         if world.status(request) != 201 {
-            put_off.push(body);
+            not_accepted.push(body);
         } else if n % 4 == 0 {
-            asked.push((n, world.withdraw((node + 1) % 3, &id(n))));
+            cancellations.push((n, world.withdraw((node + 1) % 3, &id(n))));
         }
         if n % 8 == 0 {
             world.poll(node, &id(n / 2));
         }
     }
     let seconds = (world.now - from) / 1000;
-    assert!(put_off.len() < 20, "{} put off", put_off.len());
-    for body in put_off {
+    assert!(
+        not_accepted.len() < 20,
+        "{} jobs were not accepted at once",
+        not_accepted.len()
+    );
+    for body in not_accepted {
         world.accepted(0, &body);
     }
     let changes = (world.sent.changes - sent.changes) as f64 / seconds as f64;
     assert!(changes < 20.0, "{changes} changes a second");
     let requests = (world.sent.state_requests - sent.state_requests) as f64 / seconds as f64;
     assert!(requests < 80.0, "{requests} requests a second");
-    let all = |w: &World| (1..=360).all(|n| is_over(w, &id(n))) && is_over(w, "job-009002");
-    assert!(world.run_until(120_000, all), "{}", world.trace());
+    let are_over = |w: &World| (1..=360).all(|n| is_over(w, &id(n))) && is_over(w, "job-009002");
+    assert!(world.run_until(120_000, are_over), "{}", world.trace());
     assert_eq!(world.running("job-009001"), 4, "{}", world.trace());
-    for (n, request) in asked {
+    for (n, request) in cancellations {
         let said = world.said(request);
         assert!(said == "withdrawn" || said == "done", "{n}: {said}");
     }
@@ -417,9 +444,9 @@
 }
 
 #[test]
-fn a_team_at_its_limit_keeps_room_for_its_production_work() {
-    // Guard: each place that the array frees was retaken by the array, on machines that the service may not
-    // use; and nothing was rented for what had no room under the limit.
+fn a_team_at_its_limit_keeps_capacity_for_its_production_jobs() {
+    // Guards against a service that is starved by an array of its own team. The array retook each place that it freed,
+    // on machines that the service may not use, and nothing was rented for tasks without room under the limit.
     let mut world = World::new();
     world.run(3000);
     let mut array = job(1, 0, "sweep", 400);
--- a/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
@@ -1,13 +1,13 @@
-//! What the tests of compound faults share: worlds to begin with, cancellations, and checks at the end.
+//! Helpers of the tests of compound faults: initial deployments, cancellations, and checks at the end.
 
-// Each file of tests uses a part of this.
+// Each test file uses only a part of these helpers.
 #![allow(dead_code)]
 
 use serde_json::Value;
 use tidelatch_standin::faults::{self, FaultInjector};
 use tidelatch_standin::{CANCEL_MS, Delivery, World};
 
-/// Checks that no rule was broken in a case of a test.
+/// Checks that no rule was broken. `case` names the test case in the message.
 pub fn assert_no_breaches(world: &World, case: impl std::fmt::Debug) {
     assert!(
         world.broken.is_empty(),
@@ -17,71 +17,76 @@
     );
 }
 
-/// A world in which all tasks of some jobs run, for so long if they are of arrays.
-pub fn with_jobs(run_ms: u64, jobs: &[Value]) -> World {
+/// A simulated deployment in which all tasks of these jobs run. Tasks of arrays run for `run_ms`.
+pub fn with_running_jobs(run_ms: u64, jobs: &[Value]) -> World {
     let mut world = World::new();
     world.run_ms = run_ms;
     world.run(3000);
     for (i, body) in jobs.iter().enumerate() {
         world.accepted(i % 3, body);
     }
-    let up = world.run_until(60_000, |w| jobs.iter().all(|j| runs(w, j)));
-    assert!(up, "{}", world.trace());
+    let are_running = world.run_until(60_000, |w| jobs.iter().all(|j| all_tasks_run(w, j)));
+    assert!(are_running, "{}", world.trace());
     world
 }
 
-/// A submission's id.
-pub fn uid(body: &Value) -> &str {
+/// The id of a submitted job.
+pub fn job_id(body: &Value) -> &str {
     body["uid"].as_str().unwrap_or_default()
 }
 
-/// Whether all tasks of a job run.
-pub fn runs(world: &World, body: &Value) -> bool {
-    body["wagons"] == world.running(uid(body))
+/// Whether all tasks of a job run at present.
+pub fn all_tasks_run(world: &World, body: &Value) -> bool {
+    body["wagons"] == world.running(job_id(body))
 }
 
-/// A job's state by its stored record; empty: there is none.
-pub fn stored(world: &World, id: &str) -> String {
+/// A job's state in its stored record, or an empty string if there is no record.
+pub fn stored_state(world: &World, id: &str) -> String {
     let record = world.store.get(&format!("t/j/{id}"));
     record.and_then(|j| j["st"].as_str()).unwrap_or_default().to_owned()
 }
 
-/// The leader, by its stored key.
+/// The number of the controller that the stored leader key names, if there is one.
 pub fn leader(world: &World) -> Option<usize> {
     let holder = world.store.get("t/c/leader")?["name"].as_str()?;
     holder.strip_prefix("berth-")?.parse().ok()
 }
 
-/// A user cancels at some controllers, one after the other, until one says something final.
+/// Cancels a job at these controllers, one after the other, until one answers with a final state. Returns that state.
 pub fn cancel(world: &mut World, nodes: &[usize], id: &str) -> String {
     for i in 0..60 {
-        let asked = world.withdraw(nodes[i % nodes.len()], id);
+        let request = world.withdraw(nodes[i % nodes.len()], id);
         world.run(1000);
-        if world.status(asked) == 200 {
-            return world.said(asked);
+        if world.status(request) == 200 {
+            return world.said(request);
         }
     }
-    panic!("{id} is not cancelled:\n{}", world.trace());
+    panic!(
+        "{id} has no final state after 60 requests to cancel it:\n{}",
+        world.trace()
+    );
 }
 
-/// What all controllers say of a job, each asked until it answers.
-pub fn said_everywhere(world: &mut World, id: &str) -> Vec<String> {
-    let mut words = Vec::new();
+/// The state of a job that each controller tells its users. Each controller is asked until it answers, at most 20
+/// times.
+pub fn states_at_all_controllers(world: &mut World, id: &str) -> Vec<String> {
+    let mut states = Vec::new();
     for node in 0..3 {
         for _ in 0..20 {
-            let asked = world.poll(node, id);
+            let request = world.poll(node, id);
             world.run(1500);
-            if world.status(asked) == 200 {
-                words.push(world.said(asked));
+            if world.status(request) == 200 {
+                states.push(world.said(request));
                 break;
             }
         }
     }
-    words
+    states
 }
 
-/// A cancelled job's tasks are gone in time, and none was sent out after its user was told.
-pub fn gone_in_time(world: &World, id: &str, case: impl std::fmt::Debug) {
+/// Checks that the tasks of a cancelled job were gone in time, and that no start was ordered after its user was
+/// told.
+pub fn assert_gone_in_time(world: &World, id: &str, case: impl std::fmt::Debug) {
     let gone = world.gone_after_confirmation(id);
     assert!(
         gone.is_some_and(|ms| ms <= CANCEL_MS),
@@ -96,11 +101,11 @@
     );
 }
 
-/// Nothing comes from some machines, and nothing reaches them.
-pub fn unreached(machines: &[String]) -> FaultInjector {
-    let cut = machines.to_vec();
+/// A fault that loses all messages to and from these machines.
+pub fn cut_off_machines(machines: &[String]) -> FaultInjector {
+    let cut_off = machines.to_vec();
     Box::new(move |l| {
-        if cut.iter().any(|m| m == l.from || m == l.to) {
+        if cut_off.iter().any(|m| m == l.from || m == l.to) {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -108,7 +113,7 @@
     })
 }
 
-/// The same trouble for each of some machines.
-pub fn each(machines: &[String], trouble: fn(&str) -> FaultInjector) -> FaultInjector {
-    faults::all(machines.iter().map(|m| trouble(m)).collect())
+/// The same fault for each of these machines.
+pub fn for_each_machine(machines: &[String], fault: fn(&str) -> FaultInjector) -> FaultInjector {
+    faults::all(machines.iter().map(|m| fault(m)).collect())
 }
--- a/crates/tidelatch-standin/tests/compound_faults_placement.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_placement.rs
@@ -1,51 +1,57 @@
-//! Compound faults around placement: jobs keep to their zones, and none waits beside room.
+//! Compound faults around placement: jobs keep to their zones, and none waits while a machine has capacity for it.
 
 mod compound_fault_support;
 
-use compound_fault_support::{assert_no_breaches, leader, stored, uid, unreached, with_jobs};
+use compound_fault_support::{assert_no_breaches, cut_off_machines, job_id, leader, stored_state, with_running_jobs};
 use serde_json::{Value, json};
 use tidelatch_standin::faults;
 use tidelatch_standin::{Worker, World, job};
 
 #[test]
-fn jobs_bound_to_one_zone_that_lose_machines_go_on_there_or_move_whole() {
-    // Guard: a job whose tasks belong together counts those that may still be on a lost machine, and a machine's
-    // zone is looked at for each start.
-    for how in ["hang", "taken", "cut"] {
-        for share in [1, 2] {
-            for (room, change) in [(true, false), (false, false), (true, true), (false, true)] {
-                let case = (how, share, room, change);
+fn jobs_bound_to_one_zone_that_lose_machines_continue_there_or_move_as_a_whole() {
+    // Guards against a job in two zones that has to be in one, after it lost machines. A job whose tasks belong
+    // together counts those that may still be on a lost machine, and the zone of the machine is checked for each
+    // start.
+    for fault in ["hang", "taken", "cut"] {
+        for machine_count in [1, 2] {
+            for (has_room, restarts_leader) in [(true, false), (false, false), (true, true), (false, true)] {
+                let case = (fault, machine_count, has_room, restarts_leader);
                 let mut array = job(1, 0, "sweep", 3);
                 array["together"] = json!(true);
-                let mut bound = job(2, 1, "sweep", 3);
-                bound["yard"] = json!("b");
+                let mut bound_array = job(2, 1, "sweep", 3);
+                bound_array["yard"] = json!("b");
                 let mut service = job(3, 2, "standing", 3);
                 service["together"] = json!(true);
-                let mut world = with_jobs(60_000, &[array, bound, service]);
+                let mut world = with_running_jobs(60_000, &[array, bound_array, service]);
                 let zone_of = |w: &World, j: u32| {
                     let machine = w.machines_of(&format!("job-00000{j}"))[0].clone();
                     w.workers[&machine].zone.clone()
                 };
-                // Each team has a machine with room in the other zone, too.
+                // Each team also has a machine with room in the other zone.
                 for team in 0..3 {
                     let here = zone_of(&world, team + 1);
                     let mut other = job(team + 4, team, "standing", 1);
                     other["yard"] = json!(if here == "a" { "b" } else { "a" });
                     world.accepted(0, &other);
                 }
-                let others = |w: &World| (4..7).all(|j| w.running(&format!("job-00000{j}")) == 1);
-                assert!(world.run_until(30_000, others), "{case:?}\n{}", world.trace());
+                let others_run = |w: &World| (4..7).all(|j| w.running(&format!("job-00000{j}")) == 1);
+                assert!(world.run_until(30_000, others_run), "{case:?}\n{}", world.trace());
                 let lost: Vec<String> = (1..=3)
-                    .flat_map(|j| world.machines_of(&format!("job-00000{j}")).into_iter().take(share))
+                    .flat_map(|j| {
+                        world
+                            .machines_of(&format!("job-00000{j}"))
+                            .into_iter()
+                            .take(machine_count)
+                    })
                     .collect();
-                if !room {
-                    // Nothing more is to be had where they are.
+                if !has_room {
+                    // No further machine can be rented in that zone.
                     let zone = world.workers[&lost[0]].zone.clone();
                     world.cloud.most_in_zone.insert(zone, 0);
                 }
-                world.note(&format!("{how}: {lost:?}"));
+                world.note(&format!("{fault}: {lost:?}"));
                 for name in &lost {
-                    match how {
+                    match fault {
                         "hang" => world.workers.get_mut(name).expect("a worker").hanging = true,
                         "taken" => {
                             world.workers.remove(name);
@@ -54,14 +60,14 @@
                         _ => {}
                     }
                 }
-                if how == "cut" {
-                    world.meddle(unreached(&lost));
+                if fault == "cut" {
+                    world.meddle(cut_off_machines(&lost));
                 }
-                if change {
-                    let ends = leader(&world).expect("a leader");
-                    world.crash(ends);
+                if restarts_leader {
+                    let crashed = leader(&world).expect("a leader");
+                    world.crash(crashed);
                     world.run(300);
-                    world.start(ends);
+                    world.start(crashed);
                 }
                 world.run(45_000);
                 world.calm();
@@ -71,9 +77,13 @@
                     }
                 }
                 world.cloud.most_in_zone.clear();
-                let over = |w: &World| ["job-000001", "job-000002"].iter().all(|id| stored(w, id) == "done");
-                let well = |w: &World| over(w) && w.running("job-000003") == 3;
-                assert!(world.run_until(200_000, well), "{case:?}\n{}", world.trace());
+                let are_done = |w: &World| {
+                    ["job-000001", "job-000002"]
+                        .iter()
+                        .all(|id| stored_state(w, id) == "done")
+                };
+                let has_recovered = |w: &World| are_done(w) && w.running("job-000003") == 3;
+                assert!(world.run_until(200_000, has_recovered), "{case:?}\n{}", world.trace());
                 assert_no_breaches(&world, case);
             }
         }
@@ -81,9 +91,9 @@
 }
 
 #[test]
-fn once_faults_are_over_no_job_waits_where_there_is_room_and_none_is_unanswered() {
-    // Guard: whatever a trouble leaves behind (a machine in doubt, a reservation, a job that rests) is looked at
-    // again in time.
+fn after_faults_no_job_waits_beside_free_capacity_and_none_is_unanswered() {
+    // Guards against jobs that wait forever for what a fault has left behind: a machine in doubt, a reservation, a job
+    // that is not tried again. All of these are checked again in time.
     for seed in 0..8u64 {
         let jobs: Vec<Value> = (0..12)
             .map(|i| {
@@ -100,18 +110,18 @@
             world.accepted(i % 3, body);
         }
         world.run(6000);
-        let busy: Vec<String> = world.workers.keys().cloned().collect();
+        let machines: Vec<String> = world.workers.keys().cloned().collect();
         let from = world.now;
         let mut injectors = vec![
             faults::late_writes(seed, 0.1),
             faults::late_copies(seed, 0.2),
             faults::lost_answers(seed + 100, 0.1),
         ];
-        for (i, m) in busy.iter().enumerate() {
+        for (i, m) in machines.iter().enumerate() {
             match (seed + i as u64) % 5 {
                 0 => injectors.push(faults::mute(m)),
                 1 => injectors.push(faults::deaf(m)),
-                2 => injectors.push(unreached(std::slice::from_ref(m))),
+                2 => injectors.push(cut_off_machines(std::slice::from_ref(m))),
                 _ => {}
             }
         }
@@ -124,57 +134,66 @@
         world.start((node + 1) % 3);
         world.run(52_000);
         world.calm();
-        // How long each job has waited though it need not.
-        let mut since = vec![None; jobs.len()];
-        let over = world.now + 200_000;
-        let mut at = 0;
+        // Since when each job has waited although a machine has capacity and its team is below its limit.
+        let mut waiting_since_by_job = vec![None; jobs.len()];
+        let end = world.now + 200_000;
+        let mut step = 0;
         let mut polls = vec![Vec::new(); jobs.len()];
-        while world.now < over {
+        while world.now < end {
             for (i, body) in jobs.iter().enumerate() {
-                let id = uid(body);
-                if at % 6 == 0 {
-                    let asked = world.poll((at / 6 + i) % 3, id);
-                    polls[i].push((world.now, asked));
+                let id = job_id(body);
+                if step % 6 == 0 {
+                    let request = world.poll((step / 6 + i) % 3, id);
+                    polls[i].push((world.now, request));
                 }
                 let used: usize = jobs
                     .iter()
                     .filter(|j| j["crew"] == body["crew"])
-                    .map(|j| on(&world, uid(j)))
+                    .map(|j| tasks_of_job(&world, job_id(j)))
                     .sum();
-                let waits = on(&world, id) == 0 && !world.checker().all_done(id);
-                let room = world.workers.values().any(|w| !w.hanging && tasks_on(w) < 2);
-                if waits && room && used < 4 {
-                    let began: u64 = *since[i].get_or_insert(world.now);
-                    assert!(world.now - began < 90_000, "{seed}: {id} waits\n{}", world.trace());
+                let is_waiting = tasks_of_job(&world, id) == 0 && !world.checker().all_done(id);
+                let has_room = world.workers.values().any(|w| !w.hanging && tasks_on_machine(w) < 2);
+                if is_waiting && has_room && used < 4 {
+                    let waiting_since: u64 = *waiting_since_by_job[i].get_or_insert(world.now);
+                    assert!(
+                        world.now - waiting_since < 90_000,
+                        "{seed}: {id} waits for 90 s beside free capacity\n{}",
+                        world.trace()
+                    );
                 } else {
-                    since[i] = None;
+                    waiting_since_by_job[i] = None;
                 }
             }
             world.run(500);
-            at += 1;
+            step += 1;
         }
-        for (i, asked) in polls.iter().enumerate() {
-            let mut last = asked[0].0;
-            for (at, _) in asked.iter().filter(|(_, r)| world.status(*r) == 200) {
-                assert!(at - last < 75_000, "{seed}: {}\n{}", uid(&jobs[i]), world.trace());
-                last = *at;
+        for (i, requests) in polls.iter().enumerate() {
+            let mut last = requests[0].0;
+            for (polled_at, _) in requests.iter().filter(|(_, r)| world.status(*r) == 200) {
+                assert!(
+                    polled_at - last < 75_000,
+                    "{seed}: {}\n{}",
+                    job_id(&jobs[i]),
+                    world.trace()
+                );
+                last = *polled_at;
             }
-            assert!(over - last < 75_000, "{seed}: {}\n{}", uid(&jobs[i]), world.trace());
+            assert!(end - last < 75_000, "{seed}: {}\n{}", job_id(&jobs[i]), world.trace());
         }
         for body in &jobs[3..] {
-            assert_eq!(stored(&world, uid(body)), "done", "{seed}\n{}", world.trace());
+            assert_eq!(stored_state(&world, job_id(body)), "done", "{seed}\n{}", world.trace());
         }
         assert_no_breaches(&world, seed);
     }
 }
 
-/// Tasks on a machine, in whatever state but ended.
-fn tasks_on(worker: &Worker) -> usize {
+/// Tasks on a machine that have not ended.
+fn tasks_on_machine(worker: &Worker) -> usize {
     worker.tasks.values().filter(|a| a.state != "ended").count()
 }
 
-/// Tasks of a job that are on machines.
-fn on(world: &World, id: &str) -> usize {
+/// Tasks of a job that are on machines and have not ended.
+fn tasks_of_job(world: &World, id: &str) -> usize {
     let prefix = format!("{id}/");
     let tasks = world.workers.values().flat_map(|w| &w.tasks);
     tasks
@@ -183,31 +202,32 @@
 }
 
 #[test]
-fn a_job_does_not_wait_while_there_is_room_on_a_machine_that_another_team_uses() {
-    // The page: "no job is left waiting for 90 s while a machine that fits has room and its team is under its
-    // limit". The cloud has no more machines, and each of two teams has one task on a machine with room for two.
+fn a_job_does_not_wait_beside_capacity_on_a_machine_that_another_team_uses() {
+    // Guards against a breach of this documented rule: "no job is left waiting for 90 s while a machine that
+    // fits has room and its team is under its limit". The cloud has no more machines, and each of two teams has one
+    // task on a machine with room for two.
     for shape in ["standing", "sweep"] {
-        for change in [false, true] {
-            let case = (shape, change);
+        for restarts_owner in [false, true] {
+            let case = (shape, restarts_owner);
             let mut world = World::new();
             world.run_ms = 600_000;
             world.cloud.most = 2;
             world.run(3000);
             world.accepted(0, &job(1, 0, shape, 1));
-            let first = world.run_until(30_000, |w| w.running("job-000001") == 1);
-            assert!(first, "{case:?}\n{}", world.trace());
+            let first_runs = world.run_until(30_000, |w| w.running("job-000001") == 1);
+            assert!(first_runs, "{case:?}\n{}", world.trace());
             world.accepted(0, &job(2, 1, shape, 1));
-            let second = world.run_until(30_000, |w| w.running("job-000002") == 1);
-            assert!(second, "{case:?}\n{}", world.trace());
-            if change {
+            let second_runs = world.run_until(30_000, |w| w.running("job-000002") == 1);
+            assert!(second_runs, "{case:?}\n{}", world.trace());
+            if restarts_owner {
                 let owner = world.owner_of_team(2);
                 world.crash(owner);
                 world.run(300);
                 world.start(owner);
             }
             world.accepted(0, &job(3, 2, shape, 1));
-            let third = world.run_until(90_000, |w| w.running("job-000003") == 1);
-            assert!(third, "{case:?}\n{}", world.trace());
+            let third_runs = world.run_until(90_000, |w| w.running("job-000003") == 1);
+            assert!(third_runs, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
         }
     }
--- a/crates/tidelatch-standin/tests/compound_faults_requests.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_requests.rs
@@ -2,13 +2,13 @@
 
 mod compound_fault_support;
 
-use compound_fault_support::{assert_no_breaches, stored, uid};
+use compound_fault_support::{assert_no_breaches, job_id, stored_state};
 use serde_json::{Value, json};
 use tidelatch_core::Method;
 use tidelatch_standin::{World, job};
 
-/// Bodies that no job can have, each with what is changed of a right one.
-fn odd_bodies(id: u32) -> Vec<Value> {
+/// Invalid submissions: each is a valid one with one field changed or missing, or with too many tasks.
+fn invalid_bodies(id: u32) -> Vec<Value> {
     let fields = [
         ("crew", json!("nobody")),
         ("crew", json!(7)),
@@ -63,57 +63,59 @@
         body.as_object_mut().expect("an object").remove(field);
         all.push(body);
     }
-    // A service that is more than its team's limit.
+    // A service that exceeds its team's limit.
     all.push(job(id, 0, "standing", 5));
     all
 }
 
-/// Sends a body as it is, and returns the answer's status.
+/// Sends a body unchanged as a submission, and returns the status of the answer, or 0 without an answer.
 fn send(world: &mut World, node: usize, body: &str, id: &str) -> u16 {
-    let asked = world.user(node, Method::Post, "/submissions", body, (id.to_owned(), "submit"));
+    let request = world.user(node, Method::Post, "/submissions", body, (id.to_owned(), "submit"));
     world.run(30);
-    world.status(asked)
+    world.status(request)
 }
 
 #[test]
 fn jobs_that_cannot_run_or_lack_a_field_are_refused_unless_their_id_was_accepted() {
-    // Guard: a submission is refused for good only after a read of the store has found no job of its id.
+    // Guards against a final refusal of a job that was accepted before. A submission is refused for good only after a
+    // read of the state service has found no job of its id.
     let mut world = World::new();
     world.run(4000);
     let accepted = job(1, 0, "sweep", 2);
     let service = job(2, 1, "standing", 1);
     world.accepted(0, &accepted);
     world.accepted(0, &service);
-    let odd_of_accepted = odd_bodies(1);
-    for (i, body) in odd_bodies(900).iter().enumerate() {
+    let invalid_of_accepted = invalid_bodies(1);
+    for (i, body) in invalid_bodies(900).iter().enumerate() {
         for node in [0, 1, 2, i % 3] {
             let status = send(&mut world, node, &body.to_string(), "job-000900");
             assert!(matches!(status, 400 | 422), "{status} to {body}\n{}", world.trace());
         }
-        let status = send(&mut world, i % 3, &odd_of_accepted[i].to_string(), "job-000001");
-        assert_eq!(status, 200, "{}\n{}", odd_of_accepted[i], world.trace());
+        let status = send(&mut world, i % 3, &invalid_of_accepted[i].to_string(), "job-000001");
+        assert_eq!(status, 200, "{}\n{}", invalid_of_accepted[i], world.trace());
     }
     assert!(world.store.get("t/j/job-000900").is_none(), "{}", world.trace());
-    // Right after an acceptance, at controllers that have not read of it yet.
+    // Invalid bodies are sent right after an acceptance, at controllers that have not read the job yet.
     for i in 0..6 {
         let body = job(10 + i, i % 3, "sweep", 1);
-        let first = world.submit(i as usize % 3, &body);
-        while world.status(first) == 0 {
+        let acceptance = world.submit(i as usize % 3, &body);
+        while world.status(acceptance) == 0 {
             world.run(1);
         }
-        assert_eq!(world.status(first), 201, "{}", world.trace());
-        for (at, node) in [(1, (i + 1) % 3), (5, (i + 2) % 3)] {
-            let mut odd = body.clone();
-            odd["wagons"] = json!(0);
-            let status = send(&mut world, node as usize, &odd.to_string(), uid(&body));
+        assert_eq!(world.status(acceptance), 201, "{}", world.trace());
+        for (wait_ms, node) in [(1, (i + 1) % 3), (5, (i + 2) % 3)] {
+            let mut invalid = body.clone();
+            invalid["wagons"] = json!(0);
+            let status = send(&mut world, node as usize, &invalid.to_string(), job_id(&body));
             assert_eq!(status, 200, "{}", world.trace());
-            world.run(at);
+            world.run(wait_ms);
         }
     }
-    let done = |w: &World| stored(w, "job-000001") == "done";
-    assert!(world.run_until(60_000, done), "{}", world.trace());
-    // After its end, right after a controller's start, and while the state service is out.
-    for (i, body) in odd_of_accepted.iter().enumerate() {
+    let is_done = |w: &World| stored_state(w, "job-000001") == "done";
+    assert!(world.run_until(60_000, is_done), "{}", world.trace());
+    // Invalid bodies are sent after the job's end, right after the start of a controller, and while the state service
+    // is down.
+    for (i, body) in invalid_of_accepted.iter().enumerate() {
         let node = i % 3;
         world.store.down = i % 4 == 3;
         if i % 5 == 4 {
@@ -125,22 +127,22 @@
             world.run(wait);
             let status = send(&mut world, node, &body.to_string(), "job-000001");
             assert!(matches!(status, 0 | 200 | 503), "{status} to {body}\n{}", world.trace());
-            let unfit = json!({ "uid": "job-000002" }).to_string();
-            let status = send(&mut world, node, &unfit, "job-000002");
+            let incomplete = json!({ "uid": "job-000002" }).to_string();
+            let status = send(&mut world, node, &incomplete, "job-000002");
             assert!(matches!(status, 0 | 200 | 503), "{status}\n{}", world.trace());
         }
     }
     world.store.down = false;
     world.run(20_000);
     for node in 0..3 {
-        let late = [world.withdraw(node, "job-000001"), world.poll(node, "job-000001")];
-        let unknown = [world.withdraw(node, "job-000900"), world.poll(node, "job-000900")];
+        let of_ended_job = [world.withdraw(node, "job-000001"), world.poll(node, "job-000001")];
+        let of_unknown_job = [world.withdraw(node, "job-000900"), world.poll(node, "job-000900")];
         world.run(200);
-        for asked in late {
-            assert_eq!((world.status(asked), world.said(asked).as_str()), (200, "done"));
+        for request in of_ended_job {
+            assert_eq!((world.status(request), world.said(request).as_str()), (200, "done"));
         }
-        for asked in unknown {
-            assert_eq!(world.status(asked), 404, "{}", world.trace());
+        for request in of_unknown_job {
+            assert_eq!(world.status(request), 404, "{}", world.trace());
         }
     }
     assert!(
@@ -152,13 +154,14 @@
 }
 
 #[test]
-fn what_is_no_request_at_all_ends_no_controller() {
-    // Guard: nothing that comes from outside is taken for granted; whatever is not in form is refused.
+fn malformed_requests_crash_no_controller() {
+    // Guards against a controller that crashes on input from outside. No input is assumed to be well-formed, and
+    // whatever is malformed is refused.
     let mut world = World::new();
     world.run(4000);
     world.accepted(0, &job(1, 0, "standing", 1));
-    let mut long = job(900, 0, "sweep", 1);
-    long["consist"] = json!("x".repeat(70_000));
+    let mut too_long = job(900, 0, "sweep", 1);
+    too_long["consist"] = json!("x".repeat(70_000));
     let bodies = [
         String::new(),
         "null".into(),
@@ -178,32 +181,32 @@
         "{\"a\":".repeat(20_000),
         "x".repeat(1_000_000),
         "\u{0}\u{1}\u{fffd}".into(),
-        long.to_string(),
+        too_long.to_string(),
     ];
-    // Those that are in form may be answered as those of any machine that nobody knows.
+    // Well-formed reports may be answered like those of any unknown machine.
     let most = u64::MAX;
-    let wild = json!({ "berth": "n-9", "addr": "n-9:1", "model": "m2", "yard": "a", "standby": false,
+    let extreme = json!({ "berth": "n-9", "addr": "n-9:1", "model": "m2", "yard": "a", "standby": false,
         "shift": most, "tally": most, "baton": most,
         "wagons": [{ "wagon": "//", "run": 0, "status": "odd" }] });
     let empty = json!({ "berth": "", "addr": "", "model": "", "yard": "", "standby": true,
         "shift": 0, "tally": 0, "baton": 0, "wagons": [] });
-    let (wild, empty) = (wild.to_string(), empty.to_string());
-    let beats = [
+    let (extreme, empty) = (extreme.to_string(), empty.to_string());
+    let reports = [
         (r#"{"berth":"n-000001"}"#, false),
         (r#"{"berth":17,"wagons":{}}"#, false),
         (&empty, true),
-        (&wild, true),
+        (&extreme, true),
     ];
     for node in 0..3 {
         for body in &bodies {
             let status = send(&mut world, node, body, "job-000900");
             assert!(matches!(status, 400 | 422), "{status} to {body:.80}");
         }
-        for (body, formed) in bodies.iter().map(|b| (b.as_str(), false)).chain(beats) {
-            let asked = world.user(node, Method::Post, "/agent/beat", body, ("beat".into(), "health"));
+        for (body, is_well_formed) in bodies.iter().map(|b| (b.as_str(), false)).chain(reports) {
+            let request = world.user(node, Method::Post, "/agent/beat", body, ("beat".into(), "health"));
             world.run(30);
-            let status = world.status(asked);
-            assert!(formed || status != 200, "{status} to {body:.80}");
+            let status = world.status(request);
+            assert!(is_well_formed || status != 200, "{status} to {body:.80}");
         }
         for path in [
             "/submissions/",
@@ -214,9 +217,9 @@
             "/store/x",
         ] {
             for method in [Method::Get, Method::Post, Method::Delete] {
-                let asked = world.user(node, method, path, "", ("odd".into(), "health"));
+                let request = world.user(node, method, path, "", ("odd".into(), "health"));
                 world.run(30);
-                let status = world.status(asked);
+                let status = world.status(request);
                 assert!((400..500).contains(&status), "{status} to {path}");
             }
         }
