--- a/crates/tidelatch-standin/tests/restarts.rs
+++ b/crates/tidelatch-standin/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Controllers that are back within a moment, stand still for longer than their lease, or meet messages of their earlier
-//! lives. Each test names the guard that it is there for.
+//! Controllers that restart within a moment, are paused for longer than their lease, or meet messages of their earlier
+//! incarnations. The comment at the head of each test names the failure and what prevents it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,84 +7,99 @@
 use tidelatch_standin::support::{assert_no_breaches, assert_trace, with_service};
 use tidelatch_standin::{Delivery, World, job};
 
-/// One controller ends and is back after a moment, at some time after a submission; copies of what it
-/// sent before come later.
-fn back_in_a_moment(at: u64, away: u64) {
+/// Crashes one controller `crash_at_ms` after a submission and restarts it after `away_ms`, then another
+/// one. Copies of some of the messages of all controllers and workers arrive later.
+fn run_with_quick_restarts(crash_at_ms: u64, away_ms: u64) {
     let mut world = World::new();
     let n = Rc::new(Cell::new(0u64));
     world.meddle(move |l| {
         n.set(n.get() + 1);
-        let repeated = matches!(
+        let is_copied = matches!(
             l.what,
             "POST /agent/beat" | "POST /commands" | "POST /txn" | "POST /hosts"
         );
-        if repeated && n.get().is_multiple_of(3) {
+        if is_copied && n.get().is_multiple_of(3) {
             Delivery::Copied(400 + 1300 * (n.get() % 17))
         } else {
             Delivery::Pass
         }
     });
-    // In the middle of the first election for the smallest of times.
-    world.run(at.min(60));
-    if at <= 60 {
-        world.crash(at as usize % 3);
-        world.run(away);
-        world.start(at as usize % 3);
+    // With the smallest values of `crash_at_ms`, the first crash is in the middle of the first election.
+    world.run(crash_at_ms.min(60));
+    if crash_at_ms <= 60 {
+        world.crash(crash_at_ms as usize % 3);
+        world.run(away_ms);
+        world.start(crash_at_ms as usize % 3);
     }
     world.run(3000);
     world.accepted(0, &job(1, 0, "standing", 2));
     world.accepted(1, &job(2, 1, "sweep", 3));
     let owner = world.owner_of_team(0);
     let pending = world.submit((owner + 1) % 3, &job(3, 0, "sweep", 2));
-    world.run(at);
+    world.run(crash_at_ms);
     world.crash(owner);
-    world.run(away);
+    world.run(away_ms);
     world.start(owner);
-    world.run(at / 2);
-    let again = world.submit(owner, &job(3, 0, "sweep", 2));
+    world.run(crash_at_ms / 2);
+    let repetition = world.submit(owner, &job(3, 0, "sweep", 2));
     world.crash((owner + 1) % 3);
-    world.run(away);
+    world.run(away_ms);
     world.start((owner + 1) % 3);
     world.run(40_000);
     world.calm();
     let mut jobs = vec!["job-000001", "job-000002"];
-    if [pending, again].iter().any(|r| matches!(world.status(*r), 200 | 201)) {
+    if [pending, repetition]
+        .iter()
+        .any(|r| matches!(world.status(*r), 200 | 201))
+    {
         jobs.push("job-000003");
     }
     assert!(
         world.unanswered(75_000, &jobs).is_empty(),
-        "{at} {away}\n{}",
+        "{crash_at_ms} {away_ms}\n{}",
+        world.trace()
+    );
+    assert_eq!(
+        world.running("job-000001"),
+        2,
+        "{crash_at_ms} {away_ms}\n{}",
         world.trace()
     );
-    assert_eq!(world.running("job-000001"), 2, "{at} {away}\n{}", world.trace());
     for j in jobs.iter().skip(1) {
         let poll = world.poll(2, j);
         world.run(2000);
-        assert_eq!(world.said(poll), "done", "{j} {at} {away}\n{}", world.trace());
+        assert_eq!(
+            world.said(poll),
+            "done",
+            "{j} {crash_at_ms} {away_ms}\n{}",
+            world.trace()
+        );
     }
     assert!(
         world.broken.is_empty(),
-        "{at} {away}: {:?}\n{}",
+        "{crash_at_ms} {away_ms}: {:?}\n{}",
         world.broken,
         world.trace()
     );
 }
 
 #[test]
-fn a_controller_is_back_within_a_moment_at_any_time() {
-    // Guard: lives of their own; conditions on what a life writes, its own key included; attempts
-    // from the epoch; nothing older starts before its machine has taken the new token.
-    for at in [3, 12, 18, 40, 203, 250, 1100, 2500, 5950, 6003, 6700] {
-        for away in [40, 350, 900] {
-            back_in_a_moment(at, away);
+fn a_controller_restarts_within_a_moment_at_any_time() {
+    // Guards against jobs and tasks that are lost or run twice, when controllers crash at any time after a submission,
+    // restart within a moment and meet copies of messages of their earlier incarnations. Each incarnation has an
+    // identity of its own. All that it writes is conditional, its own key included. Attempts are numbered from the
+    // epoch. No older task starts before its machine has accepted the new token.
+    for crash_at_ms in [3, 12, 18, 40, 203, 250, 1100, 2500, 5950, 6003, 6700] {
+        for away_ms in [40, 350, 900] {
+            run_with_quick_restarts(crash_at_ms, away_ms);
         }
     }
 }
 
 #[test]
-fn a_late_copy_of_an_earlier_lifes_key_changes_nothing() {
-    // Guard: a controller's own key is written on condition of its revision. A copy of an earlier life's
-    // write put that life back, and the membership changed to and fro.
+fn a_late_copy_of_an_earlier_incarnations_key_changes_nothing() {
+    // Guards against a late copy of an earlier incarnation's write, which put that incarnation back, so that the
+    // membership changed to and fro. A controller writes its own key on condition of the key's revision.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
@@ -101,7 +116,7 @@
     world.run(100);
     world.start(owner);
     assert!(world.run_until(1000, |_| copies.get() == 1), "{}", world.trace());
-    // Its next life, while the first one's lease is still alive.
+    // The next incarnation starts while the lease of the first one has not ended.
     world.crash(owner);
     world.run(100);
     world.start(owner);
@@ -114,15 +129,16 @@
 }
 
 #[test]
-fn a_controller_that_stood_still_for_longer_than_its_lease_does_nothing_on_waking() {
-    // Guard: entitlement is looked at with each input, at the time of that input: what lay in the buffers
-    // (reports, users' requests, ends of calls, ticks) is met by a controller that may not act any more.
+fn a_controller_paused_for_longer_than_its_lease_does_nothing_on_resuming() {
+    // Guards against a controller that acts on old input after a long pause. The entitlement is checked with each
+    // input, at the time of that input. Whatever waited in the buffers (reports, users' requests, ends of calls,
+    // ticks) is handled by a controller that may no longer act.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     world.freeze(owner);
-    // In its buffers by the time it goes on: a submission, a poll, a cancellation, a health check.
+    // A submission and a cancellation wait in its buffers when it resumes.
     let submission = world.submit(owner, &job(7, 0, "sweep", 2));
-    let cancel = world.user(
+    let cancellation = world.user(
         owner,
         Method::Post,
         "/submissions/job-000001/withdraw",
@@ -130,20 +146,21 @@
         ("job-000001".into(), "withdraw"),
     );
     world.run(33_000);
-    let next = world.owner_of_team(0);
-    assert_ne!(next, owner, "{}", world.trace());
-    world.accepted(next, &job(8, 0, "sweep", 2));
+    let next_owner = world.owner_of_team(0);
+    assert_ne!(next_owner, owner, "{}", world.trace());
+    world.accepted(next_owner, &job(8, 0, "sweep", 2));
     let before = world.sent;
     world.thaw(owner);
     let after = world.sent;
-    // No command to a worker, no change in the store, no call to the cloud but to ask for a lease anew.
+    // It sends no command to a worker, no change to the state service and no call to the cloud. It may only ask for a
+    // new lease.
     assert_eq!(after.commands, before.commands, "{}", world.trace());
     assert_eq!(after.changes, before.changes, "{}", world.trace());
     assert_eq!(after.cloud_calls, before.cloud_calls, "{}", world.trace());
     assert!(!matches!(world.status(submission), 200 | 201), "{}", world.trace());
-    assert_ne!(world.said(cancel), "withdrawn", "{}", world.trace());
-    let done = |w: &World| w.store.get("t/j/job-000008").is_some_and(|j| j["st"] == "done");
-    assert!(world.run_until(60_000, done), "{}", world.trace());
+    assert_ne!(world.said(cancellation), "withdrawn", "{}", world.trace());
+    let is_done = |w: &World| w.store.get("t/j/job-000008").is_some_and(|j| j["st"] == "done");
+    assert!(world.run_until(60_000, is_done), "{}", world.trace());
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "stood_still_beyond_its_lease");
 }
--- a/crates/tidelatch-standin/tests/state_service_outages.rs
+++ b/crates/tidelatch-standin/tests/state_service_outages.rs
@@ -1,12 +1,14 @@
-//! The state service is away, refuses some controllers, or its watches fail: what controllers may still do, and how they
-//! catch up. Each test names the guard that it is there for.
+//! Failures of the state service: it is down, does not answer some controllers, or its watches fail. The tests cover
+//! what controllers may still do, and how they catch up. The comment at the head of each test names the failure and
+//! what prevents it.
 
 use tidelatch_standin::support::{assert_trace, with_service};
 use tidelatch_standin::{Delivery, World, job};
 
 #[test]
-fn a_short_state_outage_costs_no_task() {
-    // Guard: leases have their full time again after an outage, so the same life goes on.
+fn a_short_outage_ends_no_task() {
+    // Guards against controllers that lose their leases in a short outage. Leases have their full time again after an
+    // outage, so that the same incarnation goes on.
     let mut world = with_service(0);
     let epoch = world.epoch();
     world.note("the state service goes down");
@@ -14,7 +16,11 @@
     world.run(12_000);
     let refused = world.submit(0, &job(2, 0, "sweep", 1));
     world.run(500);
-    assert_eq!(world.status(refused), 503, "answered at once");
+    assert_eq!(
+        world.status(refused),
+        503,
+        "a submission in the outage is refused at once"
+    );
     assert!(
         world
             .answers
@@ -28,15 +34,15 @@
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert!(
         world.workers.values().all(|w| w.session == 1),
-        "no worker's lease ended"
+        "every worker is still in its first session"
     );
     assert_trace(&world, "short_state_outage");
 }
 
 #[test]
-fn a_long_state_outage_costs_no_task() {
-    // Guard: under the grants of all peers a controller goes on answering beats, and no gap lies
-    // between its lease and the grants.
+fn a_long_outage_ends_no_task() {
+    // Guards against workers whose leases end in an outage that is longer than a controller's lease. With the grants
+    // of all its peers a controller goes on answering reports, and there is no gap between its lease and the grants.
     let mut world = with_service(0);
     world.accepted(1, &job(2, 1, "standing", 2));
     assert!(
@@ -54,15 +60,16 @@
     assert_eq!(world.epoch(), epoch, "{}", world.trace());
     assert!(
         world.workers.values().all(|w| w.session == 1),
-        "no worker's lease ended"
+        "every worker is still in its first session"
     );
     assert_eq!(world.running("job-000001") + world.running("job-000002"), 4);
     assert_trace(&world, "long_state_outage");
 }
 
 #[test]
-fn a_crash_in_a_long_state_outage_costs_only_what_must_be() {
-    // The peers' grants last for a controller's lease, so a restart in between is bridged.
+fn a_restart_of_a_peer_in_a_long_outage_ends_no_task() {
+    // Guards against tasks that end because a peer restarts in the outage and grants nothing meanwhile. The peers'
+    // grants last for a controller's lease, which is longer than the restart takes.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     world.store.down = true;
@@ -78,9 +85,9 @@
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
-/// All controllers are refused, each by itself, so that leases run out in the store; then all but the
-/// owner of team 0 are served again. Two controllers must never act for its partition.
-fn refused_one_by_one(restart_others: bool) -> World {
+/// Cuts each controller off from the state service, so that leases run out in the store. Then all but the owner of
+/// team 0 reach it again. Two controllers must never act for that team's partition.
+fn run_with_grants_in_an_outage(restart_others: bool) -> World {
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
@@ -116,20 +123,23 @@
 }
 
 #[test]
-fn a_grant_is_kept_by_those_who_are_served_again() {
-    // Guard: whoever has granted neither leads nor raises an epoch until that is over.
-    assert_trace(&refused_one_by_one(false), "grants_are_kept");
+fn a_grant_is_kept_by_controllers_that_are_served_again() {
+    // Guards against two controllers that act for one partition: the owner acts under grants of peers which the state
+    // service serves again. A controller that has granted neither leads nor raises an epoch until its grant is over.
+    assert_trace(&run_with_grants_in_an_outage(false), "grants_are_kept");
 }
 
 #[test]
-fn a_grant_is_kept_even_if_it_may_be_forgotten() {
-    // Guard: a new process leads only once all peers rely on nothing, or the longest grant is over.
-    assert_trace(&refused_one_by_one(true), "grants_may_be_forgotten");
+fn a_grant_is_kept_over_a_restart_of_those_who_granted() {
+    // Guards against two controllers that act for one partition, because those that granted have restarted and know
+    // nothing of it. A new process leads only once all peers rely on no grant, or the longest grant is over.
+    assert_trace(&run_with_grants_in_an_outage(true), "grants_may_be_forgotten");
 }
 
 #[test]
 fn the_grant_of_one_peer_is_not_enough() {
-    // Guard: any peer could change the membership, so every one of them has to grant.
+    // Guards against two controllers that act for one partition: the owner has the grant of one peer, and another
+    // peer, which granted nothing, changes the membership. Any peer could do so, so every one of them has to grant.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let (refused, served) = (
@@ -138,9 +148,9 @@
     );
     let name = format!("berth-{owner}");
     world.meddle(move |l| {
-        let without_state = l.to == "state" && (l.from == name || l.from == refused);
-        let cut = (l.from == name && l.to == served) || (l.from == served && l.to == name);
-        if without_state || cut {
+        let is_refused = l.to == "state" && (l.from == name || l.from == refused);
+        let is_cut_off = (l.from == name && l.to == served) || (l.from == served && l.to == name);
+        if is_refused || is_cut_off {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -153,11 +163,12 @@
 
 #[test]
 fn a_watch_that_is_too_old_is_replaced_by_reading_the_keys_again() {
-    // Guard: 410 means that changes were missed; what is gone must go, what is new must come.
+    // Guards against changes that a controller never learns of because its watch was interrupted for too long. A 410
+    // means that changes were missed: all keys are read again, deleted ones are forgotten and new ones are added.
     let mut world = with_service(0);
     world.meddle(|l| {
-        let deaf = l.from == "berth-1" && l.what.starts_with("GET /changes");
-        if deaf { Delivery::Lost } else { Delivery::Pass }
+        let is_watch = l.from == "berth-1" && l.what.starts_with("GET /changes");
+        if is_watch { Delivery::Lost } else { Delivery::Pass }
     });
     world.run(10_000);
     world.accepted(0, &job(2, 1, "sweep", 1));
@@ -173,24 +184,25 @@
             .store
             .get("t/j/job-000002")
             .is_some_and(|j| j["st"] == "done")),
-        "the owner learns of a job that it had not heard of: {}",
+        "the owner learns of the job that its watch missed: {}",
         world.trace()
     );
     let poll = world.poll(1, "job-000001");
     world.run(300);
     assert_eq!(world.said(poll), "withdrawn");
-    assert!(machines <= 1, "the service's machine has been returned");
+    assert!(machines <= 1, "the machine of the cancelled service has been returned");
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 #[test]
-fn a_watch_that_never_answers_is_made_up_for_by_reading_the_keys() {
-    // Guard: a watch's answer has no size limit, so one may be too long for a controller for good.
+fn a_watch_that_never_answers_is_replaced_by_reading_the_keys() {
+    // Guards against a controller that learns of no change because no answer to its watch arrives. The answer has no
+    // size limit, so it may be too long for a controller every time.
     let mut world = World::new();
     world.run(3000);
     world.meddle(|l| {
-        let deaf = l.from == "berth-1" && l.what.starts_with("GET /changes");
-        if deaf { Delivery::AnswerLost } else { Delivery::Pass }
+        let is_watch = l.from == "berth-1" && l.what.starts_with("GET /changes");
+        if is_watch { Delivery::AnswerLost } else { Delivery::Pass }
     });
     world.run(10_000);
     world.accepted(0, &job(1, 1, "sweep", 1));
