--- a/crates/tidelatch-standin/tests/acceptance.rs
+++ b/crates/tidelatch-standin/tests/acceptance.rs
@@ -15,7 +15,7 @@
 /// A user whose submission has not been accepted yet.
 struct User {
     body: serde_json::Value,
-    node: usize,
+    controller: usize,
     arrived_ms: u64,
     /// When the user submits for the first time or again.
     next_attempt_ms: u64,
@@ -37,10 +37,10 @@
 
 impl Users {
     /// Adds a user who submits a job at a controller from now on.
-    fn add(&mut self, world: &World, node: usize, body: serde_json::Value) {
+    fn add(&mut self, world: &World, controller: usize, body: serde_json::Value) {
         self.waiting.push(User {
             body,
-            node,
+            controller,
             arrived_ms: world.now,
             next_attempt_ms: world.now,
             request: None,
@@ -62,7 +62,7 @@
         let mut waiting = Vec::new();
         for mut user in std::mem::take(&mut self.waiting) {
             if user.request.is_none() && world.now >= user.next_attempt_ms {
-                user.request = Some(world.submit(user.node, &user.body));
+                user.request = Some(world.submit(user.controller, &user.body));
                 user.attempts += 1;
             }
             if let Some(user) = self.read_answer(world, user) {
@@ -92,7 +92,7 @@
         self.retry_delays_s.push(retry_delay_s);
         user.next_attempt_ms = at + 1000 * retry_delay_s.clamp(1, 30);
         user.request = None;
-        user.node = (user.node + 1) % 3;
+        user.controller = (user.controller + 1) % 3;
         if user.next_attempt_ms > user.arrived_ms + USER_RETRY_MS {
             self.gave_up.push(id);
             return None;
--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -49,10 +49,10 @@
 /// Runs a scenario. Job 1 is of the refused controller's team, job 2 of the confirming controller's.
 fn run_scenario(scenario: Scenario, features: Features) -> World {
     let mut world = World::new();
-    for node in 0..3 {
-        world.crash(node);
-        world.version(node, features);
-        world.start(node);
+    for controller in 0..3 {
+        world.crash(controller);
+        world.version(controller, features);
+        world.start(controller);
     }
     world.run_ms = 300_000;
     world.run(3000);
@@ -130,10 +130,10 @@
         world.start(confirming);
     }
     world.run(CANCEL_MS);
-    for node in 0..3 {
-        world.withdraw(node, "job-000002");
-        world.poll(node, "job-000002");
-        world.poll(node, "job-000001");
+    for controller in 0..3 {
+        world.withdraw(controller, "job-000002");
+        world.poll(controller, "job-000002");
+        world.poll(controller, "job-000001");
     }
     world.run(3000);
     world
--- a/crates/tidelatch-standin/tests/compound_fault_regressions.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_regressions.rs
@@ -79,10 +79,10 @@
                     continue;
                 }
                 self.count += 1;
-                for node in 0..3 {
-                    world.poll(node, job);
+                for controller in 0..3 {
+                    world.poll(controller, job);
                     if let Some(body) = bodies.iter().find(|b| b["uid"] == job) {
-                        world.submit(node, body);
+                        world.submit(controller, body);
                     }
                 }
             }
@@ -171,8 +171,8 @@
     world.withdraw(owner, "job-000001");
     world.run(10);
     for _ in 0..20 {
-        for node in 0..3 {
-            world.poll(node, "job-000001");
+        for controller in 0..3 {
+            world.poll(controller, "job-000001");
         }
         world.run(20);
     }
@@ -407,17 +407,17 @@
     let mut not_accepted = Vec::new();
     let mut cancellations: Vec<(u32, u64)> = Vec::new();
     for n in 1..=360u32 {
-        let node = n as usize % 3;
+        let controller = n as usize % 3;
         let body = job(n, n % 6, "sweep", 1);
-        let request = world.submit(node, &body);
+        let request = world.submit(controller, &body);
         world.run(250);
         if world.status(request) != 201 {
             not_accepted.push(body);
         } else if n % 4 == 0 {
-            cancellations.push((n, world.withdraw((node + 1) % 3, &id(n))));
+            cancellations.push((n, world.withdraw((controller + 1) % 3, &id(n))));
         }
         if n % 8 == 0 {
-            world.poll(node, &id(n / 2));
+            world.poll(controller, &id(n / 2));
         }
     }
     let seconds = (world.now - from) / 1000;
--- a/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
@@ -53,9 +53,9 @@
 }
 
 /// Cancels a job at these controllers, one after the other, until one answers with a final state. Returns that state.
-pub fn cancel(world: &mut World, nodes: &[usize], id: &str) -> String {
+pub fn cancel(world: &mut World, controllers: &[usize], id: &str) -> String {
     for i in 0..60 {
-        let request = world.withdraw(nodes[i % nodes.len()], id);
+        let request = world.withdraw(controllers[i % controllers.len()], id);
         world.run(1000);
         if world.status(request) == 200 {
             return world.said(request);
@@ -71,9 +71,9 @@
 /// times.
 pub fn states_at_all_controllers(world: &mut World, id: &str) -> Vec<String> {
     let mut states = Vec::new();
-    for node in 0..3 {
+    for controller in 0..3 {
         for _ in 0..20 {
-            let request = world.poll(node, id);
+            let request = world.poll(controller, id);
             world.run(1500);
             if world.status(request) == 200 {
                 states.push(world.said(request));
--- a/crates/tidelatch-standin/tests/compound_faults_answers.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_answers.rs
@@ -144,7 +144,7 @@
             let case = (late_ms, question);
             let mut world = World::new();
             world.run(4000);
-            let node = world.owner_of_team(0);
+            let controller = world.owner_of_team(0);
             world.meddle(move |l| {
                 if l.what.starts_with("GET /store/t/j/") {
                     Delivery::AnswerLate(late_ms)
@@ -154,17 +154,17 @@
             });
             let body = job(1, 0, "sweep", 1);
             match question {
-                "poll" => world.poll(node, "job-000001"),
-                "withdraw" => world.withdraw(node, "job-000001"),
+                "poll" => world.poll(controller, "job-000001"),
+                "withdraw" => world.withdraw(controller, "job-000001"),
                 _ => {
                     let invalid = json!({ "uid": "job-000001" }).to_string();
                     let about = ("job-000001".to_owned(), "submit");
-                    world.user(node, Method::Post, "/submissions", &invalid, about)
+                    world.user(controller, Method::Post, "/submissions", &invalid, about)
                 }
             };
             // The same user's submission, or its repetition, arrives on another connection.
             world.run(3);
-            let accepted = world.submit(node, &body);
+            let accepted = world.submit(controller, &body);
             world.run(1500);
             assert_eq!(world.status(accepted), 201, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
@@ -179,13 +179,13 @@
     // told users of it.
     for late_ms in [3, 5, 20, 100, 300, 450] {
         for submits in [false, true] {
-            for node in 1..3 {
+            for controller in 1..3 {
                 for task_ends in [false, true] {
-                    let case = (late_ms, submits, node, task_ends);
+                    let case = (late_ms, submits, controller, task_ends);
                     let body = job(1, 0, "sweep", 2);
                     let mut world =
                         with_running_jobs(if task_ends { 4000 } else { 300_000 }, std::slice::from_ref(&body));
-                    let asked_controller = (world.owner_of_team(0) + node) % 3;
+                    let asked_controller = (world.owner_of_team(0) + controller) % 3;
                     let mut forwards = 0;
                     world.meddle(move |l| {
                         forwards += u64::from(l.what == "forward");
@@ -230,11 +230,11 @@
     // network or a busy processor.
     for paused_ms in [1000, 1900, 4000] {
         for polls in [true, false] {
-            for node in 1..3 {
-                let case = (paused_ms, node, polls);
+            for controller in 1..3 {
+                let case = (paused_ms, controller, polls);
                 let mut world = with_running_jobs(300_000, &[job(1, 0, "sweep", 2)]);
                 let owner = world.owner_of_team(0);
-                let asked_controller = (owner + node) % 3;
+                let asked_controller = (owner + controller) % 3;
                 if polls {
                     world.poll(asked_controller, "job-000001");
                 } else {
--- a/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
@@ -70,13 +70,13 @@
     // record, and users are told only what is stored.
     for tasks in [1, 2] {
         for after_ms in [0, 1, 2, 3, 4, 5, 6, 7, 8, 10, 15, 30, 60] {
-            for node in 0..3 {
-                let case = (tasks, after_ms, node);
+            for controller in 0..3 {
+                let case = (tasks, after_ms, controller);
                 let body = job(1, 0, "sweep", tasks);
                 let mut world = World::new();
                 world.run(3000);
                 world.accepted(0, &body);
-                world.cancel_at_end(node, "job-000001", after_ms);
+                world.cancel_at_end(controller, "job-000001", after_ms);
                 assert!(
                     world.run_until(60_000, |w| w.checker().all_done("job-000001")),
                     "{case:?}"
--- a/crates/tidelatch-standin/tests/compound_faults_placement.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_placement.rs
@@ -125,13 +125,16 @@
                 _ => {}
             }
         }
-        let node = seed as usize % 3;
-        injectors.push(faults::during(from + 20_000..from + 40_000, faults::cut_off(node)));
+        let controller = seed as usize % 3;
+        injectors.push(faults::during(
+            from + 20_000..from + 40_000,
+            faults::cut_off(controller),
+        ));
         world.meddle(faults::during(from..from + 60_000, faults::all(injectors)));
         world.run(10_000);
-        world.crash((node + 1) % 3);
+        world.crash((controller + 1) % 3);
         world.run(500);
-        world.start((node + 1) % 3);
+        world.start((controller + 1) % 3);
         world.run(52_000);
         world.calm();
         // Since when each job has waited although a machine has capacity and its team is below its limit.
--- a/crates/tidelatch-standin/tests/compound_faults_requests.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_requests.rs
@@ -69,16 +69,22 @@
 }
 
 /// Sends a body unchanged as a submission, and returns the status of the answer, or 0 without an answer.
-fn send(world: &mut World, node: usize, body: &str, id: &str) -> u16 {
-    let request = world.user(node, Method::Post, "/submissions", body, (id.to_owned(), "submit"));
+fn send(world: &mut World, controller: usize, body: &str, id: &str) -> u16 {
+    let request = world.user(
+        controller,
+        Method::Post,
+        "/submissions",
+        body,
+        (id.to_owned(), "submit"),
+    );
     world.run(30);
     world.status(request)
 }
 
 #[test]
 fn jobs_that_cannot_run_or_lack_a_field_are_refused_unless_their_id_was_accepted() {
-    // Guards against a final refusal of a job that was accepted before. A submission is refused for good only after a
-    // read of the state service has found no job of its id.
+    // Guards against a final refusal of a job that was accepted before. A submission is refused permanently only after
+    // a read of the state service has found no job of its id.
     let mut world = World::new();
     world.run(4000);
     let accepted = job(1, 0, "sweep", 2);
@@ -87,8 +93,8 @@
     world.accepted(0, &service);
     let invalid_of_accepted = invalid_bodies(1);
     for (i, body) in invalid_bodies(900).iter().enumerate() {
-        for node in [0, 1, 2, i % 3] {
-            let status = send(&mut world, node, &body.to_string(), "job-000900");
+        for controller in [0, 1, 2, i % 3] {
+            let status = send(&mut world, controller, &body.to_string(), "job-000900");
             assert!(matches!(status, 400 | 422), "{status} to {body}\n{}", world.trace());
         }
         let status = send(&mut world, i % 3, &invalid_of_accepted[i].to_string(), "job-000001");
@@ -103,10 +109,10 @@
             world.run(1);
         }
         assert_eq!(world.status(acceptance), 201, "{}", world.trace());
-        for (wait_ms, node) in [(1, (i + 1) % 3), (5, (i + 2) % 3)] {
+        for (wait_ms, controller) in [(1, (i + 1) % 3), (5, (i + 2) % 3)] {
             let mut invalid = body.clone();
             invalid["wagons"] = json!(0);
-            let status = send(&mut world, node as usize, &invalid.to_string(), job_id(&body));
+            let status = send(&mut world, controller as usize, &invalid.to_string(), job_id(&body));
             assert_eq!(status, 200, "{}", world.trace());
             world.run(wait_ms);
         }
@@ -116,27 +122,33 @@
     // Invalid bodies are sent after the job's end, right after the start of a controller, and while the state service
     // is down.
     for (i, body) in invalid_of_accepted.iter().enumerate() {
-        let node = i % 3;
+        let controller = i % 3;
         world.store.down = i % 4 == 3;
         if i % 5 == 4 {
-            world.crash(node);
+            world.crash(controller);
             world.run(20);
-            world.start(node);
+            world.start(controller);
         }
         for wait in [1, 5, 40] {
             world.run(wait);
-            let status = send(&mut world, node, &body.to_string(), "job-000001");
+            let status = send(&mut world, controller, &body.to_string(), "job-000001");
             assert!(matches!(status, 0 | 200 | 503), "{status} to {body}\n{}", world.trace());
             let incomplete = json!({ "uid": "job-000002" }).to_string();
-            let status = send(&mut world, node, &incomplete, "job-000002");
+            let status = send(&mut world, controller, &incomplete, "job-000002");
             assert!(matches!(status, 0 | 200 | 503), "{status}\n{}", world.trace());
         }
     }
     world.store.down = false;
     world.run(20_000);
-    for node in 0..3 {
-        let of_ended_job = [world.withdraw(node, "job-000001"), world.poll(node, "job-000001")];
-        let of_unknown_job = [world.withdraw(node, "job-000900"), world.poll(node, "job-000900")];
+    for controller in 0..3 {
+        let of_ended_job = [
+            world.withdraw(controller, "job-000001"),
+            world.poll(controller, "job-000001"),
+        ];
+        let of_unknown_job = [
+            world.withdraw(controller, "job-000900"),
+            world.poll(controller, "job-000900"),
+        ];
         world.run(200);
         for request in of_ended_job {
             assert_eq!((world.status(request), world.said(request).as_str()), (200, "done"));
@@ -197,13 +209,13 @@
         (&empty, true),
         (&extreme, true),
     ];
-    for node in 0..3 {
+    for controller in 0..3 {
         for body in &bodies {
-            let status = send(&mut world, node, body, "job-000900");
+            let status = send(&mut world, controller, body, "job-000900");
             assert!(matches!(status, 400 | 422), "{status} to {body:.80}");
         }
         for (body, is_well_formed) in bodies.iter().map(|b| (b.as_str(), false)).chain(reports) {
-            let request = world.user(node, Method::Post, "/agent/beat", body, ("beat".into(), "health"));
+            let request = world.user(controller, Method::Post, "/agent/beat", body, ("beat".into(), "health"));
             world.run(30);
             let status = world.status(request);
             assert!(is_well_formed || status != 200, "{status} to {body:.80}");
@@ -217,7 +229,7 @@
             "/store/x",
         ] {
             for method in [Method::Get, Method::Post, Method::Delete] {
-                let request = world.user(node, method, path, "", ("odd".into(), "health"));
+                let request = world.user(controller, method, path, "", ("odd".into(), "health"));
                 world.run(30);
                 let status = world.status(request);
                 assert!((400..500).contains(&status), "{status} to {path}");
--- a/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
@@ -181,7 +181,7 @@
                 crashed.iter().for_each(|n| world.crash(*n));
                 world.run(400);
                 crashed.iter().for_each(|n| world.start(*n));
-                let mut node = 0;
+                let mut controller = 0;
                 let are_done = |w: &World| {
                     ["job-000001", "job-000002"]
                         .iter()
@@ -189,10 +189,10 @@
                 };
                 let until = world.now + 120_000;
                 while world.now < until && !are_done(&world) {
-                    world.poll(node % 3, "job-000001");
-                    world.poll((node + 1) % 3, "job-000002");
+                    world.poll(controller % 3, "job-000001");
+                    world.poll((controller + 1) % 3, "job-000002");
                     world.run(700);
-                    node += 1;
+                    controller += 1;
                 }
                 assert!(are_done(&world), "{case:?}\n{}", world.trace());
                 assert_eq!(
@@ -218,10 +218,10 @@
                 let jobs = [job(1, 0, "standing", 2), job(2, 1, "sweep", 4), job(3, 2, "sweep", 4)];
                 let mut world = with_running_jobs(60_000, &jobs);
                 // Each partition moves to another owner and back.
-                for node in [world.owner_of_team(0), world.owner_of_team(1)] {
-                    world.crash(node);
+                for controller in [world.owner_of_team(0), world.owner_of_team(1)] {
+                    world.crash(controller);
                     world.run(away_ms);
-                    world.start(node);
+                    world.start(controller);
                     world.run(away_ms);
                 }
                 world.withdraw(first, "job-000003");
--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -20,8 +20,14 @@
 }
 
 /// Whether a controller answers the load balancer's health check with 200.
-fn is_healthy(world: &mut World, node: usize) -> bool {
-    let request = world.user(node, tidelatch_core::Method::Get, "/up", "", ("up".into(), "health"));
+fn is_healthy(world: &mut World, controller: usize) -> bool {
+    let request = world.user(
+        controller,
+        tidelatch_core::Method::Get,
+        "/up",
+        "",
+        ("up".into(), "health"),
+    );
     world.run(10);
     world.status(request) == 200
 }
@@ -350,11 +356,11 @@
     // Guards against users who are told different final states of a job that is cancelled 0 to 500 ms after its last
     // task has ended, and against tasks that start afterwards.
     for after in [0, 1, 2, 3, 5, 10, 50, 500] {
-        for node in 0..3 {
+        for controller in 0..3 {
             let mut world = World::new();
             world.run(3000);
             world.accepted(0, &job(1, 0, "sweep", 2));
-            world.cancel_at_end(node, "job-000001", after);
+            world.cancel_at_end(controller, "job-000001", after);
             let cancelled = world.run_until(60_000, |w| w.cancelled_at_end.contains_key("job-000001"));
             assert!(cancelled, "{after}\n{}", world.trace());
             let request = world.cancelled_at_end["job-000001"];
@@ -364,8 +370,8 @@
                 _ => cancel(&mut world, "job-000001"),
             };
             assert!(first == "done" || first == "withdrawn", "{first}\n{}", world.trace());
-            for node in 0..3 {
-                let poll = world.poll(node, "job-000001");
+            for controller in 0..3 {
+                let poll = world.poll(controller, "job-000001");
                 world.run(1500);
                 assert_eq!(world.said(poll), first, "{after}\n{}", world.trace());
             }
--- a/crates/tidelatch-standin/tests/partial_failures.rs
+++ b/crates/tidelatch-standin/tests/partial_failures.rs
@@ -205,12 +205,12 @@
     );
     world.run(4000);
     assert!(world.roster().is_empty(), "{}", world.trace());
-    for node in 0..3 {
-        world.crash(node);
+    for controller in 0..3 {
+        world.crash(controller);
     }
     world.run(300);
-    for node in 0..3 {
-        world.start(node);
+    for controller in 0..3 {
+        world.start(controller);
     }
     world.run(80_000);
     assert!(!world.trace().contains("taking it in"), "{}", world.trace());
@@ -239,12 +239,12 @@
     assert!(world.run_until(8000, |_| held.get()), "{}", world.trace());
     world.run(200);
     assert_eq!(world.status(request), 201);
-    for node in 0..3 {
-        world.crash(node);
+    for controller in 0..3 {
+        world.crash(controller);
     }
     world.run(300);
-    for node in 0..3 {
-        world.start(node);
+    for controller in 0..3 {
+        world.start(controller);
     }
     assert!(
         world.run_until(60_000, |w| w.running("job-000001") == 1),
