--- a/crates/tidelatch/tests/drain_loopback.rs
+++ b/crates/tidelatch/tests/drain_loopback.rs
@@ -1,6 +1,9 @@
-//! Four real controllers on 127.0.0.1 drain twelve workers, while the leader is killed, a team's owner is frozen, another
-//! is cut from the state service, and one is killed right after a permit. A recorder that shares no code with the
-//! controllers judges by the order of events.
+//! Four controller processes on 127.0.0.1 drain twelve workers, while the leader is killed, a team's owner is frozen, another
+//! owner is disconnected from the state service, and one controller is killed right after it used a permit.
+//!
+//! Guards against permits that are used after their lease or are counted twice by a successor: more replicas would be
+//! interrupted at once than the budgets allow. A recorder that shares no code with the controllers checks the events in the
+//! order in which they occurred.
 
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -13,8 +16,8 @@
 const REPLICAS: u32 = 3;
 /// Workers at the beginning: two replicas share a machine.
 const WORKERS: usize = 12;
-/// Time for what must come about on any machine that can run the tests.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Time within which every awaited event must occur, also on the slowest machine that runs the tests.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(120);
 /// Seconds from the submission of an array to its deadline.
 const DEADLINE_S: f64 = 90.0;
 
@@ -25,7 +28,7 @@
     next_job: u32,
     replicas: Vec<(usize, String)>,
     arrays: Vec<(String, Instant)>,
-    /// Arrays that their users were told are done, with the time that it took.
+    /// Arrays that were reported to their users as done, with the time from submission to that report.
     done: Vec<(String, Duration)>,
 }
 
@@ -65,7 +68,7 @@
         }
     }
 
-    fn note_done(&mut self) {
+    fn record_finished_arrays(&mut self) {
         let (users, done) = (&self.users, &mut self.done);
         self.arrays.retain(|(array, submitted)| {
             let is_done = users.is_done(array);
@@ -76,23 +79,27 @@
         });
     }
 
-    fn wait_for(&mut self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let deadline = Instant::now() + PATIENCE;
-        while !holds(self) {
+    fn wait_for(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
+        let deadline = Instant::now() + EVENT_TIMEOUT;
+        while !condition(self) {
             let state = || format!("{}\n{}", self.services.describe(), self.controllers.logs());
-            assert!(Instant::now() < deadline, "{what} did not come about:\n{}", state());
-            self.note_done();
+            assert!(
+                Instant::now() < deadline,
+                "timed out while waiting for {what}:\n{}",
+                state()
+            );
+            self.record_finished_arrays();
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    fn says(&self, text: &str) -> usize {
+    fn count_log_lines(&self, text: &str) -> usize {
         (0..CONTROLLERS)
             .map(|i| self.controllers.log(i).matches(text).count())
             .sum()
     }
 
-    fn all_run(&self) -> bool {
+    fn all_replicas_run(&self) -> bool {
         let runs = |(_, job): &(usize, String)| self.services.running(job) == REPLICAS as usize;
         self.replicas.iter().all(runs)
     }
@@ -110,8 +117,8 @@
         used(self).expect("a permit was used")
     }
 
-    /// Machines that controllers gave up on evidence: what ran there was not stopped by choice.
-    fn given_up(&self) -> BTreeSet<String> {
+    /// Machines that controllers gave up as failed. The end of what ran there does not count as an interruption by choice.
+    fn machines_given_up(&self) -> BTreeSet<String> {
         let logs = self.controllers.logs();
         let lines = logs.lines().filter(|line| line.contains("giving it up"));
         let machines = lines.filter_map(|line| line.split_whitespace().find(|word| word.starts_with("n-")));
@@ -120,20 +127,22 @@
             .collect()
     }
 
-    /// All events in their order, judged against budgets of one replica for each team.
-    fn judge(&self) -> InterruptionRecorder {
-        let given_up = self.given_up();
+    /// Feeds all events in their order to a recorder with a budget of one unavailable replica for each team.
+    fn check_interruptions(&self) -> InterruptionRecorder {
+        let machines_given_up = self.machines_given_up();
         let mut recorder = InterruptionRecorder::new(CONTROLLER_LEASE_MS);
         for team in 0..CONTROLLERS {
-            let of_team = self.replicas.iter().filter(|(t, _)| *t == team);
-            let jobs: Vec<&str> = of_team.map(|(_, job)| job.as_str()).collect();
+            let services_of_team = self.replicas.iter().filter(|(t, _)| *t == team);
+            let jobs: Vec<&str> = services_of_team.map(|(_, job)| job.as_str()).collect();
             recorder.limit(&format!("team-{team}"), &jobs, 1);
         }
         for event in self.services.replica_history() {
             match event {
                 ReplicaEvent::Running { at_ms, replicas } => recorder.sample(at_ms, replicas),
                 ReplicaEvent::SessionEnded { machine } => recorder.session_lost(&machine),
-                ReplicaEvent::Deleted { machine } if given_up.contains(&machine) => recorder.session_lost(&machine),
+                ReplicaEvent::Deleted { machine } if machines_given_up.contains(&machine) => {
+                    recorder.session_lost(&machine)
+                }
                 ReplicaEvent::Deleted { .. } => {}
             }
         }
@@ -141,6 +150,8 @@
     }
 }
 
+/// Guards against a drain that exceeds a budget, completes a task twice, delays arrays past their deadline or never
+/// ends when controllers fail between the grant and the use of a permit.
 #[test]
 fn twelve_workers_are_drained_within_budgets_while_controllers_are_killed_frozen_and_cut_off() {
     let mut deployment = Deployment::start();
@@ -150,11 +161,11 @@
             deployment.replicas.push((team, job));
         }
     }
-    deployment.wait_for("all replicas run", Deployment::all_run);
+    deployment.wait_for("all replicas to run", Deployment::all_replicas_run);
     let before: BTreeSet<String> = deployment.services.roster().into_iter().collect();
     assert!(before.len() >= WORKERS, "{before:?}");
 
-    // All controllers begin again, with the drain in their settings.
+    // All controllers are killed and restarted with the drain in their settings.
     let mut operator: Value = serde_json::from_str(include_str!("../../../deploy/disruption.json")).expect("JSON");
     operator["disruption"]["drains"] =
         json!([{ "name": "all", "machine_type": "m2", "surge": 2, "max_machines": 3, "patience_s": 30.0 }]);
@@ -173,40 +184,40 @@
     let epoch = deployment.services.epoch();
     let leader = deployment.services.leader().expect("there is a leader");
     deployment.controllers.kill(leader).expect("it runs");
-    deployment.wait_for("a take-over", |d| d.services.epoch() > epoch);
+    deployment.wait_for("a takeover", |d| d.services.epoch() > epoch);
     deployment.controllers.restart(leader).expect("it starts");
     deployment.next_permit();
 
-    // A team's owner is frozen past its lease, and resumed.
+    // The owner of a team is frozen for longer than its lease and then resumed.
     let epoch = deployment.services.epoch();
     let owner = deployment.services.owner_of_team(1).expect("it has an owner");
     deployment.controllers.processes[owner].freeze().expect("it runs");
-    deployment.wait_for("a take-over", |d| d.services.epoch() > epoch);
+    deployment.wait_for("a takeover", |d| d.services.epoch() > epoch);
     deployment.submit_arrays();
     deployment.controllers.processes[owner].resume().expect("it runs");
     deployment.next_permit();
 
-    // An owner of machines is cut from the state service.
+    // The owner of another team is disconnected from the state service.
     let epoch = deployment.services.epoch();
     let owner = deployment.services.owner_of_team(2).expect("it has an owner");
     deployment.controllers.cut_from_state(owner);
-    deployment.wait_for("a take-over", |d| d.services.epoch() > epoch);
+    deployment.wait_for("a takeover", |d| d.services.epoch() > epoch);
     deployment.controllers.heal();
 
-    // Another one is killed right after a permit.
-    let used = deployment.next_permit();
-    deployment.controllers.kill(used).expect("it runs");
+    // The next controller that uses a permit is killed right after it.
+    let permit_user = deployment.next_permit();
+    deployment.controllers.kill(permit_user).expect("it runs");
     deployment.submit_arrays();
     std::thread::sleep(Duration::from_millis(CONTROLLER_LEASE_MS));
-    deployment.controllers.restart(used).expect("it starts");
+    deployment.controllers.restart(permit_user).expect("it starts");
 
     deployment.wait_for("the end of the drain", Deployment::is_drained);
-    deployment.wait_for("all replicas run again", Deployment::all_run);
+    deployment.wait_for("all replicas to run again", Deployment::all_replicas_run);
     deployment.wait_for("the end of all arrays", |d| d.arrays.is_empty());
 
     let after: BTreeSet<String> = deployment.services.roster().into_iter().collect();
     assert!(before.is_disjoint(&after), "{before:?} {after:?}");
-    let recorder = deployment.judge();
+    let recorder = deployment.check_interruptions();
     assert_eq!(recorder.excesses(), [], "{}", deployment.controllers.logs());
     let replicas = 2 * CONTROLLERS * REPLICAS as usize;
     assert!(
@@ -220,10 +231,14 @@
         .filter(|(_, time)| time.as_secs_f64() > DEADLINE_S)
         .collect();
     assert!(late.is_empty(), "{late:?}\n{}", deployment.controllers.logs());
-    let twice = |breach: &&Breach| !matches!(breach, Breach::WatchGap { .. });
+    let is_duplicate = |breach: &&Breach| !matches!(breach, Breach::WatchGap { .. });
     let answers = deployment.services.recorder();
     let answers = answers.lock().expect("no thread has failed");
-    let twice: Vec<&Breach> = answers.breaches().iter().filter(twice).collect();
-    assert!(twice.is_empty(), "{twice:?}\n{}", deployment.controllers.logs());
-    assert!(deployment.says("permit used") >= replicas);
+    let duplicates: Vec<&Breach> = answers.breaches().iter().filter(is_duplicate).collect();
+    assert!(
+        duplicates.is_empty(),
+        "{duplicates:?}\n{}",
+        deployment.controllers.logs()
+    );
+    assert!(deployment.count_log_lines("permit used") >= replicas);
 }
--- a/crates/tidelatch/tests/loopback.rs
+++ b/crates/tidelatch/tests/loopback.rs
@@ -1,4 +1,7 @@
-//! Four real controllers on 127.0.0.1, frozen and split, while services and arrays run.
+//! Runs four controller processes on 127.0.0.1 that are frozen and partitioned while services and arrays run.
+//!
+//! Guards against a controller that still acts after it has lost its lease: a replica would be stopped without another one
+//! that runs, a task would complete twice, or a job would be reported as ended in two ways.
 
 use serde_json::Value;
 use std::path::Path;
@@ -9,8 +12,8 @@
 };
 
 const CONTROLLERS: usize = 4;
-/// Time for what must come about on any machine that can run the tests.
-const PATIENCE: Duration = Duration::from_secs(90);
+/// Time within which every awaited event must occur, also on the slowest machine that runs the tests.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(90);
 
 struct Deployment {
     services: Services,
@@ -39,7 +42,7 @@
     fn submit(&mut self, team: usize, shape: &str, tasks: u32) -> String {
         let mut body: Value = job(self.next_job, team as u32, shape, tasks);
         if shape == "standing" {
-            // A machine for each replica: what would be moved to empty a machine would be away for that.
+            // Each replica fills a machine: a replica that is moved to empty a machine would not run during the move.
             body["vcpus"] = 20.0.into();
         }
         self.next_job += 1;
@@ -54,14 +57,14 @@
         }
     }
 
-    fn wait_for(&self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let came = wait_until(PATIENCE, || holds(self));
+    fn wait_for(&self, what: &str, condition: impl Fn(&Self) -> bool) {
+        let has_come = wait_until(EVENT_TIMEOUT, || condition(self));
         let state = || format!("{}\n{}", self.services.describe(), self.controllers.logs());
-        assert!(came, "{what} did not come about:\n{}", state());
+        assert!(has_come, "timed out while waiting for {what}:\n{}", state());
     }
 
-    fn says(&self, observer: usize, text: &str) -> usize {
-        self.controllers.log(observer).matches(text).count()
+    fn count_log_lines(&self, controller: usize, text: &str) -> usize {
+        self.controllers.log(controller).matches(text).count()
     }
 
     fn all_teams_owned_by(&self, owners: &[usize]) -> bool {
@@ -69,69 +72,86 @@
         (0..CONTROLLERS).all(|team| owner(team).is_some_and(|owner| owners.contains(&owner)))
     }
 
-    fn anybody_says(&self, text: &str) -> usize {
-        (0..CONTROLLERS).map(|observer| self.says(observer, text)).sum()
+    fn count_log_lines_of_all(&self, text: &str) -> usize {
+        (0..CONTROLLERS)
+            .map(|controller| self.count_log_lines(controller, text))
+            .sum()
     }
 }
 
-fn leases(count: u64) -> Duration {
+fn controller_leases(count: u64) -> Duration {
     Duration::from_millis(count * CONTROLLER_LEASE_MS)
 }
 
+/// Guards against a controller that acts on what it knew before a pause or a network partition, after another one has
+/// taken over from it. Four processes are paused and partitioned in turn; the recorder must see no breach.
 #[test]
-fn frozen_and_split_controllers_leave_no_replica_unwatched_and_end_no_job_twice() {
+fn paused_and_partitioned_controllers_stop_no_replica_and_end_no_job_twice() {
     let mut deployment = Deployment::start(include_str!("../../../deploy/failure-detection.json"));
     let replicas: Vec<String> = (0..CONTROLLERS)
         .map(|team| deployment.submit(team, "standing", 2))
         .collect();
-    deployment.wait_for("all replicas run", |d| {
+    deployment.wait_for("all replicas to run", |d| {
         replicas.iter().all(|job| d.services.running(job) == 2)
     });
 
-    // Frozen for longer than its lease and any grant: taken over, and nothing of what it held back acts.
+    // Controller 1 is frozen for longer than its lease and any grant: its partition is taken over, and none of the actions
+    // that were pending in it takes effect after it resumes.
     deployment.submit_arrays();
     let epoch = deployment.services.epoch();
     deployment.controllers.processes[1].freeze().expect("it runs");
-    deployment.wait_for("a take-over", |d| d.services.epoch() > epoch);
-    deployment.wait_for("a verdict", |d| d.says(0, "berth-1 is confirmed as gone") > 0);
+    deployment.wait_for("a takeover", |d| d.services.epoch() > epoch);
+    deployment.wait_for("the confirmation that berth-1 is gone", |d| {
+        d.count_log_lines(0, "berth-1 is confirmed as gone") > 0
+    });
     deployment.submit_arrays();
     deployment.controllers.processes[1].resume().expect("it runs");
-    deployment.wait_for("its return", |d| d.says(1, "lease taken, life") == 2);
+    deployment.wait_for("berth-1 to take a new lease", |d| {
+        d.count_log_lines(1, "lease taken, life") == 2
+    });
 
-    // Split evenly, both sides with the state service: suspicions, and no take-over.
-    deployment.wait_for("the partition's return", |d| d.says(1, "acting for partition 1") >= 2);
+    // Network split into two halves that both reach the state service: the halves suspect each other, and no takeover
+    // follows.
+    deployment.wait_for("berth-1 to act for its partition again", |d| {
+        d.count_log_lines(1, "acting for partition 1") >= 2
+    });
     let epoch = deployment.services.epoch();
-    let confirmed = deployment.anybody_says("is confirmed as gone");
+    let confirmed = deployment.count_log_lines_of_all("is confirmed as gone");
     deployment.controllers.split(&[0, 1], false);
-    deployment.wait_for("suspicions on both sides", |d| {
-        d.says(0, "suspects berth-2") > 0 && d.says(2, "suspects berth-0") > 0
+    deployment.wait_for("suspicions in both halves", |d| {
+        d.count_log_lines(0, "suspects berth-2") > 0 && d.count_log_lines(2, "suspects berth-0") > 0
     });
     deployment.submit_arrays();
-    std::thread::sleep(leases(2));
+    std::thread::sleep(controller_leases(2));
     assert_eq!(deployment.services.epoch(), epoch, "{}", deployment.controllers.logs());
-    assert_eq!(deployment.anybody_says("is confirmed as gone"), confirmed);
+    assert_eq!(deployment.count_log_lines_of_all("is confirmed as gone"), confirmed);
     deployment.controllers.heal();
     deployment.wait_for("the end of the suspicions", |d| {
-        d.says(0, "berth-2 is no longer suspected") > 0 && d.says(2, "berth-0 is no longer suspected") > 0
+        d.count_log_lines(0, "berth-2 is no longer suspected") > 0
+            && d.count_log_lines(2, "berth-0 is no longer suspected") > 0
     });
 
-    // Split evenly, one side without the state service: it is fenced, and taken over from.
+    // Network split into two halves, one without the state service: that half loses its leases, and the other half takes its
+    // partitions over.
     deployment.controllers.split(&[0, 1], true);
-    deployment.wait_for("a take-over from the other side", |d| d.services.epoch() > epoch);
-    // A controller whose lease has not expired yet when the network heals extends it and never takes another.
-    deployment.wait_for("a take-over from both of the other side", |d| {
-        d.services.members() == [0, 1] && d.all_teams_owned_by(&[0, 1])
+    deployment.wait_for("a takeover by the half with the state service", |d| {
+        d.services.epoch() > epoch
     });
+    // A controller whose lease has not expired yet when the network heals extends it and never takes another.
+    deployment.wait_for(
+        "a takeover from both controllers of the half without the state service",
+        |d| d.services.members() == [0, 1] && d.all_teams_owned_by(&[0, 1]),
+    );
     deployment.submit_arrays();
     deployment.controllers.heal();
-    deployment.wait_for("both are back", |d| {
-        d.says(2, "lease taken") >= 2 && d.says(3, "lease taken") >= 2
+    deployment.wait_for("berth-2 and berth-3 to take new leases", |d| {
+        d.count_log_lines(2, "lease taken") >= 2 && d.count_log_lines(3, "lease taken") >= 2
     });
 
     deployment.wait_for("the end of all arrays", |d| {
         d.arrays.iter().all(|job| d.users.is_done(job))
     });
-    deployment.wait_for("all replicas", |d| {
+    deployment.wait_for("all replicas to run again", |d| {
         replicas.iter().all(|job| d.services.running(job) == 2)
     });
     let recorder = deployment.services.recorder();
@@ -140,22 +160,23 @@
     assert_eq!(recorder.breaches(), [], "{}", deployment.controllers.logs());
 }
 
+/// Guards against a recorder that misses breaches: the test above would then pass whatever the controllers do.
 #[test]
-fn the_recorder_finds_one_breach_of_each_kind_and_none_in_what_is_lawful() {
-    let mut lawful = Recorder::default();
-    lawful.replica_runs("job-000001/0", "n-1");
-    lawful.replica_runs("job-000001/0", "n-2");
-    lawful.replica_stops(10, "job-000001/0", "n-1");
-    lawful.machine_lost("n-2");
-    lawful.replica_runs("job-000001/0", "n-3");
-    lawful.cancel_asked("job-000001");
-    lawful.replica_stops(20, "job-000001/0", "n-3");
-    lawful.task_completed("job-000002/0");
-    lawful.task_completed("job-000002/1");
-    lawful.told("job-000002", "running");
-    lawful.told("job-000002", "done");
-    lawful.told("job-000002", "done");
-    assert_eq!(lawful.breaches(), []);
+fn the_recorder_reports_each_kind_of_breach_and_none_for_valid_events() {
+    let mut valid = Recorder::default();
+    valid.replica_runs("job-000001/0", "n-1");
+    valid.replica_runs("job-000001/0", "n-2");
+    valid.replica_stops(10, "job-000001/0", "n-1");
+    valid.machine_lost("n-2");
+    valid.replica_runs("job-000001/0", "n-3");
+    valid.cancel_asked("job-000001");
+    valid.replica_stops(20, "job-000001/0", "n-3");
+    valid.task_completed("job-000002/0");
+    valid.task_completed("job-000002/1");
+    valid.told("job-000002", "running");
+    valid.told("job-000002", "done");
+    valid.told("job-000002", "done");
+    assert_eq!(valid.breaches(), []);
 
     let mut faulty = Recorder::default();
     faulty.replica_runs("job-000001/0", "n-1");
--- a/crates/tidelatch/tests/peer.rs
+++ b/crates/tidelatch/tests/peer.rs
@@ -1,4 +1,8 @@
-//! What controllers say to each other, as the version before gangs writes it: `kept/greeting.json`.
+//! Compatibility of the peer protocol: `kept/greeting.json` holds a request and a reply as the last version without gangs
+//! encodes them.
+//!
+//! Guards against a changed or renumbered field: controllers of two versions could not read each other's heartbeats during
+//! an upgrade.
 
 use prost::Message;
 
@@ -7,20 +11,22 @@
     tonic::include_proto!("tidelatch.peer.v1");
 }
 
-fn kept(which: &str) -> Vec<u8> {
+fn recorded_message(which: &str) -> Vec<u8> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/kept/greeting.json");
-    let kept: serde_json::Value =
-        serde_json::from_str(&std::fs::read_to_string(path).expect("it is kept")).expect("JSON");
-    let hex = kept[which]["bytes"].as_str().expect("bytes");
+    let recorded: serde_json::Value =
+        serde_json::from_str(&std::fs::read_to_string(path).expect("the recorded messages can be read")).expect("JSON");
+    let hex = recorded[which]["bytes"].as_str().expect("a field `bytes`");
     let byte = |i: usize| u8::from_str_radix(hex.get(i..i + 2).expect("two digits"), 16).expect("hex");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
+/// Guards against a changed field number, type or meaning in `peer.proto`, which the other version would decode to
+/// wrong values.
 #[test]
-fn greetings_of_the_version_before_are_read_and_ours_read_alike() {
-    // Guard: fields are only ever added; what this version writes of the old ones is the same, byte for byte.
-    let bytes = kept("request");
-    let request = wire::HelloRequest::decode(bytes.as_slice()).expect("a greeting");
+fn hello_messages_of_the_last_version_without_gangs_decode_and_encode_alike() {
+    // Fields are only ever added: this version encodes the old fields to the same bytes.
+    let bytes = recorded_message("request");
+    let request = wire::HelloRequest::decode(bytes.as_slice()).expect("a hello request");
     assert_eq!(
         (
             request.name.as_str(),
@@ -46,8 +52,8 @@
     );
     assert_eq!(request.encode_to_vec(), bytes);
 
-    let bytes = kept("reply");
-    let reply = wire::HelloReply::decode(bytes.as_slice()).expect("an answer");
+    let bytes = recorded_message("reply");
+    let reply = wire::HelloReply::decode(bytes.as_slice()).expect("a hello reply");
     assert_eq!((reply.entitled, reply.granted, reply.relies), (true, true, true));
     assert_eq!(
         reply.moves.first().map(|m| (m.machine.as_str(), m.to, m.vacate)),
@@ -55,8 +61,8 @@
     );
     assert_eq!(reply.encode_to_vec(), bytes);
 
-    // A field that a later version adds is passed over.
-    let mut later = kept("reply");
+    // A field that a later version adds is ignored.
+    let mut later = recorded_message("reply");
     later.extend([0xf8, 0x06, 0x01]);
     assert_eq!(wire::HelloReply::decode(later.as_slice()).map(|r| r.moves.len()), Ok(1));
 }
