--- a/crates/tidelatch-standin/tests/drain_support/mod.rs
+++ b/crates/tidelatch-standin/tests/drain_support/mod.rs
@@ -1,6 +1,7 @@
-//! A deployment whose machines are drained, and the recorder that watches its services.
+//! A simulated deployment whose machines are drained, and a recorder that checks the interruptions of its services
+//! against budgets.
 
-// Each file of tests uses a part of this.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -11,28 +12,28 @@
 
 /// A controller's lease in the stand-in's deployment.
 pub const LEASE_MS: u64 = 7_200;
-/// Time for a drain of a few machines, once there are no faults any more.
+/// Time within which a drain of a few machines has to end after the last fault.
 pub const DRAIN_MS: u64 = 900_000;
-/// Time for which permits that were granted before a loss may lead to a stop: a lease, and the longest delay of a
-/// command that tests cause.
+/// Time for which permits that were granted before the loss of a machine may still lead to a stop: a lease, and the
+/// longest delay of a command that the tests cause.
 pub const GRACE_MS: u64 = LEASE_MS + 20_000;
 /// Replicas of each service.
 pub const REPLICAS: usize = 3;
 
-/// The operators' settings with some disruption settings.
+/// Returns operators' settings with these disruption settings.
 pub fn operator(disruption: &Value) -> Operator {
     let operator = json!({ "disruption": disruption, "failure_detection": { "prepare": true } });
-    let operator: Operator = serde_json::from_value(operator).expect("the settings are in form");
+    let operator: Operator = serde_json::from_value(operator).expect("the settings are valid");
     assert_eq!(operator.faults(), []);
     operator
 }
 
-/// The operators' settings with one drain.
+/// Returns operators' settings with one drain.
 pub fn with_drain(drain: &Value) -> Operator {
     operator(&json!({ "drains": [drain] }))
 }
 
-/// A deployment in which each team has two services, which run. By default one replica of a team may be away.
+/// A deployment in which each team has two running services. By default one replica of a team may be unavailable.
 pub struct Deployment {
     pub world: World,
     pub recorder: InterruptionRecorder,
@@ -43,7 +44,7 @@
 }
 
 impl Deployment {
-    /// Starts controllers with budgets and without drains.
+    /// Starts controllers with budgets and without drains, and waits until all replicas run.
     pub fn start(controllers: usize) -> Self {
         let size = Size {
             controllers,
@@ -66,11 +67,15 @@
             sessions: BTreeMap::new(),
         };
         for team in 0..controllers as u32 {
-            let names = [10 * team + 1, 10 * team + 2].map(|id| deployment.submit_service(id, team));
-            let jobs: Vec<&str> = names.iter().map(String::as_str).collect();
-            deployment.recorder.limit(&format!("team-{team}"), &jobs, 1);
+            let jobs = [10 * team + 1, 10 * team + 2].map(|id| deployment.submit_service(id, team));
+            let job_ids: Vec<&str> = jobs.iter().map(String::as_str).collect();
+            deployment.recorder.limit(&format!("team-{team}"), &job_ids, 1);
         }
-        assert!(deployment.run_until(120_000, Self::all_run), "{}", deployment.trace());
+        assert!(
+            deployment.run_until(120_000, Self::all_replicas_run),
+            "{}",
+            deployment.trace()
+        );
         deployment
     }
 
@@ -84,32 +89,34 @@
     /// Submits an array of a team.
     pub fn submit_array(&mut self, id: u32, team: u32, tasks: u32) {
         self.world.accepted(0, &job(id, team, "sweep", tasks));
-        // Time has passed.
+        // Accepting the job took simulated time, in which replicas may have stopped.
         self.sample();
         self.arrays.push(format!("job-{id:06}"));
     }
 
-    /// All controllers end, and begin again with these settings.
+    /// Crashes all controllers and restarts them with these settings.
     pub fn restart_all(&mut self, operator: &Operator) {
-        for node in 0..self.controllers {
-            self.world.crash(node);
-            self.world.operator(node, operator);
+        for controller in 0..self.controllers {
+            self.world.crash(controller);
+            self.world.operator(controller, operator);
         }
         self.run(200);
-        for node in 0..self.controllers {
-            self.world.start(node);
+        for controller in 0..self.controllers {
+            self.world.start(controller);
         }
     }
 
+    /// The events of the simulation, one a line.
     pub fn trace(&self) -> &str {
         self.world.trace()
     }
 
-    pub fn all_run(&self) -> bool {
+    /// Whether every service has all its replicas running.
+    pub fn all_replicas_run(&self) -> bool {
         self.services.iter().all(|job| self.world.running(job) == REPLICAS)
     }
 
-    /// A machine is lost with all that is on it, by the test.
+    /// Removes a machine and its worker, and tells the recorder that this was a loss.
     pub fn lose_machine(&mut self, machine: &str) {
         self.recorder.machine_lost(machine);
         self.world.note(&format!("the test loses {machine}"));
@@ -120,12 +127,13 @@
     fn sample(&mut self) {
         let mut running = self.world.running_units();
         running.retain(|unit, _| self.services.iter().any(|job| unit.starts_with(job.as_str())));
-        self.note_losses();
+        self.record_losses();
         self.recorder.sample(self.world.now, running);
     }
 
-    /// Machines that controllers gave up on evidence, and sessions that ended, were not stopped by choice.
-    fn note_losses(&mut self) {
+    /// Tells the recorder of machines that controllers gave up as failed and of sessions that ended: what ran there was
+    /// not stopped by choice.
+    fn record_losses(&mut self) {
         let sessions: BTreeMap<String, u64> = self
             .world
             .workers
@@ -139,8 +147,8 @@
                 Some(_) => {}
                 None => {
                     let lines = self.world.trace().lines();
-                    let of_machine = lines.filter(|line| line.contains(&format!("{machine}: ")));
-                    if of_machine.into_iter().any(|line| line.ends_with("giving it up")) {
+                    let lines_of_machine = lines.filter(|line| line.contains(&format!("{machine}: ")));
+                    if lines_of_machine.into_iter().any(|line| line.ends_with("giving it up")) {
                         self.recorder.machine_lost(&machine);
                     }
                 }
@@ -148,6 +156,7 @@
         }
     }
 
+    /// Lets `ms` milliseconds pass, and samples what runs every 20 ms.
     pub fn run(&mut self, ms: u64) {
         let until = self.world.now + ms;
         while self.world.now < until {
@@ -156,39 +165,43 @@
         }
     }
 
-    pub fn run_until(&mut self, ms: u64, holds: impl Fn(&Self) -> bool) -> bool {
+    /// Lets time pass until a condition is met, for at most `ms` milliseconds. Returns whether it is.
+    pub fn run_until(&mut self, ms: u64, condition: impl Fn(&Self) -> bool) -> bool {
         let until = self.world.now + ms;
         while self.world.now < until {
-            if holds(self) {
+            if condition(self) {
                 return true;
             }
             self.run(100);
         }
-        holds(self)
+        condition(self)
     }
 
-    pub fn head(&self, drain: &str) -> Option<Value> {
+    /// The stored record of a drain.
+    pub fn drain_record(&self, drain: &str) -> Option<Value> {
         self.world.store.get(&format!("t/d/{drain}")).cloned()
     }
 
+    /// Whether a drain is stored as done.
     pub fn is_done(&self, drain: &str) -> bool {
-        self.head(drain).is_some_and(|head| head["done"] == true)
+        self.drain_record(drain).is_some_and(|record| record["done"] == true)
     }
 
-    /// How often something stands in the trace.
-    pub fn says(&self, text: &str) -> usize {
+    /// Counts the lines of the trace that contain a text.
+    pub fn count_trace_lines(&self, text: &str) -> usize {
         self.trace().lines().filter(|line| line.contains(text)).count()
     }
 
-    /// The drain ends, all that was accepted runs or is done, and nothing went beyond a budget.
-    pub fn assert_ends(&mut self, drain: &str, case: &str) {
+    /// Asserts that the drain ends, that all accepted work then runs or is done, and that no budget was exceeded.
+    pub fn assert_drain_ends(&mut self, drain: &str, case: &str) {
         let ended = self.run_until(DRAIN_MS, |d| d.is_done(drain));
-        assert!(ended, "{case}: the drain does not end\n{}", self.trace());
-        let recovered = |d: &Self| d.all_run() && d.arrays.iter().all(|array| is_done(&d.world, array));
+        assert!(ended, "{case}: the drain has not ended\n{}", self.trace());
+        let recovered = |d: &Self| d.all_replicas_run() && d.arrays.iter().all(|array| is_done(&d.world, array));
         assert!(self.run_until(150_000, recovered), "{case}\n{}", self.trace());
         self.assert_within_budgets(case);
     }
 
+    /// Asserts that no budget was exceeded and no rule was broken.
     pub fn assert_within_budgets(&self, case: &str) {
         assert_eq!(self.recorder.excesses(), [], "{case}\n{}", self.trace());
         assert_no_breaches(&self.world);
--- a/crates/tidelatch-standin/tests/drains.rs
+++ b/crates/tidelatch-standin/tests/drains.rs
@@ -1,4 +1,7 @@
-//! Machines are drained in steps, within the teams' budgets, whatever else happens: each trouble alone.
+//! Drains of machines under one fault at a time.
+//!
+//! Guards against drains that exceed the budgets of the teams, that never end, or that leave machines cordoned.
+//! Combinations of faults are in `drains_under_faults.rs`.
 
 mod drain_support;
 
@@ -8,36 +11,38 @@
 use tidelatch_standin::support::is_done;
 use tidelatch_standin::{Delivery, Excess, InterruptionRecorder, faults};
 
-fn all_machines() -> Value {
+fn drain_of_all_machines() -> Value {
     json!({ "name": "all", "machine_type": "m2", "surge": 1, "max_machines": 2 })
 }
 
-/// A deployment of three controllers whose drain of all machines has just begun.
-fn drained() -> Deployment {
+/// A deployment of three controllers that have just cordoned the first machine of a drain of all machines.
+fn start_with_drain() -> Deployment {
     let mut deployment = Deployment::start(3);
-    deployment.restart_all(&with_drain(&all_machines()));
-    let begun = |d: &Deployment| d.says("drain all: cordoned") > 0;
-    assert!(deployment.run_until(60_000, begun), "{}", deployment.trace());
+    deployment.restart_all(&with_drain(&drain_of_all_machines()));
+    let has_begun = |d: &Deployment| d.count_trace_lines("drain all: cordoned") > 0;
+    assert!(deployment.run_until(60_000, has_begun), "{}", deployment.trace());
     deployment
 }
 
-/// All controllers are replaced one after the other by ones with these settings.
-fn upgrade(deployment: &mut Deployment, operator: &Operator) {
-    for node in 0..deployment.controllers {
-        deployment.world.crash(node);
-        deployment.world.operator(node, operator);
-        deployment.world.start(node);
+/// Crashes the controllers one after the other and restarts each with these settings, 12 s apart.
+fn restart_one_by_one(deployment: &mut Deployment, operator: &Operator) {
+    for controller in 0..deployment.controllers {
+        deployment.world.crash(controller);
+        deployment.world.operator(controller, operator);
+        deployment.world.start(controller);
         deployment.run(12_000);
     }
 }
 
+/// Guards against a drain whose progress is lost with the controllers that restart: a machine would be left over, or a
+/// replica interrupted without a permit.
 #[test]
 fn all_machines_are_replaced_while_all_controllers_are_restarted_one_by_one() {
     let mut deployment = Deployment::start(3);
     let before = deployment.world.roster();
-    upgrade(&mut deployment, &with_drain(&all_machines()));
-    upgrade(&mut deployment, &with_drain(&all_machines()));
-    deployment.assert_ends("all", "one by one");
+    restart_one_by_one(&mut deployment, &with_drain(&drain_of_all_machines()));
+    restart_one_by_one(&mut deployment, &with_drain(&drain_of_all_machines()));
+    deployment.assert_drain_ends("all", "one by one");
     deployment.run(20_000);
     let after = deployment.world.roster();
     assert!(
@@ -47,16 +52,18 @@
     let interruptions = deployment.recorder.interruptions();
     assert!(
         interruptions.len() >= 18,
-        "each replica left its machine: {interruptions:?}"
+        "each replica should leave its machine: {interruptions:?}"
     );
 }
 
+/// Guards against a crash of the leader and of an owner between two steps of a drain, after which the drain begins
+/// anew, stops for ever or uses a permit twice.
 #[test]
-fn the_leader_or_an_owner_ends_at_any_step_of_a_drain() {
-    for ends_after_ms in (0..24_000).step_by(1_500) {
-        let mut deployment = drained();
-        deployment.run(ends_after_ms);
-        // A controller that owns machines under drain, and the leader: often the same one.
+fn leader_and_owner_crash_at_any_step_of_a_drain() {
+    for crash_after_ms in (0..24_000).step_by(1_500) {
+        let mut deployment = start_with_drain();
+        deployment.run(crash_after_ms);
+        // The leader, which often owns machines under drain itself, and a second owner.
         let leader = deployment.world.leader().expect("there is a leader");
         deployment.world.crash(leader);
         deployment.run(1_000);
@@ -64,28 +71,36 @@
         deployment.run(20_000);
         deployment.world.start(leader);
         deployment.world.start((leader + 1) % 3);
-        deployment.assert_ends("all", &format!("ends after {ends_after_ms} ms"));
-        assert_eq!(deployment.says("drain all begins"), 1, "{}", deployment.trace());
+        deployment.assert_drain_ends("all", &format!("crash after {crash_after_ms} ms"));
+        assert_eq!(
+            deployment.count_trace_lines("drain all begins"),
+            1,
+            "{}",
+            deployment.trace()
+        );
     }
 }
 
+/// Guards against an owner that resumes after its lease has expired and uses a permit that it was granted before: its
+/// successor may have granted the budget again.
 #[test]
-fn an_owner_that_pauses_beyond_its_lease_uses_no_permit_of_before() {
-    for pauses_after_ms in (0..12_000).step_by(750) {
-        let mut deployment = drained();
-        deployment.run(pauses_after_ms);
-        for node in 0..3 {
-            deployment.world.freeze(node);
+fn an_owner_paused_beyond_its_lease_uses_no_earlier_permit() {
+    for pause_after_ms in (0..12_000).step_by(750) {
+        let mut deployment = start_with_drain();
+        deployment.run(pause_after_ms);
+        for controller in 0..3 {
+            deployment.world.freeze(controller);
             deployment.run(LEASE_MS + 300);
-            deployment.world.thaw(node);
+            deployment.world.thaw(controller);
             deployment.run(2_000);
         }
-        deployment.assert_ends("all", &format!("pauses after {pauses_after_ms} ms"));
+        deployment.assert_drain_ends("all", &format!("pause after {pause_after_ms} ms"));
     }
 }
 
+/// Guards against an eviction of a task that has run past its estimate while the patience of the drain lasts.
 #[test]
-fn a_replay_that_is_nearly_finished_is_waited_for() {
+fn a_drain_waits_for_an_array_within_its_patience() {
     let mut deployment = Deployment::start(3);
     deployment.world.run_ms = 60_000;
     deployment.submit_array(501, 1, 6);
@@ -93,13 +108,19 @@
     assert!(deployment.run_until(60_000, runs), "{}", deployment.trace());
     let drain = json!({ "name": "all", "surge": 1, "max_machines": 30, "patience_s": 600.0 });
     deployment.restart_all(&with_drain(&drain));
-    deployment.assert_ends("all", "replay");
-    // The estimate of five seconds is over long before its tasks end: what has run would be lost.
-    assert_eq!(deployment.says("permit used: job-000501"), 0, "{}", deployment.trace());
+    deployment.assert_drain_ends("all", "patience of 600 s");
+    // The tasks run for 60 s, far longer than their estimate of five seconds. An eviction would lose that work.
+    assert_eq!(
+        deployment.count_trace_lines("permit used: job-000501"),
+        0,
+        "{}",
+        deployment.trace()
+    );
 }
 
+/// Guards against a drain that waits for ever for a task that does not end.
 #[test]
-fn a_task_that_does_not_end_is_interrupted_when_patience_is_over() {
+fn a_task_is_interrupted_after_the_patience_of_the_drain() {
     let mut deployment = Deployment::start(3);
     deployment.world.run_ms = 90_000;
     deployment.submit_array(501, 1, 4);
@@ -107,23 +128,33 @@
     assert!(deployment.run_until(60_000, runs), "{}", deployment.trace());
     let drain = json!({ "name": "all", "surge": 1, "max_machines": 30, "patience_s": 20.0 });
     deployment.restart_all(&with_drain(&drain));
-    deployment.assert_ends("all", "patience");
-    assert!(deployment.says("permit used: job-000501") > 0, "{}", deployment.trace());
+    deployment.assert_drain_ends("all", "patience of 20 s");
+    assert!(
+        deployment.count_trace_lines("permit used: job-000501") > 0,
+        "{}",
+        deployment.trace()
+    );
 }
 
+/// Guards against evictions from a machine whose replacement comes up late or never.
 #[test]
-fn replacements_that_are_late_or_never_come_up_evict_nothing() {
-    let mut deployment = drained();
-    // The drain's first replacements: one never comes up, one takes four times as long as usual.
+fn late_and_missing_replacements_exceed_no_budget() {
+    let mut deployment = start_with_drain();
+    // Of the first three replacements two never come up and one takes four times as long as usual.
     deployment.world.cloud.next_boots.extend([None, Some(12_000), None]);
-    deployment.assert_ends("all", "late replacements");
-    assert!(deployment.says("never came up") > 0, "{}", deployment.trace());
+    deployment.assert_drain_ends("all", "late replacements");
+    assert!(
+        deployment.count_trace_lines("never came up") > 0,
+        "{}",
+        deployment.trace()
+    );
 }
 
+/// Guards against a drain that waits for ever for a replacement that the cloud reclaimed after it was ready.
 #[test]
-fn a_replacement_that_is_taken_back_is_replaced_itself() {
-    let mut deployment = drained();
-    let ready = |d: &Deployment| d.says("replacement is ready") > 0;
+fn a_lost_replacement_is_replaced() {
+    let mut deployment = start_with_drain();
+    let ready = |d: &Deployment| d.count_trace_lines("replacement is ready") > 0;
     assert!(deployment.run_until(60_000, ready), "{}", deployment.trace());
     let line = deployment
         .trace()
@@ -134,11 +165,13 @@
         .expect("a machine")
         .to_owned();
     deployment.lose_machine(&machine);
-    deployment.assert_ends("all", "taken back");
+    deployment.assert_drain_ends("all", "replacement lost");
 }
 
+/// Guards against evictions without replacements while the cloud has no machines to rent, and against a drain that does
+/// not continue when it has.
 #[test]
-fn a_cloud_that_refuses_stops_the_drain_until_it_does_not() {
+fn a_drain_waits_while_the_cloud_has_no_machines() {
     let mut deployment = Deployment::start(3);
     deployment.world.cloud.most = deployment.world.cloud.machines.len();
     let drain = json!({ "name": "all", "surge": 2, "max_machines": 2 });
@@ -146,30 +179,32 @@
     deployment.run(120_000);
     assert_eq!(deployment.recorder.interruptions(), [], "{}", deployment.trace());
     assert!(
-        deployment.says("stands still: the cloud has no replacement yet") > 0,
+        deployment.count_trace_lines("stands still: the cloud has no replacement yet") > 0,
         "{}",
         deployment.trace()
     );
     deployment.world.cloud.most = 60;
-    deployment.assert_ends("all", "refused");
+    deployment.assert_drain_ends("all", "no machines in the cloud");
 }
 
+/// Guards against evictions that ignore the replicas of machines lost during the drain.
 #[test]
-fn machines_that_are_lost_under_drain_use_up_the_budget() {
-    let mut deployment = drained();
+fn machines_lost_during_a_drain_count_against_the_budget() {
+    let mut deployment = start_with_drain();
     for _ in 0..3 {
         deployment.run(9_000);
-        let active = deployment.head("all").expect("it runs")["active"].clone();
+        let active = deployment.drain_record("all").expect("the drain has a record")["active"].clone();
         if let Some(machine) = active[0]["m"].as_str() {
             deployment.lose_machine(machine);
         }
     }
-    deployment.assert_ends("all", "lost machines");
+    deployment.assert_drain_ends("all", "lost machines");
 }
 
+/// Guards against evictions while the replicas of a lost zone are unavailable, which have used up the budgets.
 #[test]
-fn a_zone_that_is_lost_under_drain_stops_it_until_what_it_held_runs_again() {
-    let mut deployment = drained();
+fn a_drain_waits_until_the_replicas_of_a_lost_zone_run_again() {
+    let mut deployment = start_with_drain();
     deployment.run(5_000);
     let lost: Vec<String> = deployment
         .world
@@ -182,19 +217,21 @@
     for machine in lost {
         deployment.lose_machine(&machine);
     }
-    deployment.assert_ends("all", "a zone is lost");
+    deployment.assert_drain_ends("all", "a zone is lost");
 }
 
+/// Guards against machines that stay cordoned, and against evictions that continue, when a drain is removed from the
+/// settings at any of its steps.
 #[test]
-fn a_drain_that_is_withdrawn_leaves_machines_in_service() {
-    for withdrawn_after_ms in [0, 4_000, 9_000, 15_000] {
-        let mut deployment = drained();
-        deployment.run(withdrawn_after_ms);
+fn a_drain_removed_from_the_settings_leaves_machines_in_service() {
+    for removed_after_ms in [0, 4_000, 9_000, 15_000] {
+        let mut deployment = start_with_drain();
+        deployment.run(removed_after_ms);
         deployment.restart_all(&operator(&json!({})));
-        let gone = |d: &Deployment| d.world.store.keys("t/d/").is_empty();
-        assert!(deployment.run_until(60_000, gone), "{}", deployment.trace());
+        let has_no_record = |d: &Deployment| d.world.store.keys("t/d/").is_empty();
+        assert!(deployment.run_until(60_000, has_no_record), "{}", deployment.trace());
         assert!(
-            deployment.run_until(120_000, Deployment::all_run),
+            deployment.run_until(120_000, Deployment::all_replicas_run),
             "{}",
             deployment.trace()
         );
@@ -202,33 +239,35 @@
         let interrupted = deployment.recorder.interruptions().len();
         let machines = deployment.world.roster();
         deployment.run(120_000);
-        let of_drain = deployment.says("its machine is drained");
+        let drain_evictions = deployment.count_trace_lines("its machine is drained");
         assert!(
-            interrupted <= of_drain + 2,
-            "{interrupted} {of_drain}\n{}",
+            interrupted <= drain_evictions + 2,
+            "{interrupted} interruptions, {drain_evictions} evictions\n{}",
             deployment.trace()
         );
         assert!(!machines.is_empty());
-        // What was cordoned takes work again: no new machine is needed for it.
-        assert!(deployment.all_run(), "{}", deployment.trace());
-        deployment.assert_within_budgets("withdrawn");
+        // The machines that were cordoned accept tasks again.
+        assert!(deployment.all_replicas_run(), "{}", deployment.trace());
+        deployment.assert_within_budgets("drain removed");
     }
 }
 
+/// Guards against a drain that begins before its `delay_s` is over, or not at all.
 #[test]
-fn a_drain_with_a_delay_begins_when_the_leader_has_run_for_that_long() {
+fn a_delayed_drain_begins_after_the_leader_has_run_for_the_delay() {
     let mut deployment = Deployment::start(3);
     let drain = json!({ "name": "all", "surge": 1, "max_machines": 3, "delay_s": 60.0 });
     deployment.restart_all(&with_drain(&drain));
     deployment.run(59_000);
-    assert_eq!(deployment.head("all"), None);
+    assert_eq!(deployment.drain_record("all"), None);
     deployment.run(3_000);
-    assert!(deployment.head("all").is_some(), "{}", deployment.trace());
-    deployment.assert_ends("all", "delay");
+    assert!(deployment.drain_record("all").is_some(), "{}", deployment.trace());
+    deployment.assert_drain_ends("all", "delay");
 }
 
+/// Guards against two drains that select the same machine and wait for each other.
 #[test]
-fn two_drains_over_the_same_machines_end() {
+fn two_drains_of_the_same_machines_both_end() {
     let mut deployment = Deployment::start(3);
     let before = deployment.world.roster();
     let drains = json!({ "drains": [
@@ -236,8 +275,8 @@
         { "name": "zone-a", "zone": "a", "surge": 1, "max_machines": 3 },
     ] });
     deployment.restart_all(&operator(&drains));
-    deployment.assert_ends("all", "two drains");
-    deployment.assert_ends("zone-a", "two drains");
+    deployment.assert_drain_ends("all", "two drains");
+    deployment.assert_drain_ends("zone-a", "two drains");
     let after = deployment.world.roster();
     assert!(
         before.iter().all(|machine| !after.contains(machine)),
@@ -245,34 +284,41 @@
     );
 }
 
+/// Guards against permits of a cancelled job that are never returned: the drain could evict nothing more of the team.
 #[test]
-fn a_job_that_is_cancelled_while_permits_are_out_returns_them() {
-    let mut deployment = drained();
-    let used = |d: &Deployment| d.says("permit used") > 0;
-    assert!(deployment.run_until(60_000, used), "{}", deployment.trace());
+fn a_cancelled_job_returns_its_permits() {
+    let mut deployment = start_with_drain();
+    let permit_used = |d: &Deployment| d.count_trace_lines("permit used") > 0;
+    assert!(deployment.run_until(60_000, permit_used), "{}", deployment.trace());
     let service = deployment.services.remove(0);
     let owner = deployment.world.owner_of_team(0);
     deployment.world.withdraw(owner, &service);
     deployment.recorder.job_over(&service);
-    // The team's other service goes on being drained.
-    deployment.assert_ends("all", "cancelled");
+    // The machines of the team's other service are still drained.
+    deployment.assert_drain_ends("all", "cancelled");
 }
 
+/// Guards against evictions during an upgrade while one controller has no budgets and so grants no permits for its
+/// teams.
 #[test]
-fn controllers_that_know_no_budgets_keep_their_machines() {
+fn machines_are_not_drained_while_a_controller_has_no_budgets() {
     let mut deployment = Deployment::start(3);
-    let with = with_drain(&all_machines());
-    for node in 0..3 {
-        deployment.world.crash(node);
-        let settings = if node == 1 { Operator::default() } else { with.clone() };
-        deployment.world.operator(node, &settings);
-        deployment.world.start(node);
+    let with_budgets = with_drain(&drain_of_all_machines());
+    for controller in 0..3 {
+        deployment.world.crash(controller);
+        let settings = if controller == 1 {
+            Operator::default()
+        } else {
+            with_budgets.clone()
+        };
+        deployment.world.operator(controller, &settings);
+        deployment.world.start(controller);
         deployment.run(15_000);
     }
     deployment.run(120_000);
     assert!(!deployment.is_done("all"), "{}", deployment.trace());
-    let head = deployment.head("all").expect("it was begun");
-    assert_eq!(head["active"], json!([]), "{}", deployment.trace());
+    let record = deployment.drain_record("all").expect("the drain has a record");
+    assert_eq!(record["active"], json!([]), "{}", deployment.trace());
     assert!(
         deployment
             .recorder
@@ -280,26 +326,30 @@
             .iter()
             .all(|i| !i.unit.starts_with("job-00001"))
     );
-    // It goes on once the last one knows them as well.
+    // The drain continues once the last controller has budgets as well.
     deployment.world.crash(1);
-    deployment.world.operator(1, &with);
+    deployment.world.operator(1, &with_budgets);
     deployment.world.start(1);
-    deployment.assert_ends("all", "mixed");
+    deployment.assert_drain_ends("all", "budgets turned on everywhere");
 }
 
+/// Guards against a leader that does not receive the heartbeats of an owner: no budget is exceeded, and the drain ends
+/// after the network has recovered.
 #[test]
-fn a_cut_between_the_leader_and_an_owner_breaks_no_budget_and_the_drain_goes_on_after_it() {
-    let mut deployment = drained();
+fn a_one_way_cut_between_owner_and_leader_exceeds_no_budget_and_the_drain_ends_after_it() {
+    let mut deployment = start_with_drain();
     let leader = deployment.world.leader().expect("there is a leader");
     deployment.world.meddle(faults::one_way((leader + 1) % 3, leader));
     deployment.run(120_000);
-    // What the owner needs is rented by the leader, which does not hear of it.
+    // The leader rents the replacements that the owner needs, but does not receive the owner's requests for them.
     deployment.world.calm();
-    deployment.assert_ends("all", "one way");
+    deployment.assert_drain_ends("all", "one-way cut");
 }
 
+/// Guards against interruptions of a team whose budget allows none, and against a drain that stops for all other teams
+/// because of it.
 #[test]
-fn a_production_class_with_a_budget_of_none_is_left_alone() {
+fn a_team_with_a_budget_of_zero_is_not_interrupted() {
     let mut deployment = Deployment::start(3);
     let rules = json!({
         "budgets": [{ "team": "team-1", "max_unavailable": 0 }],
@@ -308,23 +358,24 @@
     deployment.restart_all(&operator(&rules));
     deployment.run(DRAIN_MS / 3);
     assert!(!deployment.is_done("all"), "{}", deployment.trace());
-    let touched = |unit: &str| unit.starts_with("job-00001");
+    let is_of_team = |unit: &str| unit.starts_with("job-00001");
     assert!(
-        !deployment.recorder.interruptions().iter().any(|i| touched(&i.unit)),
+        !deployment.recorder.interruptions().iter().any(|i| is_of_team(&i.unit)),
         "{}",
         deployment.trace()
     );
     assert!(deployment.recorder.interruptions().len() >= 6, "{}", deployment.trace());
     assert!(
-        deployment.says("team-1/c: 1 units would be unavailable, 0 may be") > 0,
+        deployment.count_trace_lines("team-1/c: 1 units would be unavailable, 0 may be") > 0,
         "{}",
         deployment.trace()
     );
-    deployment.assert_within_budgets("none");
+    deployment.assert_within_budgets("budget of zero");
 }
 
+/// Guards against a recorder that misses excesses: the other tests would then pass whatever the controllers do.
 #[test]
-fn the_recorder_finds_one_excess_of_each_kind_and_none_in_what_is_lawful() {
+fn the_recorder_reports_each_kind_of_excess_and_none_for_allowed_interruptions() {
     let sample = |units: &[&str]| {
         units
             .iter()
@@ -337,14 +388,14 @@
         recorder.sample(0, sample(&["job-1/0", "job-1/1", "job-2/0"]));
         recorder
     };
-    let mut lawful = recorder();
-    lawful.sample(10, sample(&["job-1/0", "job-1/1"]));
-    lawful.sample(20, sample(&["job-1/0", "job-1/1", "job-2/0"]));
-    lawful.sample(30, sample(&["job-1/1", "job-2/0"]));
-    lawful.machine_lost("m-1");
-    lawful.sample(40, sample(&[]));
-    assert_eq!(lawful.excesses(), []);
-    assert_eq!(lawful.interruptions().len(), 2);
+    let mut allowed = recorder();
+    allowed.sample(10, sample(&["job-1/0", "job-1/1"]));
+    allowed.sample(20, sample(&["job-1/0", "job-1/1", "job-2/0"]));
+    allowed.sample(30, sample(&["job-1/1", "job-2/0"]));
+    allowed.machine_lost("m-1");
+    allowed.sample(40, sample(&[]));
+    assert_eq!(allowed.excesses(), []);
+    assert_eq!(allowed.interruptions().len(), 2);
 
     let mut faulty = recorder();
     faulty.sample(10, sample(&["job-2/0"]));
@@ -374,84 +425,93 @@
     );
 }
 
+/// Guards against a leader that has written the record of a drain without receiving the answer: it would write the
+/// record anew for ever, which can only fail.
 #[test]
-fn a_drain_whose_head_was_written_without_an_answer_goes_on() {
+fn a_drain_continues_after_lost_answers_to_writes_of_its_record() {
     let mut deployment = Deployment::start(3);
     let mut lost = 0;
     deployment.world.meddle(move |message| {
-        let writes_head = message.what == "POST /txn" && message.body.contains("t/d/all\"") && lost < 3;
-        if writes_head {
+        let writes_record = message.what == "POST /txn" && message.body.contains("t/d/all\"") && lost < 3;
+        if writes_record {
             lost += 1;
             Delivery::AnswerLost
         } else {
             Delivery::Pass
         }
     });
-    deployment.restart_all(&with_drain(&all_machines()));
-    // Guard: its leader would write the beginning again for ever, which can only fail.
-    deployment.assert_ends("all", "answers lost");
+    deployment.restart_all(&with_drain(&drain_of_all_machines()));
+    deployment.assert_drain_ends("all", "answers lost");
 }
 
+/// Guards against other tasks on a replacement, which would leave no room for the tasks of the drained machine.
 #[test]
-fn a_replacement_is_kept_for_what_leaves_the_drained_machine() {
+fn a_replacement_is_reserved_for_the_tasks_of_the_drained_machine() {
     let mut deployment = Deployment::start(3);
     let rules = json!({
         "budgets": [{ "team": "team-1", "classes": ["c"], "max_unavailable": 0 }],
         "drains": [{ "name": "all", "surge": 9, "max_machines": 9 }],
     });
     deployment.restart_all(&operator(&rules));
-    let ready = |d: &Deployment| d.says("berth-1: n-") > 0 && d.says("replacement is ready") >= 9;
+    let ready =
+        |d: &Deployment| d.count_trace_lines("berth-1: n-") > 0 && d.count_trace_lines("replacement is ready") >= 9;
     assert!(deployment.run_until(60_000, ready), "{}", deployment.trace());
-    let of_team: Vec<String> = deployment
+    let replacements: Vec<String> = deployment
         .trace()
         .lines()
         .filter(|line| line.contains("berth-1: ") && line.contains("replacement is ready"))
         .filter_map(|line| Some(line.split(['(', ')']).nth(1)?.to_owned()))
         .collect();
-    assert_eq!(of_team.len(), 3, "{}", deployment.trace());
-    // The budget lets nothing leave: the replacements stay empty, whatever else the team runs.
+    assert_eq!(replacements.len(), 3, "{}", deployment.trace());
+    // The budget permits no eviction, so the replacements stay empty, even while another job of the team waits for
+    // room.
     deployment.submit_array(501, 1, 8);
     assert!(
         deployment.run_until(90_000, |d| is_done(&d.world, "job-000501")),
         "{}",
         deployment.trace()
     );
-    for machine in of_team {
+    for machine in replacements {
         assert_eq!(
-            deployment.says(&format!("{machine} starts")),
+            deployment.count_trace_lines(&format!("{machine} starts")),
             0,
             "{machine}: {}",
             deployment.trace()
         );
     }
-    deployment.assert_within_budgets("kept");
+    deployment.assert_within_budgets("replacements reserved");
 }
 
+/// Guards against machines that stay cordoned by owners that still have the drain in their settings, when only the
+/// leader restarts without it.
 #[test]
-fn owners_that_are_not_restarted_take_machines_back_when_the_leader_withdraws_a_drain() {
+fn owners_return_machines_to_service_when_the_leader_drops_a_drain() {
     let mut deployment = Deployment::start(3);
-    // The budget of one team lets nothing leave, so that its machines stay cordoned.
+    // The budget of one team permits no eviction, so that its machines stay cordoned.
     let rules = json!({
         "budgets": [{ "team": "team-1", "max_unavailable": 0 }],
         "drains": [{ "name": "all", "surge": 9, "max_machines": 9 }],
     });
     deployment.restart_all(&operator(&rules));
-    let evicts = |d: &Deployment| {
+    let is_evicting = |d: &Deployment| {
         let mut lines = d.trace().lines().filter(|line| line.contains("berth-1: "));
         lines.any(|line| line.contains("drain all: evicting"))
     };
-    assert!(deployment.run_until(60_000, evicts), "{}", deployment.trace());
+    assert!(deployment.run_until(60_000, is_evicting), "{}", deployment.trace());
     let cordoned = deployment.world.machines_of("job-000011");
     let leader = deployment.world.leader().expect("there is a leader");
     assert_ne!(leader, 1, "{}", deployment.trace());
-    // It is back at once, and leads again.
+    // The controller restarts at once, without the drain in its settings, and becomes leader again.
     deployment.world.crash(leader);
     deployment.world.operator(leader, &operator(&json!({})));
     deployment.world.start(leader);
-    let back = |d: &Deployment| d.says("berth-1: n-") > 0 && d.says("was withdrawn: back in service") > 0;
-    assert!(deployment.run_until(60_000, back), "{}", deployment.trace());
+    let is_back = |d: &Deployment| {
+        d.count_trace_lines("berth-1: n-") > 0 && d.count_trace_lines("was withdrawn: back in service") > 0
+    };
+    assert!(deployment.run_until(60_000, is_back), "{}", deployment.trace());
     assert_eq!(deployment.world.store.keys("t/d/"), Vec::<String>::new());
-    // One of a service's replicas ends with its machine's room: guard, a cordoned machine would not take it again.
+    // The service ends and frees room on its machines. A machine that is still cordoned would not accept the tasks of
+    // the array.
     let service = deployment.services[2].clone();
     let owner = deployment.world.owner_of_team(1);
     deployment.world.withdraw(owner, &service);
@@ -460,11 +520,15 @@
     deployment.run(20_000);
     deployment.world.cloud.most = deployment.world.cloud.machines.len();
     deployment.submit_array(501, 1, 6);
-    let starts = |d: &Deployment| cordoned.iter().any(|m| d.says(&format!("{m} starts job-000501")) > 0);
+    let is_used = |d: &Deployment| {
+        cordoned
+            .iter()
+            .any(|m| d.count_trace_lines(&format!("{m} starts job-000501")) > 0)
+    };
     assert!(
-        deployment.run_until(60_000, starts),
-        "{cordoned:?}\n{}",
+        deployment.run_until(60_000, is_used),
+        "cordoned: {cordoned:?}\n{}",
         deployment.trace()
     );
-    deployment.assert_within_budgets("withdrawn by the leader");
+    deployment.assert_within_budgets("drain dropped by the leader");
 }
--- a/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
+++ b/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
@@ -1,5 +1,8 @@
-//! Drains of machines that hold tasks of several partitions: the owner of the machine asks the owner of each team, over
-//! their heartbeats.
+//! Drains of machines that run tasks of several partitions. The owner of the machine requests a permit from the owner
+//! of each team, in the heartbeats between controllers.
+//!
+//! Guards against permits that are used twice, lost for ever or used after a successor of the team's owner has granted
+//! another: more replicas than the budget allows would be unavailable, or the drain would never end.
 
 mod drain_support;
 
@@ -9,19 +12,21 @@
 use tidelatch_standin::support::assert_no_breaches;
 use tidelatch_standin::{Delivery, InterruptionRecorder, World, faults, job};
 
-/// Tasks of teams 0 and 1 on a machine each, and of team 2 beside one of them.
+/// Services of teams 0, 1 and 2 with one replica each. The first two have a machine each; the third runs beside one of
+/// them.
 const SERVICES: [&str; 3] = ["job-000001", "job-000002", "job-000003"];
 
-/// A machine of one partition that holds another one's replica.
+/// A machine that belongs to one partition and also runs a replica of another one.
 struct SharedMachine {
     world: World,
     recorder: InterruptionRecorder,
     machine: String,
-    /// The team of the replica that was there first. Its owner is asked.
-    tenant_team: usize,
+    /// The team of the replica that ran there before the third one came. Its owner is asked for permits.
+    earlier_team: usize,
 }
 
-/// The cloud has two machines, a replica runs on each, and a third team's finds room beside one of them.
+/// Starts a deployment with two machines and a replica on each. The replica of a third team is placed beside one of
+/// them.
 fn with_shared_machine() -> SharedMachine {
     let mut world = World::with(&operator(&json!({})));
     world.cloud.most = 2;
@@ -31,8 +36,11 @@
         assert!(world.run_until(90_000, |w| w.running(id) == 1), "{}", world.trace());
     }
     let machine = world.machines_of(SERVICES[2]).pop().expect("a machine");
-    let beside = |id: &&str| world.machines_of(id).contains(&machine);
-    let tenant_team = SERVICES[..2].iter().position(beside).expect("a replica beside it");
+    let is_on_machine = |id: &&str| world.machines_of(id).contains(&machine);
+    let earlier_team = SERVICES[..2]
+        .iter()
+        .position(is_on_machine)
+        .expect("a replica of team 0 or 1 on it");
     let mut recorder = InterruptionRecorder::new(GRACE_MS);
     for id in SERVICES {
         recorder.limit(id, &[id], 1);
@@ -41,7 +49,7 @@
         world,
         recorder,
         machine,
-        tenant_team,
+        earlier_team,
     }
 }
 
@@ -54,35 +62,43 @@
         }
     }
 
-    /// All controllers begin again with a drain of all machines, and the cloud has room for replacements.
-    fn drain(&mut self, operator: &Operator) {
+    /// Crashes all controllers and restarts them with a drain of all machines. From here on the cloud has machines for
+    /// replacements.
+    fn restart_all_with_drain(&mut self, operator: &Operator) {
         self.world.cloud.most = 6;
-        for node in 0..3 {
-            self.world.crash(node);
-            self.world.operator(node, operator);
+        for controller in 0..3 {
+            self.world.crash(controller);
+            self.world.operator(controller, operator);
         }
         self.run(200);
-        (0..3).for_each(|node| self.world.start(node));
+        (0..3).for_each(|controller| self.world.start(controller));
     }
 
     fn is_done(&self) -> bool {
-        self.world.store.get("t/d/all").is_some_and(|head| head["done"] == true)
+        self.world
+            .store
+            .get("t/d/all")
+            .is_some_and(|record| record["done"] == true)
     }
 
-    fn assert_ends(&mut self, case: &str) {
+    fn assert_drain_ends(&mut self, case: &str) {
         let until = self.world.now + DRAIN_MS;
         let all_run = |w: &World| SERVICES.iter().all(|id| w.running(id) >= 1);
         while self.world.now < until && !(self.is_done() && all_run(&self.world)) {
             self.run(500);
         }
-        assert!(self.is_done(), "{case}: the drain does not end\n{}", self.world.trace());
+        assert!(
+            self.is_done(),
+            "{case}: the drain has not ended\n{}",
+            self.world.trace()
+        );
         assert!(all_run(&self.world), "{case}\n{}", self.world.trace());
         assert_eq!(self.recorder.excesses(), [], "{case}\n{}", self.world.trace());
         assert_no_breaches(&self.world);
         assert!(!self.world.cloud.machines.contains_key(&self.machine), "{case}");
     }
 
-    fn permitted_by_another(&self) -> usize {
+    fn count_permits_of_other_owners(&self) -> usize {
         self.world.trace().matches("; permitted by berth-").count()
     }
 }
@@ -91,112 +107,132 @@
     with_drain(&json!({ "name": "all", "surge": 1, "max_machines": 2 }))
 }
 
+/// Guards against an eviction of a replica of another partition without a permit of the owner of its team.
 #[test]
-fn the_owner_of_the_team_permits_what_the_owner_of_the_machine_stops() {
+fn the_machine_owner_uses_a_permit_of_the_team_owner() {
     let mut shared = with_shared_machine();
-    shared.drain(&drain_of_all());
-    shared.assert_ends("undisturbed");
-    assert_eq!(shared.permitted_by_another(), 1, "{}", shared.world.trace());
+    shared.restart_all_with_drain(&drain_of_all());
+    shared.assert_drain_ends("no faults");
+    assert_eq!(shared.count_permits_of_other_owners(), 1, "{}", shared.world.trace());
 }
 
+/// Guards against a permit that is granted twice or lost when its requester, its grantor or both crash during the
+/// exchange.
 #[test]
-fn whichever_controllers_end_at_any_step_of_an_exchange() {
-    // Two of three: the machine's owner, the team's owner, the third.
-    for left in 0..3 {
-        for ends_after_ms in (8_000..20_000).step_by(1_500) {
+fn any_two_controllers_crash_at_any_step_of_a_permit_exchange() {
+    // Each pair of the three controllers: the machine's owner, the team's owner and the third one.
+    for remaining in 0..3 {
+        for crash_after_ms in (8_000..20_000).step_by(1_500) {
             let mut shared = with_shared_machine();
-            shared.drain(&drain_of_all());
-            shared.run(ends_after_ms);
-            let ended = [(left + 1) % 3, (left + 2) % 3];
-            for node in ended {
-                shared.world.crash(node);
+            shared.restart_all_with_drain(&drain_of_all());
+            shared.run(crash_after_ms);
+            let crashed = [(remaining + 1) % 3, (remaining + 2) % 3];
+            for controller in crashed {
+                shared.world.crash(controller);
                 shared.run(700);
             }
             shared.run(LEASE_MS);
-            ended.iter().for_each(|node| shared.world.start(*node));
-            shared.assert_ends(&format!("{ended:?} end after {ends_after_ms} ms"));
+            crashed.iter().for_each(|controller| shared.world.start(*controller));
+            shared.assert_drain_ends(&format!("{crashed:?} crash after {crash_after_ms} ms"));
         }
     }
 }
 
+/// Guards against a requester or grantor that resumes after its lease and continues an exchange that its successor has
+/// begun anew.
 #[test]
-fn whichever_controllers_pause_at_any_step_of_an_exchange() {
-    for node in 0..3 {
-        for pauses_after_ms in (8_000..20_000).step_by(1_000) {
+fn any_two_controllers_pause_at_any_step_of_a_permit_exchange() {
+    for controller in 0..3 {
+        for pause_after_ms in (8_000..20_000).step_by(1_000) {
             let mut shared = with_shared_machine();
-            shared.drain(&drain_of_all());
-            shared.run(pauses_after_ms);
-            shared.world.freeze(node);
+            shared.restart_all_with_drain(&drain_of_all());
+            shared.run(pause_after_ms);
+            shared.world.freeze(controller);
             shared.run(LEASE_MS / 2);
-            shared.world.freeze((node + 1) % 3);
+            shared.world.freeze((controller + 1) % 3);
             shared.run(LEASE_MS);
-            shared.world.thaw(node);
+            shared.world.thaw(controller);
             shared.run(1_000);
-            shared.world.thaw((node + 1) % 3);
-            shared.assert_ends(&format!("berth-{node} pauses after {pauses_after_ms} ms"));
+            shared.world.thaw((controller + 1) % 3);
+            shared.assert_drain_ends(&format!("berth-{controller} pauses after {pause_after_ms} ms"));
         }
     }
 }
 
+/// Guards against an old request that is taken for a new one, and an old grant that is used again, on a peer network
+/// that loses, delays, duplicates and reorders messages.
 #[test]
-fn lost_late_copied_and_overtaken_wishes_and_permits() {
+fn lost_late_duplicated_and_reordered_permit_requests_and_grants() {
     for seed in 1..=20 {
         let mut shared = with_shared_machine();
-        shared.drain(&drain_of_all());
+        shared.restart_all_with_drain(&drain_of_all());
         shared.run(6_000);
         shared.world.meddle(faults::rough_peer_network(seed));
         shared.run(60_000);
         shared.world.calm();
-        shared.assert_ends(&format!("seed {seed}"));
+        shared.assert_drain_ends(&format!("seed {seed}"));
     }
 }
 
+/// Guards against a machine owner that interrupts a replica of another partition although the budget of the replica's
+/// team allows no interruption.
 #[test]
-fn a_team_that_is_not_to_be_interrupted_keeps_its_replica_on_another_ones_machine() {
+fn a_team_with_a_budget_of_zero_keeps_its_replica_on_a_machine_of_another_partition() {
     let mut shared = with_shared_machine();
-    let team = format!("team-{}", shared.tenant_team);
+    let team = format!("team-{}", shared.earlier_team);
     let rules = json!({
         "budgets": [{ "team": team, "max_unavailable": 0 }],
         "drains": [{ "name": "all", "surge": 1, "max_machines": 2 }],
     });
-    shared.drain(&operator(&rules));
+    shared.restart_all_with_drain(&operator(&rules));
     shared.run(DRAIN_MS / 4);
     assert!(!shared.is_done());
-    assert_eq!(shared.permitted_by_another(), 0);
-    let tenant = format!("{}/0", SERVICES[shared.tenant_team]);
+    assert_eq!(shared.count_permits_of_other_owners(), 0);
+    let earlier_replica = format!("{}/0", SERVICES[shared.earlier_team]);
     assert!(
-        !shared.recorder.interruptions().iter().any(|i| i.unit == tenant),
+        !shared
+            .recorder
+            .interruptions()
+            .iter()
+            .any(|i| i.unit == earlier_replica),
         "{}",
         shared.world.trace()
     );
 }
 
+/// Guards against an eviction during an upgrade, while the owner of the team has budgets turned off and grants no
+/// permits, and against a drain that does not continue afterwards.
 #[test]
-fn a_controller_that_grants_no_permits_is_not_asked() {
+fn a_controller_without_budgets_is_not_asked_for_permits() {
     let mut shared = with_shared_machine();
-    let owner = shared.world.owner_of_team(shared.tenant_team);
-    let with = drain_of_all();
-    shared.drain(&with);
-    // It comes back as one that has budgets turned off.
+    let owner = shared.world.owner_of_team(shared.earlier_team);
+    let with_budgets = drain_of_all();
+    shared.restart_all_with_drain(&with_budgets);
+    // The team's owner restarts with budgets turned off.
     shared.world.crash(owner);
     shared.world.operator(owner, &Operator::default());
     shared.world.start(owner);
     shared.run(DRAIN_MS / 4);
-    assert_eq!(shared.permitted_by_another(), 0, "{}", shared.world.trace());
-    let tenant = format!("{}/0", SERVICES[shared.tenant_team]);
+    assert_eq!(shared.count_permits_of_other_owners(), 0, "{}", shared.world.trace());
+    let earlier_replica = format!("{}/0", SERVICES[shared.earlier_team]);
     assert!(
-        !shared.recorder.interruptions().iter().any(|i| i.unit == tenant),
+        !shared
+            .recorder
+            .interruptions()
+            .iter()
+            .any(|i| i.unit == earlier_replica),
         "{}",
         shared.world.trace()
     );
     shared.world.crash(owner);
-    shared.world.operator(owner, &with);
+    shared.world.operator(owner, &with_budgets);
     shared.world.start(owner);
-    shared.assert_ends("budgets are turned on everywhere");
+    shared.assert_drain_ends("budgets are turned on everywhere");
 }
 
-/// A service of two replicas of team 0 has a machine for each; one of the two has come to partition 2 with its replica.
-fn with_one_of_two_replicas_elsewhere() -> (World, String) {
+/// Starts a service of team 0 with two replicas on a machine each. One of the machines, with its replica, has moved to
+/// partition 2.
+fn with_one_replica_on_a_machine_of_partition_2() -> (World, String) {
     let mut world = World::with(&operator(&json!({})));
     world.cloud.most = 3;
     world.run(3_000);
@@ -223,26 +259,28 @@
     (world, machine)
 }
 
+/// Guards against a stop that was permitted by an earlier owner of the team and is delayed on its way to the machine.
+/// The successor does not know of it and permits the stop of the other replica, so that both would be unavailable.
 #[test]
-fn a_stop_that_an_earlier_owner_permitted_is_taken_back_when_its_successor_permits_another() {
-    let (world, machine) = with_one_of_two_replicas_elsewhere();
+fn a_stop_permitted_by_an_earlier_owner_is_revoked_when_its_successor_permits_another() {
+    let (world, machine) = with_one_replica_on_a_machine_of_partition_2();
     let mut recorder = InterruptionRecorder::new(GRACE_MS);
     recorder.limit("job-000001", &["job-000001"], 1);
     let mut shared = SharedMachine {
         world,
         recorder,
         machine: machine.clone(),
-        tenant_team: 0,
+        earlier_team: 0,
     };
-    // Nothing that the machine's owner orders arrives there, nor does it hear the team's next owner; it still learns
-    // what runs, and so does everybody else.
+    // Commands of the machine's owner do not reach the machine, and the owner exchanges no messages with the team's
+    // next owner. It still learns what runs there by polling the machine's status, as do all other controllers.
     let cut = move |message: &tidelatch_standin::Message<'_>| {
         let pair = [message.from, message.to];
-        let peers = pair == ["berth-1", "berth-2"] || pair == ["berth-2", "berth-1"];
-        let orders = message.from == "berth-2" && message.to == machine && message.what != "GET /status";
-        let reports = message.from == machine && message.to == "berth-2";
-        let relays = message.to == "berth-2" && message.what == "relay";
-        if orders || reports || relays || peers {
+        let is_between_peers = pair == ["berth-1", "berth-2"] || pair == ["berth-2", "berth-1"];
+        let is_order = message.from == "berth-2" && message.to == machine && message.what != "GET /status";
+        let is_report = message.from == machine && message.to == "berth-2";
+        let is_relay = message.to == "berth-2" && message.what == "relay";
+        if is_order || is_report || is_relay || is_between_peers {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -250,58 +288,68 @@
     };
     let zone = shared.world.workers[&shared.machine].zone.clone();
     let other = if zone == "a" { "b" } else { "a" };
-    // The machine of the other replica is drained by whoever owns the team by then.
-    shared.drain(&operator(&json!({ "drains": [
+    // The machine of the other replica is drained 15 s later, when the team has another owner.
+    shared.restart_all_with_drain(&operator(&json!({ "drains": [
         { "name": "all", "zone": zone, "surge": 1, "max_machines": 1 },
         { "name": "rest", "zone": other, "surge": 0, "max_machines": 4, "delay_s": 15.0 },
     ] })));
     shared.run(7_500);
     shared.world.meddle(cut);
-    let permitted = |s: &SharedMachine| s.permitted_by_another() > 0;
-    let of_successor = |s: &SharedMachine| {
+    let has_permit = |s: &SharedMachine| s.count_permits_of_other_owners() > 0;
+    let has_successor_used_permit = |s: &SharedMachine| {
         let mut lines = s.world.trace().lines().filter(|line| line.contains("berth-1: "));
         lines.any(|line| line.contains("permit used: job-000001/"))
     };
     for _ in 0..600 {
-        if permitted(&shared) {
+        if has_permit(&shared) {
             break;
         }
         shared.run(20);
     }
-    assert!(permitted(&shared), "{}", shared.world.trace());
-    assert_eq!(shared.world.running("job-000001"), 2, "the stop has not arrived");
+    assert!(has_permit(&shared), "{}", shared.world.trace());
+    assert_eq!(
+        shared.world.running("job-000001"),
+        2,
+        "the stop should not have arrived yet"
+    );
     shared.world.crash(0);
     for _ in 0..3_000 {
-        if of_successor(&shared) {
+        if has_successor_used_permit(&shared) {
             break;
         }
         shared.run(20);
     }
-    assert!(of_successor(&shared), "{}", shared.world.trace());
-    // Guard: the stop that the earlier owner permitted would arrive now, while the other replica is away.
+    assert!(has_successor_used_permit(&shared), "{}", shared.world.trace());
+    // Without the revocation the stop that the earlier owner permitted would arrive now, while the other replica is
+    // unavailable.
     shared.world.calm();
     shared.run(20_000);
     shared.world.start(0);
-    shared.assert_ends("taken back");
+    shared.assert_drain_ends("earlier stop revoked");
 }
 
+/// Guards against a permit that counts as used for ever because the answer to its holder was lost and the holder
+/// crashed: the next owner of the machine would get no permit for that replica.
 #[test]
-fn a_permit_whose_holder_ends_without_having_heard_of_it_is_freed() {
+fn a_permit_whose_holder_crashes_before_it_learns_of_it_is_released() {
     let mut shared = with_shared_machine();
-    shared.drain(&drain_of_all());
+    shared.restart_all_with_drain(&drain_of_all());
     shared.run(6_000);
-    // The machine's owner asks, the team's owner grants, and the answers are lost.
-    let team_owner = format!("berth-{}", shared.world.owner_of_team(shared.tenant_team));
+    // The machine's owner requests a permit, the team's owner grants it, and the answers are lost.
+    let team_owner = format!("berth-{}", shared.world.owner_of_team(shared.earlier_team));
     let machine_owner = shared.world.owner_of_team(2);
-    let asker = format!("berth-{machine_owner}");
+    let requester = format!("berth-{machine_owner}");
     shared.world.meddle(move |message| {
-        let asks = message.from == asker && message.to == team_owner && message.what == "hello";
-        if asks { Delivery::AnswerLost } else { Delivery::Pass }
+        let is_request = message.from == requester && message.to == team_owner && message.what == "hello";
+        if is_request {
+            Delivery::AnswerLost
+        } else {
+            Delivery::Pass
+        }
     });
     shared.run(15_000);
-    assert_eq!(shared.permitted_by_another(), 0, "{}", shared.world.trace());
+    assert_eq!(shared.count_permits_of_other_owners(), 0, "{}", shared.world.trace());
     shared.world.crash(machine_owner);
     shared.world.calm();
-    // Guard: it would count as spent for ever, and the next owner of the machine would get no permit for that replica.
-    shared.assert_ends("its holder has ended");
+    shared.assert_drain_ends("permit holder crashed");
 }
--- a/crates/tidelatch-standin/tests/failure_detection.rs
+++ b/crates/tidelatch-standin/tests/failure_detection.rs
@@ -1,5 +1,8 @@
-//! Controllers that suspect each other: what a suspicion leads to, and what it never does. The rules are checked with
-//! every event: no two controllers ever act for a partition.
+//! Failure detection between controllers under crashes, pauses, network splits and lossy networks.
+//!
+//! Guards against a suspicion that by itself ends a lease, moves a partition or changes what a controller decides, and
+//! against accepted work that is lost in a takeover. The checker of the simulation checks with every event that no two
+//! controllers act for the same partition.
 
 use tidelatch_core::settings::{FailureDetection, Operator};
 use tidelatch_standin::faults::{self, StateServiceSide};
@@ -9,15 +12,15 @@
 /// A controller's lease in the stand-in's deployment.
 const LEASE_MS: u64 = 7_200;
 
-fn detecting() -> Operator {
+fn with_failure_detection() -> Operator {
     Operator {
         failure_detection: Some(FailureDetection::default()),
         ..Operator::default()
     }
 }
 
-/// A deployment with a service and an array of each team, which run.
-fn busy_world(controllers: usize, operator: &Operator) -> World {
+/// Starts a deployment with a service and an array of each team, and waits until the services run.
+fn start_with_work(controllers: usize, operator: &Operator) -> World {
     let size = Size {
         controllers,
         teams: controllers as u32,
@@ -32,12 +35,12 @@
         world.accepted(0, &job(team, team, "standing", 2));
         world.accepted(0, &job(100 + team, team, "sweep", 6));
     }
-    let started = |w: &World| (0..controllers).all(|team| w.running(&format!("job-{team:06}")) == 2);
-    assert!(world.run_until(60_000, started), "{}", world.trace());
+    let services_run = |w: &World| (0..controllers).all(|team| w.running(&format!("job-{team:06}")) == 2);
+    assert!(world.run_until(60_000, services_run), "{}", world.trace());
     world
 }
 
-/// All that was accepted runs, or is done, once the faults are over.
+/// Ends all network faults and asserts that all services run again and all arrays are done within 150 s.
 fn assert_recovers(world: &mut World, controllers: usize) {
     world.calm();
     let recovered = |w: &World| {
@@ -48,20 +51,20 @@
     assert_no_breaches(world);
 }
 
-fn lines(world: &World, text: &str) -> usize {
+fn count_trace_lines(world: &World, text: &str) -> usize {
     world.trace().lines().filter(|line| line.contains(text)).count()
 }
 
-fn time_of(world: &World, text: &str) -> f64 {
+fn time_of_trace_line(world: &World, text: &str) -> f64 {
     let line = world.trace().lines().find(|line| line.contains(text));
     let time = line.and_then(|line| line.split_whitespace().next());
     time.and_then(|time| time.parse().ok())
         .unwrap_or_else(|| panic!("no line with `{text}`:\n{}", world.trace()))
 }
 
-/// What the controllers did, without what they say of suspicions.
+/// The lines of the trace that are not about suspicions: what the controllers decided.
 fn decisions(world: &World) -> Vec<&str> {
-    const OF_DETECTION: [&str; 6] = [
+    const DETECTION_WORDS: [&str; 6] = [
         "suspect",
         "prepar",
         "confirmed as gone",
@@ -69,20 +72,22 @@
         "at fault",
         "refuted",
     ];
-    let of_detection = |line: &&str| OF_DETECTION.iter().any(|word| line.contains(word));
-    world.trace().lines().filter(|line| !of_detection(line)).collect()
+    let is_about_detection = |line: &&str| DETECTION_WORDS.iter().any(|word| line.contains(word));
+    world.trace().lines().filter(|line| !is_about_detection(line)).collect()
 }
 
+/// Guards against a successor that does not prepare between the suspicion and the end of the lease, and against a
+/// confirmation long after the lease has ended.
 #[test]
-fn a_dead_controller_is_suspected_then_confirmed_and_its_heir_is_prepared() {
-    let mut world = busy_world(3, &detecting());
+fn a_crashed_controller_is_suspected_then_confirmed_and_its_successor_prepares() {
+    let mut world = start_with_work(3, &with_failure_detection());
     let owner = world.owner_of_team(1);
     world.crash(owner);
     world.run(20_000);
-    let crashed = time_of(&world, &format!("berth-{owner} crashes"));
-    let suspected = time_of(&world, &format!("suspects berth-{owner}"));
-    let prepared = time_of(&world, "prepared to take over");
-    let confirmed = time_of(&world, &format!("berth-{owner} is confirmed as gone"));
+    let crashed = time_of_trace_line(&world, &format!("berth-{owner} crashes"));
+    let suspected = time_of_trace_line(&world, &format!("suspects berth-{owner}"));
+    let prepared = time_of_trace_line(&world, "prepared to take over");
+    let confirmed = time_of_trace_line(&world, &format!("berth-{owner} is confirmed as gone"));
     let lease_s = LEASE_MS as f64 / 1000.0;
     assert!(crashed < suspected && suspected < prepared && prepared < confirmed);
     assert!(suspected < crashed + lease_s / 1.5, "{}", suspected - crashed);
@@ -92,17 +97,20 @@
     assert_trace(&world, "suspected_then_confirmed");
 }
 
+/// Guards against a takeover that trusts records read ahead, although the owner has changed them since: tasks that are
+/// done would be started again. The number of start orders must be the same as without failure detection.
 #[test]
-fn records_that_change_after_they_were_read_ahead_are_as_fresh_as_if_read_at_the_take_over() {
-    let play = |operator: &Operator| {
-        let mut world = busy_world(3, operator);
+fn records_read_ahead_of_a_takeover_are_read_again_if_they_changed() {
+    let run = |operator: &Operator| {
+        let mut world = start_with_work(3, operator);
         world.uneven = true;
         let owner = world.owner_of_team(1);
         world.accepted(owner, &job(201, 1, "sweep", 40));
         world.run(6_000);
-        // Its siblings suspect the owner, which goes on with its work and stores what is done, and then ends.
-        let others: Vec<usize> = (0..3).filter(|node| *node != owner).collect();
-        world.meddle(faults::split(&others, StateServiceSide::Both));
+        // The other controllers suspect the owner and read its records ahead of a takeover. The owner continues its
+        // work, stores more done tasks and then crashes.
+        let peers: Vec<usize> = (0..3).filter(|controller| *controller != owner).collect();
+        world.meddle(faults::split(&peers, StateServiceSide::Both));
         world.run(10_000);
         world.crash(owner);
         world.run(500);
@@ -115,28 +123,36 @@
         assert_no_breaches(&world);
         world
     };
-    let (with, without) = (play(&detecting()), play(&Operator::default()));
-    let prepared = with.trace().lines().find(|line| line.contains("prepared to take over"));
+    let (with_detection, without_detection) = (run(&with_failure_detection()), run(&Operator::default()));
+    let prepared = with_detection
+        .trace()
+        .lines()
+        .find(|line| line.contains("prepared to take over"));
     assert!(
         prepared.is_some_and(|line| !line.contains(" 0 records")),
         "{prepared:?}"
     );
-    // Guard: with old records, tasks that are done would be started again.
-    assert_eq!(with.checker().start_orders(), without.checker().start_orders());
-    assert_recovers_from(with);
+    // With the old records, tasks that are done would be started again.
+    assert_eq!(
+        with_detection.checker().start_orders(),
+        without_detection.checker().start_orders()
+    );
+    assert_world_recovers(with_detection);
 }
 
-fn assert_recovers_from(mut world: World) {
+fn assert_world_recovers(mut world: World) {
     assert_recovers(&mut world, 3);
 }
 
+/// Guards against a controller that acts for its partition after a pause slightly shorter or longer than its lease,
+/// when others may have taken over.
 #[test]
-fn pauses_round_the_lease_end_nothing_that_was_not_fenced() {
+fn pauses_of_about_a_lease_lose_no_work() {
     for pause_ms in [LEASE_MS - 300, LEASE_MS, LEASE_MS + 300, 3 * LEASE_MS] {
-        for again in [1, 3] {
-            let mut world = busy_world(3, &detecting());
-            for _ in 0..again {
-                // The leader, which owns a partition too.
+        for pauses in [1, 3] {
+            let mut world = start_with_work(3, &with_failure_detection());
+            for _ in 0..pauses {
+                // The leader also owns a partition.
                 let leader = world.leader().expect("there is a leader");
                 world.freeze(leader);
                 world.run(pause_ms);
@@ -144,22 +160,23 @@
                 world.run(4_000);
             }
             assert_recovers(&mut world, 3);
-            assert!(lines(&world, "suspects berth-") > 0, "{}", world.trace());
+            assert!(count_trace_lines(&world, "suspects berth-") > 0, "{}", world.trace());
         }
     }
 }
 
+/// Guards against a new leader that pauses in the middle of a takeover while the old leader and an owner resume.
 #[test]
-fn leader_and_owner_pause_together_and_in_the_middle_of_an_election() {
+fn leader_and_owner_pause_together_and_during_an_election() {
     for pause_ms in [LEASE_MS - 300, LEASE_MS + 300, 2 * LEASE_MS] {
-        let mut world = busy_world(4, &detecting());
+        let mut world = start_with_work(4, &with_failure_detection());
         let leader = world.leader().expect("there is a leader");
         let owner = (leader + 1) % 4;
         world.freeze(leader);
         world.run(500);
         world.freeze(owner);
         world.run(pause_ms);
-        // The other two are in the middle of a take-over by now, or have done with it.
+        // By now the other two are in the middle of a takeover, or have finished it.
         world.thaw(owner);
         world.run(200);
         let next = world.leader().unwrap_or(leader);
@@ -171,13 +188,14 @@
     }
 }
 
+/// Guards against requests that arrive during a pause and are executed by a leader whose lease has ended.
 #[test]
-fn a_leader_that_pauses_beyond_its_lease_comes_back_with_nothing_of_before() {
-    let mut world = busy_world(3, &detecting());
+fn a_leader_that_pauses_beyond_its_lease_acts_on_no_earlier_request() {
+    let mut world = start_with_work(3, &with_failure_detection());
     let leader = world.leader().expect("there is a leader");
     world.freeze(leader);
     world.run(LEASE_MS + 300);
-    // Requests that lie in its buffers until it goes on.
+    // Requests that arrive during the pause and are read when the leader resumes.
     world.submit(leader, &job(301, 0, "sweep", 2));
     world.withdraw(leader, "job-000100");
     world.run(2_000);
@@ -187,30 +205,33 @@
     assert_trace(&world, "suspected_while_paused_beyond_its_lease");
 }
 
-/// A deployment whose few machines all run a team's long array.
+/// Starts a deployment whose four machines are all used by the long array of a team.
 fn world_without_free_machines() -> World {
     let size = Size {
         limit: 20.0,
         ..Size::default()
     };
-    let mut world = World::sized(&detecting(), size);
+    let mut world = World::sized(&with_failure_detection(), size);
     world.cloud.most = 4;
     world.run_ms = 60_000;
     world.run(3_000);
     world.accepted(0, &job(101, 1, "sweep", 8));
-    let full = |w: &World| w.running("job-000101") == 8;
-    assert!(world.run_until(30_000, full), "{}", world.trace());
+    let is_full = |w: &World| w.running("job-000101") == 8;
+    assert!(world.run_until(30_000, is_full), "{}", world.trace());
     world
 }
 
+/// Guards against an owner that pauses beyond its lease while its machines move to another partition: a machine could
+/// be in no group of the roster, or in two.
 #[test]
-fn an_owner_that_pauses_while_machines_change_hands_loses_and_doubles_none() {
-    // Production work of one partition gets machines that another one vacates; that owner pauses at every step.
-    let mut handed_over = 0;
-    for paused_after_ms in (200..3_600).step_by(200) {
+fn an_owner_that_pauses_during_a_machine_transfer_loses_and_duplicates_no_machine() {
+    // A service of team 0 gets machines that the partition of team 1 vacates. The owner of that partition pauses at
+    // every step of the transfer.
+    let mut transfers = 0;
+    for pause_after_ms in (200..3_600).step_by(200) {
         let mut world = world_without_free_machines();
         world.accepted(0, &job(1, 0, "standing", 4));
-        world.run(paused_after_ms);
+        world.run(pause_after_ms);
         let owner = world.owner_of_team(1);
         world.freeze(owner);
         world.run(LEASE_MS + 300);
@@ -222,21 +243,18 @@
         let machines = roster.len();
         roster.sort();
         roster.dedup();
-        assert_eq!(
-            roster.len(),
-            machines,
-            "a machine stands in two groups: {}",
-            world.trace()
-        );
-        handed_over += lines(&world, "goes to partition");
+        assert_eq!(roster.len(), machines, "a machine is in two groups: {}", world.trace());
+        transfers += count_trace_lines(&world, "goes to partition");
     }
-    assert!(handed_over > 0, "no machine changed hands");
+    assert!(transfers > 0, "no machine was transferred");
 }
 
+/// Guards against a detector that suspects a slow controller again and again, or takes its partition over although it
+/// extends its lease.
 #[test]
-fn a_slow_controller_is_suspected_by_nobody_for_long_and_loses_nothing() {
-    // It runs for a tenth of a second in each second, as at a full share of its processor.
-    let mut world = busy_world(4, &detecting());
+fn a_slow_controller_is_suspected_rarely_and_loses_nothing() {
+    // The controller runs for 0.1 s in each second, as a process does whose CPU quota is used up.
+    let mut world = start_with_work(4, &with_failure_detection());
     let epoch = world.epoch();
     for _ in 0..60 {
         world.freeze(3);
@@ -245,63 +263,71 @@
         world.run(100);
     }
     assert_eq!(world.epoch(), epoch, "{}", world.trace());
-    assert_eq!(lines(&world, "is confirmed as gone"), 0);
-    assert!(lines(&world, "suspects berth-3") <= 3, "{}", world.trace());
+    assert_eq!(count_trace_lines(&world, "is confirmed as gone"), 0);
+    assert!(count_trace_lines(&world, "suspects berth-3") <= 3, "{}", world.trace());
     assert_recovers(&mut world, 4);
 }
 
+/// Guards against suspicions that change decisions: with pauses shorter than the lease, the trace without the lines
+/// about suspicions must be the same as without failure detection.
 #[test]
-fn a_suspicion_that_is_refuted_leaves_no_trace_in_decisions() {
-    let play = |operator: &Operator| {
-        let mut world = busy_world(3, operator);
-        for node in [0, 1, 2] {
-            world.freeze(node);
-            // Its last extension may have been a quarter of the lease ago.
+fn a_refuted_suspicion_changes_no_decision() {
+    let run = |operator: &Operator| {
+        let mut world = start_with_work(3, operator);
+        for controller in [0, 1, 2] {
+            world.freeze(controller);
+            // The pause is shorter than the lease, because the last extension may have been a quarter of the lease ago.
             world.run(LEASE_MS * 2 / 3);
-            world.thaw(node);
+            world.thaw(controller);
             world.run(10_000);
         }
         world.run(30_000);
         assert_no_breaches(&world);
         world
     };
-    let (with, without) = (play(&detecting()), play(&Operator::default()));
-    assert!(lines(&with, "is no longer suspected") >= 6, "{}", with.trace());
-    assert_eq!(lines(&with, "is confirmed as gone"), 0);
-    assert!(lines(&with, "preparation to take over dropped") >= 1);
-    assert_trace(&with, "suspicions_that_are_refuted");
-    assert_eq!(decisions(&with), decisions(&without));
+    let (with_detection, without_detection) = (run(&with_failure_detection()), run(&Operator::default()));
+    assert!(
+        count_trace_lines(&with_detection, "is no longer suspected") >= 6,
+        "{}",
+        with_detection.trace()
+    );
+    assert_eq!(count_trace_lines(&with_detection, "is confirmed as gone"), 0);
+    assert!(count_trace_lines(&with_detection, "preparation to take over dropped") >= 1);
+    assert_trace(&with_detection, "suspicions_that_are_refuted");
+    assert_eq!(decisions(&with_detection), decisions(&without_detection));
 }
 
+/// Guards against two halves of a split network that both act for a partition. A half takes over only if it alone
+/// reaches the state service.
 #[test]
-fn an_even_split_lets_at_most_one_side_act() {
-    for (controllers, named) in [(4, vec![0, 1]), (6, vec![0, 1, 2])] {
+fn at_most_one_half_of_a_split_network_takes_over() {
+    for (controllers, first_half) in [(4, vec![0, 1]), (6, vec![0, 1, 2])] {
         for state in [
             StateServiceSide::Named,
             StateServiceSide::Both,
             StateServiceSide::Neither,
         ] {
-            let mut world = busy_world(controllers, &detecting());
+            let mut world = start_with_work(controllers, &with_failure_detection());
             let epoch = world.epoch();
             world.note(&format!("split, state service: {state:?}"));
-            world.meddle(faults::split(&named, state));
+            world.meddle(faults::split(&first_half, state));
             world.run(3 * LEASE_MS);
             match state {
-                // Guard: a suspicion, and a majority, take nothing over.
+                // A suspicion takes nothing over, even if a majority of the controllers has it.
                 StateServiceSide::Both | StateServiceSide::Neither => {
                     assert_eq!(world.epoch(), epoch, "{}", world.trace());
-                    assert_eq!(lines(&world, "is confirmed as gone"), 0);
+                    assert_eq!(count_trace_lines(&world, "is confirmed as gone"), 0);
                 }
                 StateServiceSide::Named => {
                     assert!(world.epoch() > epoch);
                     assert!(
-                        named.contains(&world.owner_of_team(controllers - 1)),
+                        first_half.contains(&world.owner_of_team(controllers - 1)),
                         "{}",
                         world.trace()
                     );
                 }
             }
-            assert!(lines(&world, "suspects berth-") > 0, "{}", world.trace());
+            assert!(count_trace_lines(&world, "suspects berth-") > 0, "{}", world.trace());
             if controllers == 4 {
                 let state = format!("{state:?}").to_lowercase();
                 assert_trace(&world, &format!("even_split_state_service_{state}"));
@@ -311,11 +337,13 @@
     }
 }
 
+/// Guards against work that is lost or started twice when the old owners return in the middle of the takeover of their
+/// partitions.
 #[test]
-fn a_split_that_heals_at_any_step_of_a_take_over_costs_nothing_that_was_accepted() {
-    // From before the suspicion until the new owners act.
+fn a_split_that_heals_at_any_step_of_a_takeover_loses_no_accepted_work() {
+    // The times reach from before the first suspicion until the new owners act.
     for healed_after_ms in (1_000..=11_000).step_by(1_000) {
-        let mut world = busy_world(4, &detecting());
+        let mut world = start_with_work(4, &with_failure_detection());
         world.meddle(faults::split(&[0, 1], StateServiceSide::Named));
         world.run(healed_after_ms);
         world.calm();
@@ -323,25 +351,28 @@
     }
 }
 
+/// Guards against a suspicion of a controller whose heartbeats reach all peers but one.
 #[test]
-fn a_controller_that_one_sibling_does_not_hear_is_not_suspected() {
-    let mut world = busy_world(4, &detecting());
+fn a_controller_that_one_peer_does_not_hear_is_not_suspected() {
+    let mut world = start_with_work(4, &with_failure_detection());
     world.meddle(faults::one_way(3, 0));
     world.run(60_000);
-    assert_eq!(lines(&world, "suspects berth-"), 0, "{}", world.trace());
+    assert_eq!(count_trace_lines(&world, "suspects berth-"), 0, "{}", world.trace());
     assert_trace(&world, "not_heard_by_one_sibling");
     assert_recovers(&mut world, 4);
 }
 
+/// Guards against a controller that is confirmed as failed because the peer network loses, delays, duplicates and
+/// reorders heartbeats.
 #[test]
-fn delayed_lost_copied_and_overtaken_heartbeats_confirm_nobody() {
+fn delayed_lost_duplicated_and_reordered_heartbeats_confirm_no_failure() {
     for seed in 1..=5 {
-        let mut world = busy_world(4, &detecting());
+        let mut world = start_with_work(4, &with_failure_detection());
         let epoch = world.epoch();
         world.meddle(faults::rough_peer_network(seed));
         world.run(120_000);
         assert_eq!(
-            lines(&world, "is confirmed as gone"),
+            count_trace_lines(&world, "is confirmed as gone"),
             0,
             "seed {seed}: {}",
             world.trace()
@@ -351,21 +382,23 @@
     }
 }
 
+/// Guards against suspicions of a controller that has no failure detection and sends no liveness data, as during an
+/// upgrade.
 #[test]
-fn controllers_that_detect_and_others_that_do_not_work_together() {
-    let mut world = busy_world(3, &Operator::default());
-    for node in [0, 2] {
-        world.operator(node, &detecting());
-        world.crash(node);
+fn controllers_with_and_without_failure_detection_work_together() {
+    let mut world = start_with_work(3, &Operator::default());
+    for controller in [0, 2] {
+        world.operator(controller, &with_failure_detection());
+        world.crash(controller);
         world.run(1_000);
-        world.start(node);
+        world.start(controller);
         world.run(10_000);
     }
-    // Only two of them tell of themselves: the third is heard by nobody's detector, and blamed for nothing.
-    assert_eq!(lines(&world, "suspects berth-1"), 0, "{}", world.trace());
+    // Only two controllers send liveness data. The detectors receive none of the third one and must not suspect it.
+    assert_eq!(count_trace_lines(&world, "suspects berth-1"), 0, "{}", world.trace());
     world.crash(2);
     world.run(15_000);
-    assert_eq!(lines(&world, "suspects berth-2"), 1, "{}", world.trace());
+    assert_eq!(count_trace_lines(&world, "suspects berth-2"), 1, "{}", world.trace());
     world.start(2);
     assert_recovers(&mut world, 3);
 }
--- a/crates/tidelatch-standin/tests/upgrade.rs
+++ b/crates/tidelatch-standin/tests/upgrade.rs
@@ -1,5 +1,9 @@
-//! Two versions side by side, and a state service whose limits fall. `kept/before_gangs.json` holds values as
-//! the version before gangs wrote them; the records at the end of this file are that version's, by field.
+//! Upgrades: controllers of this version beside controllers of the last version without gangs, and a state service that
+//! lowers its limits.
+//!
+//! Guards against records that one version writes and the other cannot read, and against writes that exceed the lowered
+//! limits. `kept/before_gangs.json` holds values as the last version without gangs wrote them; the module
+//! `before_gangs` at the end of this file defines the records of that version, field by field.
 
 use serde_json::{Value, json};
 use std::path::Path;
@@ -7,13 +11,13 @@
 use tidelatch_standin::support::{assert_no_breaches, assert_trace, is_done};
 use tidelatch_standin::{Delivery, Size, World, gang, job};
 
-/// Three controllers of the version before, with a service that runs.
-fn before(size: Size) -> World {
+/// Starts three controllers of the last version without gangs, and a service that runs.
+fn start_last_version(size: Size) -> World {
     let mut world = World::sized(&Operator::default(), size);
-    for node in 0..3 {
-        world.crash(node);
-        world.version(node, Features::before_gangs());
-        world.start(node);
+    for controller in 0..3 {
+        world.crash(controller);
+        world.version(controller, Features::before_gangs());
+        world.start(controller);
     }
     world.run(3000);
     world.accepted(0, &job(9, 0, "standing", 2));
@@ -25,34 +29,38 @@
     world
 }
 
-/// Ends a controller, and lets it come back with another version.
-fn replace(world: &mut World, node: usize, features: Features, away: u64) {
-    world.crash(node);
-    world.version(node, features);
-    world.run(away);
-    world.start(node);
+/// Crashes a controller and restarts it with the features of another version after `down_ms`.
+fn replace_controller(world: &mut World, controller: usize, features: Features, down_ms: u64) {
+    world.crash(controller);
+    world.version(controller, features);
+    world.run(down_ms);
+    world.start(controller);
 }
 
-/// Submits until the job is taken; what was said before that.
-fn submitted(world: &mut World, body: &Value, ms: u64) -> Vec<u16> {
+/// Submits a job to one controller after another until it is accepted or `ms` have passed. Returns the statuses of the
+/// rejected submissions.
+fn submit_until_accepted(world: &mut World, body: &Value, ms: u64) -> Vec<u16> {
     let until = world.now + ms;
-    let mut said = Vec::new();
-    for node in (0..3).cycle() {
-        let request = world.submit(node, body);
+    let mut statuses = Vec::new();
+    for controller in (0..3).cycle() {
+        let request = world.submit(controller, body);
         world.run(500);
         let status = world.status(request);
         if matches!(status, 200 | 201) || world.now >= until {
-            return said;
+            return statuses;
         }
-        said.push(status);
+        statuses.push(status);
     }
-    said
+    statuses
 }
 
+/// Guards against a change of a stored format that makes this version lose machines, finished jobs or done tasks that
+/// the last version stored.
 #[test]
-fn every_value_that_the_version_before_wrote_is_read() {
-    let kept = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/kept/before_gangs.json");
-    let kept: Value = serde_json::from_str(&std::fs::read_to_string(kept).expect("kept")).expect("JSON");
+fn values_written_by_the_last_version_without_gangs_are_read() {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/kept/before_gangs.json");
+    let recorded: Value =
+        serde_json::from_str(&std::fs::read_to_string(path).expect("the recorded values can be read")).expect("JSON");
     let size = Size {
         guarantee: 60.0,
         limit: 200.0,
@@ -62,7 +70,7 @@
     };
     let mut world = World::sized(&Operator::default(), size);
     world.cloud.most = 200;
-    let values = kept["values"].as_object().expect("values");
+    let values = recorded["values"].as_object().expect("a field `values`");
     for (key, value) in values
         .iter()
         .filter(|(k, _)| !k.starts_with("t/c/m") && !k.starts_with("t/c/l"))
@@ -70,8 +78,8 @@
         world.store.put(key, value.clone());
     }
     world.run(9000);
-    assert!(world.epoch() > kept["values"]["t/c/epoch"]["n"].as_u64().unwrap_or(0));
-    let groups = kept["values"]
+    assert!(world.epoch() > recorded["values"]["t/c/epoch"]["n"].as_u64().unwrap_or(0));
+    let groups = recorded["values"]
         .as_object()
         .into_iter()
         .flatten()
@@ -83,8 +91,8 @@
         "{} of {machines}",
         world.roster().len()
     );
-    let hex = kept["values"]["d/1/job-000005/0"].as_str().unwrap_or_default();
-    let bits: u64 = hex
+    let done_bitmap = recorded["values"]["d/1/job-000005/0"].as_str().unwrap_or_default();
+    let done_tasks: u64 = done_bitmap
         .chars()
         .filter_map(|c| c.to_digit(16))
         .map(|d| u64::from(d.count_ones()))
@@ -94,7 +102,7 @@
         ("job-000003", "done"),
         ("job-000004", "withdrawn"),
     ] {
-        let polled = world.user(
+        let poll = world.user(
             0,
             tidelatch_core::Method::Get,
             &format!("/submissions/{id}"),
@@ -102,9 +110,9 @@
             (id.into(), "health"),
         );
         world.run(500);
-        assert_eq!(world.said(polled), status, "{id}\n{}", world.trace());
+        assert_eq!(world.said(poll), status, "{id}\n{}", world.trace());
     }
-    let polled = world.user(
+    let poll = world.user(
         1,
         tidelatch_core::Method::Get,
         "/submissions/job-000005",
@@ -114,25 +122,27 @@
     world.run(500);
     let body: Value = world
         .answers
-        .get(&polled)
+        .get(&poll)
         .and_then(|(_, a)| serde_json::from_str(&a.body).ok())
         .unwrap_or_default();
-    assert_eq!(body["done"].as_u64(), Some(bits), "{body}\n{}", world.trace());
-    // What is written from here on fits the coming limits.
+    assert_eq!(body["done"].as_u64(), Some(done_tasks), "{body}\n{}", world.trace());
+    // All later writes fit the announced limits, which are in force from here on.
     world.store.limits = Some((2048, 4));
     world.run(60_000);
     assert!(world.store.refused.is_empty(), "{:?}", world.store.refused);
 }
 
+/// Guards against a field or key that this version adds while a controller of the last version still serves, which then
+/// fails to decode the record.
 #[test]
-fn what_is_written_while_the_version_before_lives_is_read_by_it() {
+fn records_written_during_an_upgrade_can_be_read_by_the_last_version() {
     let size = Size {
         limit: 20.0,
         ..Size::default()
     };
-    let mut world = before(size);
-    for node in [1, 2] {
-        replace(&mut world, node, Features::default(), 6000);
+    let mut world = start_last_version(size);
+    for controller in [1, 2] {
+        replace_controller(&mut world, controller, Features::default(), 6000);
         world.run(9000);
     }
     for i in 1..4 {
@@ -146,73 +156,79 @@
     assert!(keys.iter().any(|k| k.starts_with("t/u/")), "{keys:?}");
     for key in keys {
         let value = world.store.get(&key).cloned().unwrap_or_default();
-        let fault = match key.split('/').take(2).collect::<Vec<_>>().as_slice() {
-            ["t", "j"] => was::check::<was::JobRecord>(&value),
-            ["t", "m"] => was::check::<was::GroupRecord>(&value),
-            ["t", "u"] => was::check::<std::collections::BTreeMap<String, was::BootEntry>>(&value),
-            ["t", "c"] if key.contains("member") => was::check::<was::MemberRecord>(&value),
-            ["t", "c"] if key.contains("leader") => was::check::<was::LeaderRecord>(&value),
-            ["t", "c"] => was::check::<was::EpochRecord>(&value),
+        let error = match key.split('/').take(2).collect::<Vec<_>>().as_slice() {
+            ["t", "j"] => before_gangs::decode_error::<before_gangs::JobRecord>(&value),
+            ["t", "m"] => before_gangs::decode_error::<before_gangs::GroupRecord>(&value),
+            ["t", "u"] => {
+                before_gangs::decode_error::<std::collections::BTreeMap<String, before_gangs::BootEntry>>(&value)
+            }
+            ["t", "c"] if key.contains("member") => before_gangs::decode_error::<before_gangs::MemberRecord>(&value),
+            ["t", "c"] if key.contains("leader") => before_gangs::decode_error::<before_gangs::LeaderRecord>(&value),
+            ["t", "c"] => before_gangs::decode_error::<before_gangs::EpochRecord>(&value),
             ["t", "y" | "s"] => None,
-            _ if key.starts_with("d/") => (!value.is_string()).then(|| "no text".to_owned()),
-            _ => Some("a key that it does not know".to_owned()),
+            _ if key.starts_with("d/") => (!value.is_string()).then(|| "the value is not a string".to_owned()),
+            _ => Some("that version does not know the key".to_owned()),
         };
-        assert_eq!(fault, None, "{key}: {value}");
+        assert_eq!(error, None, "{key}: {value}");
     }
     assert_no_breaches(&world);
 }
 
+/// Guards against a stored gang that a controller of the last version cannot read: no gang is accepted while such a
+/// controller serves, and users are told at once when to retry. The controllers are upgraded in every order, with short
+/// and long restarts.
 #[test]
-fn gangs_are_taken_once_all_know_them_whatever_the_order() {
-    // Guard: a controller of the version before cannot read what is stored of a gang; so none is accepted
-    // while one lives, and users are told at once when to come back.
+fn gangs_are_accepted_once_all_controllers_support_them_in_any_upgrade_order() {
     for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
-        for away in [100, 6000] {
-            let mut world = before(Size::default());
-            for (i, node) in order.into_iter().enumerate() {
-                let request = world.submit(node, &gang(1, 1, 2));
+        for down_ms in [100, 6000] {
+            let mut world = start_last_version(Size::default());
+            for (position, controller) in order.into_iter().enumerate() {
+                let request = world.submit(controller, &gang(1, 1, 2));
                 world.run(500);
                 assert!(
                     matches!(world.status(request), 400 | 503),
-                    "{order:?} {i}\n{}",
+                    "{order:?} {position}\n{}",
                     world.trace()
                 );
-                replace(&mut world, node, Features::default(), away);
+                replace_controller(&mut world, controller, Features::default(), down_ms);
                 world.run(5000);
-                if i == 1 {
-                    // The one that is left ends before its turn, and comes back as it was.
-                    let old = order[2];
-                    world.crash(old);
+                if position == 1 {
+                    // The last controller of the old version crashes before its upgrade and restarts with the old
+                    // version.
+                    let last_old = order[2];
+                    world.crash(last_old);
                     world.run(300);
-                    world.start(old);
+                    world.start(last_old);
                     world.run(5000);
                     let request = world.submit(order[0], &gang(1, 1, 2));
                     world.run(500);
                     assert_eq!(world.status(request), 503, "{order:?}\n{}", world.trace());
                 }
             }
-            submitted(&mut world, &gang(2, 1, 2), 20_000);
+            submit_until_accepted(&mut world, &gang(2, 1, 2), 20_000);
             assert!(
                 world.run_until(60_000, |w| is_done(w, "job-000002")),
                 "{order:?}\n{}",
                 world.trace()
             );
             let starts = world.trace().matches("starts job-000009/").count();
-            assert_eq!(starts, 2, "the service ran on\n{}", world.trace());
+            assert_eq!(starts, 2, "the service should not be restarted\n{}", world.trace());
             assert_no_breaches(&world);
         }
     }
 }
 
+/// Guards against jobs that are lost or stopped when controllers crash and the leader loses the state service in the
+/// middle of an upgrade.
 #[test]
-fn an_upgrade_with_a_crash_and_a_cut_between_breaks_nothing() {
-    let mut world = before(Size::default());
+fn an_upgrade_with_a_crash_and_a_network_cut_loses_no_job() {
+    let mut world = start_last_version(Size::default());
     world.accepted(1, &job(3, 1, "sweep", 6));
-    replace(&mut world, 0, Features::default(), 6000);
+    replace_controller(&mut world, 0, Features::default(), 6000);
     world.run(3000);
-    // The leader by now is of the version before; it is cut off from the state service.
-    world.meddle(|l| {
-        if l.from == "berth-1" && l.to == "state" {
+    // The leader is now berth-1, of the old version. It is disconnected from the state service.
+    world.meddle(|message| {
+        if message.from == "berth-1" && message.to == "state" {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -220,7 +236,7 @@
     });
     world.run(9000);
     world.calm();
-    replace(&mut world, 1, Features::default(), 200);
+    replace_controller(&mut world, 1, Features::default(), 200);
     world.run(700);
     world.crash(0);
     world.run(300);
@@ -230,8 +246,8 @@
     world.run(6000);
     world.start(2);
     world.run(9000);
-    replace(&mut world, 2, Features::default(), 6000);
-    submitted(&mut world, &gang(2, 2, 3), 30_000);
+    replace_controller(&mut world, 2, Features::default(), 6000);
+    submit_until_accepted(&mut world, &gang(2, 2, 3), 30_000);
     assert!(
         world.run_until(60_000, |w| is_done(w, "job-000002")),
         "{}",
@@ -246,48 +262,55 @@
     assert_trace(&world, "upgrade_with_a_crash_and_a_cut");
 }
 
+/// Guards against gangs that are rejected for ever because of a controller of the last version that has crashed and
+/// does not return.
 #[test]
-fn a_controller_that_is_gone_for_good_does_not_keep_gangs_out() {
-    let mut world = before(Size::default());
-    for node in [0, 1] {
-        replace(&mut world, node, Features::default(), 1000);
+fn a_controller_that_never_returns_does_not_block_gangs() {
+    let mut world = start_last_version(Size::default());
+    for controller in [0, 1] {
+        replace_controller(&mut world, controller, Features::default(), 1000);
         world.run(9000);
     }
     world.crash(2);
-    let gone = world.now;
-    submitted(&mut world, &gang(1, 0, 2), 20_000);
+    let crashed_at = world.now;
+    submit_until_accepted(&mut world, &gang(1, 0, 2), 20_000);
     assert!(world.store.get("t/j/job-000001").is_some(), "{}", world.trace());
-    assert!(world.now < gone + 9000, "{} ms after it went", world.now - gone);
+    assert!(
+        world.now < crashed_at + 9000,
+        "accepted {} ms after the crash",
+        world.now - crashed_at
+    );
     assert_no_breaches(&world);
 }
 
+/// Guards against a record with an unknown shape that turns an accepted job into a 404, when the owner of its team is
+/// rolled back to the last version.
 #[test]
-fn a_gang_stays_known_when_the_version_before_comes_back() {
-    // Guard: an unknown word in a stored record never turns an accepted job into 404.
-    let mut world = before(Size::default());
-    for node in 0..3 {
-        replace(&mut world, node, Features::default(), 1000);
+fn a_gang_stays_known_after_a_rollback_of_its_owner() {
+    let mut world = start_last_version(Size::default());
+    for controller in 0..3 {
+        replace_controller(&mut world, controller, Features::default(), 1000);
         world.run(3000);
     }
     world.run_ms = 30_000;
-    submitted(&mut world, &gang(1, 1, 2), 20_000);
+    submit_until_accepted(&mut world, &gang(1, 1, 2), 20_000);
     assert!(
         world.run_until(30_000, |w| w.running("job-000001") == 2),
         "{}",
         world.trace()
     );
     let owner = world.owner_of_team(1);
-    replace(&mut world, owner, Features::before_gangs(), 500);
+    replace_controller(&mut world, owner, Features::before_gangs(), 500);
     world.run(15_000);
-    for node in 0..3 {
-        let polled = world.poll(node, "job-000001");
+    for controller in 0..3 {
+        let poll = world.poll(controller, "job-000001");
         world.run(2000);
-        assert!(matches!(world.status(polled), 200 | 503), "{}", world.trace());
+        assert!(matches!(world.status(poll), 200 | 503), "{}", world.trace());
     }
     let request = world.submit((owner + 1) % 3, &gang(2, 1, 2));
     world.run(500);
     assert_eq!(world.status(request), 503, "{}", world.trace());
-    replace(&mut world, owner, Features::default(), 500);
+    replace_controller(&mut world, owner, Features::default(), 500);
     world.run_ms = 3000;
     assert!(
         world.run_until(90_000, |w| is_done(w, "job-000001")),
@@ -297,15 +320,16 @@
     assert_no_breaches(&world);
 }
 
+/// Guards against a 404 for a job whose record has values that this version does not know: the record still tells its
+/// state.
 #[test]
-fn a_job_of_a_later_version_is_known() {
-    // Guard: a record with words that this version does not know still tells the job's state.
+fn a_job_record_of_a_later_version_is_reported() {
     let mut world = World::new();
     let record = json!({ "epoch": 1, "at": 0, "st": "queued", "n": 2, "team": "team-0", "size": [1.0, 0.0, 1.0],
         "spec": { "shape": "swarm" } });
     world.store.put("t/j/job-000777", record);
     world.run(3000);
-    let polled = world.user(
+    let poll = world.user(
         0,
         tidelatch_core::Method::Get,
         "/submissions/job-000777",
@@ -314,15 +338,15 @@
     );
     world.run(500);
     assert_eq!(
-        (world.status(polled), world.said(polled)),
+        (world.status(poll), world.said(poll)),
         (200, "queued".to_owned()),
         "{}",
         world.trace()
     );
 }
 
-/// The tightest that is expected, with the longest names.
-fn tight() -> Size {
+/// The smallest limits that are expected of a state service, with the longest names of teams.
+fn smallest_limits() -> Size {
     Size {
         teams: 16,
         guarantee: 10.0,
@@ -335,16 +359,17 @@
     }
 }
 
-fn team(world: &World, body: Value, at: usize) -> Value {
+fn with_team(world: &World, body: Value, index: usize) -> Value {
     let mut body = body;
-    body["crew"] = json!(world.team(at));
+    body["crew"] = json!(world.team(index));
     body
 }
 
+/// Guards against values and transactions larger than the announced limits: the limits are lowered without notice, so
+/// nothing larger is ever sent.
 #[test]
-fn everything_that_is_written_fits_two_kib_and_four_changes() {
-    // Guard: the limits fall without notice, so nothing larger is ever sent.
-    let mut world = World::sized(&Operator::default(), tight());
+fn values_fit_two_kib_and_transactions_four_changes() {
+    let mut world = World::sized(&Operator::default(), smallest_limits());
     world.cloud.most = 150;
     world.cloud.prefix = format!("n-{}-", "long-name-".repeat(5));
     world.store.limits = Some((2048, 4));
@@ -355,7 +380,7 @@
             1 => gang(i + 1, 0, 5),
             _ => job(i + 1, 0, "sweep", 30),
         };
-        let body = team(&world, body, i as usize);
+        let body = with_team(&world, body, i as usize);
         world.accepted(i as usize % 3, &body);
     }
     world.run(40_000);
@@ -363,12 +388,12 @@
     world.crash(owner);
     world.run(8000);
     world.start(owner);
-    let over = |w: &World| {
+    let all_done = |w: &World| {
         (0..16)
             .filter(|i| i % 4 != 0)
             .all(|i| is_done(w, &format!("job-{:06}", i + 1)))
     };
-    assert!(world.run_until(240_000, over), "{}", world.trace());
+    assert!(world.run_until(240_000, all_done), "{}", world.trace());
     world.run(9000);
     for i in [1, 5, 9, 13] {
         world.withdraw(0, &format!("job-{i:06}"));
@@ -379,37 +404,38 @@
     assert!(bytes > 500 && changes > 1, "{bytes} bytes, {changes} changes");
     assert!(
         world.roster().len() < 10,
-        "machines were returned: {}\n{}",
+        "idle machines should be returned: {}\n{}",
         world.roster().len(),
         world.trace()
     );
     assert_no_breaches(&world);
 }
 
+/// Guards against an accepted job whose description does not fit a value under the announced limits.
 #[test]
-fn what_is_too_long_to_be_stored_is_refused_at_once() {
-    let mut world = World::sized(&Operator::default(), tight());
+fn a_description_too_long_to_be_stored_is_rejected_at_once() {
+    let mut world = World::sized(&Operator::default(), smallest_limits());
     world.run(3000);
-    let mut long = team(&world, job(1, 0, "sweep", 1), 0);
-    long["models"] = json!(vec!["m2".to_owned() + &"x".repeat(60); 40]);
-    long["models"][0] = json!("m2");
-    let request = world.submit(0, &long);
+    let mut long_body = with_team(&world, job(1, 0, "sweep", 1), 0);
+    long_body["models"] = json!(vec!["m2".to_owned() + &"x".repeat(60); 40]);
+    long_body["models"][0] = json!("m2");
+    let request = world.submit(0, &long_body);
     world.run(500);
     assert_eq!(world.status(request), 422, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
+/// Guards against full group records of the last version: they stay readable, but no value of their size can be written
+/// any more. A machine that leaves such a group, for another partition or for good, still has to leave the roster.
 #[test]
-fn full_groups_of_the_version_before_are_taken_apart_once_limits_have_fallen() {
-    // Guard: they stay readable, but no value of their size can be written. A machine that leaves one, for
-    // another partition or for good, still has to leave the roster.
+fn full_group_records_of_the_last_version_are_split_after_limits_are_lowered() {
     let size = Size {
         guarantee: 100.0,
         limit: 200.0,
         next: Some((42.0, 2.0, 4)),
         ..Size::default()
     };
-    let mut world = before(size);
+    let mut world = start_last_version(size);
     world.cloud.most = 120;
     world.cloud.prefix = format!("n-{}-", "long-name-".repeat(12));
     world.accepted(0, &job(1, 0, "standing", 180));
@@ -426,28 +452,32 @@
         .map(|v| v.to_string().len())
         .max();
     assert!(largest > Some(5000), "{largest:?}");
-    for node in 0..3 {
-        replace(&mut world, node, Features::default(), 500);
+    for controller in 0..3 {
+        replace_controller(&mut world, controller, Features::default(), 500);
         world.run(2000);
     }
     world.store.limits = Some((2048, 4));
     world.run(15_000);
     assert_eq!(world.running("job-000001"), 180, "{}", world.trace());
     let machines = world.roster().len();
-    // One of them dies, alone.
-    let victim = world.machines_of("job-000001").into_iter().nth(7).expect("it runs");
-    if let Some(w) = world.workers.get_mut(&victim) {
+    // A single machine fails.
+    let failed_machine = world.machines_of("job-000001").into_iter().nth(7).expect("it runs");
+    if let Some(w) = world.workers.get_mut(&failed_machine) {
         w.hanging = true;
     }
-    let gone = |w: &World| !w.roster().contains(&victim);
-    assert!(world.run_until(60_000, gone), "{}", world.trace());
-    assert!(world.roster().len() + 3 >= machines, "nothing else has left");
+    let has_left = |w: &World| !w.roster().contains(&failed_machine);
+    assert!(world.run_until(60_000, has_left), "{}", world.trace());
+    assert!(
+        world.roster().len() + 3 >= machines,
+        "only the failed machine should leave the roster"
+    );
     assert!(
         world.run_until(30_000, |w| w.running("job-000001") == 180),
         "{}",
         world.trace()
     );
-    // Steps were taken, and no trace of them is left; nothing has changed for the machines.
+    // The groups were split in several transactions, whose step records are deleted afterwards; no machine changed its
+    // partition.
     assert!(
         !world.trace().contains("handed to another partition"),
         "{}",
@@ -459,7 +489,7 @@
         "{:?}",
         world.store.keys("t/s/")
     );
-    // A take-over in the middle of what is left finds them all; then they go.
+    // A takeover of the partly split groups finds all machines. They are returned once the job is cancelled.
     let owner = world.owner_of_team(0);
     world.crash(owner);
     world.run(9000);
@@ -477,9 +507,10 @@
     assert_no_breaches(&world);
 }
 
+/// Guards against a transaction that was rejected as too large and is sent again unchanged for ever, when the limit is
+/// below the announced one.
 #[test]
-fn a_limit_below_the_one_that_was_told_is_found_out() {
-    // Guard: a change that was refused as too large is not sent again unchanged for ever.
+fn a_limit_below_the_announced_one_is_discovered() {
     let size = Size {
         guarantee: 100.0,
         limit: 200.0,
@@ -502,8 +533,10 @@
     assert_no_breaches(&world);
 }
 
+/// Guards against leases and jobs that are lost to 429 answers when the state service lowers its write rate to the
+/// announced one.
 #[test]
-fn a_rate_that_falls_costs_no_lease_and_no_job() {
+fn a_lowered_write_rate_loses_no_lease_and_no_job() {
     let size = Size {
         guarantee: 60.0,
         limit: 120.0,
@@ -522,10 +555,10 @@
         } else {
             job(i, i % 3, "sweep", 10)
         };
-        submitted(&mut world, &body, 30_000);
+        submit_until_accepted(&mut world, &body, 30_000);
     }
-    let over = |w: &World| (1..40).all(|i| is_done(w, &format!("job-{i:06}")));
-    assert!(world.run_until(240_000, over), "{}", world.trace());
+    let all_done = |w: &World| (1..40).all(|i| is_done(w, &format!("job-{i:06}")));
+    assert!(world.run_until(240_000, all_done), "{}", world.trace());
     assert!(!world.trace().contains("lease lost"), "{}", world.trace());
     let slowed = world.store.slowed;
     assert!(
@@ -536,17 +569,17 @@
     assert_no_breaches(&world);
 }
 
-/// The records of the version before gangs, field by field.
-mod was {
+/// The records of the last version without gangs, field by field.
+mod before_gangs {
     use serde::Deserialize;
     use serde_json::Value;
     use std::collections::BTreeMap;
 
-    /// What is wrong with a value in that version's eyes.
-    pub fn check<T: for<'de> Deserialize<'de>>(value: &Value) -> Option<String> {
+    /// Returns the error with which that version fails to decode a value.
+    pub fn decode_error<T: for<'de> Deserialize<'de>>(value: &Value) -> Option<String> {
         serde_json::from_value::<T>(value.clone())
             .err()
-            .map(|fault| fault.to_string())
+            .map(|error| error.to_string())
     }
 
     #[derive(Deserialize)]
@@ -565,7 +598,7 @@
 
     #[derive(Deserialize)]
     #[allow(dead_code)]
-    pub struct Holding {
+    pub struct PartitionOwner {
         owner: String,
         inc: u64,
         since: u64,
@@ -577,7 +610,7 @@
     #[allow(dead_code)]
     pub struct EpochRecord {
         n: u64,
-        parts: Vec<Holding>,
+        parts: Vec<PartitionOwner>,
     }
 
     #[derive(Deserialize)]
@@ -601,7 +634,7 @@
 
     #[derive(Deserialize)]
     #[allow(dead_code, non_camel_case_types)]
-    pub enum Stored {
+    pub enum JobState {
         queued,
         done,
         withdrawn,
@@ -645,7 +678,7 @@
     pub struct JobRecord {
         epoch: u64,
         at: u64,
-        st: Stored,
+        st: JobState,
         n: u32,
         team: String,
         size: [f64; 3],
