--- a/crates/tidelatch-standin/tests/gangs.rs
+++ b/crates/tidelatch-standin/tests/gangs.rs
@@ -1,5 +1,7 @@
-//! Gangs: one trace for each phase of the operators' page, and for each thing that can go wrong in it.
-//! Traces are kept under `traces/`; `UPDATE_TRACES=1` writes them anew.
+//! Gangs: one trace for each phase that the operators' page describes, and for each fault that can occur in it.
+//!
+//! Guards against gangs that run in part, that are started twice, that lose more work than since their last checkpoint,
+//! or that wait for ever. Traces are kept under `traces/`; `UPDATE_TRACES=1` writes them anew.
 
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::support::{assert_no_breaches, assert_trace};
@@ -7,9 +9,9 @@
 
 const GANG: &str = "job-000001";
 
-/// A world with a service of eight replicas: two machines in each zone, with room for two tasks of a gang
-/// on each, so that one of four fits into either zone.
-fn world() -> World {
+/// Starts a deployment with a service of eight replicas: two machines in each zone, with room for two tasks of a gang
+/// on each, so that a gang of four fits into either zone.
+fn start_with_service() -> World {
     let size = Size {
         guarantee: 8.0,
         limit: 16.0,
@@ -28,9 +30,9 @@
     world
 }
 
-/// A gang of four that runs, for a long time.
-fn with_gang() -> World {
-    let mut world = world();
+/// Starts a gang of four tasks that run for 60 s.
+fn start_with_gang() -> World {
+    let mut world = start_with_service();
     world.run_ms = 60_000;
     world.accepted(1, &gang(1, 0, 4));
     assert!(world.run_until(30_000, |w| w.running(GANG) == 4), "{}", world.trace());
@@ -38,28 +40,28 @@
     world
 }
 
-/// Submits the gang and waits until it is on its machines, where it gathers.
-fn gathers(world: &mut World) -> Vec<String> {
+/// Submits a gang of four, waits until all its tasks are placed and gather, and returns their machines.
+fn submit_until_gathering(world: &mut World) -> Vec<String> {
     world.accepted(1, &gang(1, 0, 4));
-    let placed = |w: &World| (0..4).all(|i| !state_of(w, &format!("{GANG}/{i}")).is_empty());
+    let placed = |w: &World| (0..4).all(|i| !attempts_of(w, &format!("{GANG}/{i}")).is_empty());
     assert!(world.run_until(3000, placed), "{}", world.trace());
     world.machines_of(GANG)
 }
 
-fn done(world: &mut World, ms: u64) -> bool {
+fn is_done_within(world: &mut World, ms: u64) -> bool {
     world.run_until(ms, |w| w.store.get("t/j/job-000001").is_some_and(|j| j["st"] == "done"))
 }
 
-/// Cuts a machine off from everything.
+/// Loses all messages from and to a machine.
 fn cut_off(world: &mut World, machine: &str) {
     let machine = machine.to_owned();
-    world.meddle(move |l| {
-        let cut = l.from == machine || l.to == machine;
-        if cut { Delivery::Lost } else { Delivery::Pass }
+    world.meddle(move |message| {
+        let is_cut = message.from == machine || message.to == machine;
+        if is_cut { Delivery::Lost } else { Delivery::Pass }
     });
 }
 
-fn state_of(world: &World, task: &str) -> Vec<(String, u64, &'static str)> {
+fn attempts_of(world: &World, task: &str) -> Vec<(String, u64, &'static str)> {
     let all = world.workers.values().flat_map(|w| {
         let tasks = w.tasks.iter().filter(|((t, _), _)| t == task);
         tasks
@@ -69,28 +71,31 @@
     all.collect()
 }
 
+/// Guards against a gang that is reported as running or done before all its tasks are.
 #[test]
 fn a_gang_starts_together_and_is_done_together() {
-    let mut world = world();
+    let mut world = start_with_service();
     world.accepted(1, &gang(1, 0, 4));
     assert!(world.run_until(10_000, |w| w.running(GANG) == 4), "{}", world.trace());
     let poll = world.poll(2, GANG);
     world.run(300);
     assert_eq!(world.said(poll), "running");
-    assert!(done(&mut world, 30_000), "{}", world.trace());
+    assert!(is_done_within(&mut world, 30_000), "{}", world.trace());
     let poll = world.poll(0, GANG);
     world.run(300);
     assert_eq!(world.said(poll), "done");
     assert_trace(&world, "gang_quiet_day");
 }
 
+/// Guards against a gang that is reported as running while one of its tasks cannot be started and the others wait for
+/// it.
 #[test]
-fn a_gang_that_gathers_is_not_said_to_run() {
-    let mut world = world();
-    let machines = gathers(&mut world);
-    // One of its tasks cannot be started: its machine hears nothing.
-    let victim = machines.first().cloned().expect("placed");
-    if let Some(w) = world.workers.get_mut(&victim) {
+fn a_gathering_gang_is_not_reported_as_running() {
+    let mut world = start_with_service();
+    let machines = submit_until_gathering(&mut world);
+    // One of its tasks cannot run: its machine hangs.
+    let machine = machines.first().cloned().expect("a task was placed");
+    if let Some(w) = world.workers.get_mut(&machine) {
         w.hanging = true;
     }
     world.run(3000);
@@ -101,25 +106,25 @@
     assert_no_breaches(&world);
 }
 
+/// Guards against a new attempt for the whole gang, which would throw away what the waiting tasks have fetched. The
+/// first start, which arrives late, must start nothing: its machine is deleted before the replacement is started.
 #[test]
-fn a_machine_that_goes_while_the_gang_gathers_is_replaced_under_the_same_attempt() {
-    // Guard: the others wait on; a new attempt would throw away what they have fetched. And the first start,
-    // coming late, starts nothing: its machine was deleted before the replacement was started.
-    let mut world = world();
-    let mut third = job(8, 0, "standing", 2);
-    third["yard"] = serde_json::json!("a");
-    world.accepted(0, &third);
+fn a_machine_lost_while_the_gang_gathers_is_replaced_within_the_attempt() {
+    let mut world = start_with_service();
+    let mut third_service = job(8, 0, "standing", 2);
+    third_service["yard"] = serde_json::json!("a");
+    world.accepted(0, &third_service);
     assert!(
         world.run_until(30_000, |w| w.running("job-000008") == 2),
         "{}",
         world.trace()
     );
-    let mut held_up = false;
-    world.meddle(move |l| {
-        // One task's start gets no answer, and comes half a minute late.
-        let start = l.what.starts_with("POST /commands") && l.body.contains("job-000001/1");
-        if start && !held_up {
-            held_up = true;
+    let mut is_start_delayed = false;
+    world.meddle(move |message| {
+        // The first start of a task gets no answer and arrives 30 s late.
+        let is_start = message.what.starts_with("POST /commands") && message.body.contains("job-000001/1");
+        if is_start && !is_start_delayed {
+            is_start_delayed = true;
             return Delivery::Late(30_000);
         }
         Delivery::Pass
@@ -129,87 +134,95 @@
     pair["yard"] = serde_json::json!("a");
     world.accepted(1, &pair);
     world.run(1500);
-    let attempt = state_of(&world, "job-000001/0")
+    let attempt = attempts_of(&world, "job-000001/0")
         .first()
         .map(|(_, n, _)| *n)
         .expect("started");
-    let victim = world
+    let machine = world
         .trace()
         .lines()
         .rev()
-        .find(|l| l.contains("POST /commands") && l.contains("Late"))
-        .and_then(|l| l.split(" to ").nth(1)?.split(',').next().map(str::to_owned))
-        .expect("a start was held up");
-    if let Some(w) = world.workers.get_mut(&victim) {
+        .find(|line| line.contains("POST /commands") && line.contains("Late"))
+        .and_then(|line| line.split(" to ").nth(1)?.split(',').next().map(str::to_owned))
+        .expect("a start was delayed");
+    if let Some(w) = world.workers.get_mut(&machine) {
         w.hanging = true;
     }
     assert!(world.run_until(40_000, |w| w.running(GANG) == 2), "{}", world.trace());
-    assert!(world.cloud.deleted.contains(&victim), "{}", world.trace());
-    let now = state_of(&world, "job-000001/1");
-    assert_eq!(now.first().map(|(_, n, _)| *n), Some(attempt), "{}", world.trace());
-    assert!(done(&mut world, 60_000), "{}", world.trace());
+    assert!(world.cloud.deleted.contains(&machine), "{}", world.trace());
+    let attempts = attempts_of(&world, "job-000001/1");
+    assert_eq!(attempts.first().map(|(_, n, _)| *n), Some(attempt), "{}", world.trace());
+    assert!(is_done_within(&mut world, 60_000), "{}", world.trace());
     world.run(30_000);
     assert_trace(&world, "gang_replacement");
 }
 
+/// Guards against a part of a gang that waits for ever for the rest: a gang that cannot be completed gives its machines
+/// back and begins a new attempt.
 #[test]
-fn a_gang_that_stays_incomplete_starts_afresh() {
-    // Guard: what cannot be completed gives its room back, and no half of a gang waits for ever.
-    let mut world = world();
-    world.meddle(|l| {
-        // All starts of one task are answered, and lost on the way, with beats as well.
-        let start = l.body.contains("job-000001/2") && l.what.starts_with("POST /commands");
-        if start { Delivery::Lost } else { Delivery::Pass }
+fn an_incomplete_gang_is_restarted_with_a_new_attempt() {
+    let mut world = start_with_service();
+    world.meddle(|message| {
+        // All direct commands that start one of the tasks are lost on the way.
+        let is_start = message.body.contains("job-000001/2") && message.what.starts_with("POST /commands");
+        if is_start { Delivery::Lost } else { Delivery::Pass }
     });
     world.accepted(1, &gang(1, 0, 4));
     world.run(2500);
     world.calm();
-    assert!(done(&mut world, 90_000), "{}", world.trace());
+    assert!(is_done_within(&mut world, 90_000), "{}", world.trace());
     assert_trace(&world, "gang_incomplete");
 }
 
+/// Guards against a gang that is taken for complete because its remaining tasks report `running`. Until the
+/// unresponsive machine is deleted, neither its task nor, in another zone, any other task of the gang may start.
 #[test]
-fn a_task_lost_while_running_ends_the_attempt_and_nothing_starts_before_it_is_gone() {
-    // Guard: `running` is no sign that the gang is whole; and until the silent machine is deleted, neither its
-    // task nor, in another zone, any other of the gang may start.
-    let mut world = with_gang();
-    let victim = world.machines_of(GANG).first().cloned().expect("it runs");
-    cut_off(&mut world, &victim);
+fn a_lost_task_ends_the_attempt_and_nothing_restarts_before_its_machine_is_deleted() {
+    let mut world = start_with_gang();
+    let machine = world.machines_of(GANG).first().cloned().expect("it runs");
+    cut_off(&mut world, &machine);
     assert!(
-        world.run_until(60_000, |w| w.cloud.deleted.contains(&victim)),
+        world.run_until(60_000, |w| w.cloud.deleted.contains(&machine)),
         "{}",
         world.trace()
     );
     world.calm();
     assert!(world.run_until(20_000, |w| w.running(GANG) == 4), "{}", world.trace());
     world.run_ms = 1000;
-    assert!(done(&mut world, 30_000), "{}", world.trace());
+    assert!(is_done_within(&mut world, 30_000), "{}", world.trace());
     assert_trace(&world, "gang_loss_while_running");
 }
 
+/// Guards against repeated restarts, and against work lost since before the last checkpoint, when a machine of a
+/// running gang hangs.
 #[test]
-fn a_machine_that_hangs_under_a_running_gang_costs_one_attempt() {
-    let mut world = with_gang();
-    let victim = world.machines_of(GANG).first().cloned().expect("it runs");
-    if let Some(w) = world.workers.get_mut(&victim) {
+fn a_hanging_machine_costs_a_running_gang_one_attempt() {
+    let mut world = start_with_gang();
+    let machine = world.machines_of(GANG).first().cloned().expect("it runs");
+    if let Some(w) = world.workers.get_mut(&machine) {
         w.hanging = true;
     }
     world.run(30_000);
-    assert!(world.cloud.deleted.contains(&victim), "{}", world.trace());
+    assert!(world.cloud.deleted.contains(&machine), "{}", world.trace());
     assert_eq!(world.running(GANG), 4, "{}", world.trace());
-    assert!(world.gangs.saved_ms.contains_key(GANG), "it had a checkpoint");
+    assert!(
+        world.gangs.saved_ms.contains_key(GANG),
+        "the gang should have saved a checkpoint"
+    );
     assert_trace(&world, "gang_hanging_machine");
 }
 
+/// Guards against a gang that waits for a task that its worker ended because no controller answered it within its
+/// lease.
 #[test]
-fn a_worker_whose_lease_ends_loses_its_task_and_the_gang_starts_afresh() {
-    let mut world = with_gang();
-    let victim = world.machines_of(GANG).first().cloned().expect("it runs");
-    let deaf = victim.clone();
-    // Its reports arrive; answers and commands do not.
-    world.meddle(move |l| match () {
-        () if l.to == deaf => Delivery::Lost,
-        () if l.from == deaf => Delivery::AnswerLost,
+fn a_worker_whose_lease_ends_loses_its_task_and_the_gang_is_restarted() {
+    let mut world = start_with_gang();
+    let machine = world.machines_of(GANG).first().cloned().expect("it runs");
+    let unanswered = machine.clone();
+    // The worker's reports arrive; answers and commands do not reach it.
+    world.meddle(move |message| match () {
+        () if message.to == unanswered => Delivery::Lost,
+        () if message.from == unanswered => Delivery::AnswerLost,
         () => Delivery::Pass,
     });
     assert!(
@@ -225,8 +238,8 @@
     assert_trace(&world, "gang_lease_ends");
 }
 
-/// Production work that needs the gang's processors.
-fn crowd_out(world: &mut World) {
+/// Submits production services that need the gang's processors.
+fn submit_competing_services(world: &mut World) {
     for i in 0..4 {
         let mut service = job(20 + i, 0, "standing", 1);
         service["accelerators"] = serde_json::json!(0.0);
@@ -235,13 +248,14 @@
     }
 }
 
+/// Guards against a preemption of a part of a gang, and against a stop that does not reach all tasks within the time in
+/// which they can save.
 #[test]
-fn an_orderly_stop_reaches_all_tasks_and_saves() {
-    // Guard: a part of a gang is never stopped for others; all are told within the time for it.
-    let mut world = with_gang();
+fn a_preempted_gang_stops_as_a_whole_and_saves_its_progress() {
+    let mut world = start_with_gang();
     world.cloud.most = world.cloud.machines.len();
     let before = world.gangs.saved_ms.get(GANG).copied().unwrap_or(0);
-    crowd_out(&mut world);
+    submit_competing_services(&mut world);
     assert!(
         world.run_until(30_000, |w| w.trace().contains("is saved at")),
         "{}",
@@ -250,135 +264,144 @@
     assert!(world.gangs.saved_ms.get(GANG).copied().unwrap_or(0) > before);
     world.cloud.most = 20;
     world.run_ms = 15_000;
-    assert!(done(&mut world, 120_000), "{}", world.trace());
+    assert!(is_done_within(&mut world, 120_000), "{}", world.trace());
     assert_trace(&world, "gang_orderly_stop");
 }
 
+/// Guards against a gang that hangs, or loses its checkpoint, when the stop does not reach one of its tasks.
 #[test]
-fn a_stop_that_does_not_reach_one_task_costs_the_work_since_the_last_checkpoint_only() {
-    let mut world = with_gang();
+fn a_stop_that_misses_one_task_costs_only_the_work_since_the_last_checkpoint() {
+    let mut world = start_with_gang();
     world.cloud.most = world.cloud.machines.len();
-    let silent = world.machines_of(GANG).last().cloned().expect("it runs");
-    world.meddle(move |l| {
-        let stop = l.to == silent && l.body.contains("kill");
-        if stop { Delivery::Lost } else { Delivery::Pass }
+    let unresponsive = world.machines_of(GANG).last().cloned().expect("it runs");
+    world.meddle(move |message| {
+        let is_stop = message.to == unresponsive && message.body.contains("kill");
+        if is_stop { Delivery::Lost } else { Delivery::Pass }
     });
-    crowd_out(&mut world);
+    submit_competing_services(&mut world);
     world.run(15_000);
     world.calm();
     world.cloud.most = 20;
     world.run_ms = 15_000;
-    assert!(done(&mut world, 120_000), "{}", world.trace());
+    assert!(is_done_within(&mut world, 120_000), "{}", world.trace());
     assert_trace(&world, "gang_stop_that_does_not_reach_all");
 }
 
+/// Guards against tasks that run again although the gang has completed: a gang completes together, so one report is
+/// enough to store it as done.
 #[test]
-fn done_of_one_task_is_done_of_all_while_another_is_silent() {
-    // Guard: a gang completes together, so one report is enough to store it; the others are not run again.
-    let mut world = with_gang();
-    let victim = world.machines_of(GANG).first().cloned().expect("it runs");
-    let silent = victim.clone();
-    world.meddle(move |l| {
-        let cut = l.from == silent || l.to == silent;
-        if cut { Delivery::Lost } else { Delivery::Pass }
+fn one_reported_completion_completes_the_gang_while_a_machine_is_unresponsive() {
+    let mut world = start_with_gang();
+    let machine = world.machines_of(GANG).first().cloned().expect("it runs");
+    let unresponsive = machine.clone();
+    world.meddle(move |message| {
+        let is_cut = message.from == unresponsive || message.to == unresponsive;
+        if is_cut { Delivery::Lost } else { Delivery::Pass }
     });
     world.run_ms = 2000;
-    assert!(done(&mut world, 4000), "{}", world.trace());
+    assert!(is_done_within(&mut world, 4000), "{}", world.trace());
     world.calm();
     world.run(20_000);
     assert!(!world.trace().contains("went_back"));
     assert_trace(&world, "gang_done_of_one");
 }
 
+/// Guards against tasks of a cancelled gang that stay on machines, one of which hangs.
 #[test]
-fn a_gang_cancelled_while_it_gathers_is_gone_from_all_machines() {
-    let mut world = world();
-    let machines = gathers(&mut world);
-    let victim = machines.first().cloned().expect("placed");
-    if let Some(w) = world.workers.get_mut(&victim) {
+fn a_gang_cancelled_while_it_gathers_leaves_all_machines() {
+    let mut world = start_with_service();
+    let machines = submit_until_gathering(&mut world);
+    let machine = machines.first().cloned().expect("a task was placed");
+    if let Some(w) = world.workers.get_mut(&machine) {
         w.hanging = true;
     }
     world.run(1000);
-    let told = world.withdraw(2, GANG);
+    let cancellation = world.withdraw(2, GANG);
     world.run(2000);
-    assert_eq!(world.said(told), "withdrawn", "{}", world.trace());
+    assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
     world.run(40_000);
     assert!(world.machines_of(GANG).is_empty(), "{}", world.trace());
     assert_trace(&world, "gang_cancelled_while_gathering");
 }
 
+/// Guards against a gang that runs in two zones at once: with `together`, tasks of the old attempt keep the whole gang
+/// in their zone until they are gone.
 #[test]
 fn a_new_attempt_waits_until_the_old_one_has_left_its_zone() {
-    // Guard: with `together`, tasks of the old attempt hold the whole gang in their zone until they are gone.
-    let mut world = with_gang();
+    let mut world = start_with_gang();
     let machines = world.machines_of(GANG);
     let zone = machines
         .first()
         .and_then(|m| world.workers.get(m))
         .map(|w| w.zone.clone())
         .expect("a zone");
-    // Its whole zone is cut off, and keeps running.
+    // The zone of the gang is disconnected while its machines keep running.
     let cut: Vec<String> = world
         .workers
         .values()
         .filter(|w| w.zone == zone)
         .map(|w| w.name.clone())
         .collect();
-    world.meddle(move |l| {
-        let cut = cut.iter().any(|m| m == l.from || m == l.to);
-        if cut { Delivery::Lost } else { Delivery::Pass }
+    world.meddle(move |message| {
+        let is_cut = cut.iter().any(|m| m == message.from || m == message.to);
+        if is_cut { Delivery::Lost } else { Delivery::Pass }
     });
     world.cloud.most_in_zone.insert(zone, 0);
     world.run(60_000);
     world.calm();
     world.run_ms = 1000;
-    assert!(done(&mut world, 60_000), "{}", world.trace());
+    assert!(is_done_within(&mut world, 60_000), "{}", world.trace());
     assert_trace(&world, "gang_zone_rule");
 }
 
-/// The owner of the gang's team crashes at some time after its acceptance, and comes back.
-fn take_over(after: u64, away: u64) -> World {
-    let mut world = world();
+/// Crashes the owner of the gang's team `crash_after_ms` after the acceptance, restarts it `down_ms` later, and waits
+/// until the gang is done.
+fn run_with_takeover(crash_after_ms: u64, down_ms: u64) -> World {
+    let mut world = start_with_service();
     world.run_ms = 8000;
     world.accepted(1, &gang(1, 0, 4));
-    world.run(after);
+    world.run(crash_after_ms);
     let owner = world.owner_of_team(0);
     world.crash(owner);
-    world.run(away);
+    world.run(down_ms);
     world.start(owner);
     assert!(
-        done(&mut world, 120_000),
-        "after {after}, away {away}\n{}",
+        is_done_within(&mut world, 120_000),
+        "crash after {crash_after_ms} ms, down for {down_ms} ms\n{}",
         world.trace()
     );
     assert_no_breaches(&world);
     world
 }
 
+/// Guards against a new owner that restarts tasks of a running gang.
 #[test]
-fn a_running_gang_goes_on_through_a_take_over() {
-    let world = take_over(4000, 12_000);
+fn a_running_gang_continues_through_a_takeover() {
+    let world = run_with_takeover(4000, 12_000);
     let starts = world.trace().matches("starts job-000001/").count();
-    assert_eq!(starts, 4, "nothing is started twice\n{}", world.trace());
+    assert_eq!(starts, 4, "no task should be started twice\n{}", world.trace());
     assert_trace(&world, "gang_take_over_while_running");
 }
 
+/// Guards against a gang that is lost or never completes when its owner crashes in any phase, with short and long
+/// restarts.
 #[test]
-fn a_gang_survives_a_take_over_in_each_phase() {
-    for after in [0, 50, 150, 300, 600, 900, 1200, 2000, 7000, 9000] {
-        for away in [100, 5000, 20_000] {
-            take_over(after, away);
+fn a_gang_survives_a_takeover_in_each_phase() {
+    for crash_after_ms in [0, 50, 150, 300, 600, 900, 1200, 2000, 7000, 9000] {
+        for down_ms in [100, 5000, 20_000] {
+            run_with_takeover(crash_after_ms, down_ms);
         }
     }
 }
 
+/// Guards against a gang that is left partly stopped when its owner crashes in the middle of a stop.
 #[test]
-fn a_take_over_in_the_middle_of_a_stop_stops_the_rest() {
-    let mut world = with_gang();
+fn a_takeover_during_a_stop_stops_the_remaining_tasks() {
+    let mut world = start_with_gang();
     world.cloud.most = world.cloud.machines.len();
-    crowd_out(&mut world);
+    submit_competing_services(&mut world);
     assert!(
-        world.run_until(30_000, |w| state_of(w, "job-000001/0")
+        world.run_until(30_000, |w| attempts_of(w, "job-000001/0")
             .iter()
             .any(|(_, _, s)| *s == "flushing")),
         "{}",
@@ -391,14 +414,14 @@
     world.run(20_000);
     world.cloud.most = 20;
     world.run_ms = 15_000;
-    assert!(done(&mut world, 120_000), "{}", world.trace());
+    assert!(is_done_within(&mut world, 120_000), "{}", world.trace());
     assert_no_breaches(&world);
 }
 
+/// Guards against a deadlock in which each gang holds a part of the machines and waits for the rest.
 #[test]
-fn two_gangs_for_one_room_run_one_after_the_other() {
-    // Guard: neither holds half of the room and waits for the other half.
-    let mut world = world();
+fn two_gangs_that_need_the_same_machines_run_one_after_the_other() {
+    let mut world = start_with_service();
     world.cloud.most = world.cloud.machines.len();
     let [mut large, mut other] = [gang(1, 0, 4), gang(2, 0, 3)];
     large["yard"] = serde_json::json!("a");
@@ -407,38 +430,40 @@
     world.submit(1, &other);
     for id in ["job-000001", "job-000002"] {
         let key = format!("t/j/{id}");
-        let over = |w: &World| w.store.get(&key).is_some_and(|j| j["st"] == "done");
-        assert!(world.run_until(60_000, over), "{id}\n{}", world.trace());
+        let is_done = |w: &World| w.store.get(&key).is_some_and(|j| j["st"] == "done");
+        assert!(world.run_until(60_000, is_done), "{id}\n{}", world.trace());
     }
     assert!(!world.trace().contains("incomplete"), "{}", world.trace());
     assert_trace(&world, "gang_two_for_one_room");
 }
 
+/// Guards against healthy machines that are blamed for a faulty one: tasks that end with `peers` say nothing about
+/// their own machines, and the machine whose task failed first is at fault.
 #[test]
-fn a_sick_machine_under_a_gang_is_found_and_avoided() {
-    // Guard: `peers` says nothing of the machines that report it; the one that failed first is at fault.
-    let mut world = world();
+fn a_faulty_machine_of_a_gang_is_detected_and_avoided() {
+    let mut world = start_with_service();
     world.run_ms = 6000;
-    let machines = gathers(&mut world);
-    let victim = machines.first().cloned().expect("placed");
-    if let Some(w) = world.workers.get_mut(&victim) {
+    let machines = submit_until_gathering(&mut world);
+    let machine = machines.first().cloned().expect("a task was placed");
+    if let Some(w) = world.workers.get_mut(&machine) {
         w.sick = true;
     }
-    assert!(done(&mut world, 120_000), "{}", world.trace());
-    assert!(world.cloud.deleted.contains(&victim), "{}", world.trace());
+    assert!(is_done_within(&mut world, 120_000), "{}", world.trace());
+    assert!(world.cloud.deleted.contains(&machine), "{}", world.trace());
     assert_trace(&world, "gang_sick_machine");
 }
 
+/// Guards against late duplicates of reports and commands that start, end or complete a task of a later attempt.
 #[test]
-fn late_copies_of_reports_and_starts_do_not_disturb_a_gang() {
-    let mut world = world();
+fn late_duplicates_of_reports_and_starts_do_not_disturb_a_gang() {
+    let mut world = start_with_service();
     world.run_ms = 8000;
-    let mut n = 0u64;
-    world.meddle(move |l| {
-        n += 1;
-        let copied = l.what == "POST /agent/beat" || l.what.starts_with("POST /commands");
-        if copied && n.is_multiple_of(2) {
-            return Delivery::Copied(2000 + n * 977 % 40_000);
+    let mut count = 0u64;
+    world.meddle(move |message| {
+        count += 1;
+        let is_duplicated = message.what == "POST /agent/beat" || message.what.starts_with("POST /commands");
+        if is_duplicated && count.is_multiple_of(2) {
+            return Delivery::Copied(2000 + count * 977 % 40_000);
         }
         Delivery::Pass
     });
@@ -448,38 +473,41 @@
     }
     for i in 1..4 {
         let key = format!("t/j/job-{i:06}");
-        let over = |w: &World| w.store.get(&key).is_some_and(|j| j["st"] == "done");
-        assert!(world.run_until(120_000, over), "{i}\n{}", world.trace());
+        let is_done = |w: &World| w.store.get(&key).is_some_and(|j| j["st"] == "done");
+        assert!(world.run_until(120_000, is_done), "{i}\n{}", world.trace());
     }
     world.run(60_000);
     assert_no_breaches(&world);
 }
 
+/// Guards against an accepted gang that waits for ever: above the limit of its team, with contradictory zone rules,
+/// with tasks too large for any machine, or with an unknown shape.
 #[test]
-fn a_gang_that_can_never_run_is_refused_at_once() {
-    let mut world = world();
-    let mut large = gang(1, 0, 17);
-    large["accelerators"] = serde_json::json!(1.0);
-    let mut torn = gang(2, 0, 2);
-    torn["spread"] = serde_json::json!(true);
-    let mut thick = gang(3, 0, 2);
-    thick["vcpus"] = serde_json::json!(25.0);
-    for body in [large, torn, thick] {
+fn a_gang_that_can_never_run_is_rejected_at_once() {
+    let mut world = start_with_service();
+    let mut too_large = gang(1, 0, 17);
+    too_large["accelerators"] = serde_json::json!(1.0);
+    let mut contradictory = gang(2, 0, 2);
+    contradictory["spread"] = serde_json::json!(true);
+    let mut oversized = gang(3, 0, 2);
+    oversized["vcpus"] = serde_json::json!(25.0);
+    for body in [too_large, contradictory, oversized] {
         let request = world.submit(0, &body);
         world.run(500);
         assert_eq!(world.status(request), 422, "{body}\n{}", world.trace());
     }
-    let mut odd = gang(4, 0, 2);
-    odd["shape"] = serde_json::json!("crowd");
-    let request = world.submit(0, &odd);
+    let mut unknown_shape = gang(4, 0, 2);
+    unknown_shape["shape"] = serde_json::json!("crowd");
+    let request = world.submit(0, &unknown_shape);
     world.run(500);
     assert_eq!(world.status(request), 400);
 }
 
+/// Guards against a large gang that never starts because small jobs take free room task by task: what becomes free is
+/// reserved for a gang that waits too long.
 #[test]
-fn a_large_gang_is_not_kept_from_starting_by_small_jobs() {
-    // Guard: what becomes free is kept for a gang that waits too long; small jobs would take it task by task.
-    let mut world = world();
+fn small_jobs_do_not_starve_a_large_gang() {
+    let mut world = start_with_service();
     world.cloud.most = world.cloud.machines.len();
     world.run_ms = 7000;
     for i in 0..8 {
@@ -489,34 +517,42 @@
         small["ramGb"] = serde_json::json!(2.0);
         world.accepted(0, &small);
     }
-    // Tasks of different lengths, so that a machine's do not end at the same moment.
+    // Tasks of different lengths, so that those of a machine do not end at the same time.
     world.uneven = true;
     world.run(20_000);
     let mut large = gang(1, 0, 2);
     large["vcpus"] = serde_json::json!(8.0);
     world.submit(1, &large);
-    let from = world.now;
+    let submitted_at = world.now;
     assert!(world.run_until(240_000, |w| w.running(GANG) == 2), "{}", world.trace());
-    assert!(world.now - from > 50_000, "it had to wait: {} ms", world.now - from);
-    let over = |i: u32| {
+    assert!(
+        world.now - submitted_at > 50_000,
+        "the gang should have to wait: {} ms",
+        world.now - submitted_at
+    );
+    let is_done = |i: u32| {
         world
             .store
             .get(&format!("t/j/job-{i:06}"))
             .is_some_and(|j| j["st"] == "done")
     };
-    assert!((20..28).any(|i| !over(i)), "others still had work\n{}", world.trace());
+    assert!(
+        (20..28).any(|i| !is_done(i)),
+        "the small jobs should still have work\n{}",
+        world.trace()
+    );
     assert_no_breaches(&world);
 }
 
+/// Guards against a task that is started within an attempt that has failed in part: while one machine is unresponsive
+/// the old attempt is not over, and the new task would wait for tasks that have ended.
 #[test]
-fn nobody_joins_an_attempt_in_which_a_task_has_ended() {
-    // Guard: while one machine is silent the old attempt is not over, and what is started under it then would
-    // wait for tasks that have ended.
-    let mut world = world();
+fn no_task_joins_an_attempt_in_which_another_has_ended() {
+    let mut world = start_with_service();
     world.run_ms = 60_000;
-    let mut third = job(8, 0, "standing", 2);
-    third["yard"] = serde_json::json!("a");
-    world.accepted(0, &third);
+    let mut third_service = job(8, 0, "standing", 2);
+    third_service["yard"] = serde_json::json!("a");
+    world.accepted(0, &third_service);
     assert!(
         world.run_until(30_000, |w| w.running("job-000008") == 2),
         "{}",
@@ -528,29 +564,30 @@
     assert!(world.run_until(30_000, |w| w.running(GANG) == 4), "{}", world.trace());
     let machines = world.machines_of(GANG);
     assert_eq!(machines.len(), 2, "{machines:?}");
-    for (at, machine) in machines.iter().enumerate() {
+    for (index, machine) in machines.iter().enumerate() {
         if let Some(w) = world.workers.get_mut(machine) {
-            w.sick = at == 0;
-            w.hanging = at == 1;
+            w.sick = index == 0;
+            w.hanging = index == 1;
         }
     }
-    let from = world.trace().len();
-    let gone = |w: &World| w.cloud.deleted.contains(&machines[1]);
-    assert!(world.run_until(30_000, gone), "{}", world.trace());
+    let trace_start = world.trace().len();
+    let is_deleted = |w: &World| w.cloud.deleted.contains(&machines[1]);
+    assert!(world.run_until(30_000, is_deleted), "{}", world.trace());
     assert!(
-        !world.trace()[from..].contains("starts job-000001/"),
+        !world.trace()[trace_start..].contains("starts job-000001/"),
         "{}",
         world.trace()
     );
     world.run_ms = 3000;
-    assert!(done(&mut world, 60_000), "{}", world.trace());
+    assert!(is_done_within(&mut world, 60_000), "{}", world.trace());
     assert_no_breaches(&world);
 }
 
+/// Guards against a failed save after a takeover: all tasks have to receive the stop within the time in which they
+/// notice each other's end.
 #[test]
-fn a_stop_that_an_earlier_owner_began_reaches_the_rest_in_time() {
-    // Guard: all have to be told within the time in which they notice each other's end, or the save fails.
-    let mut world = with_gang();
+fn a_stop_begun_by_an_earlier_owner_reaches_the_remaining_tasks_in_time() {
+    let mut world = start_with_gang();
     let machines = world.machines_of(GANG);
     let owner = world.owner_of_team(0);
     world.crash(owner);
@@ -560,14 +597,14 @@
     world.run(5000);
     assert!(world.trace().contains("is saved at"), "{}", world.trace());
     world.run_ms = 6000;
-    assert!(done(&mut world, 60_000), "{}", world.trace());
+    assert!(is_done_within(&mut world, 60_000), "{}", world.trace());
     assert_trace(&world, "gang_stop_of_an_earlier_owner");
 }
 
+/// Guards against a new owner that takes tasks for lost which run on a machine that cannot be reached for a moment.
 #[test]
-fn a_take_over_does_not_end_a_gang_for_a_machine_that_has_not_reported_yet() {
-    // Guard: what is missing just after a take-over may be on a machine that is out of reach for a moment.
-    let mut world = with_gang();
+fn a_takeover_does_not_restart_a_gang_whose_machine_has_not_reported_yet() {
+    let mut world = start_with_gang();
     let machines = world.machines_of(GANG);
     let owner = world.owner_of_team(0);
     cut_off(&mut world, &machines[1]);
--- a/crates/tidelatch-standin/tests/shared_machines.rs
+++ b/crates/tidelatch-standin/tests/shared_machines.rs
@@ -1,25 +1,27 @@
-//! Machines that change hands with the tasks that run on them: the rules hold for the tasks of both partitions,
-//! whatever fails, and the room that is free is used.
+//! Machines that are transferred to another partition while tasks of the earlier owner's teams run on them.
+//!
+//! Guards against tasks that are started twice, stopped or forgotten because the machine and the job have different
+//! owners, under crashes, pauses and lost messages, and against free room on such machines that no partition uses.
 
 use serde_json::json;
 use tidelatch_core::settings::Features;
 use tidelatch_standin::faults::{self, FaultInjector};
 use tidelatch_standin::{CANCEL_MS, Delivery, World, job};
 
-/// One task of teams 0 and 1 on a machine each, and nothing more to rent.
-const FIRST: [&str; 2] = ["job-000001", "job-000002"];
-/// A task of team 2, which finds room on one of these.
-const LATER: &str = "job-000003";
+/// One task of team 0 and one of team 1, on a machine each. The cloud has no other machine.
+const FIRST_JOBS: [&str; 2] = ["job-000001", "job-000002"];
+/// A task of team 2, which is placed on one of these machines.
+const LATER_JOB: &str = "job-000003";
 
-/// A machine that holds tasks of two partitions.
-struct Shared {
+/// A machine that runs tasks of two partitions.
+struct SharedMachine {
     machine: String,
-    /// The job whose task was there before the machine changed hands, and its team.
-    tenant: &'static str,
-    tenant_team: usize,
+    /// The job whose task ran there before the machine was transferred, and its team.
+    earlier_job: &'static str,
+    earlier_team: usize,
 }
 
-fn sound(world: &World, case: impl std::fmt::Debug) {
+fn assert_no_breaches(world: &World, case: impl std::fmt::Debug) {
     assert!(
         world.broken.is_empty(),
         "{case:?}: {:?}\n{}",
@@ -28,12 +30,12 @@
     );
 }
 
-/// The cloud has two machines, and a task of another team runs on each.
+/// Starts a task of team 0 and one of team 1 on the two machines of the cloud.
 fn with_two_machines(mut world: World, shape: &str, run_ms: u64) -> World {
     world.run_ms = run_ms;
     world.cloud.most = 2;
     world.run(3000);
-    for (team, id) in (0..).zip(FIRST) {
+    for (team, id) in (0..).zip(FIRST_JOBS) {
         world.accepted(0, &job(team + 1, team, shape, 1));
         let runs = world.run_until(30_000, |w| w.running(id) == 1);
         assert!(runs, "{}", world.trace());
@@ -41,46 +43,49 @@
     world
 }
 
-/// A task of a third team has come to one of the two machines.
-fn with_shared_machine(shape: &str, run_ms: u64) -> (World, Shared) {
+/// Starts a deployment in which a task of a third team shares one of the two machines.
+fn with_shared_machine(shape: &str, run_ms: u64) -> (World, SharedMachine) {
     let mut world = with_two_machines(World::new(), shape, run_ms);
     world.accepted(0, &job(3, 2, shape, 1));
-    let runs = world.run_until(90_000, |w| w.running(LATER) == 1);
+    let runs = world.run_until(90_000, |w| w.running(LATER_JOB) == 1);
     assert!(runs, "{}", world.trace());
     let shared = shared_machine(&world);
     (world, shared)
 }
 
-fn shared_machine(world: &World) -> Shared {
-    let machine = world.machines_of(LATER).pop().expect("a machine");
-    let beside = |id: &&str| world.machines_of(id).contains(&machine);
-    let tenant_team = FIRST.iter().position(beside).expect("a task beside it");
-    Shared {
+fn shared_machine(world: &World) -> SharedMachine {
+    let machine = world.machines_of(LATER_JOB).pop().expect("a machine");
+    let is_on_machine = |id: &&str| world.machines_of(id).contains(&machine);
+    let earlier_team = FIRST_JOBS
+        .iter()
+        .position(is_on_machine)
+        .expect("a task of team 0 or 1 on it");
+    SharedMachine {
         machine,
-        tenant: FIRST[tenant_team],
-        tenant_team,
+        earlier_job: FIRST_JOBS[earlier_team],
+        earlier_team,
     }
 }
 
-fn starts(world: &World, machine: &str, id: &str) -> usize {
+fn count_starts(world: &World, machine: &str, id: &str) -> usize {
     let start = format!("{machine} starts {id}/0");
     world.trace().matches(&start).count()
 }
 
+/// Guards against a new owner of the machine that stops the other partition's task instead of keeping it by the roster,
+/// and against a new owner of that partition that starts the task again before it has polled the machine.
 #[test]
-fn whichever_controller_ends_the_tasks_on_a_shared_machine_run_on() {
-    // Guards: a new owner of the machine keeps the other partition's task, by the roster; a new owner of that
-    // partition asks the machine before it starts the task again.
-    for node in 0..3 {
-        for away_ms in [300, 25_000] {
+fn tasks_on_a_shared_machine_keep_running_when_any_controller_crashes() {
+    for controller in 0..3 {
+        for down_ms in [300, 25_000] {
             let (mut world, shared) = with_shared_machine("standing", 600_000);
-            world.crash(node);
-            world.run(away_ms);
-            world.start(node);
+            world.crash(controller);
+            world.run(down_ms);
+            world.start(controller);
             world.run(40_000);
-            let case = (node, away_ms);
-            sound(&world, case);
-            for id in [shared.tenant, LATER] {
+            let case = (controller, down_ms);
+            assert_no_breaches(&world, case);
+            for id in [shared.earlier_job, LATER_JOB] {
                 assert_eq!(
                     world.machines_of(id),
                     std::slice::from_ref(&shared.machine),
@@ -88,7 +93,7 @@
                     world.trace()
                 );
                 assert_eq!(
-                    starts(&world, &shared.machine, id),
+                    count_starts(&world, &shared.machine, id),
                     1,
                     "{case:?} {id}\n{}",
                     world.trace()
@@ -98,89 +103,98 @@
     }
 }
 
+/// Guards against an owner that continues in the same process after a lost lease and has forgotten where the other
+/// partition's job was placed on its machines. It took the machine's next report for a second machine with the task,
+/// and stopped it.
 #[test]
-fn the_tasks_on_a_shared_machine_run_on_when_its_owner_stood_still_past_its_lease() {
-    // Guard: an owner that is back in the same process forgets where the other partition's job was placed on its
-    // machines. It took the machine's next report for a second machine with the task, and stopped it.
-    for node in 0..3 {
+fn tasks_on_a_shared_machine_keep_running_when_any_controller_pauses_beyond_its_lease() {
+    for controller in 0..3 {
         let (mut world, shared) = with_shared_machine("standing", 600_000);
-        world.freeze(node);
+        world.freeze(controller);
         world.run(33_000);
-        world.thaw(node);
+        world.thaw(controller);
         world.run(40_000);
-        sound(&world, node);
+        assert_no_breaches(&world, controller);
         let trace = world.trace();
-        assert!(!trace.contains("is on a second machine"), "{node}\n{trace}");
-        for id in [shared.tenant, LATER] {
+        assert!(!trace.contains("is on a second machine"), "{controller}\n{trace}");
+        for id in [shared.earlier_job, LATER_JOB] {
             assert_eq!(
                 world.machines_of(id),
                 std::slice::from_ref(&shared.machine),
-                "{node}\n{trace}"
+                "{controller}\n{trace}"
+            );
+            assert_eq!(
+                count_starts(&world, &shared.machine, id),
+                1,
+                "{controller} {id}\n{trace}"
             );
-            assert_eq!(starts(&world, &shared.machine, id), 1, "{node} {id}\n{trace}");
         }
     }
 }
 
+/// Guards against tasks that are started again when all controllers restart and only the roster and the machines know
+/// of them.
 #[test]
-fn all_controllers_end_and_the_tasks_on_a_shared_machine_run_on() {
+fn tasks_on_a_shared_machine_keep_running_when_all_controllers_crash() {
     let (mut world, shared) = with_shared_machine("standing", 600_000);
-    (0..3).for_each(|node| world.crash(node));
+    (0..3).for_each(|controller| world.crash(controller));
     world.run(2000);
-    (0..3).for_each(|node| world.start(node));
+    (0..3).for_each(|controller| world.start(controller));
     world.run(40_000);
-    sound(&world, "all end");
-    for id in [shared.tenant, LATER] {
-        assert_eq!(starts(&world, &shared.machine, id), 1, "{id}\n{}", world.trace());
+    assert_no_breaches(&world, "all controllers crash");
+    for id in [shared.earlier_job, LATER_JOB] {
+        assert_eq!(count_starts(&world, &shared.machine, id), 1, "{id}\n{}", world.trace());
     }
 }
 
+/// Guards against a completion that is lost or counted twice: the machine's owner neither marks the task as done nor
+/// lets the worker forget the result, so that the job's owner, or its successor, finds it there.
 #[test]
-fn the_end_of_a_task_on_a_shared_machine_is_known_to_its_user_and_counts_once() {
-    // Guard: the machine's owner neither calls the task done nor lets its worker forget the result; the job's
-    // owner, or its successor, finds it there.
-    for ends in [None, Some(300), Some(25_000)] {
+fn a_completed_task_on_a_shared_machine_is_reported_and_counted_once() {
+    for owner_crash in [None, Some(300), Some(25_000)] {
         let (mut world, shared) = with_shared_machine("sweep", 60_000);
-        if let Some(away_ms) = ends {
-            // It ends while the task runs, and the next owner learns of what has ended meanwhile.
-            let owner = world.owner_of_team(shared.tenant_team);
+        if let Some(down_ms) = owner_crash {
+            // The owner crashes while the task runs, and the next owner learns which tasks have ended in the meantime.
+            let owner = world.owner_of_team(shared.earlier_team);
             world.run(5000);
             world.crash(owner);
-            world.run(away_ms);
+            world.run(down_ms);
             world.start(owner);
         }
-        let done = |w: &World| w.machines_of(shared.tenant).is_empty() && w.machines_of(LATER).is_empty();
-        assert!(world.run_until(120_000, done), "{ends:?}\n{}", world.trace());
+        let done = |w: &World| w.machines_of(shared.earlier_job).is_empty() && w.machines_of(LATER_JOB).is_empty();
+        assert!(world.run_until(120_000, done), "{owner_crash:?}\n{}", world.trace());
         world.run(10_000);
-        for id in [shared.tenant, LATER] {
-            let asked = world.poll(0, id);
+        for id in [shared.earlier_job, LATER_JOB] {
+            let request = world.poll(0, id);
             world.run(2000);
-            assert_eq!(world.said(asked), "done", "{ends:?} {id}\n{}", world.trace());
+            assert_eq!(world.said(request), "done", "{owner_crash:?} {id}\n{}", world.trace());
             assert_eq!(
-                starts(&world, &shared.machine, id),
+                count_starts(&world, &shared.machine, id),
                 1,
-                "{ends:?} {id}\n{}",
+                "{owner_crash:?} {id}\n{}",
                 world.trace()
             );
         }
-        sound(&world, ends);
+        assert_no_breaches(&world, owner_crash);
     }
 }
 
+/// Guards against tasks of a cancelled job that keep running on a machine of another partition, and against their room
+/// that stays unused, also when the owner crashes after the cancellation.
 #[test]
-fn a_cancelled_job_on_a_shared_machine_is_gone_in_time_and_leaves_its_room() {
+fn a_cancelled_job_leaves_a_shared_machine_in_time_and_frees_its_room() {
     for cancelled_is_tenant in [true, false] {
         for crash in [false, true] {
             let case = (cancelled_is_tenant, crash);
             let (mut world, shared) = with_shared_machine("standing", 600_000);
             let (id, team) = if cancelled_is_tenant {
-                (shared.tenant, shared.tenant_team)
+                (shared.earlier_job, shared.earlier_team)
             } else {
-                (LATER, 2)
+                (LATER_JOB, 2)
             };
-            let asked = world.withdraw(0, id);
+            let request = world.withdraw(0, id);
             world.run(1000);
-            assert_eq!(world.said(asked), "withdrawn", "{case:?}\n{}", world.trace());
+            assert_eq!(world.said(request), "withdrawn", "{case:?}\n{}", world.trace());
             if crash {
                 let owner = world.owner_of_team(team);
                 world.crash(owner);
@@ -192,28 +206,29 @@
             world.accepted(0, &job(4, 2, "standing", 1));
             let used = world.run_until(90_000, |w| w.running("job-000004") == 1);
             assert!(used, "{case:?}\n{}", world.trace());
-            sound(&world, case);
+            assert_no_breaches(&world, case);
         }
     }
 }
 
+/// Guards against a task that is started on the machine by either owner while the outcome of the roster change is
+/// unknown.
 #[test]
-fn a_hand_over_whose_answer_is_lost_or_that_is_carried_out_late_starts_nothing_twice() {
-    // Guard: while the change of the roster is in doubt nothing is started on the machine by either.
-    for fate in [
+fn a_machine_transfer_with_a_lost_answer_or_a_late_write_starts_no_task_twice() {
+    for delivery in [
         Delivery::AnswerLost,
         Delivery::Late(4000),
         Delivery::Late(12_000),
         Delivery::Lost,
     ] {
         for crash in [false, true] {
-            let case = (fate, crash);
+            let case = (delivery, crash);
             let mut world = with_two_machines(World::new(), "standing", 600_000);
             let until = world.now + 30_000;
-            world.meddle(move |l| {
-                let hand_over = l.what == "POST /txn" && l.body.contains("\"also\"");
-                if hand_over && l.at < until {
-                    fate
+            world.meddle(move |message| {
+                let is_transfer = message.what == "POST /txn" && message.body.contains("\"also\"");
+                if is_transfer && message.at < until {
+                    delivery
                 } else {
                     Delivery::Pass
                 }
@@ -226,85 +241,95 @@
                 world.run(300);
                 world.start(owner);
             }
-            let runs = world.run_until(90_000, |w| w.running(LATER) == 1);
+            let runs = world.run_until(90_000, |w| w.running(LATER_JOB) == 1);
             assert!(runs, "{case:?}\n{}", world.trace());
             world.run(30_000);
-            for id in FIRST {
+            for id in FIRST_JOBS {
                 assert_eq!(world.running(id), 1, "{case:?} {id}\n{}", world.trace());
             }
-            sound(&world, case);
+            assert_no_breaches(&world, case);
         }
     }
 }
 
+/// Guards against a task that is started elsewhere while it may still run: it counts as gone only by a report that does
+/// not list it, or once the cloud has deleted the machine. The machine sends nothing, receives nothing, or both.
 #[test]
-fn a_shared_machine_that_is_mute_deaf_or_cut_off_breaks_no_rule() {
-    // Guard: a task counts as gone only by a report that does not list it, or once the cloud has deleted the
-    // machine; until then it is not started elsewhere.
-    type Trouble = fn(&str) -> FaultInjector;
-    let cut: Trouble = |machine| {
+fn a_shared_machine_with_lost_messages_breaks_no_rule() {
+    type Fault = fn(&str) -> FaultInjector;
+    let cut: Fault = |machine| {
         let cut = machine.to_owned();
-        Box::new(move |l| {
-            let hit = l.from == cut || l.to == cut;
-            if hit { Delivery::Lost } else { Delivery::Pass }
+        Box::new(move |message| {
+            let is_lost = message.from == cut || message.to == cut;
+            if is_lost { Delivery::Lost } else { Delivery::Pass }
         })
     };
-    let kinds: [(&str, Trouble); 3] = [("mute", faults::mute), ("deaf", faults::deaf), ("cut", cut)];
-    for (name, trouble) in kinds {
+    let kinds: [(&str, Fault); 3] = [("mute", faults::mute), ("deaf", faults::deaf), ("cut", cut)];
+    for (name, fault) in kinds {
         for crash in [None, Some(0), Some(1), Some(2)] {
             let case = (name, crash);
             let (mut world, shared) = with_shared_machine("standing", 600_000);
             world.cloud.most = 3;
-            world.meddle(trouble(&shared.machine));
+            world.meddle(fault(&shared.machine));
             world.run(4000);
-            if let Some(node) = crash {
-                world.crash(node);
+            if let Some(controller) = crash {
+                world.crash(controller);
                 world.run(300);
-                world.start(node);
+                world.start(controller);
             }
             world.run(60_000);
             world.calm();
-            let all_run = |w: &World| [shared.tenant, LATER].iter().all(|id| w.running(id) == 1);
+            let all_run = |w: &World| [shared.earlier_job, LATER_JOB].iter().all(|id| w.running(id) == 1);
             assert!(world.run_until(90_000, all_run), "{case:?}\n{}", world.trace());
-            sound(&world, case);
+            assert_no_breaches(&world, case);
         }
     }
 }
 
+/// Guards against a job's owner that does not reach the worker and takes that as a proof that the task is gone.
 #[test]
-fn a_controller_cut_off_from_a_shared_machine_counts_its_task_there() {
-    // Guard: the job's owner does not reach the worker; that proves nothing.
+fn a_controller_that_cannot_reach_a_shared_machine_does_not_restart_its_task() {
     let (mut world, shared) = with_shared_machine("standing", 600_000);
     world.cloud.most = 3;
-    let owner = format!("berth-{}", world.owner_of_team(shared.tenant_team));
+    let owner = format!("berth-{}", world.owner_of_team(shared.earlier_team));
     let machine = shared.machine.clone();
-    world.meddle(move |l| {
-        let between = (l.from == owner && l.to == machine) || (l.from == machine && l.to == owner);
-        if between { Delivery::Lost } else { Delivery::Pass }
+    world.meddle(move |message| {
+        let is_between_them =
+            (message.from == owner && message.to == machine) || (message.from == machine && message.to == owner);
+        if is_between_them {
+            Delivery::Lost
+        } else {
+            Delivery::Pass
+        }
     });
     world.run(60_000);
     assert_eq!(
-        world.machines_of(shared.tenant),
+        world.machines_of(shared.earlier_job),
         std::slice::from_ref(&shared.machine),
         "{}",
         world.trace()
     );
-    assert_eq!(starts(&world, &shared.machine, shared.tenant), 1, "{}", world.trace());
-    sound(&world, "cut between the job's owner and the machine");
+    assert_eq!(
+        count_starts(&world, &shared.machine, shared.earlier_job),
+        1,
+        "{}",
+        world.trace()
+    );
+    assert_no_breaches(&world, "cut between the job's owner and the machine");
 }
 
+/// Guards against a team that exceeds its limit: a task counts wherever it runs, also after a change of owner, before
+/// the machine has been polled.
 #[test]
-fn a_teams_limit_holds_over_machines_of_other_partitions() {
-    // Guard: a task counts against its team's limit wherever it is, also after a change of owner, when the
-    // machine has not been asked yet.
-    for away_ms in [None, Some(300), Some(25_000)] {
+fn the_limit_of_a_team_includes_tasks_on_machines_of_other_partitions() {
+    for down_ms in [None, Some(300), Some(25_000)] {
         let (mut world, shared) = with_shared_machine("standing", 600_000);
         world.cloud.most = 8;
-        // Four accelerators are the limit: three more fit beside the one on the shared machine.
-        let mut more = job(4, shared.tenant_team as u32, "sweep", 6);
+        // The limit is four accelerators: three more tasks fit beside the one on the shared machine.
+        let mut more = job(4, shared.earlier_team as u32, "sweep", 6);
         more["precedence"] = json!("low");
-        if let Some(ms) = away_ms {
-            let owner = world.owner_of_team(shared.tenant_team);
+        if let Some(ms) = down_ms {
+            let owner = world.owner_of_team(shared.earlier_team);
             world.accepted((owner + 1) % 3, &more);
             world.crash(owner);
             world.run(ms);
@@ -313,68 +338,81 @@
             world.accepted(0, &more);
         }
         world.run(60_000);
-        assert_eq!(world.running("job-000004"), 3, "{away_ms:?}\n{}", world.trace());
-        sound(&world, away_ms);
+        assert_eq!(world.running("job-000004"), 3, "{down_ms:?}\n{}", world.trace());
+        assert_no_breaches(&world, down_ms);
     }
 }
 
+/// Guards against an exceeded limit after a change of owner: a newly accepted job starts at once, when the team's task
+/// on the other partition's machine is not known yet.
 #[test]
-fn a_machine_that_has_not_been_asked_counts_as_full_of_the_new_owners_teams() {
-    // Guard: what is accepted after a change of owner starts at once, and the team's task on the other
-    // partition's machine is not known yet.
+fn a_machine_not_yet_polled_counts_as_full_of_tasks_of_the_new_owners_teams() {
     let (mut world, shared) = with_shared_machine("standing", 600_000);
     world.cloud.most = 8;
-    let node = world.owner_of_team(shared.tenant_team);
-    let (owner, machine) = (format!("berth-{node}"), shared.machine.clone());
-    world.crash(node);
+    let controller = world.owner_of_team(shared.earlier_team);
+    let (owner, machine) = (format!("berth-{controller}"), shared.machine.clone());
+    world.crash(controller);
     world.run(300);
-    world.start(node);
-    world.meddle(move |l| {
-        let between = (l.from == owner && l.to == machine) || (l.from == machine && l.to == owner);
-        if between { Delivery::Lost } else { Delivery::Pass }
+    world.start(controller);
+    world.meddle(move |message| {
+        let is_between_them =
+            (message.from == owner && message.to == machine) || (message.from == machine && message.to == owner);
+        if is_between_them {
+            Delivery::Lost
+        } else {
+            Delivery::Pass
+        }
     });
     world.run(3000);
-    world.accepted(node, &job(4, shared.tenant_team as u32, "sweep", 6));
+    world.accepted(controller, &job(4, shared.earlier_team as u32, "sweep", 6));
     world.run(30_000);
     assert_eq!(world.running("job-000004"), 2, "{}", world.trace());
     world.calm();
     world.run(10_000);
     assert_eq!(world.running("job-000004"), 3, "{}", world.trace());
-    sound(&world, "not asked yet");
+    assert_no_breaches(&world, "machine not polled yet");
 }
 
+/// Guards against a machine that stays with a partition without tasks on it: nobody could move the remaining task and
+/// return the machine.
 #[test]
-fn a_machine_on_which_only_another_partitions_task_is_left_goes_back_to_it() {
-    // Guard: else nobody could move that task and return the machine.
+fn a_machine_with_tasks_of_one_other_partition_only_is_transferred_to_it() {
     let (mut world, shared) = with_shared_machine("standing", 600_000);
-    let asked = world.withdraw(0, LATER);
+    let request = world.withdraw(0, LATER_JOB);
     world.run(1000);
-    assert_eq!(world.said(asked), "withdrawn");
+    assert_eq!(world.said(request), "withdrawn");
     world.run(60_000);
     let back = format!(
         "{} goes to partition {}, whose tasks alone are on it",
-        shared.machine, shared.tenant_team
+        shared.machine, shared.earlier_team
     );
     assert!(world.trace().contains(&back), "{}", world.trace());
     let groups = world.store.keys("t/m/");
-    let owned = groups
+    let groups_of_partition = groups
         .iter()
         .filter_map(|k| world.store.get(k))
-        .filter(|r| r["part"] == shared.tenant_team);
+        .filter(|r| r["part"] == shared.earlier_team);
     assert!(
-        owned
+        groups_of_partition
             .clone()
             .any(|r| r["m"].get(&shared.machine).is_some() && r.get("also").is_none()),
         "{:?}\n{}",
         groups,
         world.trace()
     );
-    assert_eq!(starts(&world, &shared.machine, shared.tenant), 1, "{}", world.trace());
-    sound(&world, "returned");
+    assert_eq!(
+        count_starts(&world, &shared.machine, shared.earlier_job),
+        1,
+        "{}",
+        world.trace()
+    );
+    assert_no_breaches(&world, "machine transferred back");
 }
 
+/// Guards against a machine shared during an upgrade with a controller of a version that does not support shared
+/// machines.
 #[test]
-fn machines_stay_with_their_tasks_while_a_controller_is_of_a_version_that_does_not_know_it() {
+fn no_machine_is_shared_while_a_controller_does_not_support_it() {
     let before = Features {
         shared_machines: false,
         ..Features::default()
@@ -387,39 +425,44 @@
     world.accepted(0, &job(3, 2, "standing", 1));
     world.run(60_000);
     assert!(!world.trace().contains("goes to partition"), "{}", world.trace());
-    assert!(!world.trace().contains(&format!("starts {LATER}")), "{}", world.trace());
-    sound(&world, "beside the version before");
-    // Once it is replaced, the room is used.
+    assert!(
+        !world.trace().contains(&format!("starts {LATER_JOB}")),
+        "{}",
+        world.trace()
+    );
+    assert_no_breaches(&world, "with a controller without shared machines");
+    // After the upgrade of that controller the free room is used.
     world.crash(1);
     world.version(1, Features::default());
     world.start(1);
-    let runs = world.run_until(90_000, |w| w.running(LATER) == 1);
+    let runs = world.run_until(90_000, |w| w.running(LATER_JOB) == 1);
     assert!(runs, "{}", world.trace());
-    sound(&world, "after the upgrade");
+    assert_no_breaches(&world, "after the upgrade");
 }
 
+/// Guards against a rollback to a version that does not know of its partition's task on a machine of another partition,
+/// and would start it again.
 #[test]
-fn a_controller_of_the_version_before_owns_nothing_while_a_machine_is_shared() {
-    // Guard: it would not know of its partition's task on another's machine, and start that again.
-    for node in 0..3 {
+fn a_controller_without_shared_machines_owns_nothing_while_a_machine_is_shared() {
+    for controller in 0..3 {
         let (mut world, shared) = with_shared_machine("sweep", 90_000);
-        // Its partition has room elsewhere, on which it could start the task at once.
+        // The partition has free room on another machine, on which the controller could start the task at once.
         world.cloud.most = 4;
-        world.accepted(0, &job(4, shared.tenant_team as u32, "standing", 1));
+        world.accepted(0, &job(4, shared.earlier_team as u32, "standing", 1));
         let runs = world.run_until(30_000, |w| w.running("job-000004") == 1);
-        assert!(runs, "{node}\n{}", world.trace());
-        world.crash(node);
+        assert!(runs, "{controller}\n{}", world.trace());
+        world.crash(controller);
         let before = Features {
             shared_machines: false,
             ..Features::default()
         };
-        world.version(node, before);
+        world.version(controller, before);
         world.run(300);
-        world.start(node);
+        world.start(controller);
         world.run(5000);
-        let done = |w: &World| w.roster().is_empty() || w.machines_of(shared.tenant).is_empty();
-        assert!(world.run_until(120_000, done), "{node}\n{}", world.trace());
+        let done = |w: &World| w.roster().is_empty() || w.machines_of(shared.earlier_job).is_empty();
+        assert!(world.run_until(120_000, done), "{controller}\n{}", world.trace());
         world.run(30_000);
-        sound(&world, node);
+        assert_no_breaches(&world, controller);
     }
 }
