--- a/crates/tidelatch/src/daemon/dispatcher.rs
+++ b/crates/tidelatch/src/daemon/dispatcher.rs
@@ -205,7 +205,7 @@
     }
 }
 
-/// Result that the core gets for a call without a response: [`NOT_TRIED`] or [`NOT_SENT`] if the receiver cannot have
+/// Result that the core gets for a call without a response: [`STATUS_NO_FREE_SOCKET`] or [`STATUS_NOT_CONNECTED`] if the receiver cannot have
 /// got the request, `None` if it may have.
 fn status_without_response(stage: CallStage) -> Option<(u16, Vec<u8>)> {
     match stage {
