--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -74,7 +74,7 @@
     /// When each partition was last consolidated onto fewer machines.
     pub(crate) last_consolidations_ms: BTreeMap<Partition, u64>,
     /// When replicas of each partition were last moved to make room for others.
-    pub(crate) last_replica_swaps_ms: BTreeMap<Partition, u64>,
+    pub(crate) last_replica_moves_ms: BTreeMap<Partition, u64>,
     /// Machines to which commands are to be sent at once.
     pub(crate) machines_with_urgent_commands: BTreeSet<MachineId>,
     /// Number of direct command calls sent so far.
@@ -136,7 +136,7 @@
             flush_due_ms: 0,
             consolidation_due_ms: 0,
             last_consolidations_ms: BTreeMap::new(),
-            last_replica_swaps_ms: BTreeMap::new(),
+            last_replica_moves_ms: BTreeMap::new(),
             machines_with_urgent_commands: BTreeSet::new(),
             commands_sent: 0,
             misdirected_workers: BTreeMap::new(),
--- a/crates/tidelatch-core/src/placement.rs
+++ b/crates/tidelatch-core/src/placement.rs
@@ -1,5 +1,4 @@
-//! Joint placement of one batch of tasks: hard constraints, a greedy pass by rank and then by largest task, then moves
-//! and swaps.
+//! Joint placement of one batch of tasks: hard constraints, a greedy pass by rank and then by largest task, then moves.
 //!
 //! These are pure functions over a snapshot of machines and jobs. They return the machine for each task.
 
@@ -25,7 +24,7 @@
 
 /// Weight of a machine's price for services, which run for long.
 const SERVICE_PRICE_WEIGHT: f64 = 2.0;
-/// Weight of a machine's price for arrays, which end soon.
+/// Weight of a machine's price for arrays and gangs, which end soon.
 const ARRAY_PRICE_WEIGHT: f64 = 1.5;
 /// Seconds that a start takes in addition to fetching the image.
 const START_OVERHEAD_S: f64 = 0.5;
@@ -65,7 +64,8 @@
     pub recent_failures: f64,
 }
 
-/// Placement terms that all tasks of a job share.
+/// What placement takes into account about a job, the same for all of its tasks: requirements, estimates, rank, and the
+/// zones of its tasks so far.
 #[derive(Debug, Clone)]
 pub struct JobTerms {
     /// Size of each task.
@@ -76,10 +76,10 @@
     pub zone: Option<String>,
     /// Whether all tasks must run in the same zone.
     pub one_zone: bool,
-    /// Maximum number of tasks in one zone.
+    /// Maximum number of tasks in one zone, so that a service is spread over zones; `None`: no limit.
     pub max_tasks_per_zone: Option<u32>,
     /// Zones with the cheapest machine types; empty if there is no restriction to them. Machines in other zones are
-    /// left to jobs that the spreading rule leaves no other zone.
+    /// left to jobs that have reached `max_tasks_per_zone` in all others.
     pub cheap_zones: Vec<String>,
     /// Maximum number of tasks outside `cheap_zones`.
     pub max_tasks_outside_cheap_zones: u32,
@@ -150,7 +150,7 @@
     slots: &'a mut [MachineSlot],
     jobs: &'a mut [JobTerms],
     /// Room left under each team's limit.
-    teams: &'a mut [Amounts],
+    room_under_limits: &'a mut [Amounts],
     /// Job index of each task.
     tasks: &'a [usize],
     /// For each task, whether it is within its team's guarantee; may be empty.
@@ -164,14 +164,14 @@
     pub fn new(
         slots: &'a mut [MachineSlot],
         jobs: &'a mut [JobTerms],
-        teams: &'a mut [Amounts],
+        room_under_limits: &'a mut [Amounts],
         tasks: &'a [usize],
     ) -> Self {
         let choice = vec![None; tasks.len()];
         Self {
             slots,
             jobs,
-            teams,
+            room_under_limits,
             tasks,
             guaranteed: Vec::new(),
             choice,
@@ -195,7 +195,10 @@
         };
         fits(&job.size, &slot.free)
             && !job.excluded_machines.contains(&slot_index)
-            && self.teams.get(job.team).is_some_and(|room| fits(&job.size, room))
+            && self
+                .room_under_limits
+                .get(job.team)
+                .is_some_and(|room| fits(&job.size, room))
             && job.admits(&slot.model, &slot.zone, slot.spot)
     }
 
@@ -213,7 +216,8 @@
         } else {
             job.image_gb * slot.fetch_s_per_gb
         };
-        // The cost of a fetch is proportional to the delay: one as long as a boot outweighs all other terms.
+        // The cost of a fetch is proportional to the delay: one as long as a boot weighs as much as packing and spreading
+        // together.
         let image_score = -fetch_s / slot.boot_s.max(1.0);
         // Prefer full machines, so that others become empty and can be returned.
         let mut used = 0.0;
@@ -230,7 +234,7 @@
         } else {
             0.0
         };
-        // Leave machines that cost this job a multiple of the cheapest one to jobs that need them. Small machines that
+        // Leave machines that cost this job a multiple of the cheapest one to jobs that need them: small machines that
         // take one replica each are often the only ones that a zone has.
         let price_excess = if job.cheapest_task_price > 0.0 {
             let fit = count_fitting(&job.size, &slot.total).max(1.0);
@@ -244,7 +248,8 @@
             } else {
                 ARRAY_PRICE_WEIGHT
             };
-        // A fetch that takes longer than the class may still wait outweighs the other terms.
+        // The penalty for a fetch that takes longer than the class may still wait is as large as the largest scores for
+        // packing and spreading together.
         let is_too_late =
             job.start_time_left_s > 0.0 && fetch_s > 0.0 && fetch_s + START_OVERHEAD_S > job.start_time_left_s;
         let lateness = if is_too_late { 2.0 } else { 0.0 };
@@ -337,7 +342,7 @@
         };
         let Some(s) = self.slots.get_mut(slot) else { return };
         subtract(&mut s.free, &job.size);
-        if let Some(room) = self.teams.get_mut(job.team) {
+        if let Some(room) = self.room_under_limits.get_mut(job.team) {
             subtract(room, &job.size);
         }
         *job.tasks_by_zone.entry(s.zone.clone()).or_default() += 1;
@@ -348,12 +353,12 @@
     }
 
     /// Takes a task off its slot and gives its room back; the image stays. Returns the slot, if the task had one.
-    fn unassign(&mut self, task: usize) -> Choice {
+    fn unassign(&mut self, task: usize) -> Option<usize> {
         let slot = self.choice.get_mut(task)?.take()?;
         let job = self.tasks.get(task).and_then(|j| self.jobs.get_mut(*j))?;
         let s = self.slots.get_mut(slot)?;
         add(&mut s.free, &job.size);
-        if let Some(room) = self.teams.get_mut(job.team) {
+        if let Some(room) = self.room_under_limits.get_mut(job.team) {
             add(room, &job.size);
         }
         if let Some(n) = job.tasks_by_zone.get_mut(&s.zone) {
@@ -363,14 +368,15 @@
     }
 
     /// The slot with the highest score for a task, and that score; `excluded` is left out.
-    fn best_slot(&self, task: usize, excluded: Choice) -> Option<(usize, f64)> {
+    fn best_slot(&self, task: usize, excluded: Option<usize>) -> Option<(usize, f64)> {
         (0..self.slots.len())
             .filter(|s| Some(*s) != excluded && self.can_place(task, *s))
             .map(|s| (s, self.score(task, s)))
             .max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// Rank of a task, with a bonus if it is within its team's guarantee.
+    /// Rank of a task, with a bonus if it is within its team's guarantee. The bonus is less than the difference between
+    /// two priorities, which is 10.
     fn rank(&self, task: usize) -> f64 {
         let guarantee_bonus = if self.guaranteed.get(task) == Some(&true) {
             5.0
@@ -396,7 +402,7 @@
     }
 
     /// Places the tasks greedily by rank, then by largest task. Afterwards tries at most `moves` single moves that
-    /// raise the total score or make room for a task that found none. Returns the choice for each task.
+    /// raise the moved task's score or make room for a task that found none. Returns the choice for each task.
     pub fn place(mut self, moves: usize) -> Vec<Choice> {
         let relative_sizes: Vec<f64> = (0..self.tasks.len()).map(|t| self.relative_size(t)).collect();
         let mut order: Vec<usize> = (0..self.tasks.len()).collect();
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -8,7 +8,7 @@
 mod limit_preemption;
 mod preemption;
 mod ranking;
-mod replica_swaps;
+mod replica_moves;
 mod victims;
 
 pub use ranking::{EstimateCorrections, TeamUsage, choose_next_team, starvation_age_s, urgency};
@@ -25,6 +25,7 @@
 /// A waiting job with the values by which it is ordered.
 struct WaitingJob {
     id: JobId,
+    /// Index of its team.
     team: usize,
     priority: Priority,
     /// Seconds until it must start to meet its deadline; `f64::MAX` for services and jobs without a deadline.
@@ -102,7 +103,7 @@
                 }
             }
             // A machine that was taken over and has not reported yet counts as full for each team of the partition: it
-            // may run tasks of any of them.
+            // may run tasks of any of them. The same holds for other partitions whose tasks may still run on it.
             let may_be_full_for = |p: Partition| {
                 (p == m.partition && !m.is_confirmed && m.may_hold_older_tasks())
                     || (m.unaccounted_partitions.contains(&p) && !m.is_deleted)
@@ -111,6 +112,7 @@
                 && let Some(t) = self.machine_types.iter().find(|t| t.name == m.model)
             {
                 for (i, u) in used.iter_mut().enumerate() {
+                    // Teams are assigned to partitions in turn, by index.
                     if may_be_full_for(Partition(i as u32 % self.settings.partitions())) {
                         u.iter_mut()
                             .zip([t.cpus, t.gpus, t.memory_gb])
@@ -123,7 +125,7 @@
     }
 
     /// Selects batches from the queues of all partitions of this controller and places them, until nothing more can be
-    /// placed or the search budget is used up.
+    /// placed or the search budget is used up. The budget is a number of evaluations of one machine for one task.
     pub(crate) fn run_batch(&mut self) {
         self.batch_due_ms = None;
         let acting = self.active_partitions();
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -17,7 +17,7 @@
 /// type.
 const CHEAP_ZONE_BOOT_TIMES: f64 = 2.0;
 
-/// Fraction of [`MAX_START_DELAY_S`] (240 s) for which a gang waits before machines are reserved for it, and for which
+/// Fraction of [`MAX_START_DELAY_S`] for which a gang waits before machines are reserved for it, and for which
 /// each reservation lasts.
 const GANG_RESERVATION_FRACTION: f64 = 0.25;
 
@@ -64,6 +64,8 @@
         let BatchProgress {
             unplaceable, unplaced, ..
         } = progress;
+        // Production work that found no machine keeps room for one task under its team's limit, which work of lower
+        // priority of the team would otherwise take in later batches.
         for (j, w) in waiting.iter().enumerate().filter(|(j, _)| unplaceable.contains(j)) {
             if let Some(terms) = jobs.get(j).filter(|_| w.priority >= Priority::Prod) {
                 self.reserved_room.entry(w.team).or_insert(terms.size);
@@ -73,7 +75,7 @@
             self.collect_machine_demands(partition, &unplaced, &waiting, &jobs, (&mut room, &slots));
         let mut preemption = self.preempt(partition, &jobs_without_machine, &waiting, &jobs, &used);
         let limit_demands = self.preempt_under_limits(partition, &blocked_jobs, &room, &mut preemption.machines);
-        self.swap_replicas(
+        self.move_replicas_for_blocked(
             partition,
             &preemption.blocked_replicas,
             &jobs,
@@ -92,7 +94,7 @@
         demands.into_values().chain(limit_demands).collect()
     }
 
-    /// Room left under each team's limit.
+    /// Room left under each team's limit. Teams have no limit on memory.
     fn room_under_limits(&self, used: &[Amounts]) -> Vec<Amounts> {
         let limit = |max_amount: f64| if max_amount > 0.0 { max_amount } else { f64::MAX };
         let teams = self.settings.platform.facts.teams.iter();
@@ -115,7 +117,8 @@
         smallest
     }
 
-    /// Usage and share of each team, in the unit in which the team is accounted.
+    /// Usage and share of each team, in the unit in which the team is accounted. A share is at least half an accelerator
+    /// or one CPU, so that teams without a guarantee are served too.
     fn team_claims(&self, used: &[Amounts]) -> Vec<TeamUsage> {
         let teams = self.settings.platform.facts.teams.iter().enumerate();
         let claim = |(i, team): (usize, &Team)| TeamUsage {
@@ -146,7 +149,7 @@
                 terms.excluded_machines.extend(self.failed_machine_indices(&w.id, ids));
             }
         }
-        if let Some((gang, machines)) = self.reserve_machines_for_gang(partition, waiting, &jobs) {
+        if let Some((gang, machines)) = self.choose_machines_for_gang(partition, waiting, &jobs) {
             let reserved: BTreeSet<usize> = (0..ids.len())
                 .filter(|i| ids.get(*i).is_some_and(|m| machines.contains(m)))
                 .collect();
@@ -185,7 +188,7 @@
             let tasks: Vec<usize> = batch.iter().map(|task| task.job).collect();
             let is_guaranteed: Vec<bool> = batch.iter().map(|task| task.guaranteed).collect();
             // The greedy pass evaluates each machine once for each task; each move evaluates each machine for one
-            // task.
+            // task. The budget is charged for at least 4 machines.
             let (task_count, machine_count) = (tasks.len(), slots.len());
             let max_moves = task_count * self.settings.operator.search_moves_per_task as usize;
             let moves =
@@ -211,7 +214,7 @@
             }
         }
         // The remaining tasks of jobs that found no machine also count as unplaced, even if no batch selected them.
-        // The room under their teams' limits bounds them below.
+        // `collect_machine_demands` drops those that have no room under their team's limit.
         for (j, w) in waiting
             .iter()
             .enumerate()
@@ -261,15 +264,15 @@
         (demands, jobs_without_machine)
     }
 
-    /// Reserves machines for a gang that has waited too long: otherwise small jobs take the room that becomes free
+    /// Chooses machines to reserve for a gang that has waited too long: otherwise small jobs take the room that becomes free
     /// task by task, and the gang never finds room for all of its tasks at once.
     ///
     /// Only one gang of a partition has a reservation at a time, the one that has waited longest. Periods with a
     /// reservation alternate with periods of the same length without one, so that a gang that never fits does not
-    /// block other jobs forever.
+    /// block other jobs forever. Gangs of which a task may be on a machine get no reservation.
     ///
     /// Returns the index of the gang among the waiting jobs, and the machines.
-    pub(super) fn reserve_machines_for_gang(
+    pub(super) fn choose_machines_for_gang(
         &self,
         partition: Partition,
         waiting: &[WaitingJob],
@@ -428,27 +431,27 @@
     /// is unknown.
     pub(super) fn job_terms(&self, id: &JobId, team: usize, slack_s: f64) -> Option<JobTerms> {
         let job = self.jobs.get(id)?;
-        let mut in_zone = BTreeMap::new();
+        let mut tasks_by_zone = BTreeMap::new();
         for machines in job.placed.values() {
             for m in machines.iter().filter_map(|m| self.machines.get(m)) {
-                *in_zone.entry(m.zone.clone()).or_insert(0) += 1;
+                *tasks_by_zone.entry(m.zone.clone()).or_insert(0) += 1;
             }
         }
         let spec = &job.spec;
         let urgency = urgency(slack_s, 1.0, spec);
         let age_s = self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0;
-        let most_per_zone = spec.spread.then(|| spec.tasks.div_ceil(2));
-        let cheapest = self.cheapest_task_price(spec);
-        // The restriction to cheap zones holds for as long as machines rented for the job take to boot. After that,
-        // any room is better than none.
+        let max_tasks_per_zone = spec.spread.then(|| spec.tasks.div_ceil(2));
+        let cheapest_task_price = self.cheapest_task_price(spec);
+        // The restriction to cheap zones holds for `CHEAP_ZONE_BOOT_TIMES` boot times of the slowest machine type, in
+        // which machines rented for the job come up. After that, any room is better than none.
         let boot_s = self.machine_types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
-        let cheap_zones = match most_per_zone {
+        let cheap_zones = match max_tasks_per_zone {
             Some(_) if spec.shape == Shape::Service && age_s < CHEAP_ZONE_BOOT_TIMES * boot_s => {
-                self.find_cheap_zones(spec, cheapest)
+                self.find_cheap_zones(spec, cheapest_task_price)
             }
             _ => Vec::new(),
         };
-        let cheap_zone_capacity = most_per_zone.unwrap_or(0).saturating_mul(cheap_zones.len() as u32);
+        let cheap_zone_capacity = max_tasks_per_zone.unwrap_or(0).saturating_mul(cheap_zones.len() as u32);
         Some(JobTerms {
             cheap_zones,
             max_tasks_outside_cheap_zones: spec.tasks.saturating_sub(cheap_zone_capacity),
@@ -456,7 +459,7 @@
             models: spec.models.clone(),
             zone: spec.zone.clone(),
             one_zone: spec.one_zone,
-            max_tasks_per_zone: most_per_zone,
+            max_tasks_per_zone,
             avoided_zone: job
                 .avoided_zone
                 .as_ref()
@@ -473,9 +476,9 @@
             is_gang: spec.shape == Shape::Gang,
             excluded_machines: BTreeSet::new(),
             start_objective_s: self.job_start_objective_s(id),
-            cheapest_task_price: cheapest,
+            cheapest_task_price,
             start_time_left_s: (self.job_start_objective_s(id) - age_s).max(0.0),
-            tasks_by_zone: in_zone,
+            tasks_by_zone,
             team,
         })
     }
@@ -483,7 +486,7 @@
     /// Zones with a machine type that the cloud does not refuse at present and that costs the job less than 1.2 times
     /// the cheapest one. Empty if that is true for all zones or for none, or if the job names a zone or may use spot
     /// machines.
-    pub(super) fn find_cheap_zones(&self, spec: &JobSpec, cheapest: f64) -> Vec<String> {
+    pub(super) fn find_cheap_zones(&self, spec: &JobSpec, cheapest_task_price: f64) -> Vec<String> {
         let size = Self::task_resources(spec);
         let mut cheap: BTreeSet<&String> = BTreeSet::new();
         let mut all: BTreeSet<&String> = BTreeSet::new();
@@ -495,7 +498,8 @@
             all.extend(&t.zones);
             for zone in &t.zones {
                 let kind = (t.name.clone(), zone.clone(), false);
-                if t.price / f64::from(fit) < 1.2 * cheapest && !self.capacity.is_refused(&kind, self.now.ms) {
+                if t.price / f64::from(fit) < 1.2 * cheapest_task_price && !self.capacity.is_refused(&kind, self.now.ms)
+                {
                     cheap.insert(zone);
                 }
             }
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -9,7 +9,7 @@
 use crate::protocol::Shape;
 use std::collections::BTreeSet;
 
-/// One machine per this many machines of a partition may be emptied within a worker lease.
+/// One machine per this many machines of a partition, and at least one, may be emptied within a worker lease.
 const MACHINES_PER_CONSOLIDATION: u64 = 64;
 
 impl Controller {
@@ -101,7 +101,8 @@
         }
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
         // Only machines that hold tasks are destinations. Their slots are built once for all candidates, and the
-        // search stops at its evaluation limit: with hundreds of machines the cost grew quadratically.
+        // search stops at its evaluation limit: otherwise the cost would grow with the square of the number of
+        // machines, of which there may be hundreds.
         let (ids, mut slots) = self.machine_slots(partition, &[0.0; 3]);
         let mut occupied_ids: Vec<MachineId> = Vec::new();
         let mut holds_tasks = ids
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -16,6 +16,7 @@
 /// A production job whose next task has no room under its team's limit.
 pub(super) struct JobBlockedByLimit {
     pub(super) id: JobId,
+    /// Index of its team.
     pub(super) team: usize,
     /// Time of submission, wall clock, in milliseconds.
     pub(super) accepted_wall_ms: u64,
@@ -257,7 +258,8 @@
         stops
     }
 
-    /// The demand for machines for tasks that could get room under the limit but have no machine.
+    /// The demand for machines for tasks that could get room under the limit but have no machine. Takes the room under
+    /// the limit for them.
     fn machine_demand(
         &mut self,
         partition: Partition,
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -233,11 +233,11 @@
                 needs_cached_image: true,
                 ..request
             };
-            let Some((machine, free_now)) = self.reserve_room(&request) else {
+            let Some((machine, is_free_now)) = self.reserve_room(&request) else {
                 break;
             };
             *terms.tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
-            if !free_now {
+            if !is_free_now {
                 waiting_for_stops += 1;
                 reserved.insert(machine.id.clone());
             }
@@ -265,11 +265,11 @@
             }
         };
         let machine = self.machines().get_mut(machine_index)?;
-        let free_now = fits(size, &machine.free_now);
-        if free_now {
+        let is_free_now = fits(size, &machine.free_now);
+        if is_free_now {
             subtract(&mut machine.free_now, size);
         }
-        Some((machine, free_now))
+        Some((machine, is_free_now))
     }
 
     /// The tasks to stop.
@@ -338,7 +338,7 @@
         let mut victims: Vec<(f64, usize)> = victims
             .filter_map(|(i, v)| Some((self.stop_cost_s(request, v)?, i)))
             .collect();
-        // Among victims of equal cost, one whose team has disruption budget left comes first.
+        // Among victims of equal cost, one whose job's disruption budgets permit a stop comes first.
         let has_budget = |index: usize| {
             let victim = machine.victims.get(index);
             victim.is_some_and(|v| self.budgets.permits(&v.task.job))
@@ -353,9 +353,9 @@
     /// Cost in seconds of stopping a task for a request; `None` if it may not be stopped for it.
     fn stop_cost_s(&self, request: &PreemptionRequest, victim: &Victim) -> Option<f64> {
         let is_lower_priority = victim.priority < request.priority;
-        // Work of higher priority is never stopped to reclaim a guarantee: it would take the room back, and the two
-        // would stop each other in turn.
-        let is_borrowed = request.is_within_guarantee
+        // Work of higher priority is never stopped to reclaim a guarantee: the stopped work would preempt in its turn to
+        // take the room back, and the two would stop each other again and again.
+        let exceeds_guarantee = request.is_within_guarantee
             && victim.priority <= request.priority
             && victim.team != request.terms.team
             && self
@@ -368,7 +368,7 @@
         } else {
             victim.lost_work_s + EQUAL_PRIORITY_COST_S
         };
-        (is_lower_priority || is_borrowed).then_some(cost_s)
+        (is_lower_priority || exceeds_guarantee).then_some(cost_s)
     }
 
     /// Records a choice: its victims are stopped, their room becomes free, and the task takes its room.
--- a/crates/tidelatch-core/src/queue/ranking.rs
+++ b/crates/tidelatch-core/src/queue/ranking.rs
@@ -33,7 +33,7 @@
 }
 
 /// Age in seconds at which a job without a started task precedes other jobs, given the start objective of its class
-/// (`within_s` in seconds; 0 if there is none).
+/// (`within_s` in seconds; 0 if there is none). Services ignore that objective.
 pub fn starvation_age_s(within_s: f64, shape: Shape) -> f64 {
     if within_s > 0.0 && shape != Shape::Service {
         STARVATION_FRACTION * within_s.min(MAX_START_DELAY_S)
@@ -66,6 +66,7 @@
         } else {
             1.0
         };
+        // One task counts with a factor of at most e^2 (about 7.4) in either direction.
         *sum = *sum * decay + (ran_s / spec.estimate_s).ln().clamp(-2.0, 2.0);
         *n = *n * decay + 1.0;
     }
@@ -81,8 +82,9 @@
 
 /// Urgency of a job, between 0 and 1; `slack_s` are the seconds until it must start to meet its deadline.
 ///
-/// Jobs that can meet their deadline come first, the tightest ahead; then those that can finish within one and a half
-/// deadlines; last those that are late in any case, because they would only delay others.
+/// Jobs that can meet their deadline come first, the tightest ahead (0.6 to 1); then those that can finish within one and
+/// a half deadlines (0.3 to 0.5); last those that are late in any case (0.1 to 0.2), because they would only delay
+/// others.
 ///
 /// Estimates are often wrong by half, so a job that would meet its deadline with half of its estimate counts as able
 /// to.
@@ -90,14 +92,15 @@
 /// `short_job_factor` is between 0 and 1 and larger for jobs with little left to do: if not all waiting jobs can meet
 /// their deadlines, serving short jobs first satisfies more users.
 pub fn urgency(slack_s: f64, short_job_factor: f64, spec: &JobSpec) -> f64 {
-    const SCALE_S: f64 = 60.0;
-    let closeness = |left_s: f64| 1.0 / (1.0 + left_s.min(1e9) / SCALE_S);
+    /// Slack at which the part of the urgency that depends on slack has fallen by half.
+    const HALF_URGENCY_SLACK_S: f64 = 60.0;
+    let slack_factor = |left_s: f64| 1.0 / (1.0 + left_s.min(1e9) / HALF_URGENCY_SLACK_S);
     let optimistic_slack_s = slack_s + 0.5 * spec.estimate_s;
     let late_slack_s = optimistic_slack_s + 0.5 * spec.deadline_s.unwrap_or(0.0);
     if optimistic_slack_s >= 0.0 {
-        0.6 + 0.4 * short_job_factor * closeness(optimistic_slack_s)
+        0.6 + 0.4 * short_job_factor * slack_factor(optimistic_slack_s)
     } else if late_slack_s >= 0.0 {
-        0.3 + 0.2 * short_job_factor * closeness(late_slack_s)
+        0.3 + 0.2 * short_job_factor * slack_factor(late_slack_s)
     } else {
         0.1 + 0.1 * short_job_factor
     }
--- a/crates/tidelatch-core/src/queue/replica_swaps.rs
+++ b/crates/tidelatch-core/src/queue/replica_moves.rs
@@ -1,4 +1,4 @@
-//! Replica swaps: moves replicas that could run in another zone to make room for replicas that could not.
+//! Moves of replicas that could run in another zone, to make room for replicas that could not.
 
 use super::victims::{CandidateMachine, StopOrder, add, fits, subtract};
 use crate::controller::Controller;
@@ -24,7 +24,7 @@
 }
 
 /// State of a search: the room on each machine after the moves chosen so far.
-struct ReplicaSwapSearch<'a> {
+struct ReplicaMoveSearch<'a> {
     controller: &'a Controller,
     partition: Partition,
     /// Room on each machine, including what pending stops will free.
@@ -35,8 +35,7 @@
     destinations: BTreeMap<(&'a str, &'a str, bool), Vec<MachineRoom>>,
     moves: Vec<StopOrder>,
     /// Jobs and zones whose replicas have no destination. Room only shrinks during a search, so their next replica has
-    /// none either. With hundreds of machines, searching again for each replica took longer than the lease of a
-    /// controller.
+    /// none either. Without this, a search among hundreds of machines could take longer than a controller's lease.
     immovable_replicas: BTreeSet<(&'a JobId, &'a str)>,
     evaluations_left: usize,
 }
@@ -44,10 +43,10 @@
 impl Controller {
     /// Moves replicas that could run in another zone to make room for replicas that could not.
     ///
-    /// The spreading rule leaves only some zones for the last replicas of a service, and those may be full of services
-    /// that could use other zones. Only a few replicas are moved at a time, because each is unavailable while its
+    /// The limit on a service's replicas in one zone (`max_tasks_per_zone`) leaves only some zones for the last replicas
+    /// of a service, and those may be full of services that could use other zones. Only a few replicas are moved at a time, because each is unavailable while its
     /// image is fetched.
-    pub(super) fn swap_replicas(
+    pub(super) fn move_replicas_for_blocked(
         &mut self,
         partition: Partition,
         blocked_replicas: &[usize],
@@ -55,15 +54,15 @@
         machines: Vec<CandidateMachine>,
     ) {
         let now = self.now.ms;
-        let swapped_recently = self
-            .last_replica_swaps_ms
+        let has_moved_recently = self
+            .last_replica_moves_ms
             .get(&partition)
             .is_some_and(|t| now.saturating_sub(*t) < 2 * self.settings.report_ms());
-        if blocked_replicas.is_empty() || swapped_recently {
+        if blocked_replicas.is_empty() || has_moved_recently {
             return;
         }
         let max_evaluations = self.settings.search_evaluations();
-        let mut search = ReplicaSwapSearch::new(self, partition, machines);
+        let mut search = ReplicaMoveSearch::new(self, partition, machines);
         for terms in blocked_replicas.iter().filter_map(|j| jobs.get(*j)) {
             if search.moves.len() >= MAX_MOVES_AT_ONCE {
                 break;
@@ -77,7 +76,7 @@
         // If the search budget is used up, the rest is tried again later, so that heartbeats and polls are not
         // delayed.
         if evaluations_left == 0 || !moves.is_empty() {
-            self.last_replica_swaps_ms.insert(partition, now);
+            self.last_replica_moves_ms.insert(partition, now);
         }
         for (machine, task, attempt) in moves {
             self.move_replica(&machine, &task, attempt);
@@ -106,7 +105,7 @@
     }
 }
 
-impl<'a> ReplicaSwapSearch<'a> {
+impl<'a> ReplicaMoveSearch<'a> {
     fn new(controller: &'a Controller, partition: Partition, machines: Vec<CandidateMachine>) -> Self {
         let free: BTreeMap<MachineId, Amounts> = machines.into_iter().map(|m| (m.id, m.free)).collect();
         let mut destinations: BTreeMap<(&str, &str, bool), Vec<MachineRoom>> = BTreeMap::new();
--- a/crates/tidelatch-core/src/queue/victims.rs
+++ b/crates/tidelatch-core/src/queue/victims.rs
@@ -12,6 +12,7 @@
 pub(super) struct Victim {
     pub(super) task: TaskId,
     pub(super) attempt: Attempt,
+    /// Index of its team.
     pub(super) team: usize,
     pub(super) size: Amounts,
     /// Its size in the unit in which its team is accounted.
@@ -128,7 +129,8 @@
         })
     }
 
-    /// Seconds of work lost when a task is stopped; `None` if it cannot be stopped now.
+    /// Seconds of work lost when a task is stopped; `None` if it cannot be stopped now. A task with checkpoints saves its
+    /// work when it is stopped: it loses at most the time that saving takes.
     fn lost_work_s(&self, held: &HeldTask, job: &Job) -> Option<f64> {
         if job.spec.shape == Shape::Gang {
             return self.gang_stop_cost_s(&held.task.job, job);
