--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -57,6 +57,7 @@
 struct PendingHandOver {
     machine: IdleMachine,
     to: Partition,
+    /// When the leader requested it, in milliseconds.
     requested_at: u64,
 }
 
@@ -69,6 +70,7 @@
     pub(crate) stale_keys: Vec<String>,
     /// A write of the machine types to the state service is in flight.
     pub(crate) types_write_in_flight: bool,
+    /// When the machine types were last received from the cloud, in milliseconds; 0: never.
     types_received_at: u64,
     /// When the machine types were last requested, in milliseconds; 0: never.
     types_requested_at: u64,
@@ -76,11 +78,11 @@
     types_written_at: u64,
     /// This controller's share of the cloud's request rate.
     request_budget: TokenBucket,
-    /// Kinds that the cloud ran out of, and when. Only one request at a time is sent for these.
+    /// Kinds that the cloud ran out of, and when, in milliseconds. Only one request at a time is sent for these.
     exhausted_at: BTreeMap<MachineKind, u64>,
-    /// Kinds that the cloud has refused, and until when they are not requested again.
+    /// Kinds that the cloud has refused, and until when, in milliseconds, they are not requested again.
     refused_until: BTreeMap<MachineKind, u64>,
-    /// The last digest of each partition and when it was received. Used by the leader.
+    /// The last digest of each partition and when it was received, in milliseconds. Used by the leader.
     digests: BTreeMap<Partition, (Digest, u64)>,
     rentals_in_flight: u32,
     /// Rentals requested so far; numbers the request ids.
@@ -98,7 +100,7 @@
     unregistered: BTreeMap<MachineId, UnregisteredMachine>,
     /// Recent boot times by machine type.
     pub(crate) boot_times: BootTimes,
-    /// Deleted machines, and when their deletion was noted.
+    /// Deleted machines, and when their deletion was noted, in milliseconds.
     deleted_at: BTreeMap<MachineId, u64>,
     deletion_in_flight: bool,
     /// When the next round of capacity management is due, in milliseconds.
@@ -177,7 +179,8 @@
 
 impl Controller {
     /// Takes one cloud request from this controller's budget if at least `reserve` (a fraction of the burst) is left
-    /// after it. The leader makes most of the cloud requests and gets the largest part of the budget.
+    /// after it. The leader makes most of the cloud requests and gets the largest part of the budget: 0.6 of the
+    /// cloud's request rate, while all others together get 0.35. A controller that is alone gets 0.9.
     fn take_cloud_budget(&mut self, reserve: f64) -> bool {
         let rps = self.settings.platform.facts.cloud.rps;
         let others = f64::from(self.settings.partitions().saturating_sub(1));
@@ -196,11 +199,12 @@
 
     /// Sends a request to the cloud.
     fn send_cloud_request(&mut self, method: Method, path: impl Into<String>, body: String, purpose: CallPurpose) {
-        let timeout = 2 * self.settings.report_ms();
-        self.send_call(Target::Cloud, method, path, body, timeout, purpose);
+        let timeout_ms = 2 * self.settings.report_ms();
+        self.send_call(Target::Cloud, method, path, body, timeout_ms, purpose);
     }
 
-    /// Runs a round of capacity management, if one is due and this controller may act.
+    /// Runs a round of capacity management, if one is due and this controller may act. There are five rounds in a
+    /// report interval.
     pub(crate) fn tick_capacity(&mut self) {
         let now = self.now.ms;
         self.request_machine_types();
--- a/crates/tidelatch-core/src/capacity/boot_times.rs
+++ b/crates/tidelatch-core/src/capacity/boot_times.rs
@@ -2,8 +2,9 @@
 //!
 //! A machine that has not come up when most machines of its type would have is *late*: it may never come up.
 //! Its capacity then no longer counts as expected capacity, so that a replacement is rented. While all
-//! machines boot slowly, a replacement would be as slow, so only a fraction of the late machines is replaced
-//! at a time, and the observed boot times raise the limit.
+//! machines boot slowly, a replacement would be as slow, so only as many late machines are replaced at a time as
+//! make up a fraction of the booting ones, and the observed boot times raise the limit after which a machine is
+//! late.
 
 use crate::ids::MachineId;
 use crate::protocol::MachineType;
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -70,6 +70,8 @@
             .collect();
         busy.sort_by(|a, b| a.0.total_cmp(&b.0));
         let age_s = now.saturating_sub(m.known_since) as f64 / 1000.0;
+        // A machine that has taken longer to boot than its type usually does is expected to need a tenth of that time
+        // more.
         let ready_s = if is_booting {
             (t.boot_s - age_s).max(0.1 * t.boot_s)
         } else {
@@ -115,7 +117,7 @@
         let mut supply = self.supply(partition);
         let own = |w: &&UnplacedTasks| w.partition == partition;
         let mut unplaced: Vec<UnplacedTasks> = self.capacity.demands.iter().filter(own).cloned().collect();
-        let wants = summarize_waiting_tasks(&unplaced, &self.settings.platform.facts.zones);
+        let waiting_tasks = summarize_waiting_tasks(&unplaced, &self.settings.platform.facts.zones);
         let waiting_demand: f64 = unplaced.iter().map(|w| f64::from(w.count) * task_demand(&w.size)).sum();
         let refused = |kind: &MachineKind| self.capacity.is_refused(kind, now);
         assign_to_existing_machines(
@@ -125,17 +127,17 @@
             &refused,
             self.guaranteed_start_limit_s(),
         );
-        let mut needs = plan_machine_requests(
+        let mut machine_requests = plan_machine_requests(
             &unplaced,
             Vec::new(),
             &self.machine_types,
             &refused,
             &supply.machines_per_zone,
         );
-        needs.extend(self.replacements_wanted(partition));
+        machine_requests.extend(self.replacements_wanted(partition));
         supply.preemptible.sort_by(|a, b| a.0.total_cmp(&b.0));
         let has_no_local_use = |room: &SpareRoom| {
-            !wants
+            !waiting_tasks
                 .iter()
                 .any(|tasks| tasks.accepts_machine(&room.machine) && tasks.count_fitting(&room.free) > 0)
         };
@@ -144,8 +146,8 @@
             partition,
             revision: self.membership.revision,
             demand: supply.running_demand + waiting_demand,
-            machine_requests: needs,
-            waiting_tasks: wants,
+            machine_requests,
+            waiting_tasks,
             idle: supply.idle,
             vacatable_machines: supply
                 .preemptible
@@ -204,7 +206,8 @@
     running_demand: f64,
 }
 
-/// A task's contribution to a partition's demand: its accelerators, or its processors divided by 100 if that is more.
+/// A task's contribution to a partition's demand: its accelerators, or its CPUs divided by 100 if that is more. 100
+/// CPUs count as much as one accelerator.
 fn task_demand(size: &Amounts) -> f64 {
     size[1].max(size[0] / 100.0)
 }
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -119,13 +119,15 @@
         let timeout_ms = 4 * self.settings.report_ms();
         let revision = self.membership.revision;
         let mut pending = std::mem::take(&mut self.capacity.pending_hand_overs);
-        pending.retain(|l| {
-            let current = self.machines.get(&l.machine.machine).map(|m| m.partition);
-            if current == Some(l.to) {
-                let min_revision = self.capacity.min_digest_revision.entry(l.to).or_default();
+        pending.retain(|hand_over| {
+            let current = self.machines.get(&hand_over.machine.machine).map(|m| m.partition);
+            if current == Some(hand_over.to) {
+                let min_revision = self.capacity.min_digest_revision.entry(hand_over.to).or_default();
                 *min_revision = (*min_revision).max(revision);
             }
-            current.is_some() && current != Some(l.to) && now.saturating_sub(l.requested_at) < timeout_ms
+            current.is_some()
+                && current != Some(hand_over.to)
+                && now.saturating_sub(hand_over.requested_at) < timeout_ms
         });
         self.capacity.pending_hand_overs = pending;
     }
@@ -157,7 +159,7 @@
         self.capacity
             .pending_hand_overs
             .iter()
-            .map(|l| (l.to, l.machine.clone()))
+            .map(|hand_over| (hand_over.to, hand_over.machine.clone()))
             .collect()
     }
 
@@ -167,7 +169,7 @@
             self.capacity
                 .pending_hand_overs
                 .iter()
-                .any(|l| l.machine.machine == i.machine)
+                .any(|hand_over| hand_over.machine.machine == i.machine)
         };
         let mut idle = Vec::new();
         let mut preemptible = Vec::new();
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -1,5 +1,6 @@
-//! Heartbeats between controllers. They carry requests for grants, digests, cancellations, liveness information and
-//! permits; the replies carry grants, machines to hand over, and the kinds of machine that the cloud refuses.
+//! Heartbeats between controllers. They carry requests for grants (a grant is a peer's permission to act while the
+//! state service does not extend leases), digests, cancellations, liveness information and permits; the replies carry
+//! grants, machines to hand over, and the kinds of machine that the cloud refuses.
 
 use crate::calls::CallPurpose;
 use crate::controller::Controller;
@@ -28,25 +29,25 @@
             .collect();
         for name in names {
             let to = ControllerId::new(name);
-            let urgent = (at_once && self.lacks_cancellations(&to)) || self.is_contact_due(&to);
-            let (told, sent_cancellations, _) = self.cancellations_for_peer(&to);
+            let is_urgent = (at_once && self.lacks_cancellations(&to)) || self.is_contact_due(&to);
+            let (cancellations, sent_cancellations, _) = self.cancellations_for_peer(&to);
             let peer = self.membership.peers.entry(to.clone()).or_default();
-            let due = peer.last_heartbeat_sent_ms == 0 || now >= peer.last_heartbeat_sent_ms + interval_ms;
-            if peer.awaits_answer || !(due || urgent) {
+            let is_due = peer.last_heartbeat_sent_ms == 0 || now >= peer.last_heartbeat_sent_ms + interval_ms;
+            if peer.awaits_answer || !(is_due || is_urgent) {
                 continue;
             }
             peer.awaits_answer = true;
-            if due {
+            if is_due {
                 peer.last_heartbeat_sent_ms = now.max(1);
             }
             peer.awaits_grant = wants_grant;
             // Computing digests looks at every machine, so a heartbeat sent out of turn carries none.
-            let digests = if due && leader.as_ref() == Some(&to) && self.is_entitled() {
+            let digests = if is_due && leader.as_ref() == Some(&to) && self.is_entitled() {
                 self.own_digests()
             } else {
                 Vec::new()
             };
-            let liveness = self.build_detector_heartbeat(&to);
+            let detector_heartbeat = self.build_detector_heartbeat(&to);
             let permits = self.permit_listing(&to);
             let request = PeerRequest::Heartbeat {
                 name: self.own_name.as_str().to_owned(),
@@ -54,17 +55,17 @@
                 wants_grant,
                 relies_on_grant: self.relies_on_grant_of(&to),
                 digests,
-                cancellations: told,
-                detector_heartbeat: liveness,
+                cancellations,
+                detector_heartbeat,
                 permits,
             };
-            let timeout = self.settings.report_ms() / 2;
+            let timeout_ms = self.settings.report_ms() / 2;
             let purpose = CallPurpose::Heartbeat {
                 to: to.clone(),
                 sent: now,
                 sent_cancellations,
             };
-            self.send_peer_request(to, request, timeout, purpose);
+            self.send_peer_request(to, request, timeout_ms, purpose);
         }
     }
 
@@ -79,10 +80,10 @@
         permits: Option<Box<PermitGrants>>,
     ) {
         let now = self.now.ms;
-        let (entitled, wants_grant, relies) = peer_flags;
-        let (told, _, is_complete) = self.cancellations_for_peer(&from);
+        let (entitled, wants_grant, relies_on_grant) = peer_flags;
+        let (cancellations, _, is_complete) = self.cancellations_for_peer(&from);
         let granted = wants_grant && is_complete && self.try_give_grant();
-        self.record_reliance(&from, relies || granted);
+        self.record_reliance(&from, relies_on_grant || granted);
         let is_leader = self.is_leader();
         if let Some(peer) = self.membership.peers.get_mut(&from) {
             peer.is_entitled = entitled;
@@ -98,6 +99,7 @@
                 }
             }
             moves = self.capacity.moves_to_send.remove(&from).unwrap_or_default();
+            // Refused kinds have the form of machine requests; only their kind is read.
             refused = self
                 .capacity
                 .refused_until
@@ -114,18 +116,18 @@
                 .collect();
         }
         let entitled = self.is_entitled();
-        let relies = self.relies_on_grant_of(&from);
-        let liveness = self.build_detector_heartbeat(&from);
+        let relies_on_grant = self.relies_on_grant_of(&from);
+        let detector_heartbeat = self.build_detector_heartbeat(&from);
         self.outputs.push(crate::messages::Output::PeerReply {
             id,
             reply: PeerReply::Heartbeat {
                 entitled,
                 granted,
-                relies_on_grant: relies,
+                relies_on_grant,
                 moves,
                 refused,
-                cancellations: told,
-                detector_heartbeat: liveness,
+                cancellations,
+                detector_heartbeat,
                 permits,
             },
         });
@@ -145,7 +147,7 @@
         let until = self.now.ms + self.settings.report_ms();
         self.capacity.refused_until = refused
             .into_iter()
-            .map(|n| ((n.model, n.zone, n.spot), until))
+            .map(|kind| ((kind.model, kind.zone, kind.spot), until))
             .collect();
         self.execute_moves(moves);
     }
--- a/crates/tidelatch-core/src/capacity/planning.rs
+++ b/crates/tidelatch-core/src/capacity/planning.rs
@@ -16,7 +16,7 @@
 pub struct UnplacedTasks {
     /// The job's partition.
     pub partition: Partition,
-    /// Processors, accelerators and memory (GB) that each task takes.
+    /// CPUs, accelerators and memory (GB) that each task takes.
     pub size: Amounts,
     /// Allowed machine types; none: any.
     pub models: Option<Vec<String>>,
@@ -34,7 +34,7 @@
     pub service: bool,
     /// The job is production work.
     pub urgent: bool,
-    /// Seconds until the tasks have to start to meet their deadline.
+    /// Seconds until the tasks have to start to meet their deadline; `f64::MAX` without one.
     pub slack_s: f64,
     /// The job is within its team's guarantee, together with the team's earlier jobs.
     pub guaranteed: bool,
@@ -116,7 +116,7 @@
     pub zone: String,
     /// It is a spot machine.
     pub spot: bool,
-    /// Processors, accelerators and memory (GB) that are not assigned yet.
+    /// CPUs, accelerators and memory (GB) that are not assigned yet.
     pub free: Amounts,
 }
 
@@ -129,7 +129,7 @@
     pub zone: String,
     /// It is a spot machine.
     pub spot: bool,
-    /// Processors, accelerators and memory (GB) that are free now, or once it has booted.
+    /// CPUs, accelerators and memory (GB) that are free now, or once it has booted.
     pub free: Amounts,
     /// Seconds until it is expected to have booted; 0: it is running.
     pub ready_s: f64,
@@ -170,12 +170,13 @@
 /// Assigns unplaced tasks to machines that are running or booting and can start them in time, and subtracts them from
 /// `unplaced`. The tasks that are left need more machines.
 ///
-/// A task may wait for capacity as long as it will still be in time, and in any case as long as a machine
-/// rented now would take to boot. Services and guaranteed work wait no longer than `patience_s`.
+/// A task may wait for others to end as long as a machine rented now would take to boot. A task that could not start in
+/// time on such a machine may wait as long as it can still finish within one and a half deadlines, and at least half a
+/// boot time. Services do not wait, and guaranteed work waits no longer than `patience_s`.
 ///
-/// If the cloud refuses every kind of machine that a task could use, the task waits for capacity for half of its
-/// slack. For the tasks that are left after that, machines are requested that other partitions might hand over or
-/// vacate.
+/// If the cloud refuses every kind of machine that a task could use, the task waits for capacity for half of its slack,
+/// and at least half a boot time; `patience_s` does not apply then. For the tasks that are left after that, machines
+/// are requested that other partitions might hand over or vacate.
 pub fn assign_to_existing_machines(
     unplaced: &mut [UnplacedTasks],
     timelines: &mut [MachineTimeline],
@@ -189,8 +190,10 @@
     }
     unplaced.sort_by(|a, b| b.urgent.cmp(&a.urgent).then(a.slack_s.total_cmp(&b.slack_s)));
     for tasks in unplaced {
-        // No machine is rented for tasks that a machine rented now could not finish in time either.
+        // The tasks could not start in time on a machine rented now.
         let is_too_late_to_rent = tasks.slack_s < boot_s;
+        // The latest start at which they finish within one and a half deadlines if they take half as long again as
+        // estimated.
         let late_start_s = tasks.slack_s + 0.5 * tasks.deadline_s - 0.5 * tasks.run_s;
         let is_cloud_exhausted = all_kinds_refused(tasks, types, refused);
         let limit_s = if is_too_late_to_rent {
@@ -208,24 +211,26 @@
         let limit_s = if tasks.service { 0.0 } else { limit_s };
         // Capacity that is free now, or will be once its machine has booted, is always used: a machine rented
         // now would be no faster. Only the timeline that was used changes, so all timelines are examined once
-        // per job and not once per task: with hundreds of both, the latter took most of the processor time.
+        // per job: with hundreds of both, examining them once per task would take most of the processor time.
         let mut candidates: BinaryHeap<Reverse<StartOption>> = timelines
             .iter()
             .enumerate()
-            .filter(|(_, l)| tasks.allows(&l.model, &l.zone, l.spot))
-            .filter_map(|(at, l)| StartOption::of(l, at, &tasks.size, limit_s))
+            .filter(|(_, t)| tasks.allows(&t.model, &t.zone, t.spot))
+            .filter_map(|(index, t)| StartOption::of(t, index, &tasks.size, limit_s))
             .map(Reverse)
             .collect();
         while tasks.count > 0 {
             let Some(Reverse(StartOption {
                 start_s,
                 ended,
-                timeline: at,
+                timeline_index,
             })) = candidates.pop()
             else {
                 break;
             };
-            let Some(timeline) = timelines.get_mut(at) else { break };
+            let Some(timeline) = timelines.get_mut(timeline_index) else {
+                break;
+            };
             // The set of allowed machines only shrinks, as zones reach their limits.
             if !tasks.allows(&timeline.model, &timeline.zone, timeline.spot) {
                 continue;
@@ -236,7 +241,7 @@
                 .map_or(0.0, |t| tasks.image_gb / t.fetch_gb_per_s.max(1e-3));
             let run_s = if tasks.service { f64::MAX } else { tasks.run_s + fetch_s };
             timeline.reserve(&tasks.size, start_s, ended, run_s);
-            candidates.extend(StartOption::of(timeline, at, &tasks.size, limit_s).map(Reverse));
+            candidates.extend(StartOption::of(timeline, timeline_index, &tasks.size, limit_s).map(Reverse));
             *tasks.in_zone.entry(timeline.zone.clone()).or_default() += 1;
             tasks.count -= 1;
         }
@@ -263,7 +268,7 @@
     /// Seconds from now.
     start_s: f64,
     /// Index of the machine's timeline.
-    timeline: usize,
+    timeline_index: usize,
     /// Number of tasks on the machine that must have ended by then.
     ended: usize,
 }
@@ -271,11 +276,11 @@
 impl StartOption {
     /// The earliest start of a task on a machine. None if the task would have to wait there for others to end for
     /// longer than `limit_s`.
-    fn of(timeline: &MachineTimeline, at: usize, size: &Amounts, limit_s: f64) -> Option<Self> {
+    fn of(timeline: &MachineTimeline, timeline_index: usize, size: &Amounts, limit_s: f64) -> Option<Self> {
         let (start_s, ended) = timeline.earliest_start(size)?;
         (ended == 0 || start_s <= limit_s).then_some(Self {
             start_s,
-            timeline: at,
+            timeline_index,
             ended,
         })
     }
@@ -287,7 +292,7 @@
     fn cmp(&self, other: &Self) -> Ordering {
         self.start_s
             .total_cmp(&other.start_s)
-            .then(self.timeline.cmp(&other.timeline))
+            .then(self.timeline_index.cmp(&other.timeline_index))
     }
 }
 
@@ -308,7 +313,7 @@
 }
 
 /// Machines to request of one kind.
-struct Demand {
+struct RequestedMachines {
     count: u32,
     /// They are for production work.
     urgent: bool,
@@ -323,7 +328,7 @@
     /// Load of its zone: the partition's machines and, with a higher weight, the job's tasks there.
     zone_load: u32,
     kind: MachineKind,
-    /// Processors, accelerators and memory (GB) of an empty machine.
+    /// CPUs, accelerators and memory (GB) of an empty machine.
     total: Amounts,
 }
 
@@ -389,6 +394,7 @@
     let kinds = t.zones.iter().flat_map(|zone| [(zone, true), (zone, false)]);
     let allowed = kinds.filter(|(zone, spot)| tasks.allows(&t.name, zone, *spot));
     let candidate = |(zone, spot): (&String, bool)| Candidate {
+        // The price of the machine, divided among the tasks that fit on it.
         cost: if spot { t.spot_price } else { t.price } / f64::from(fit) * fetch_factor,
         zone_load: count(machines_per_zone, zone) + ZONE_LOAD_PER_TASK * count(&tasks.in_zone, zone),
         kind: (t.name.clone(), zone.clone(), spot),
@@ -419,7 +425,8 @@
 /// Plans the machines to request for tasks that don't fit on expected machines: for each task the kind with the lowest
 /// cost per task on a full machine.
 ///
-/// `machines_per_zone` is the number of the partition's machines in each zone.
+/// `pending` are the expected machines with free capacity. `machines_per_zone` is the number of the partition's
+/// machines in each zone.
 pub fn plan_machine_requests(
     unplaced: &[UnplacedTasks],
     mut pending: Vec<PendingMachine>,
@@ -427,7 +434,7 @@
     refused: &dyn Fn(&MachineKind) -> bool,
     machines_per_zone: &BTreeMap<String, u32>,
 ) -> Vec<MachineRequest> {
-    let mut demands: BTreeMap<MachineKind, Demand> = BTreeMap::new();
+    let mut requested_by_kind: BTreeMap<MachineKind, RequestedMachines> = BTreeMap::new();
     let mut machines_per_zone = machines_per_zone.clone();
     let mut order: Vec<&UnplacedTasks> = unplaced.iter().collect();
     order.sort_by(|a, b| b.urgent.cmp(&a.urgent).then(a.slack_s.total_cmp(&b.slack_s)));
@@ -435,23 +442,25 @@
         let mut tasks = tasks.clone();
         // A machine on which one task of a job doesn't fit is skipped for the next ones: its free capacity and the
         // allowed zones only shrink.
-        let mut first_candidate = 0;
+        let mut first_pending = 0;
         loop {
-            assign_to_pending(&mut tasks, &mut pending, &mut first_candidate);
+            assign_to_pending(&mut tasks, &mut pending, &mut first_pending);
             if tasks.count == 0 {
                 break;
             }
             let Some(candidate) = cheapest_candidate(&tasks, types, refused, &machines_per_zone) else {
                 break;
             };
-            let demand = demands.entry(candidate.kind.clone()).or_insert(Demand {
-                count: 0,
-                urgent: false,
-                any_zone: true,
-            });
-            demand.count += 1;
-            demand.urgent |= tasks.urgent;
-            demand.any_zone &= tasks.zone.is_none() && !tasks.one_zone && tasks.in_zone.values().all(|n| *n == 0);
+            let requested = requested_by_kind
+                .entry(candidate.kind.clone())
+                .or_insert(RequestedMachines {
+                    count: 0,
+                    urgent: false,
+                    any_zone: true,
+                });
+            requested.count += 1;
+            requested.urgent |= tasks.urgent;
+            requested.any_zone &= tasks.zone.is_none() && !tasks.one_zone && tasks.in_zone.values().all(|n| *n == 0);
             *machines_per_zone.entry(candidate.kind.1.clone()).or_default() += 1;
             pending.push(PendingMachine {
                 model: candidate.kind.0,
@@ -461,15 +470,15 @@
             });
         }
     }
-    let request = |((model, zone, spot), demand): (MachineKind, Demand)| MachineRequest {
+    let request = |((model, zone, spot), requested): (MachineKind, RequestedMachines)| MachineRequest {
         model,
         zone,
         spot,
-        count: demand.count,
-        urgent: demand.urgent,
-        any_zone: demand.any_zone,
+        count: requested.count,
+        urgent: requested.urgent,
+        any_zone: requested.any_zone,
     };
-    demands.into_iter().map(request).collect()
+    requested_by_kind.into_iter().map(request).collect()
 }
 
 /// Maximum number of entries for waiting tasks in a digest.
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -12,6 +12,8 @@
 impl Controller {
     /// Sends rental requests for the wanted machines, kinds with the most production work first. A rental without a
     /// definite answer is retried before anything else is rented.
+    ///
+    /// `wanted` holds, for each machine of a kind, the partition that it is for and whether it is for production work.
     pub(super) fn send_rentals(&mut self, wanted: BTreeMap<MachineKind, Vec<(Partition, bool)>>) {
         if let Some((rental, partitions)) = self.capacity.rentals_to_retry.pop() {
             if self.take_cloud_budget(0.0) {
@@ -35,6 +37,7 @@
                 continue;
             }
             for (n, chunk) in machines.chunks(MAX_MACHINES_PER_RENTAL).enumerate() {
+                // A kind counts as exhausted for 8 worker leases after the cloud ran out of it.
                 let exhausted_at = self.capacity.exhausted_at.get(&kind);
                 let is_exhausted =
                     exhausted_at.is_some_and(|t| now.saturating_sub(*t) < 8 * self.settings.worker_lease_ms());
@@ -130,7 +133,7 @@
     }
 
     /// Adds machines to the roster that send reports but are not in it. They come from rentals that the cloud carried
-    /// out late.
+    /// out late, and go to the partition with the most demand.
     pub(super) fn adopt_unregistered_machines(&mut self) {
         let now = self.now.ms;
         let min_age_ms = 2 * self.settings.report_ms();
@@ -202,7 +205,7 @@
                 .find(|t| t.name == m.model)
                 .map_or(60.0, |t| t.boot_s);
             // If a spot machine is returned, an on-demand machine may have to replace it. The more that one costs by
-            // comparison, the longer the spot machine is kept.
+            // comparison, the longer the spot machine is kept, up to five times as long.
             let t = self.machine_types.iter().find(|t| t.name == m.model);
             let price_ratio = match t {
                 Some(t) if m.spot => (t.price / t.spot_price.max(1e-9)).clamp(1.0, 5.0),
@@ -286,7 +289,9 @@
         }
     }
 
-    /// Requests the next page of the cloud's machine list, to find machines that are paid for but not in the roster.
+    /// Requests the next page of the cloud's machine list, to find machines that are paid for but not in the roster. A
+    /// new listing begins a report interval plus twice the time by which the list may lag behind after the last
+    /// request.
     pub(super) fn request_machine_list(&mut self) {
         let now = self.now.ms;
         let interval_ms = (self.settings.platform.facts.cloud.list_lag_s * 2000.0) as u64 + self.settings.report_ms();
@@ -315,6 +320,8 @@
         self.capacity.next_list_cursor = last_id
             .filter(|l| list.more && *l > self.capacity.requested_list_cursor)
             .unwrap_or_default();
+        // While a rental, a registration or a deletion is pending, the list may hold machines whose entry in the roster
+        // is still to come or that are about to go.
         if !self.is_leader()
             || self.capacity.rentals_in_flight > 0
             || !self.capacity.pending_registration.is_empty()
--- a/crates/tidelatch-core/src/capacity/spare_room.rs
+++ b/crates/tidelatch-core/src/capacity/spare_room.rs
@@ -1,5 +1,5 @@
-//! Machines in use with free capacity for tasks that wait in another partition, to which they are handed over with
-//! their tasks.
+//! Hand-over of machines in use: a machine with free capacity goes, with the tasks on it, to a partition whose waiting
+//! tasks fit on it.
 
 use super::hand_over::{HandOver, HandOverMode};
 use super::{MachineKind, PendingHandOver};
@@ -14,7 +14,7 @@
 /// Maximum number of machines of one kind that a digest offers for their spare room.
 const SPARE_ROOM_PER_KIND: usize = 2;
 
-/// The offers with the most free accelerators, then processors, of each kind of machine.
+/// The offers with the most free accelerators, then CPUs, of each kind of machine.
 pub(super) fn largest_of_each_kind(mut offers: Vec<SpareRoom>) -> Vec<SpareRoom> {
     let free = |offer: &SpareRoom| (offer.free[1], offer.free[0]);
     offers.sort_by(|a, b| free(b).partial_cmp(&free(a)).unwrap_or(Ordering::Equal));
@@ -60,7 +60,7 @@
             self.capacity
                 .pending_hand_overs
                 .iter()
-                .any(|l| l.machine.machine == room.machine.machine)
+                .any(|hand_over| hand_over.machine.machine == room.machine.machine)
         };
         let offers = digests
             .iter()
@@ -77,7 +77,7 @@
         tasks: &WaitingTasks,
         offers: &mut Vec<(Partition, SpareRoom)>,
     ) -> Option<HandOver> {
-        let is_arriving = |l: &PendingHandOver| l.to == to && tasks.accepts_machine(&l.machine);
+        let is_arriving = |hand_over: &PendingHandOver| hand_over.to == to && tasks.accepts_machine(&hand_over.machine);
         if self.capacity.pending_hand_overs.iter().any(is_arriving) || !self.all_kinds_refused(tasks) {
             return None;
         }
--- a/crates/tidelatch-core/src/placement.rs
+++ b/crates/tidelatch-core/src/placement.rs
@@ -216,8 +216,8 @@
         } else {
             job.image_gb * slot.fetch_s_per_gb
         };
-        // The cost of a fetch is proportional to the delay: one as long as a boot weighs as much as packing and spreading
-        // together.
+        // The cost of a fetch is proportional to the delay: one as long as a boot weighs as much as packing and
+        // spreading together.
         let image_score = -fetch_s / slot.boot_s.max(1.0);
         // Prefer full machines, so that others become empty and can be returned.
         let mut used = 0.0;
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -117,8 +117,8 @@
         smallest
     }
 
-    /// Usage and share of each team, in the unit in which the team is accounted. A share is at least half an accelerator
-    /// or one CPU, so that teams without a guarantee are served too.
+    /// Usage and share of each team, in the unit in which the team is accounted. A share is at least half an
+    /// accelerator or one CPU, so that teams without a guarantee are served too.
     fn team_claims(&self, used: &[Amounts]) -> Vec<TeamUsage> {
         let teams = self.settings.platform.facts.teams.iter().enumerate();
         let claim = |(i, team): (usize, &Team)| TeamUsage {
@@ -264,8 +264,8 @@
         (demands, jobs_without_machine)
     }
 
-    /// Chooses machines to reserve for a gang that has waited too long: otherwise small jobs take the room that becomes free
-    /// task by task, and the gang never finds room for all of its tasks at once.
+    /// Chooses machines to reserve for a gang that has waited too long: otherwise small jobs take the room that becomes
+    /// free task by task, and the gang never finds room for all of its tasks at once.
     ///
     /// Only one gang of a partition has a reservation at a time, the one that has waited longest. Periods with a
     /// reservation alternate with periods of the same length without one, so that a gang that never fits does not
--- a/crates/tidelatch-core/src/queue/batch_selection.rs
+++ b/crates/tidelatch-core/src/queue/batch_selection.rs
@@ -71,7 +71,8 @@
                 break;
             };
             for index in w.tasks.iter().skip(first_task).take(count).copied() {
-                // A task is charged in accelerators if it takes any, else in CPUs, whatever the unit of the team's share.
+                // A task is charged in accelerators if it takes any, else in CPUs, whatever the unit of the team's
+                // share.
                 claim.used += if job.size[1] > 0.0 { job.size[1] } else { job.size[0] };
                 batch.push(SelectedTask {
                     job: job_index,
--- a/crates/tidelatch-core/src/queue/cached_image_preemption.rs
+++ b/crates/tidelatch-core/src/queue/cached_image_preemption.rs
@@ -1,8 +1,8 @@
 //! Preemption for production replicas on machines that already have their image.
 //!
-//! The jobs of a class may have to start sooner than a machine can fetch their image. Free room on a machine without the image does
-//! not help such a replica, and the machines that have the image are mostly full of work of lower priority that could
-//! run elsewhere.
+//! The jobs of a class may have to start sooner than a machine can fetch their image. Free room on a machine without
+//! the image does not help such a replica, and the machines that have the image are mostly full of work of lower
+//! priority that could run elsewhere.
 
 use super::WaitingJob;
 use super::preemption::PreemptionSearch;
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -353,8 +353,8 @@
     /// Cost in seconds of stopping a task for a request; `None` if it may not be stopped for it.
     fn stop_cost_s(&self, request: &PreemptionRequest, victim: &Victim) -> Option<f64> {
         let is_lower_priority = victim.priority < request.priority;
-        // Work of higher priority is never stopped to reclaim a guarantee: the stopped work would preempt in its turn to
-        // take the room back, and the two would stop each other again and again.
+        // Work of higher priority is never stopped to reclaim a guarantee: the stopped work would preempt in its turn
+        // to take the room back, and the two would stop each other again and again.
         let exceeds_guarantee = request.is_within_guarantee
             && victim.priority <= request.priority
             && victim.team != request.terms.team
--- a/crates/tidelatch-core/src/queue/ranking.rs
+++ b/crates/tidelatch-core/src/queue/ranking.rs
@@ -82,8 +82,8 @@
 
 /// Urgency of a job, between 0 and 1; `slack_s` are the seconds until it must start to meet its deadline.
 ///
-/// Jobs that can meet their deadline come first, the tightest ahead (0.6 to 1); then those that can finish within one and
-/// a half deadlines (0.3 to 0.5); last those that are late in any case (0.1 to 0.2), because they would only delay
+/// Jobs that can meet their deadline come first, the tightest ahead (0.6 to 1); then those that can finish within one
+/// and a half deadlines (0.3 to 0.5); last those that are late in any case (0.1 to 0.2), because they would only delay
 /// others.
 ///
 /// Estimates are often wrong by half, so a job that would meet its deadline with half of its estimate counts as able
--- a/crates/tidelatch-core/src/queue/replica_moves.rs
+++ b/crates/tidelatch-core/src/queue/replica_moves.rs
@@ -43,9 +43,9 @@
 impl Controller {
     /// Moves replicas that could run in another zone to make room for replicas that could not.
     ///
-    /// The limit on a service's replicas in one zone (`max_tasks_per_zone`) leaves only some zones for the last replicas
-    /// of a service, and those may be full of services that could use other zones. Only a few replicas are moved at a time, because each is unavailable while its
-    /// image is fetched.
+    /// The limit on a service's replicas in one zone (`max_tasks_per_zone`) leaves only some zones for the last
+    /// replicas of a service, and those may be full of services that could use other zones. Only a few replicas are
+    /// moved at a time, because each is unavailable while its image is fetched.
     pub(super) fn move_replicas_for_blocked(
         &mut self,
         partition: Partition,
--- a/crates/tidelatch-core/src/queue/victims.rs
+++ b/crates/tidelatch-core/src/queue/victims.rs
@@ -129,8 +129,8 @@
         })
     }
 
-    /// Seconds of work lost when a task is stopped; `None` if it cannot be stopped now. A task with checkpoints saves its
-    /// work when it is stopped: it loses at most the time that saving takes.
+    /// Seconds of work lost when a task is stopped; `None` if it cannot be stopped now. A task with checkpoints saves
+    /// its work when it is stopped: it loses at most the time that saving takes.
     fn lost_work_s(&self, held: &HeldTask, job: &Job) -> Option<f64> {
         if job.spec.shape == Shape::Gang {
             return self.gang_stop_cost_s(&held.task.job, job);
