--- a/crates/tidelatch-core/src/admission.rs
+++ b/crates/tidelatch-core/src/admission.rs
@@ -23,10 +23,10 @@
 /// Unfinished jobs that one core scans per second if all of them wait.
 const JOBS_SCANNED_PER_CORE_SECOND: f64 = 150_000.0;
 
-/// Share of the write burst that must be left for a team beyond its share of the write rate to have a job accepted.
-/// It is for the writes that keep the cluster running: ends of jobs, bits of finished tasks, and new machines.
+/// Share of the write burst that must be left over when a job is accepted whose team has used up its share of the write
+/// rate. It is for the writes that keep the cluster running: ends of jobs, bits of finished tasks, and new machines.
 const MIN_BURST_LEFT_BEYOND_SHARE: f64 = 0.5;
-/// The same limit for a team within its share. It is negative, so such acceptances come before all other writes.
+/// The same for a team within its share. It is negative, so such acceptances come before all other writes.
 const MIN_BURST_LEFT_WITHIN_SHARE: f64 = -0.5;
 
 /// Shortest and longest retry delay that users honour, in seconds.
@@ -134,7 +134,7 @@
     pub(crate) fn new(settings: &Settings) -> Self {
         let facts = &settings.platform.facts;
         let limits = &facts.machine_limits;
-        let period_s = settings.batch_retry_ms() as f64 / 1000.0;
+        let batch_interval_s = settings.batch_retry_ms() as f64 / 1000.0;
         let reserved_share = RESERVED_SHARE / facts.teams.len().max(1) as f64;
         let write_rate = facts.state.write_rps / f64::from(settings.partitions());
         let team = TeamLoad {
@@ -150,7 +150,7 @@
         Self {
             teams: facts.teams.iter().map(|t| (t.name.clone(), team.clone())).collect(),
             reserved_share,
-            max_jobs: (limits.cores * QUEUE_PROCESSOR_SHARE * JOBS_SCANNED_PER_CORE_SECOND * period_s).max(1.0),
+            max_jobs: (limits.cores * QUEUE_PROCESSOR_SHARE * JOBS_SCANNED_PER_CORE_SECOND * batch_interval_s).max(1.0),
             max_bytes: limits.ram_mb * 1e6 * QUEUE_MEMORY_SHARE,
             max_jobs_per_team: settings.operator.queue_jobs_per_team,
         }
@@ -232,6 +232,7 @@
         controllers: usize,
     ) -> Result<(), Deferral> {
         let has_room = self.has_room(spec);
+        // Submissions of unknown teams have been rejected before.
         let Some(team) = self.teams.get_mut(&spec.team) else {
             return Ok(());
         };
@@ -252,7 +253,7 @@
         Ok(())
     }
 
-    /// Returns a log line when submissions of a team begin to be deferred, and then once per averaging window.
+    /// Returns a log line when submissions of a team begin to be deferred, and then once per [`JOB_END_RATE_WINDOW_S`].
     pub(crate) fn deferral_log_line(&mut self, now_ms: u64, spec: &JobSpec, deferral: Deferral) -> Option<String> {
         let team = self.teams.get_mut(&spec.team)?;
         let window_ms = (JOB_END_RATE_WINDOW_S * 1000.0) as u64;
--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -1,7 +1,8 @@
 //! Exchange of cancellations between controllers, in addition to the state service.
 //!
-//! During an outage of the state service no watch reports the end of a job. Yet every controller that acts under
-//! grants of its peers answers workers' reports, also for partitions whose owner is gone. Therefore:
+//! During an outage of the state service no watch reports the end of a job. Yet every controller that acts under grants
+//! of its peers (their permission to act while the state service does not extend leases) answers workers' reports, also
+//! for partitions whose owner is gone. Therefore:
 //!
 //! - Heartbeats carry a cancellation from the moment at which a user requests it.
 //! - A grant carries the cancellations that the granting controller knows.
@@ -147,8 +148,8 @@
 }
 
 impl Controller {
-    /// How long a stored cancellation is kept and sent to peers, in milliseconds. After that no task of the job can be
-    /// left.
+    /// How long a stored cancellation is kept and sent to peers, in milliseconds. After that no machine can
+    /// run a task of the job any more.
     fn cancellation_retention_ms(&self) -> u64 {
         2 * self.settings.cancel_ms() + self.settings.worker_lease_ms()
     }
@@ -191,7 +192,8 @@
             .map(|k| k.since_ms)
     }
 
-    /// Time of the earliest stored cancellation in a partition that is recent enough for tasks of its job to be left.
+    /// Time of the earliest stored cancellation in a partition that is recent enough for machines to still run tasks of
+    /// its job.
     pub(crate) fn oldest_cancellation(&self, partition: crate::ids::Partition) -> Option<u64> {
         let relevant_ms = self.settings.cancel_ms() + self.settings.worker_lease_ms();
         let is_recent = |since_ms: u64| self.now.ms.saturating_sub(since_ms) <= relevant_ms;
@@ -253,7 +255,7 @@
         self.answer_waiting_requesters();
     }
 
-    /// Has the machines that hold tasks of a job told to stop them.
+    /// Schedules commands to the machines that hold tasks of a job, so that they stop them at once.
     pub(crate) fn stop_tasks_of_job(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         self.machines_with_urgent_commands
@@ -295,6 +297,7 @@
             .members
             .iter()
             .filter(|(name, _)| **name != self.own_name);
+        // From feature level 2 on, a controller's version exchanges cancellations.
         let mut exchanging_peers = others.filter(|(_, m)| m.feature_level >= 2).peekable();
         let mut acknowledged = self
             .cancellations
@@ -304,8 +307,9 @@
         known.is_shared
             || exchanging_peers.peek().is_none()
             || acknowledged.any(|(name, _)| self.membership.peers.get(name).is_some_and(|p| p.is_reachable))
-            // The state service has served this controller since. Either it has served the peers' watches too, or it
-            // refuses only them, and they need a grant of a controller that knows of the cancellation.
+            // The state service has extended this controller's lease since the cancellation. Either it has served the
+            // peers' watches too, or it refuses only them, and they need a grant of a controller that knows of the
+            // cancellation.
             || self.cancellations.lease_extension_sent_ms > known.since_ms
     }
 
@@ -322,7 +326,7 @@
             return;
         }
         self.cancellations.heartbeats_requested = true;
-        // Users wait 2 s for the answer to a poll.
+        // Users wait 2 s for the answer to a poll, so they are answered after 1.5 s at most.
         let deadline_ms = self.now.ms + (self.settings.lease_ms() / 8).min(1500);
         self.cancellations
             .waiting_requesters
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -14,7 +14,7 @@
 use bitmap::InFlightPiece;
 use record::StatusOnlyRecord;
 
-use crate::calls::{CallPurpose as Call, Requester};
+use crate::calls::{CallPurpose, Requester};
 use crate::controller::Controller;
 use crate::failures::JobFailures;
 use crate::gangs::GangAttempt;
@@ -172,7 +172,7 @@
 
 impl Controller {
     /// Applies a job record that the watch or a listing returned.
-    pub(crate) fn on_job_record_changed(&mut self, id: JobId, value: Option<Value>, stamp: Revision) {
+    pub(crate) fn on_job_record_changed(&mut self, id: JobId, value: Option<Value>, revision: Revision) {
         // Job records are never deleted, so an absent value is ignored.
         let Some(record) = value.and_then(|v| serde_json::from_value::<JobRecord>(v).ok()) else {
             return;
@@ -180,7 +180,7 @@
         if !self.is_readable_record(&record) {
             return;
         }
-        self.apply_job_record(id, record, stamp);
+        self.apply_job_record(id, record, revision);
     }
 
     /// Whether this version can read the record. Versions without gangs cannot read the record of a gang.
@@ -190,7 +190,7 @@
     }
 
     /// Adds a job from its record, updates its revision, or closes it if the record says that it has ended.
-    pub(crate) fn apply_job_record(&mut self, id: JobId, record: JobRecord, stamp: Revision) {
+    pub(crate) fn apply_job_record(&mut self, id: JobId, record: JobRecord, revision: Revision) {
         if self.ended_jobs.contains_key(&id) {
             return;
         }
@@ -203,7 +203,7 @@
             return;
         }
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.revision = job.revision.max(stamp);
+            job.revision = job.revision.max(revision);
             return;
         }
         let Some(spec) = record.spec else { return };
@@ -211,7 +211,7 @@
             return;
         };
         let gang = spec.shape == Shape::Gang;
-        let job = Job::new(spec, (record.epoch, record.at, stamp), partition);
+        let job = Job::new(spec, (record.epoch, record.at, revision), partition);
         self.admission.add_job(&job.spec);
         self.jobs.insert(id, job);
         if self.tenures.contains_key(&partition) {
@@ -247,7 +247,7 @@
             for requester in job.requesters {
                 self.answer_ended_job(requester, id);
             }
-            // Machines that may still run its tasks are told to stop them.
+            // Machines that may still run its tasks get commands to stop them.
             for machines in job.placed.values() {
                 for machine in machines {
                     if let Some(m) = self.machines.get_mut(machine) {
@@ -302,7 +302,7 @@
         self.txn(
             conditions,
             changes,
-            Call::Job(Purpose::StoreEnd { id: id.clone(), ending }),
+            CallPurpose::Job(Purpose::StoreEnd { id: id.clone(), ending }),
         );
     }
 
@@ -351,9 +351,9 @@
                 retries,
                 submission,
             } => self.on_accept_reply((requester, submission), id, *spec, (epoch, at), retries, reply),
-            // When a read returns, this controller may know more than it says: it may have accepted the job, or read
-            // its end. Answers that stayed in buffers while this process was paused are discarded and read again.
             Purpose::Status { id } => self.on_status_read(id, reply),
+            // This controller may have newer knowledge than the read: it may have accepted the job, or read its end.
+            // Answers that stayed in buffers while this process was paused are discarded and read again.
             Purpose::CheckExisting { requester, id, .. } if self.can_answer_without_read(&id) => {
                 self.on_status(requester, id.as_str(), true);
             }
@@ -400,6 +400,7 @@
             Purpose::StoreEnd { id, ending } => self.on_end_reply(id, ending, reply),
             Purpose::FlushDoneBits { pieces } => self.on_flush_reply(pieces, reply),
             Purpose::DeleteBitmaps { keys } => match reply {
+                // 409: the epoch has changed. The next takeover of the partition finds the bitmaps of ended jobs again.
                 Some((200 | 409, _)) => {}
                 // The deletion failed or its outcome is unknown: it is retried later.
                 _ => self.capacity.stale_keys.extend(keys),
@@ -450,7 +451,8 @@
         }
     }
 
-    /// Retries writes of job ends that have no definite answer, and sends the bits of finished tasks that are due.
+    /// Retries writes of job ends that have no definite answer, sends the bits of finished tasks that are due, and
+    /// deletes keys that are no longer needed.
     pub(crate) fn tick_jobs(&mut self) {
         if !self.is_entitled() || self.now.ms < self.flush_due_ms {
             return;
@@ -464,6 +466,7 @@
             .filter_map(|(id, j)| j.ending.map(|e| (id.clone(), e)))
             .collect();
         for (id, ending) in unconfirmed {
+            // Only checks that a tenth of the burst is left: the tokens are taken when the write is sent.
             if self.state_writes.try_take(self.now.ms, 0.0, 0.1) {
                 self.store_job_end(&id, ending);
             }
--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -1,7 +1,7 @@
 //! The bitmap of a job's finished tasks, and the pieces in which it is stored.
 
 use super::{Job, Purpose};
-use crate::calls::CallPurpose as Call;
+use crate::calls::CallPurpose;
 use crate::controller::Controller;
 use crate::ids::{JobId, Partition};
 use serde_json::json;
@@ -13,11 +13,11 @@
 
 /// Position of a stored part of a bitmap: a whole chunk, or the part of a chunk that begins at some bit.
 ///
-/// A chunk takes three quarters of the largest value. The version without gangs derives that size from the
-/// settings when it reads a chunk, so the size must not change while a job is stored. Where the limit on values
-/// will be lower, a chunk is stored in pieces. The first piece has the key of the chunk, and the version without
-/// gangs reads it. It ignores the other pieces and would start their tasks again; the workers answer those starts
-/// with the results that they keep.
+/// A chunk takes three quarters of the size limit on values in the state service. The version without gangs derives
+/// that size from the settings when it reads a chunk, so the size must not change while a job is stored. Where the
+/// limit on values will be lower, a chunk is stored in pieces. The first piece has the key of the chunk, and the
+/// version without gangs reads it. It ignores the other pieces and would start their tasks again; the workers answer
+/// those starts with the results that they keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct BitmapPiece {
     /// Number of the chunk in the bitmap.
@@ -151,8 +151,8 @@
     }
 
     /// Encodes a range of the bitmap as hexadecimal digits, four bits each, lowest first.
-    fn bits_to_hex(&self, (first, last): (u32, u32)) -> String {
-        (first..last)
+    fn bits_to_hex(&self, (first, end): (u32, u32)) -> String {
+        (first..end)
             .step_by(4)
             .map(|i| {
                 let digit = (0..4).filter(|b| self.is_done(i + b)).fold(0, |d, b| d | 1 << b);
@@ -163,7 +163,7 @@
 }
 
 impl Controller {
-    /// Bits in one stored chunk: four per character, in three quarters of the largest value.
+    /// Bits in one stored chunk: four per character, in three quarters of the size limit on values.
     pub(crate) fn chunk_bits(&self) -> u32 {
         (self.settings.platform.facts.state.value_kb * 1024.0 * 0.75) as u32 * 4
     }
@@ -192,6 +192,7 @@
         let mut pieces = Vec::new();
         let mut bytes = 0;
         for (id, job) in &mut self.jobs {
+            // No bitmap is written for a job whose end is being stored.
             if !acting.contains(&job.partition) || job.ending.is_some() {
                 continue;
             }
@@ -203,10 +204,10 @@
                 job.dirty.remove(&piece);
                 job.in_flight.insert(piece);
                 job.stored_pieces.insert(piece);
-                let (first, last) = job.bit_range(piece, chunk_bits, piece_bits);
-                let hex = job.bits_to_hex((first, last));
+                let (first, end) = job.bit_range(piece, chunk_bits, piece_bits);
+                let hex = job.bits_to_hex((first, end));
                 bytes += hex.len();
-                let newly_done = (first..last)
+                let newly_done = (first..end)
                     .filter(|i| is_bit_set(&job.done_bits, *i) && !is_bit_set(&job.stored_bits, *i))
                     .collect();
                 let key = piece.key(job.partition, id);
@@ -222,10 +223,9 @@
         if changes.is_empty() {
             return;
         }
-        // The condition on the epoch rejects writes from an older epoch once a takeover has read the bitmaps. A
-        // bitmap is not written for a job whose record has changed meanwhile.
+        // The condition on the epoch rejects writes from an older epoch once a takeover has read the bitmaps.
         let conditions = vec![self.epoch_condition()];
-        self.txn(conditions, changes, Call::Job(Purpose::FlushDoneBits { pieces }));
+        self.txn(conditions, changes, CallPurpose::Job(Purpose::FlushDoneBits { pieces }));
     }
 
     /// Marks pieces as to be written again after a failed write.
@@ -277,7 +277,7 @@
         let keys: Vec<String> = self.capacity.stale_keys.drain(..key_count).collect();
         let changes = keys.iter().map(|k| json!({ "delete": k })).collect();
         let conditions = vec![self.epoch_condition()];
-        self.txn(conditions, changes, Call::Job(Purpose::DeleteBitmaps { keys }));
+        self.txn(conditions, changes, CallPurpose::Job(Purpose::DeleteBitmaps { keys }));
     }
 }
 
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -2,7 +2,7 @@
 //! partition, or answered by a read of the state service.
 
 use super::{Ending, Job, JobRecord, Purpose, StatusOnlyRecord, StoredJobStatus};
-use crate::calls::{CallPurpose as Call, Requester};
+use crate::calls::{CallPurpose, Requester};
 use crate::controller::Controller;
 use crate::ids::{ControllerId, JobId, Partition};
 use crate::membership::JOB_PREFIX;
@@ -26,15 +26,15 @@
     /// Reads a job's record from the state service. The read is sent whatever the request budget holds.
     pub(super) fn read_job(&mut self, id: &JobId, purpose: Purpose) {
         self.state_reads.take_unconditionally(self.now.ms, 1.0);
-        // Users wait 2 s for the answer to a poll.
-        let timeout = (self.settings.lease_ms() / 4).min(1500);
+        // Users wait 2 s for the answer to a poll, so the read may take at most 1.5 s.
+        let timeout_ms = (self.settings.lease_ms() / 4).min(1500);
         self.send_call(
             Target::State,
             Method::Get,
             format!("/store/{JOB_PREFIX}{id}"),
             String::new(),
-            timeout,
-            Call::Job(purpose),
+            timeout_ms,
+            CallPurpose::Job(purpose),
         );
     }
 
@@ -60,7 +60,8 @@
                     job: id.as_str().to_owned(),
                     cancel: false,
                 };
-                self.send_peer_request(owner, request, 500, Call::ForwardStatus { requester, job: id });
+                // After 500 ms without an answer, the state service is read instead.
+                self.send_peer_request(owner, request, 500, CallPurpose::ForwardStatus { requester, job: id });
                 return;
             }
         }
@@ -112,8 +113,13 @@
                         job: id.as_str().to_owned(),
                         cancel: true,
                     };
-                    let timeout = 4 * self.settings.report_ms() / 5;
-                    self.send_peer_request(owner, request, timeout, Call::ForwardCancellation { requester });
+                    let timeout_ms = 4 * self.settings.report_ms() / 5;
+                    self.send_peer_request(
+                        owner,
+                        request,
+                        timeout_ms,
+                        CallPurpose::ForwardCancellation { requester },
+                    );
                 }
                 None => self.send_answer(
                     requester,
@@ -168,6 +174,7 @@
                 self.answer_ended_job(requester, id);
                 return;
             }
+            // The record does not hold the job's progress, so no task counts as done here.
             Some(state) => Answer::new(
                 200,
                 json!({ "uid": id, "status": state.user_facing_name(), "done": 0, "running": 0 }).to_string(),
--- a/crates/tidelatch-core/src/jobs/status_reads.rs
+++ b/crates/tidelatch-core/src/jobs/status_reads.rs
@@ -114,6 +114,7 @@
                     .for_each(|requester| self.answer_ended_job(requester, &id));
             }
             Some(state) => {
+                // The record does not hold the job's progress, so no task counts as done here.
                 let body = json!({ "uid": id, "status": state.user_facing_name(), "done": 0, "running": 0 });
                 self.answer_all(requesters, &Answer::new(200, body.to_string()));
                 self.begin_status_read(id, next_requesters);
--- a/crates/tidelatch-core/src/roster.rs
+++ b/crates/tidelatch-core/src/roster.rs
@@ -60,7 +60,8 @@
         self.write_limits.value_bytes * 3 / 4
     }
 
-    /// Drops the pending roster writes of a partition at the start of a tenure.
+    /// Discards what an earlier tenure had queued or in flight for a partition's roster, at the start of a tenure, and
+    /// schedules writes for groups whose split is unfinished.
     pub(crate) fn reset_roster(&mut self, partition: Partition) {
         let mut requesters = Vec::new();
         let machines = &self.machines;
@@ -79,7 +80,7 @@
             .filter(|(_, group)| group.record.partition == partition)
         {
             group.write_in_flight = false;
-            group.refused_at = None;
+            group.refused_at_revision = None;
             // An earlier owner may have ended while it was splitting this group.
             let is_in_group = |id: &MachineId| machines.get(id).is_some_and(|m| m.group == *name);
             if !group.record.machines.keys().all(is_in_group) {
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct BootBatch {
     /// Name of the batch: its key without the prefix.
-    key: String,
+    name: String,
     entries: BTreeMap<MachineId, BootEntry>,
 }
 
@@ -123,6 +123,7 @@
             return;
         }
         let max_bytes = self.max_record_bytes();
+        // The braces around the entries.
         let mut bytes = 2;
         let fits = |n: &&BootedMachine| {
             bytes += entry_bytes(&n.machine, &n.entry);
@@ -149,12 +150,12 @@
         };
         // The incarnation and the batch's number in it make the name unique.
         let first = first.clone();
-        let key = self.boot_batch_key(&first);
-        self.send_boot_batch(BootBatch { key, entries }, requesters);
+        let name = self.boot_batch_name(&first);
+        self.send_boot_batch(BootBatch { name, entries }, requesters);
     }
 
     /// A unique name for a boot batch, from its first machine, this controller's incarnation and a counter.
-    fn boot_batch_key(&mut self, first: &MachineId) -> String {
+    fn boot_batch_name(&mut self, first: &MachineId) -> String {
         self.roster.boot_batch_count += 1;
         let (incarnation, number) = (self.membership.incarnation.0, self.roster.boot_batch_count);
         format!("{first}.{incarnation:x}.{number}")
@@ -182,14 +183,14 @@
             let Some(id) = entries.keys().next().cloned() else {
                 continue;
             };
-            let key = self.boot_batch_key(&id);
-            self.roster.unconfirmed_boot_batches.push(BootBatch { key, entries });
+            let name = self.boot_batch_name(&id);
+            self.roster.unconfirmed_boot_batches.push(BootBatch { name, entries });
         }
     }
 
     /// Writes a boot batch, on condition that its key does not exist yet and the epoch is current.
     fn send_boot_batch(&mut self, batch: BootBatch, requesters: Vec<(Requester, MachineId, (u64, u64))>) {
-        let key = format!("{BOOT_BATCH_PREFIX}{}", batch.key);
+        let key = format!("{BOOT_BATCH_PREFIX}{}", batch.name);
         let conditions = vec![json!({ "k": key, "stamp": 0 }), self.epoch_condition()];
         let changes = vec![json!({ "write": key, "value": batch.entries })];
         self.txn(conditions, changes, CallPurpose::WriteBootBatch { batch, requesters });
@@ -215,7 +216,7 @@
         };
         if is_stored {
             let value = serde_json::to_value(&batch.entries).ok();
-            self.apply_boot_batch(&batch.key, value);
+            self.apply_boot_batch(&batch.name, value);
             self.run_batch();
         } else if is_too_large {
             self.halve_boot_batch(batch);
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -58,7 +58,8 @@
 }
 
 /// A unique name for a new machine group: its first machine, the revision of the group that it comes from, and a
-/// suffix. A machine is in only one machine group at a revision, so no other group has this name.
+/// suffix: `s` for a split, the number of the destination for a hand-over. A machine is in only one machine group at a
+/// revision, so no other group has this name.
 fn new_group_name(group: &str, revision: Revision, record: &GroupRecord, suffix: &str) -> String {
     let first = record.machines.keys().next().map_or(group, MachineId::as_str);
     format!("{first}.{revision}.{suffix}")
@@ -89,6 +90,7 @@
             return;
         }
         let change = self.plan_group_change(name, revision, division);
+        // Hand-overs may use more of the write budget than other changes: they leave a tenth of the burst.
         let reserve = if change.has_hand_overs { 0.1 } else { 0.3 };
         if !self.state_writes.try_take(self.now.ms, 0.0, reserve) {
             return;
@@ -108,13 +110,13 @@
         if group.write_in_flight {
             return false;
         }
-        let Some(refused_at) = group.refused_at else {
+        let Some(refused_at_revision) = group.refused_at_revision else {
             return true;
         };
-        if revision < refused_at {
+        if revision < refused_at_revision {
             return false;
         }
-        group.refused_at = None;
+        group.refused_at_revision = None;
         for id in group.record.machines.keys() {
             if let Some(m) = self.machines.get_mut(id).filter(|m| m.group == name) {
                 m.moving_to = None;
@@ -331,7 +333,7 @@
         // reaches the revision of the refusal. Without a definite answer a copy may still be applied: the machines stay
         // out of use, and the write is sent again.
         if let Some((409, body)) = &result {
-            group.refused_at = Some(answer(body).map_or(0, |t| t.ledger));
+            group.refused_at_revision = Some(answer(body).map_or(0, |t| t.ledger));
         }
         self.roster.due_writes.insert(name, retry_at);
     }
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -18,11 +18,11 @@
     /// Revision of the key that each step of splitting it writes; 0: it is not being split in steps.
     pub(super) step_revision: Revision,
     /// The revision at which a write of it was refused. Once the watch has reached this revision, the reason is known.
-    pub(super) refused_at: Option<u64>,
+    pub(super) refused_at_revision: Option<u64>,
 }
 
 impl Controller {
-    /// Starts a new listing of the shared keys.
+    /// Starts a new listing of the shared keys, which hold the roster among others.
     pub(crate) fn begin_roster_listing(&mut self) {
         self.roster.listed_groups.clear();
     }
@@ -103,14 +103,16 @@
                 record,
                 write_in_flight: false,
                 step_revision: old.as_ref().map_or(Revision(0), |group| group.step_revision),
-                refused_at: old.and_then(|group| group.refused_at).filter(|at| *at > revision.0),
+                refused_at_revision: old
+                    .and_then(|group| group.refused_at_revision)
+                    .filter(|at| *at > revision.0),
             },
         );
     }
 
     /// Adds a machine that was not known, or that comes from another partition, to the view of the machines.
     fn add_machine(&mut self, id: &MachineId, group: &str, record: &GroupRecord, seen: (u64, u64)) {
-        let carried = self.take_retained_tasks(id);
+        let retained_tasks = self.take_retained_tasks(id);
         let kind = if record.spot { " (spot)" } else { "" };
         self.log(
             Level::Debug,
@@ -123,7 +125,7 @@
         let last_report = entry.map_or(seen, |e| e.last_report.max(seen));
         let addr = entry.map_or(String::new(), |e| e.address.clone());
         let mut machine = Machine::new(group, record, addr, last_report, self.now.ms);
-        machine.restore_tasks(carried);
+        machine.restore_tasks(retained_tasks);
         self.machines.insert(id.clone(), machine);
     }
 
--- a/crates/tidelatch-core/src/roster/records.rs
+++ b/crates/tidelatch-core/src/roster/records.rs
@@ -54,7 +54,7 @@
 /// Maximum number of machines in one stored record, even if its size limit would allow more.
 pub(super) const MAX_MACHINES_PER_RECORD: usize = 50;
 
-/// Number of bytes that a machine's entry adds to a stored record.
+/// Number of bytes that a machine's entry adds to a stored record, with its colon and comma.
 pub(super) fn entry_bytes(machine: &MachineId, entry: &impl Serialize) -> usize {
     bytes_of(machine) + bytes_of(entry) + 2
 }
--- a/crates/tidelatch-core/src/roster/rentals.rs
+++ b/crates/tidelatch-core/src/roster/rentals.rs
@@ -30,6 +30,7 @@
         if self.roster.new_groups.is_empty() {
             self.plan_new_groups();
         }
+        // The reserve is negative: the write may overdraw the write budget by a fifth of its burst.
         if self.roster.new_groups.is_empty() || !self.state_writes.try_take(self.now.ms, 0.0, -0.2) {
             return;
         }
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -1,7 +1,7 @@
 //! Submissions: validation, deferral, and storing of the acceptance.
 
 use crate::admission::Deferral;
-use crate::calls::{CallPurpose as Call, Requester};
+use crate::calls::{CallPurpose, Requester};
 use crate::controller::Controller;
 use crate::ids::{Epoch, JobId, Revision};
 use crate::jobs::{JobRecord, Purpose, StoredJobStatus, bytes_of};
@@ -69,6 +69,7 @@
 
     /// Returns 429 or 503 for a submission that cannot be accepted now.
     fn defer_submission(&mut self, spec: &JobSpec) -> Option<Answer> {
+        // The reserve is negative: a submission may overdraw the request budget by half of its burst.
         if !self.state_reads.try_take(self.now.ms, 0.0, -0.5) {
             return Some(Answer::retry_later(503, 1, "too many requests at present"));
         }
@@ -88,7 +89,7 @@
         })
     }
 
-    /// Logs that submissions of a team are deferred, at most once per time window.
+    /// Logs that submissions of a team are deferred, at most once per averaging window of the rate of job ends.
     fn log_deferral(&mut self, spec: &JobSpec, deferral: Deferral) {
         let Some(text) = self.admission.deferral_log_line(self.now.ms, spec, deferral) else {
             return;
@@ -147,7 +148,7 @@
         None
     }
 
-    /// Sends the write that stores a job's acceptance. `retries` counts the earlier attempts.
+    /// Sends the write that stores a job's acceptance. `retries` counts the earlier attempts; there are at most three.
     fn store_acceptance(
         &mut self,
         (requester, submission): (Requester, Option<Vec<u8>>),
@@ -178,7 +179,7 @@
         self.txn(
             conditions,
             vec![json!({ "write": key, "value": record })],
-            Call::Job(Purpose::Accept {
+            CallPurpose::Job(Purpose::Accept {
                 requester,
                 id,
                 spec: Box::new(spec),
@@ -190,23 +191,23 @@
         );
     }
 
-    /// Handles the answer to the write of an acceptance. `accepted_at` is the epoch and the time of day that it holds.
+    /// Handles the answer to the write of an acceptance. `acceptance` is the epoch and the time of day that it holds.
     pub(crate) fn on_accept_reply(
         &mut self,
         (requester, submission): (Requester, Option<Vec<u8>>),
         id: JobId,
         spec: JobSpec,
-        accepted_at: (Epoch, u64),
+        acceptance: (Epoch, u64),
         retries: u32,
         result: Option<(u16, Vec<u8>)>,
     ) {
         self.admission.finish_acceptance(&spec);
         match result {
             Some((200, body)) => {
-                let stamp = serde_json::from_slice::<TxnAnswer>(&body).map_or(0, |t| t.ledger);
+                let revision = serde_json::from_slice::<TxnAnswer>(&body).map_or(0, |t| t.ledger);
                 let record = JobRecord {
-                    epoch: accepted_at.0,
-                    at: accepted_at.1,
+                    epoch: acceptance.0,
+                    at: acceptance.1,
                     st: StoredJobStatus::Queued,
                     n: spec.tasks,
                     team: spec.team.clone(),
@@ -221,7 +222,7 @@
                     );
                     self.log(Level::Debug, text);
                 }
-                self.apply_job_record(id.clone(), record, Revision(stamp));
+                self.apply_job_record(id.clone(), record, Revision(revision));
                 if self.ended_jobs.contains_key(&id) || self.is_reply_stale {
                     // Another controller may have told a user of the job's end since.
                     self.on_status(requester, id.as_str(), true);
@@ -234,7 +235,7 @@
                 let failed = serde_json::from_slice::<TxnAnswer>(&body).unwrap_or_default().failed;
                 if failed.iter().any(|k| k.starts_with(JOB_PREFIX)) {
                     self.check_existing_job(requester, id, Answer::retry_later(503, 1, "try again"));
-                } else if retries < 3 && self.epoch() > Some(accepted_at.0) && self.is_entitled() {
+                } else if retries < 3 && self.epoch() > Some(acceptance.0) && self.is_entitled() {
                     // The epoch has changed, and this controller knows the new one by now.
                     self.store_acceptance((requester, submission), id, spec, retries + 1);
                 } else {
--- a/crates/tidelatch-core/src/submissions/forwarding.rs
+++ b/crates/tidelatch-core/src/submissions/forwarding.rs
@@ -5,7 +5,7 @@
 //! entitled controller may accept any job, so a peer is asked to do it. That is safe whatever the outcome of the write
 //! by this controller: an acceptance is written only if the job has no record yet.
 
-use crate::calls::{CallPurpose as Call, Requester};
+use crate::calls::{CallPurpose, Requester};
 use crate::controller::Controller;
 use crate::ids::JobId;
 use crate::messages::{Answer, PeerReply, PeerRequest};
@@ -24,13 +24,13 @@
             self.send_answer(requester, refusal);
             return;
         };
-        // Users wait 5 s for an answer; workers wait 4 s for theirs.
-        let timeout = 4 * self.settings.report_ms() / 5;
+        // Users wait 5 s for the answer to a submission, workers 4 s for the answer to a report.
+        let timeout_ms = 4 * self.settings.report_ms() / 5;
         self.send_peer_request(
             peer,
             PeerRequest::Submit { submission },
-            timeout,
-            Call::ForwardSubmission { requester, job },
+            timeout_ms,
+            CallPurpose::ForwardSubmission { requester, job },
         );
     }
 
