--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -118,7 +118,7 @@
 
     /// The cancellations that a peer has not acknowledged, oldest first.
     fn unacknowledged(&self, peer: &ControllerId) -> UnacknowledgedCancellations {
-        let from = self.acknowledged.get(peer).map_or(0, |t| t.up_to);
+        let from = self.acknowledged.get(peer).map_or(0, |a| a.up_to);
         let mut pending: Vec<(&JobId, &KnownCancellation)> =
             self.known.iter().filter(|(_, k)| k.sequence > from).collect();
         pending.sort_by_key(|(_, k)| k.sequence);
@@ -235,7 +235,7 @@
             return;
         }
         let incarnation = Incarnation(notice.incarnation);
-        if self.cancellations.acknowledged.get(from).map(|t| t.incarnation) != Some(incarnation) {
+        if self.cancellations.acknowledged.get(from).map(|a| a.incarnation) != Some(incarnation) {
             // What an earlier incarnation knew is lost.
             self.cancellations
                 .acknowledged
@@ -271,11 +271,11 @@
         incarnation: u64,
         (after, up_to): (u64, u64),
     ) {
-        if let Some(t) = self.cancellations.acknowledged.get_mut(peer)
-            && t.incarnation.0 == incarnation
-            && t.up_to >= after
+        if let Some(a) = self.cancellations.acknowledged.get_mut(peer)
+            && a.incarnation.0 == incarnation
+            && a.up_to >= after
         {
-            t.up_to = t.up_to.max(up_to);
+            a.up_to = a.up_to.max(up_to);
         }
         self.answer_waiting_requesters();
     }
@@ -303,7 +303,7 @@
             .cancellations
             .acknowledged
             .iter()
-            .filter(|(_, t)| t.up_to >= known.sequence);
+            .filter(|(_, a)| a.up_to >= known.sequence);
         known.is_shared
             || exchanging_peers.peek().is_none()
             || acknowledged.any(|(name, _)| self.membership.peers.get(name).is_some_and(|p| p.is_reachable))
@@ -371,7 +371,7 @@
 
     /// Whether a peer that takes cancellations has not acknowledged all of them.
     pub(crate) fn lacks_cancellations(&self, peer: &ControllerId) -> bool {
-        let up_to = self.cancellations.acknowledged.get(peer).map(|t| t.up_to);
+        let up_to = self.cancellations.acknowledged.get(peer).map(|a| a.up_to);
         up_to.is_some_and(|n| self.cancellations.known.values().any(|k| k.sequence > n))
     }
 }
--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -34,8 +34,8 @@
 
 /// Maximum number of machines in one rental request.
 const MAX_MACHINES_PER_RENTAL: usize = 50;
-/// Maximum number of preemptible machines that a digest offers.
-const MAX_PREEMPTIBLE_MACHINES_PER_DIGEST: usize = 4;
+/// Maximum number of machines that a digest offers to be vacated.
+const MAX_VACATABLE_MACHINES_PER_DIGEST: usize = 4;
 
 /// A machine that sends reports but is not in the roster.
 #[derive(Debug, Clone)]
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub(crate) struct CapacityState {
     /// Tasks that found no machine in the last placement batches.
-    pub(crate) demands: Vec<UnplacedTasks>,
+    pub(crate) unplaced_tasks: Vec<UnplacedTasks>,
     /// Keys in the state service that are no longer needed and are to be deleted.
     pub(crate) stale_keys: Vec<String>,
     /// A write of the machine types to the state service is in flight.
@@ -118,7 +118,7 @@
     pub(crate) fn new(settings: &Settings) -> Self {
         let rate = settings.platform.facts.cloud.rps / f64::from(settings.partitions());
         Self {
-            demands: Vec::new(),
+            unplaced_tasks: Vec::new(),
             stale_keys: Vec::new(),
             types_write_in_flight: false,
             types_received_at: 0,
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -3,7 +3,7 @@
 
 use super::spare_room::largest_of_each_kind;
 use super::{
-    BootingMachine, MAX_PREEMPTIBLE_MACHINES_PER_DIGEST, MachineKind, MachineTimeline, UnplacedTasks,
+    BootingMachine, MAX_VACATABLE_MACHINES_PER_DIGEST, MachineKind, MachineTimeline, UnplacedTasks,
     assign_to_existing_machines, plan_machine_requests, summarize_waiting_tasks,
 };
 use crate::controller::Controller;
@@ -116,7 +116,7 @@
         let now = self.now.ms;
         let mut supply = self.supply(partition);
         let own = |w: &&UnplacedTasks| w.partition == partition;
-        let mut unplaced: Vec<UnplacedTasks> = self.capacity.demands.iter().filter(own).cloned().collect();
+        let mut unplaced: Vec<UnplacedTasks> = self.capacity.unplaced_tasks.iter().filter(own).cloned().collect();
         let waiting_tasks = summarize_waiting_tasks(&unplaced, &self.settings.platform.facts.zones);
         let waiting_demand: f64 = unplaced.iter().map(|w| f64::from(w.count) * task_demand(&w.size)).sum();
         let refused = |kind: &MachineKind| self.capacity.is_refused(kind, now);
@@ -135,7 +135,7 @@
             &supply.machines_per_zone,
         );
         machine_requests.extend(self.replacements_wanted(partition));
-        supply.preemptible.sort_by(|a, b| a.0.total_cmp(&b.0));
+        supply.vacatable.sort_by(|a, b| a.0.total_cmp(&b.0));
         let has_no_local_use = |room: &SpareRoom| {
             !waiting_tasks
                 .iter()
@@ -150,10 +150,10 @@
             waiting_tasks,
             idle: supply.idle,
             vacatable_machines: supply
-                .preemptible
+                .vacatable
                 .into_iter()
                 .map(|(_, i)| i)
-                .take(MAX_PREEMPTIBLE_MACHINES_PER_DIGEST)
+                .take(MAX_VACATABLE_MACHINES_PER_DIGEST)
                 .collect(),
             spare_room: largest_of_each_kind(supply.spare_room),
         }
@@ -171,7 +171,7 @@
                 supply.timelines.push(timeline);
             }
             if let Some(loss_s) = self.preemption_loss_s(m) {
-                supply.preemptible.push((loss_s, idle_machine(id, m)));
+                supply.vacatable.push((loss_s, idle_machine(id, m)));
             }
             supply.spare_room.extend(self.spare_room(id, m));
             if self.can_be_handed_over(m) {
@@ -197,7 +197,7 @@
     /// Machines that run nothing.
     idle: Vec<IdleMachine>,
     /// Machines that can be vacated for production work, each with the seconds of work that would be lost.
-    preemptible: Vec<(f64, IdleMachine)>,
+    vacatable: Vec<(f64, IdleMachine)>,
     /// Machines in use with free capacity that can be handed over with their tasks.
     spare_room: Vec<SpareRoom>,
     /// Number of machines in each zone.
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -31,7 +31,7 @@
     /// Machines that run nothing.
     idle: Vec<(Partition, IdleMachine)>,
     /// Machines that can be vacated for production work.
-    preemptible: Vec<(Partition, IdleMachine)>,
+    vacatable: Vec<(Partition, IdleMachine)>,
     /// Machines in use that have free capacity.
     spare_room: Vec<(Partition, SpareRoom)>,
 }
@@ -40,12 +40,16 @@
 /// production work.
 type Rentals = BTreeMap<MachineKind, Vec<(Partition, bool)>>;
 
-/// Sorts digests into the order in which they are served: those with urgent waiting tasks first, then by descending
+/// Sorts digests into the order in which they are served: those with waiting production work first, then by descending
 /// demand. The order matters when the cloud runs out of a kind of machine.
 fn sort_by_demand(digests: &[Digest]) -> Vec<&Digest> {
-    let is_urgent = |d: &Digest| d.waiting_tasks.iter().any(|tasks| tasks.urgent);
+    let has_production_work = |d: &Digest| d.waiting_tasks.iter().any(|tasks| tasks.urgent);
     let mut order: Vec<&Digest> = digests.iter().collect();
-    order.sort_by(|a, b| is_urgent(b).cmp(&is_urgent(a)).then(b.demand.total_cmp(&a.demand)));
+    order.sort_by(|a, b| {
+        has_production_work(b)
+            .cmp(&has_production_work(a))
+            .then(b.demand.total_cmp(&a.demand))
+    });
     order
 }
 
@@ -56,12 +60,12 @@
         && (request.spot || !machine.spot)
 }
 
-/// Matches requests for machines against machines that are arriving, adds moves of preemptible machines to `moves`, and
-/// returns the machines to rent.
+/// Matches requests for machines against machines that are arriving, adds moves of machines that can be vacated to
+/// `moves`, and returns the machines to rent.
 fn match_machine_requests(
     order: &[&Digest],
     mut arriving: Vec<(Partition, IdleMachine)>,
-    preemptible: &mut Vec<(Partition, IdleMachine)>,
+    vacatable: &mut Vec<(Partition, IdleMachine)>,
     moves: &mut Vec<HandOver>,
 ) -> Rentals {
     let mut rentals = Rentals::new();
@@ -75,11 +79,11 @@
                 arriving.swap_remove(at);
                 continue;
             }
-            // Production work gets a preemptible machine of another partition, whose tasks can then run on the machine
-            // that is rented all the same.
-            let found = preemptible.iter().position(|(p, i)| *p != to && satisfies(i, request));
+            // Production work gets a machine of another partition that can be vacated, and whose tasks can then run on
+            // the machine that is rented all the same.
+            let found = vacatable.iter().position(|(p, i)| *p != to && satisfies(i, request));
             if let Some(at) = found.filter(|_| request.urgent) {
-                let (from, machine) = preemptible.remove(at);
+                let (from, machine) = vacatable.remove(at);
                 moves.push(HandOver {
                     from,
                     machine,
@@ -107,7 +111,7 @@
         let mut moves = self.match_waiting_tasks(&order, &mut offers);
         let mut arriving = self.arriving_machines();
         arriving.extend(moves.iter().map(|m| (m.to, m.machine.clone())));
-        let rentals = match_machine_requests(&order, arriving, &mut offers.preemptible, &mut moves);
+        let rentals = match_machine_requests(&order, arriving, &mut offers.vacatable, &mut moves);
         self.request_moves(moves);
         self.send_rentals(rentals);
     }
@@ -172,17 +176,17 @@
                 .any(|hand_over| hand_over.machine.machine == i.machine)
         };
         let mut idle = Vec::new();
-        let mut preemptible = Vec::new();
+        let mut vacatable = Vec::new();
         for digest in digests {
             let from = |i: &IdleMachine| (digest.partition, i.clone());
             let is_needed = |i: &IdleMachine| digest.waiting_tasks.iter().any(|tasks| tasks.accepts_machine(i));
             let available = digest.idle.iter().filter(|i| !is_needed(i) && !is_moving(i));
             idle.extend(available.map(from));
-            preemptible.extend(digest.vacatable_machines.iter().filter(|i| !is_moving(i)).map(from));
+            vacatable.extend(digest.vacatable_machines.iter().filter(|i| !is_moving(i)).map(from));
         }
         Offers {
             idle,
-            preemptible,
+            vacatable,
             spare_room: self.spare_room_offered(digests),
         }
     }
@@ -288,7 +292,7 @@
     }
 
     /// Starts the hand-overs that the leader has requested, for machines that are still empty, may go with their
-    /// tasks, or are still preemptible.
+    /// tasks, or can still be vacated.
     pub(super) fn execute_moves(&mut self, moves: Vec<MachineMove>) {
         for request in moves {
             let now = self.now.ms;
--- a/crates/tidelatch-core/src/capacity/planning.rs
+++ b/crates/tidelatch-core/src/capacity/planning.rs
@@ -25,15 +25,15 @@
     /// All tasks of the job must run in one zone.
     pub one_zone: bool,
     /// Maximum number of the job's tasks in one zone; none: no limit.
-    pub most_per_zone: Option<u32>,
+    pub max_tasks_per_zone: Option<u32>,
     /// Number of the job's tasks in each zone.
-    pub in_zone: BTreeMap<String, u32>,
+    pub tasks_by_zone: BTreeMap<String, u32>,
     /// The tasks may run on spot machines.
     pub spot: bool,
     /// The job is a service.
-    pub service: bool,
+    pub is_service: bool,
     /// The job is production work.
-    pub urgent: bool,
+    pub is_prod: bool,
     /// Seconds until the tasks have to start to meet their deadline; `f64::MAX` without one.
     pub slack_s: f64,
     /// The job is within its team's guarantee, together with the team's earlier jobs.
@@ -50,18 +50,18 @@
 
 impl UnplacedTasks {
     /// An entry with the requirements of a job and a count of 0.
-    pub fn new(partition: Partition, terms: &JobTerms, urgent: bool, slack_s: f64) -> Self {
+    pub fn new(partition: Partition, terms: &JobTerms, is_prod: bool, slack_s: f64) -> Self {
         Self {
             partition,
             size: terms.size,
             models: terms.models.clone(),
             zone: terms.zone.clone(),
             one_zone: terms.one_zone,
-            most_per_zone: terms.max_tasks_per_zone,
-            in_zone: terms.tasks_by_zone.clone(),
+            max_tasks_per_zone: terms.max_tasks_per_zone,
+            tasks_by_zone: terms.tasks_by_zone.clone(),
             spot: terms.spot,
-            service: terms.is_service,
-            urgent,
+            is_service: terms.is_service,
+            is_prod,
             slack_s,
             guaranteed: terms.guaranteed,
             deadline_s: terms.deadline_s,
@@ -75,10 +75,10 @@
     fn to_waiting_tasks(&self, zones: &[String]) -> WaitingTasks {
         let is_allowed = |z: &&String| {
             self.zone.as_ref().is_none_or(|x| x == *z)
-                && (!self.one_zone || self.in_zone.iter().all(|(x, n)| *n == 0 || x == *z))
+                && (!self.one_zone || self.tasks_by_zone.iter().all(|(x, n)| *n == 0 || x == *z))
                 && self
-                    .most_per_zone
-                    .is_none_or(|most| self.in_zone.get(*z).copied().unwrap_or(0) < most)
+                    .max_tasks_per_zone
+                    .is_none_or(|most| self.tasks_by_zone.get(*z).copied().unwrap_or(0) < most)
         };
         let allowed: Vec<String> = zones.iter().filter(is_allowed).cloned().collect();
         WaitingTasks {
@@ -89,7 +89,7 @@
                 allowed
             },
             spot: self.spot,
-            urgent: self.urgent,
+            urgent: self.is_prod,
             task_resources: self.size,
             count: self.count,
         }
@@ -100,10 +100,10 @@
         (self.spot || !spot)
             && self.models.as_ref().is_none_or(|m| m.iter().any(|x| x == model))
             && self.zone.as_ref().is_none_or(|z| z == zone)
-            && (!self.one_zone || self.in_zone.iter().all(|(z, n)| *n == 0 || z == zone))
+            && (!self.one_zone || self.tasks_by_zone.iter().all(|(z, n)| *n == 0 || z == zone))
             && self
-                .most_per_zone
-                .is_none_or(|most| self.in_zone.get(zone).copied().unwrap_or(0) < most)
+                .max_tasks_per_zone
+                .is_none_or(|most| self.tasks_by_zone.get(zone).copied().unwrap_or(0) < most)
     }
 }
 
@@ -188,7 +188,7 @@
     if boot_s == f64::MAX {
         return;
     }
-    unplaced.sort_by(|a, b| b.urgent.cmp(&a.urgent).then(a.slack_s.total_cmp(&b.slack_s)));
+    unplaced.sort_by(|a, b| b.is_prod.cmp(&a.is_prod).then(a.slack_s.total_cmp(&b.slack_s)));
     for tasks in unplaced {
         // The tasks could not start in time on a machine rented now.
         let is_too_late_to_rent = tasks.slack_s < boot_s;
@@ -208,7 +208,7 @@
         } else {
             limit_s
         };
-        let limit_s = if tasks.service { 0.0 } else { limit_s };
+        let limit_s = if tasks.is_service { 0.0 } else { limit_s };
         // Capacity that is free now, or will be once its machine has booted, is always used: a machine rented
         // now would be no faster. Only the timeline that was used changes, so all timelines are examined once
         // per job: with hundreds of both, examining them once per task would take most of the processor time.
@@ -239,10 +239,14 @@
                 .iter()
                 .find(|t| t.name == timeline.model)
                 .map_or(0.0, |t| tasks.image_gb / t.fetch_gb_per_s.max(1e-3));
-            let run_s = if tasks.service { f64::MAX } else { tasks.run_s + fetch_s };
+            let run_s = if tasks.is_service {
+                f64::MAX
+            } else {
+                tasks.run_s + fetch_s
+            };
             timeline.reserve(&tasks.size, start_s, ended, run_s);
             candidates.extend(StartOption::of(timeline, timeline_index, &tasks.size, limit_s).map(Reverse));
-            *tasks.in_zone.entry(timeline.zone.clone()).or_default() += 1;
+            *tasks.tasks_by_zone.entry(timeline.zone.clone()).or_default() += 1;
             tasks.count -= 1;
         }
     }
@@ -316,7 +320,7 @@
 struct RequestedMachines {
     count: u32,
     /// They are for production work.
-    urgent: bool,
+    is_prod: bool,
     /// A machine in another zone could be used as well.
     any_zone: bool,
 }
@@ -396,7 +400,7 @@
     let candidate = |(zone, spot): (&String, bool)| Candidate {
         // The price of the machine, divided among the tasks that fit on it.
         cost: if spot { t.spot_price } else { t.price } / f64::from(fit) * fetch_factor,
-        zone_load: count(machines_per_zone, zone) + ZONE_LOAD_PER_TASK * count(&tasks.in_zone, zone),
+        zone_load: count(machines_per_zone, zone) + ZONE_LOAD_PER_TASK * count(&tasks.tasks_by_zone, zone),
         kind: (t.name.clone(), zone.clone(), spot),
         total,
     };
@@ -417,7 +421,7 @@
             return;
         };
         c.free.iter_mut().zip(tasks.size).for_each(|(f, s)| *f -= s);
-        *tasks.in_zone.entry(c.zone.clone()).or_default() += 1;
+        *tasks.tasks_by_zone.entry(c.zone.clone()).or_default() += 1;
         tasks.count -= 1;
     }
 }
@@ -437,7 +441,7 @@
     let mut requested_by_kind: BTreeMap<MachineKind, RequestedMachines> = BTreeMap::new();
     let mut machines_per_zone = machines_per_zone.clone();
     let mut order: Vec<&UnplacedTasks> = unplaced.iter().collect();
-    order.sort_by(|a, b| b.urgent.cmp(&a.urgent).then(a.slack_s.total_cmp(&b.slack_s)));
+    order.sort_by(|a, b| b.is_prod.cmp(&a.is_prod).then(a.slack_s.total_cmp(&b.slack_s)));
     for tasks in order {
         let mut tasks = tasks.clone();
         // A machine on which one task of a job doesn't fit is skipped for the next ones: its free capacity and the
@@ -455,12 +459,13 @@
                 .entry(candidate.kind.clone())
                 .or_insert(RequestedMachines {
                     count: 0,
-                    urgent: false,
+                    is_prod: false,
                     any_zone: true,
                 });
             requested.count += 1;
-            requested.urgent |= tasks.urgent;
-            requested.any_zone &= tasks.zone.is_none() && !tasks.one_zone && tasks.in_zone.values().all(|n| *n == 0);
+            requested.is_prod |= tasks.is_prod;
+            requested.any_zone &=
+                tasks.zone.is_none() && !tasks.one_zone && tasks.tasks_by_zone.values().all(|n| *n == 0);
             *machines_per_zone.entry(candidate.kind.1.clone()).or_default() += 1;
             pending.push(PendingMachine {
                 model: candidate.kind.0,
@@ -475,7 +480,7 @@
         zone,
         spot,
         count: requested.count,
-        urgent: requested.urgent,
+        urgent: requested.is_prod,
         any_zone: requested.any_zone,
     };
     requested_by_kind.into_iter().map(request).collect()
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -31,7 +31,7 @@
         };
         let now = self.now.ms;
         let mut kinds: Vec<(MachineKind, Vec<(Partition, bool)>)> = wanted.into_iter().collect();
-        kinds.sort_by_key(|(_, machines)| std::cmp::Reverse(machines.iter().filter(|(_, urgent)| *urgent).count()));
+        kinds.sort_by_key(|(_, machines)| std::cmp::Reverse(machines.iter().filter(|(_, is_prod)| *is_prod).count()));
         for (kind, machines) in kinds {
             if self.capacity.refused_until.contains_key(&kind) || !self.take_cloud_budget(0.0) {
                 continue;
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -135,13 +135,13 @@
         let now = self.now.ms;
         self.jobs_within_guarantee = self.jobs_within_guarantees();
         self.postponed_jobs.retain(|_, (_, until)| now < *until);
-        let mut demands = Vec::new();
+        let mut unplaced_tasks = Vec::new();
         let mut evaluations_left = self.settings.search_evaluations();
         for partition in acting {
-            demands.extend(self.place_partition(partition, &mut evaluations_left));
+            unplaced_tasks.extend(self.place_partition(partition, &mut evaluations_left));
         }
-        demands.extend(self.postponed_jobs.values().filter_map(|(demand, _)| demand.clone()));
-        self.capacity.demands = demands;
+        unplaced_tasks.extend(self.postponed_jobs.values().filter_map(|(tasks, _)| tasks.clone()));
+        self.capacity.unplaced_tasks = unplaced_tasks;
         if evaluations_left == 0 {
             // The rest is placed in the next batch, so that heartbeats and polls are not delayed.
             self.schedule_batch();
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -29,12 +29,12 @@
     unplaceable: BTreeSet<usize>,
     /// Tasks that found no machine: index of the job and index of the task.
     unplaced: Vec<(usize, u32)>,
-    claims: Vec<TeamUsage>,
+    team_usages: Vec<TeamUsage>,
 }
 
 impl Controller {
-    /// Places the waiting jobs of a partition, preempts work for them if necessary, and returns the demand for machines
-    /// of the tasks that found none. `evaluations_left` is the search budget that is shared by all partitions.
+    /// Places the waiting jobs of a partition, preempts work for them if necessary, and returns the tasks that found no
+    /// machine. `evaluations_left` is the search budget that is shared by all partitions.
     pub(super) fn place_partition(&mut self, partition: Partition, evaluations_left: &mut usize) -> Vec<UnplacedTasks> {
         let used = self.usage_by_team();
         let mut room = self.room_under_limits(&used);
@@ -52,7 +52,7 @@
             next_tasks: vec![0; waiting.len()],
             unplaceable: BTreeSet::new(),
             unplaced: Vec::new(),
-            claims: self.team_claims(&used),
+            team_usages: self.team_usages(&used),
         };
         self.place_batches(
             &mut progress,
@@ -71,10 +71,11 @@
                 self.reserved_room.entry(w.team).or_insert(terms.size);
             }
         }
-        let (mut demands, jobs_without_machine) =
-            self.collect_machine_demands(partition, &unplaced, &waiting, &jobs, (&mut room, &slots));
+        let (mut unplaced_tasks, jobs_without_machine) =
+            self.collect_unplaced_tasks(partition, &unplaced, &waiting, &jobs, (&mut room, &slots));
         let mut preemption = self.preempt(partition, &jobs_without_machine, &waiting, &jobs, &used);
-        let limit_demands = self.preempt_under_limits(partition, &blocked_jobs, &room, &mut preemption.machines);
+        let unplaced_under_limits =
+            self.preempt_under_limits(partition, &blocked_jobs, &room, &mut preemption.machines);
         self.move_replicas_for_blocked(
             partition,
             &preemption.blocked_replicas,
@@ -83,15 +84,16 @@
         );
         if *evaluations_left == 0 {
             // Jobs that found no machine are skipped for a while, so that the next batch gets to the other jobs; their
-            // demands remain in effect meanwhile.
+            // tasks still count as unplaced meanwhile.
             let until = self.now.ms + self.settings.batch_retry_ms();
             for j in unplaceable {
                 if let Some(w) = waiting.get(j) {
-                    self.postponed_jobs.insert(w.id.clone(), (demands.remove(&j), until));
+                    self.postponed_jobs
+                        .insert(w.id.clone(), (unplaced_tasks.remove(&j), until));
                 }
             }
         }
-        demands.into_values().chain(limit_demands).collect()
+        unplaced_tasks.into_values().chain(unplaced_under_limits).collect()
     }
 
     /// Room left under each team's limit. Teams have no limit on memory.
@@ -119,9 +121,9 @@
 
     /// Usage and share of each team, in the unit in which the team is accounted. A share is at least half an
     /// accelerator or one CPU, so that teams without a guarantee are served too.
-    fn team_claims(&self, used: &[Amounts]) -> Vec<TeamUsage> {
+    fn team_usages(&self, used: &[Amounts]) -> Vec<TeamUsage> {
         let teams = self.settings.platform.facts.teams.iter().enumerate();
-        let claim = |(i, team): (usize, &Team)| TeamUsage {
+        let usage = |(i, team): (usize, &Team)| TeamUsage {
             used: used.get(i).map_or(0.0, |used| self.amount_in_team_unit(i, used)),
             share: if team.gpus > 0.0 || team.gpus_max > 0.0 {
                 team.gpus.max(0.5)
@@ -129,7 +131,7 @@
                 team.cpus.max(1.0)
             },
         };
-        teams.map(claim).collect()
+        teams.map(usage).collect()
     }
 
     /// Placement terms of all waiting jobs, with the machines that are excluded for each.
@@ -178,7 +180,7 @@
                 waiting,
                 &mut progress.next_tasks,
                 &progress.unplaceable,
-                &mut progress.claims,
+                &mut progress.team_usages,
                 jobs,
                 batch_size,
             );
@@ -214,7 +216,7 @@
             }
         }
         // The remaining tasks of jobs that found no machine also count as unplaced, even if no batch selected them.
-        // `collect_machine_demands` drops those that have no room under their team's limit.
+        // `collect_unplaced_tasks` drops those that have no room under their team's limit.
         for (j, w) in waiting
             .iter()
             .enumerate()
@@ -227,9 +229,9 @@
         }
     }
 
-    /// Demands for machines by job index for the tasks that found none, and the job index of each such task except
+    /// The tasks that found no machine, by job index, and the job index of each such task except
     /// those of gangs.
-    fn collect_machine_demands(
+    fn collect_unplaced_tasks(
         &self,
         partition: Partition,
         unplaced: &[(usize, u32)],
@@ -237,7 +239,7 @@
         jobs: &[JobTerms],
         (room, slots): (&mut [Amounts], &[MachineSlot]),
     ) -> (BTreeMap<usize, UnplacedTasks>, Vec<usize>) {
-        let mut demands: BTreeMap<usize, UnplacedTasks> = BTreeMap::new();
+        let mut unplaced_tasks: BTreeMap<usize, UnplacedTasks> = BTreeMap::new();
         let mut jobs_without_machine: Vec<usize> = Vec::new();
         for (j, _) in unplaced {
             let Some(terms) = jobs.get(*j) else { continue };
@@ -252,16 +254,17 @@
             }
             let Some(w) = waiting.get(*j) else { continue };
             let zone = || self.choose_gang_zone(terms, slots);
-            demands
+            unplaced_tasks
                 .entry(*j)
                 .or_insert_with(|| {
-                    let mut demand = UnplacedTasks::new(partition, terms, w.priority >= Priority::Prod, w.slack_s);
-                    demand.zone = demand.zone.or_else(zone);
-                    demand
+                    let mut tasks_of_job =
+                        UnplacedTasks::new(partition, terms, w.priority >= Priority::Prod, w.slack_s);
+                    tasks_of_job.zone = tasks_of_job.zone.or_else(zone);
+                    tasks_of_job
                 })
                 .count += 1;
         }
-        (demands, jobs_without_machine)
+        (unplaced_tasks, jobs_without_machine)
     }
 
     /// Chooses machines to reserve for a gang that has waited too long: otherwise small jobs take the room that becomes
--- a/crates/tidelatch-core/src/queue/batch_selection.rs
+++ b/crates/tidelatch-core/src/queue/batch_selection.rs
@@ -20,20 +20,20 @@
 /// share. A gang is selected as a whole, even beyond the batch size.
 ///
 /// `next_tasks` holds for each job the position of its first unselected task and is advanced. `unplaceable_jobs` are
-/// skipped. `claims` is charged with the selected tasks.
+/// skipped. `team_usages` is charged with the selected tasks.
 pub(super) fn select_batch(
     waiting: &[WaitingJob],
     next_tasks: &mut [usize],
     unplaceable_jobs: &BTreeSet<usize>,
-    claims: &mut [TeamUsage],
+    team_usages: &mut [TeamUsage],
     jobs: &[JobTerms],
     batch_size: usize,
 ) -> Vec<SelectedTask> {
     let mut batch = Vec::new();
     for priority in [Priority::Prod, Priority::Urgent, Priority::Normal, Priority::Low] {
         // One queue per team, so that a selection does not scan all waiting jobs.
-        let mut queues: Vec<VecDeque<usize>> = vec![VecDeque::new(); claims.len()];
-        let mut ready_teams = vec![false; claims.len()];
+        let mut queues: Vec<VecDeque<usize>> = vec![VecDeque::new(); team_usages.len()];
+        let mut ready_teams = vec![false; team_usages.len()];
         for (job_index, w) in waiting.iter().enumerate() {
             let has_tasks_left = next_tasks
                 .get(job_index)
@@ -48,7 +48,7 @@
             }
         }
         while batch.len() < batch_size {
-            let Some(team) = choose_next_team(claims, &ready_teams) else {
+            let Some(team) = choose_next_team(team_usages, &ready_teams) else {
                 break;
             };
             let Some(queue) = queues.get_mut(team) else { break };
@@ -67,17 +67,17 @@
                     *is_ready = false;
                 }
             }
-            let Some((claim, job)) = claims.get_mut(team).zip(jobs.get(job_index)) else {
+            let Some((usage, job)) = team_usages.get_mut(team).zip(jobs.get(job_index)) else {
                 break;
             };
             for index in w.tasks.iter().skip(first_task).take(count).copied() {
                 // A task is charged in accelerators if it takes any, else in CPUs, whatever the unit of the team's
                 // share.
-                claim.used += if job.size[1] > 0.0 { job.size[1] } else { job.size[0] };
+                usage.used += if job.size[1] > 0.0 { job.size[1] } else { job.size[0] };
                 batch.push(SelectedTask {
                     job: job_index,
                     index,
-                    guaranteed: claim.used <= claim.share + 1e-6,
+                    guaranteed: usage.used <= usage.share + 1e-6,
                 });
             }
         }
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -61,8 +61,8 @@
     /// Stops a team's work of lower priority to make room for its production work that is blocked by the team's limit.
     ///
     /// Nothing is stopped before there is a machine for the production task: one that has room, or the one on which
-    /// the tasks are stopped. Without such a machine, one is demanded, and the stops wait until it is available.
-    /// Returns these demands.
+    /// the tasks are stopped. Without such a machine, one is requested, and the stops wait until it is available.
+    /// Returns the tasks for which machines are to be requested.
     pub(super) fn preempt_under_limits(
         &mut self,
         partition: Partition,
@@ -81,7 +81,7 @@
             room_left: self.room_with_pending_stops(room, partition, max_report_age_ms),
             evaluations: 0,
         };
-        let mut demands = Vec::new();
+        let mut unplaced_under_limits = Vec::new();
         let mut stops = Vec::new();
         for job in blocked_jobs {
             if !search.can_free_room(job.team, &job.size) {
@@ -98,7 +98,7 @@
             let has_waited_long_enough = waited_s >= self.preemption_delay_s(&job.id, terms.guaranteed);
             for waiting in (1..=job.count).rev() {
                 let Some(plan) = search.find_cheapest_plan(&terms) else {
-                    demands.extend(search.machine_demand(partition, &terms, job, waiting));
+                    unplaced_under_limits.extend(search.unplaced_tasks(partition, &terms, job, waiting));
                     break;
                 };
                 if !has_waited_long_enough {
@@ -117,7 +117,7 @@
                 self.stop_gang(&task.job);
             }
         }
-        demands
+        unplaced_under_limits
     }
 
     /// The room left under the teams' limits plus what pending stops will free. A stop on an unresponsive machine does
@@ -258,21 +258,21 @@
         stops
     }
 
-    /// The demand for machines for tasks that could get room under the limit but have no machine. Takes the room under
+    /// The tasks that could get room under the limit but have no machine. Takes the room under
     /// the limit for them.
-    fn machine_demand(
+    fn unplaced_tasks(
         &mut self,
         partition: Partition,
         terms: &JobTerms,
         job: &JobBlockedByLimit,
         waiting: u32,
     ) -> Option<UnplacedTasks> {
-        let mut demand = UnplacedTasks::new(partition, terms, true, job.slack_s);
-        while demand.count < waiting && self.can_free_room(job.team, &job.size) {
-            demand.count += 1;
+        let mut tasks = UnplacedTasks::new(partition, terms, true, job.slack_s);
+        while tasks.count < waiting && self.can_free_room(job.team, &job.size) {
+            tasks.count += 1;
             subtract(self.room_left.get_mut(job.team)?, &job.size);
         }
-        Some(demand).filter(|demand| demand.count > 0)
+        Some(tasks).filter(|tasks| tasks.count > 0)
     }
 }
 
--- a/crates/tidelatch-core/src/queue/ranking.rs
+++ b/crates/tidelatch-core/src/queue/ranking.rs
@@ -23,11 +23,11 @@
 
 /// Index of the team to serve next: among those that are `waiting`, the one that uses least relative to its share.
 /// `None` if no team waits.
-pub fn choose_next_team(claims: &[TeamUsage], waiting: &[bool]) -> Option<usize> {
-    (0..claims.len())
+pub fn choose_next_team(team_usages: &[TeamUsage], waiting: &[bool]) -> Option<usize> {
+    (0..team_usages.len())
         .filter(|i| waiting.get(*i).copied().unwrap_or(false))
         .min_by(|a, b| {
-            let usage_ratio = |i: &usize| claims.get(*i).map_or(f64::MAX, |c| c.used / c.share.max(1e-9));
+            let usage_ratio = |i: &usize| team_usages.get(*i).map_or(f64::MAX, |u| u.used / u.share.max(1e-9));
             usage_ratio(a).total_cmp(&usage_ratio(b))
         })
 }
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -80,8 +80,13 @@
             return;
         };
         let commands = match machine {
-            Some((id, seen)) if self.machines.get(id).is_some_and(|m| m.last_report_key() == seen) => {
-                self.commands_for(id, Some(seen))
+            Some((id, first_report))
+                if self
+                    .machines
+                    .get(id)
+                    .is_some_and(|m| m.last_report_key() == first_report) =>
+            {
+                self.commands_for(id, Some(first_report))
             }
             _ => Vec::new(),
         };
@@ -224,8 +229,8 @@
             // The write may still be applied. Until its outcome is known, nothing is placed on these machines.
             self.roster.unconfirmed_boot_batches.push(batch);
         }
-        for (requester, id, seen) in requesters {
-            self.answer_first_report(requester, Some((&id, seen)).filter(|_| is_stored));
+        for (requester, id, first_report) in requesters {
+            self.answer_first_report(requester, Some((&id, first_report)).filter(|_| is_stored));
         }
     }
 
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -40,16 +40,16 @@
     let empty = group.without_machines();
     let empty_bytes = bytes_of(&empty);
     let mut pieces: Vec<(usize, GroupRecord)> = Vec::new();
-    for (id, seen) in &group.machines {
-        let added_bytes = entry_bytes(id, seen);
+    for (id, last_report) in &group.machines {
+        let added_bytes = entry_bytes(id, last_report);
         match pieces.last_mut().filter(|(bytes, _)| bytes + added_bytes <= max_bytes) {
             Some((bytes, piece)) => {
                 *bytes += added_bytes;
-                piece.machines.insert(id.clone(), *seen);
+                piece.machines.insert(id.clone(), *last_report);
             }
             None => {
                 let mut piece = empty.clone();
-                piece.machines.insert(id.clone(), *seen);
+                piece.machines.insert(id.clone(), *last_report);
                 pieces.push((empty_bytes + added_bytes, piece));
             }
         }
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -66,7 +66,7 @@
             self.roster.due_writes.remove(name);
             return;
         };
-        for (id, seen) in &record.machines {
+        for (id, group_report) in &record.machines {
             match self.machines.get(id) {
                 Some(m) if m.group == name => {
                     self.set_also_holds(id, &record.also_holds);
@@ -84,7 +84,7 @@
                 }
                 _ => {}
             }
-            self.add_machine(id, name, &record, *seen);
+            self.add_machine(id, name, &record, *group_report);
         }
         // A write of the group that was in flight has either produced this value or can no longer be applied, because
         // its revision has changed. Changes that are still to be written are applied to this value.
@@ -111,7 +111,7 @@
     }
 
     /// Adds a machine that was not known, or that comes from another partition, to the view of the machines.
-    fn add_machine(&mut self, id: &MachineId, group: &str, record: &GroupRecord, seen: (u64, u64)) {
+    fn add_machine(&mut self, id: &MachineId, group: &str, record: &GroupRecord, group_report: (u64, u64)) {
         let retained_tasks = self.take_retained_tasks(id);
         let kind = if record.spot { " (spot)" } else { "" };
         self.log(
@@ -122,7 +122,7 @@
             ),
         );
         let entry = self.roster.boot_entries.get(id);
-        let last_report = entry.map_or(seen, |e| e.last_report.max(seen));
+        let last_report = entry.map_or(group_report, |e| e.last_report.max(group_report));
         let addr = entry.map_or(String::new(), |e| e.address.clone());
         let mut machine = Machine::new(group, record, addr, last_report, self.now.ms);
         machine.restore_tasks(retained_tasks);
--- a/crates/tidelatch-core/tests/planning.rs
+++ b/crates/tidelatch-core/tests/planning.rs
@@ -334,7 +334,7 @@
     // make room for others.
     assert_eq!(unplaced[0].count, 4, "{timelines:?}");
     let mut spread = unplaced_tasks(4, true);
-    spread.most_per_zone = Some(2);
+    spread.max_tasks_per_zone = Some(2);
     let mut unplaced = [spread];
     let mut timelines = vec![timeline(0.0, 2.0, Vec::new()), timeline(0.0, 2.0, Vec::new())];
     assign_to_existing_machines(&mut unplaced, &mut timelines, &types, &|_| false, f64::MAX);
