--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -222,8 +222,8 @@
                 self.capacity.digests.insert(digest.partition, (digest, now));
             }
             self.allocate_machines();
-            let me = self.own_name.clone();
-            let moves = self.capacity.moves_to_send.remove(&me).unwrap_or_default();
+            let own_name = self.own_name.clone();
+            let moves = self.capacity.moves_to_send.remove(&own_name).unwrap_or_default();
             self.execute_moves(moves);
             self.adopt_unregistered_machines();
             self.send_new_groups();
@@ -280,12 +280,12 @@
             self.schedule_batch();
         }
         // The types are stored so that a controller that starts while the cloud is down knows them.
-        let due = self.capacity.types_written_at == 0
+        let is_due = self.capacity.types_written_at == 0
             || now > self.capacity.types_written_at + 4 * self.settings.worker_lease_ms();
         // Types that are too large to store are skipped: every controller requests them from the cloud anyway, and the
         // stored copy only bridges an outage of the cloud.
         let fits = crate::jobs::bytes_of(&types) <= self.settings.value_bytes();
-        if self.is_leader() && due && fits && !self.capacity.types_write_in_flight {
+        if self.is_leader() && is_due && fits && !self.capacity.types_write_in_flight {
             self.capacity.types_write_in_flight = true;
             self.capacity.types_written_at = now.max(1);
             let condition = self.leader_condition();
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -199,6 +199,7 @@
             if m.has_unstored_results(jobs) {
                 continue;
             }
+            // A machine type that is not known counts as taking 60 s to boot.
             let boot_s = self
                 .machine_types
                 .iter()
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -185,8 +185,8 @@
 
     /// Whether this version can read the record. Versions without gangs cannot read the record of a gang.
     fn is_readable_record(&self, record: &JobRecord) -> bool {
-        let gang = record.spec.as_ref().is_some_and(|s| s.shape == Shape::Gang);
-        self.settings.features.gangs || !gang
+        let is_gang = record.spec.as_ref().is_some_and(|s| s.shape == Shape::Gang);
+        self.settings.features.gangs || !is_gang
     }
 
     /// Adds a job from its record, updates its revision, or closes it if the record says that it has ended.
@@ -210,13 +210,13 @@
         let Some(partition) = self.settings.partition_of_team(&spec.team) else {
             return;
         };
-        let gang = spec.shape == Shape::Gang;
+        let is_gang = spec.shape == Shape::Gang;
         let job = Job::new(spec, (record.epoch, record.at, revision), partition);
         self.admission.add_job(&job.spec);
         self.jobs.insert(id, job);
         if self.tenures.contains_key(&partition) {
             self.schedule_batch();
-            if gang {
+            if is_gang {
                 // The batch runs now: a gang enters it with all of its tasks, so waiting for more tasks gains
                 // nothing, while its users wait for seconds.
                 self.batch_due_ms = Some(self.now.ms);
@@ -320,8 +320,8 @@
             task.index..task.index + 1
         };
         tasks.for_each(|i| job.mark_done(i, chunk_bits, piece_bits));
-        let complete = job.done_count >= job.spec.tasks && job.ending.is_none();
-        if complete {
+        let is_complete = job.done_count >= job.spec.tasks && job.ending.is_none();
+        if is_complete {
             self.store_job_end(&task.job.clone(), Ending::Done);
         }
     }
--- a/crates/tidelatch-core/src/jobs/record.rs
+++ b/crates/tidelatch-core/src/jobs/record.rs
@@ -44,7 +44,8 @@
     pub team: String,
     /// Resources that each task takes, kept because tasks count against the team's limit even after the job's end.
     pub size: [f64; 3],
-    /// Time of day at which the end was written, in milliseconds. Absent if the previous version wrote it.
+    /// Time of day at which the end was written, in milliseconds. Absent if a version without
+    /// the exchange of cancellations wrote it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<u64>,
     /// Description of the job, until it ends.
--- a/crates/tidelatch-core/src/jobs/status_reads.rs
+++ b/crates/tidelatch-core/src/jobs/status_reads.rs
@@ -75,10 +75,10 @@
         else {
             return;
         };
-        let missing = matches!(result, Some((404, _)));
+        let is_missing = matches!(result, Some((404, _)));
         // This controller may know more by now: it may have accepted the job, or read its end. A 404 may predate
         // the job, which the watch has reported since.
-        if self.can_answer_without_read(&id) || (missing && self.jobs.contains_key(&id)) {
+        if self.can_answer_without_read(&id) || (is_missing && self.jobs.contains_key(&id)) {
             requesters.extend(next_requesters);
             requesters
                 .into_iter()
@@ -91,7 +91,7 @@
             self.begin_status_read(id, requesters);
             return;
         }
-        if missing {
+        if is_missing {
             self.answer_all(requesters, &Answer::new(404, r#"{"error":"no such job"}"#));
             self.begin_status_read(id, next_requesters);
             return;
--- a/crates/tidelatch-core/src/placement.rs
+++ b/crates/tidelatch-core/src/placement.rs
@@ -142,7 +142,7 @@
     }
 }
 
-/// Result for one task of a batch: the index of its machine, or `None` if it found none.
+/// Index of the machine slot of a task of a batch, or `None` if the task has none.
 pub type Choice = Option<usize>;
 
 /// A batch of tasks during its placement.
@@ -353,7 +353,7 @@
     }
 
     /// Takes a task off its slot and gives its room back; the image stays. Returns the slot, if the task had one.
-    fn unassign(&mut self, task: usize) -> Option<usize> {
+    fn unassign(&mut self, task: usize) -> Choice {
         let slot = self.choice.get_mut(task)?.take()?;
         let job = self.tasks.get(task).and_then(|j| self.jobs.get_mut(*j))?;
         let s = self.slots.get_mut(slot)?;
@@ -368,7 +368,7 @@
     }
 
     /// The slot with the highest score for a task, and that score; `excluded` is left out.
-    fn best_slot(&self, task: usize, excluded: Option<usize>) -> Option<(usize, f64)> {
+    fn best_slot(&self, task: usize, excluded: Choice) -> Option<(usize, f64)> {
         (0..self.slots.len())
             .filter(|s| Some(*s) != excluded && self.can_place(task, *s))
             .map(|s| (s, self.score(task, s)))
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -138,6 +138,7 @@
     fn waiting_job_terms(&mut self, partition: Partition, waiting: &[WaitingJob], ids: &[MachineId]) -> Vec<JobTerms> {
         let terms = |w: &WaitingJob| {
             let mut terms = self.job_terms(&w.id, w.team, w.slack_s)?;
+            // Priorities are 10 apart: more than the urgency (at most 1) and the bonus for guaranteed work together.
             terms.rank = f64::from(w.priority as u8) * 10.0 + w.urgency;
             Some(terms)
         };
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -146,26 +146,26 @@
             return false;
         };
         let mut jobs: Vec<JobTerms> = Vec::new();
-        let mut names: Vec<&JobId> = Vec::new();
+        let mut job_ids: Vec<&JobId> = Vec::new();
         let mut tasks = Vec::new();
         for (task, _) in held {
-            let at = match names.iter().position(|n| **n == task.job) {
-                Some(at) => at,
+            let job_index = match job_ids.iter().position(|n| **n == task.job) {
+                Some(job_index) => job_index,
                 None => {
                     let team = self.jobs.get(&task.job).and_then(|j| self.settings.team(&j.spec.team));
                     let Some(terms) = team.and_then(|(t, _)| self.job_terms(&task.job, t, f64::MAX)) else {
                         return false;
                     };
                     jobs.push(terms);
-                    names.push(&task.job);
-                    names.len() - 1
+                    job_ids.push(&task.job);
+                    job_ids.len() - 1
                 }
             };
             // The task no longer counts in the zone that it leaves.
-            if let Some(n) = jobs.get_mut(at).and_then(|j| j.tasks_by_zone.get_mut(&zone)) {
+            if let Some(n) = jobs.get_mut(job_index).and_then(|j| j.tasks_by_zone.get_mut(&zone)) {
                 *n = n.saturating_sub(1);
             }
-            tasks.push(at);
+            tasks.push(job_index);
         }
         let mut room = vec![[f64::MAX; 3]; self.settings.platform.facts.teams.len()];
         let cached: Vec<BTreeSet<String>> = slots.iter().map(|s| s.images.clone()).collect();
--- a/crates/tidelatch-core/src/queue/replica_moves.rs
+++ b/crates/tidelatch-core/src/queue/replica_moves.rs
@@ -171,10 +171,10 @@
     /// Finds a machine in another zone that a replica could move to.
     fn find_destination(&mut self, m: &'a Machine, held: &HeldTask) -> Option<MachineId> {
         let controller = self.controller;
-        let (name, job) = controller.jobs.get_key_value(&held.task.job)?;
+        let (job_id, job) = controller.jobs.get_key_value(&held.task.job)?;
         let is_movable =
             job.spec.shape == Shape::Service && job.partition == self.partition && job.avoided_zone.is_none();
-        if !is_movable || self.immovable_replicas.contains(&(name, m.zone.as_str())) {
+        if !is_movable || self.immovable_replicas.contains(&(job_id, m.zone.as_str())) {
             return None;
         }
         let team = controller.settings.team(&job.spec.team).map_or(0, |(t, _)| t);
@@ -194,7 +194,7 @@
             }
         }
         if to.is_none() {
-            self.immovable_replicas.insert((name, m.zone.as_str()));
+            self.immovable_replicas.insert((job_id, m.zone.as_str()));
         }
         to.cloned()
     }
--- a/crates/tidelatch-core/src/roster/group_changes.rs
+++ b/crates/tidelatch-core/src/roster/group_changes.rs
@@ -192,10 +192,10 @@
 
     /// Plans one write for a divided machine group.
     ///
-    /// A machine group written by the version before may hold more than a value may hold now. Its remaining machines
-    /// are split into smaller groups, in one write if a transaction can hold them all. Otherwise some of them are
-    /// written to new machine groups first, while the old group keeps its value: a machine that is in both belongs to
-    /// the group with the later revision.
+    /// A machine group written by the version without gangs may hold more than a value may hold now. Its remaining
+    /// machines are split into smaller groups, in one write if a transaction can hold them all. Otherwise some of them
+    /// are written to new machine groups first, while the old group keeps its value: a machine that is in both belongs
+    /// to the group with the later revision.
     fn plan_group_change(&mut self, name: &str, revision: Revision, division: Division) -> GroupChange {
         let Division { staying, moving } = division;
         let mut pieces = split_group(&staying, self.max_record_bytes());
--- a/crates/tidelatch-core/src/roster/groups.rs
+++ b/crates/tidelatch-core/src/roster/groups.rs
@@ -51,7 +51,7 @@
         }
         let mut record = value.and_then(|v| serde_json::from_value::<GroupRecord>(v).ok());
         if let Some(record) = record.as_mut().filter(|_| !self.settings.features.shared_machines) {
-            // The version before shared machines ignores this field.
+            // The version without shared machines ignores this field.
             record.also_holds.clear();
         }
         let old = self.roster.groups.remove(name);
