--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -3,7 +3,7 @@
 
 use super::spare_room::largest_of_each_kind;
 use super::{
-    BootingMachine, MAX_PREEMPTIBLE_MACHINES_PER_DIGEST, MachineKind, MachineTimeline, UnplacedTasks,
+    BootingMachine, MAX_VACATABLE_MACHINES_PER_DIGEST, MachineKind, MachineTimeline, UnplacedTasks,
     assign_to_existing_machines, plan_machine_requests, summarize_waiting_tasks,
 };
 use crate::controller::Controller;
@@ -70,6 +70,8 @@
             .collect();
         busy.sort_by(|a, b| a.0.total_cmp(&b.0));
         let age_s = now.saturating_sub(m.known_since) as f64 / 1000.0;
+        // A machine that has taken longer to boot than its type usually does is expected to need a tenth of that time
+        // more.
         let ready_s = if is_booting {
             (t.boot_s - age_s).max(0.1 * t.boot_s)
         } else {
@@ -114,8 +116,8 @@
         let now = self.now.ms;
         let mut supply = self.supply(partition);
         let own = |w: &&UnplacedTasks| w.partition == partition;
-        let mut unplaced: Vec<UnplacedTasks> = self.capacity.demands.iter().filter(own).cloned().collect();
-        let wants = summarize_waiting_tasks(&unplaced, &self.settings.platform.facts.zones);
+        let mut unplaced: Vec<UnplacedTasks> = self.capacity.unplaced_tasks.iter().filter(own).cloned().collect();
+        let waiting_tasks = summarize_waiting_tasks(&unplaced, &self.settings.platform.facts.zones);
         let waiting_demand: f64 = unplaced.iter().map(|w| f64::from(w.count) * task_demand(&w.size)).sum();
         let refused = |kind: &MachineKind| self.capacity.is_refused(kind, now);
         assign_to_existing_machines(
@@ -125,17 +127,17 @@
             &refused,
             self.guaranteed_start_limit_s(),
         );
-        let mut needs = plan_machine_requests(
+        let mut machine_requests = plan_machine_requests(
             &unplaced,
             Vec::new(),
             &self.machine_types,
             &refused,
             &supply.machines_per_zone,
         );
-        needs.extend(self.replacements_wanted(partition));
-        supply.preemptible.sort_by(|a, b| a.0.total_cmp(&b.0));
+        machine_requests.extend(self.replacements_wanted(partition));
+        supply.vacatable.sort_by(|a, b| a.0.total_cmp(&b.0));
         let has_no_local_use = |room: &SpareRoom| {
-            !wants
+            !waiting_tasks
                 .iter()
                 .any(|tasks| tasks.accepts_machine(&room.machine) && tasks.count_fitting(&room.free) > 0)
         };
@@ -144,14 +146,14 @@
             partition,
             revision: self.membership.revision,
             demand: supply.running_demand + waiting_demand,
-            machine_requests: needs,
-            waiting_tasks: wants,
+            machine_requests,
+            waiting_tasks,
             idle: supply.idle,
             vacatable_machines: supply
-                .preemptible
+                .vacatable
                 .into_iter()
                 .map(|(_, i)| i)
-                .take(MAX_PREEMPTIBLE_MACHINES_PER_DIGEST)
+                .take(MAX_VACATABLE_MACHINES_PER_DIGEST)
                 .collect(),
             spare_room: largest_of_each_kind(supply.spare_room),
         }
@@ -169,7 +171,7 @@
                 supply.timelines.push(timeline);
             }
             if let Some(loss_s) = self.preemption_loss_s(m) {
-                supply.preemptible.push((loss_s, idle_machine(id, m)));
+                supply.vacatable.push((loss_s, idle_machine(id, m)));
             }
             supply.spare_room.extend(self.spare_room(id, m));
             if self.can_be_handed_over(m) {
@@ -195,7 +197,7 @@
     /// Machines that run nothing.
     idle: Vec<IdleMachine>,
     /// Machines that can be vacated for production work, each with the seconds of work that would be lost.
-    preemptible: Vec<(f64, IdleMachine)>,
+    vacatable: Vec<(f64, IdleMachine)>,
     /// Machines in use with free capacity that can be handed over with their tasks.
     spare_room: Vec<SpareRoom>,
     /// Number of machines in each zone.
@@ -204,7 +206,8 @@
     running_demand: f64,
 }
 
-/// A task's contribution to a partition's demand: its accelerators, or its processors divided by 100 if that is more.
+/// A task's contribution to a partition's demand: its accelerators, or its CPUs divided by 100 if that is more. 100
+/// CPUs count as much as one accelerator.
 fn task_demand(size: &Amounts) -> f64 {
     size[1].max(size[0] / 100.0)
 }
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct BootBatch {
     /// Name of the batch: its key without the prefix.
-    key: String,
+    name: String,
     entries: BTreeMap<MachineId, BootEntry>,
 }
 
@@ -80,8 +80,13 @@
             return;
         };
         let commands = match machine {
-            Some((id, seen)) if self.machines.get(id).is_some_and(|m| m.last_report_key() == seen) => {
-                self.commands_for(id, Some(seen))
+            Some((id, first_report))
+                if self
+                    .machines
+                    .get(id)
+                    .is_some_and(|m| m.last_report_key() == first_report) =>
+            {
+                self.commands_for(id, Some(first_report))
             }
             _ => Vec::new(),
         };
@@ -123,6 +128,7 @@
             return;
         }
         let max_bytes = self.max_record_bytes();
+        // The braces around the entries.
         let mut bytes = 2;
         let fits = |n: &&BootedMachine| {
             bytes += entry_bytes(&n.machine, &n.entry);
@@ -149,12 +155,12 @@
         };
         // The incarnation and the batch's number in it make the name unique.
         let first = first.clone();
-        let key = self.boot_batch_key(&first);
-        self.send_boot_batch(BootBatch { key, entries }, requesters);
+        let name = self.boot_batch_name(&first);
+        self.send_boot_batch(BootBatch { name, entries }, requesters);
     }
 
     /// A unique name for a boot batch, from its first machine, this controller's incarnation and a counter.
-    fn boot_batch_key(&mut self, first: &MachineId) -> String {
+    fn boot_batch_name(&mut self, first: &MachineId) -> String {
         self.roster.boot_batch_count += 1;
         let (incarnation, number) = (self.membership.incarnation.0, self.roster.boot_batch_count);
         format!("{first}.{incarnation:x}.{number}")
@@ -182,14 +188,14 @@
             let Some(id) = entries.keys().next().cloned() else {
                 continue;
             };
-            let key = self.boot_batch_key(&id);
-            self.roster.unconfirmed_boot_batches.push(BootBatch { key, entries });
+            let name = self.boot_batch_name(&id);
+            self.roster.unconfirmed_boot_batches.push(BootBatch { name, entries });
         }
     }
 
     /// Writes a boot batch, on condition that its key does not exist yet and the epoch is current.
     fn send_boot_batch(&mut self, batch: BootBatch, requesters: Vec<(Requester, MachineId, (u64, u64))>) {
-        let key = format!("{BOOT_BATCH_PREFIX}{}", batch.key);
+        let key = format!("{BOOT_BATCH_PREFIX}{}", batch.name);
         let conditions = vec![json!({ "k": key, "stamp": 0 }), self.epoch_condition()];
         let changes = vec![json!({ "write": key, "value": batch.entries })];
         self.txn(conditions, changes, CallPurpose::WriteBootBatch { batch, requesters });
@@ -215,7 +221,7 @@
         };
         if is_stored {
             let value = serde_json::to_value(&batch.entries).ok();
-            self.apply_boot_batch(&batch.key, value);
+            self.apply_boot_batch(&batch.name, value);
             self.run_batch();
         } else if is_too_large {
             self.halve_boot_batch(batch);
@@ -223,8 +229,8 @@
             // The write may still be applied. Until its outcome is known, nothing is placed on these machines.
             self.roster.unconfirmed_boot_batches.push(batch);
         }
-        for (requester, id, seen) in requesters {
-            self.answer_first_report(requester, Some((&id, seen)).filter(|_| is_stored));
+        for (requester, id, first_report) in requesters {
+            self.answer_first_report(requester, Some((&id, first_report)).filter(|_| is_stored));
         }
     }
 
