--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -66,12 +66,15 @@
         // A class may contain services and arrays. By default the two do not share a budget.
         if counting(job) == Counting::Tasks {
             let tasks = ScopeName::new(format!("tasks of {class}"));
-            return vec![(tasks, DisruptionSettings::default_for_tasks())];
+            return vec![(tasks, DisruptionSettings::default_task_class_budget())];
         }
-        let mut scopes = vec![(ScopeName::new(id.as_str()), DisruptionSettings::default_for_job())];
+        let mut scopes = vec![(
+            ScopeName::new(id.as_str()),
+            DisruptionSettings::default_service_budget(),
+        )];
         if spec.priority >= Priority::Prod {
             let replicas = ScopeName::new(format!("replicas of {class}"));
-            scopes.push((replicas, DisruptionSettings::default_for_production()));
+            scopes.push((replicas, DisruptionSettings::default_production_class_budget()));
         }
         scopes
     }
--- a/crates/tidelatch-core/src/settings.rs
+++ b/crates/tidelatch-core/src/settings.rs
@@ -55,7 +55,7 @@
         faults
     }
     /// Feature level that this controller writes in its member record: the level of its [`Features`], or
-    /// [`DISRUPTION_LEVEL`] where disruption budgets are turned on.
+    /// [`DISRUPTION_LEVEL`] if it has all features and disruption budgets are turned on.
     pub fn level(&self) -> u32 {
         let level = self.features.level();
         let has_disruption = self.operator.disruption.is_some() && level == SHARED_MACHINES_LEVEL;
@@ -78,8 +78,8 @@
     }
     /// Time in milliseconds for which this controller may act after it has sent an extension of its lease.
     ///
-    /// It is shorter than the lease: the rates of monotonic clocks differ by up to 0.05%, so four times that (a 500th)
-    /// and one timer step of 20 ms are subtracted.
+    /// It is shorter than the lease: the rates of monotonic clocks are assumed to differ by up to 0.05%, so four times
+    /// that (a 500th of the lease) and one timer step of 20 ms are subtracted.
     pub fn entitlement_ms(&self) -> u64 {
         let lease = self.lease_ms();
         lease - lease / 500 - 20
@@ -103,7 +103,7 @@
         Some((seconds_to_ms(workers.gang_wait_s?), seconds_to_ms(workers.gang_peer_s?)))
     }
     /// Maximum size of a value in the state service, in bytes: the smaller of the present and the announced limit.
-    /// A version before gangs ignores announced limits.
+    /// Without [`Features::gangs`], announced limits are ignored.
     pub fn value_bytes(&self) -> usize {
         let state = &self.platform.facts.state;
         let next = state
@@ -113,7 +113,8 @@
             .filter(|_| self.features.gangs);
         (state.value_kb.min(next.unwrap_or(f64::MAX)) * 1024.0) as usize
     }
-    /// Maximum number of changes in a transaction: the smaller of the present and the announced limit.
+    /// Maximum number of changes in a transaction: the smaller of the present and the announced limit. Without
+    /// [`Features::gangs`], announced limits are ignored.
     pub fn txn_ops(&self) -> usize {
         let state = &self.platform.facts.state;
         let next = state
@@ -123,7 +124,8 @@
             .filter(|_| self.features.gangs);
         state.txn_ops.min(next.unwrap_or(u32::MAX)) as usize
     }
-    /// Maximum number of changes per second: the smaller of the present and the announced limit.
+    /// Maximum number of changes per second by all controllers together: the smaller of the present and the announced
+    /// limit. Without [`Features::gangs`], announced limits are ignored.
     pub fn write_rps(&self) -> f64 {
         let state = &self.platform.facts.state;
         let next = state
@@ -133,7 +135,7 @@
             .filter(|_| self.features.gangs);
         state.write_rps.min(next.unwrap_or(f64::MAX))
     }
-    /// Time in milliseconds after which a batch is closed, even if it is not full.
+    /// Time in milliseconds from the request for a placement batch until the batch runs, even if it is not full.
     pub fn batch_wait_ms(&self) -> u64 {
         seconds_to_ms(self.platform.facts.workers.report_s * self.operator.batch_wait_per_report)
     }
@@ -145,9 +147,10 @@
     pub fn silent_ms(&self) -> u64 {
         seconds_to_ms(self.platform.facts.workers.lease_s * self.operator.silent_per_worker_lease)
     }
-    /// Number of evaluations (one machine for one task) that one slice of the placement search may make.
+    /// Number of evaluations (one machine for one task) that the placement search may make without interruption, within
+    /// one input of the controller.
     pub fn search_evaluations(&self) -> usize {
-        // A low estimate for one whole core of present hardware.
+        // Evaluations that one whole core makes in a second, estimated low.
         const EVALUATIONS_PER_CORE_SECOND: f64 = 4e6;
         let cores = self.platform.facts.machine_limits.cores;
         (self.operator.search_budget_s * cores * EVALUATIONS_PER_CORE_SECOND).max(1000.0) as usize
--- a/crates/tidelatch-core/src/settings/disruption.rs
+++ b/crates/tidelatch-core/src/settings/disruption.rs
@@ -7,8 +7,8 @@
 use tidelatch_disruption::{Amount, AmountError, Budget};
 use wildmatch::WildMatch;
 
-/// Maximum number of tasks of a job, set by the protocol. A budget of more units than that would have no effect.
-const MAX_UNITS: u32 = 100_000;
+/// Maximum number of tasks of a job, set by the protocol. It is also the limit for the unit counts in a budget.
+const MAX_TASKS_PER_JOB: u32 = 100_000;
 /// Maximum length of a drain's name.
 const MAX_DRAIN_NAME_BYTES: usize = 40;
 /// Maximum of a drain's `patience_s` and `delay_s`: one day.
@@ -16,14 +16,16 @@
 
 /// Number of replicas of one service that may be unavailable at a time if no budget is set.
 const DEFAULT_UNAVAILABLE_REPLICAS_PER_JOB: u32 = 1;
-/// Percentage of a production class's replicas, over all its jobs, that may be unavailable at a time if no budget is
-/// set; at least one replica.
+/// Percentage of the replicas of a team's services of one class with production priority, over all these jobs, that may
+/// be unavailable at a time if no budget is set; at least one replica.
 const DEFAULT_UNAVAILABLE_PRODUCTION_PERCENT: u8 = 5;
 /// Percentage of the running tasks of a class of arrays or gangs that may be interrupted at a time if no budget is set;
 /// at least one task.
 const DEFAULT_INTERRUPTED_TASKS_PERCENT: u8 = 25;
 
-/// A number of units, or a percentage of the units such as `"25%"`, which is rounded down.
+/// A number of units (replicas of a service, tasks of an array or a gang), or a percentage of the units such as `"25%"`.
+/// With a percentage, the number of units that may be unavailable is rounded down, for `max_unavailable` and for
+/// `min_available`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
 pub enum Units {
@@ -48,8 +50,9 @@
 }
 
 /// Number of units of a team's classes that may be unavailable at a time. Exactly one of `max_unavailable` and
-/// `min_available` is set. All units of one team and class share the budget, over all jobs. A unit counts as
-/// unavailable for any reason: its machine was lost, it waits for a machine, or its image is being fetched.
+/// `min_available` is set. All units of one team and class share the budget, over all jobs. A replica of a service counts
+/// as unavailable for any reason: its machine was lost, it waits for a machine, or its image is being fetched. A task of
+/// an array or a gang counts as unavailable only after it was interrupted under a permit, until it runs again.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct BudgetRule {
@@ -76,8 +79,8 @@
     pub zone: Option<String>,
     /// Drains only spot machines if `true`, only on-demand machines if `false`, and both if it is not set.
     pub spot: Option<bool>,
-    /// Number of replacement machines that are rented ahead of the evictions at a time. Tasks of further machines are
-    /// moved to free capacity of the machines that are already rented.
+    /// Maximum number of the machines drained at a time that get a replacement machine, rented before their tasks are
+    /// evicted. Tasks of the other machines are moved to free capacity of the machines that are already rented.
     #[schemars(range(min = 0, max = 1_000))]
     pub surge: u32,
     /// Maximum number of machines that are drained at a time.
@@ -87,8 +90,8 @@
     /// interruption.
     #[schemars(range(min = 0.0, max = 86_400.0))]
     pub patience_s: f64,
-    /// Time, in seconds, that a leader must have been running before it begins the drain, so that the other controllers
-    /// can get the same settings first.
+    /// Time, in seconds, that the leading controller must have been running before it begins the drain, so that the
+    /// other controllers can be restarted with the same settings first.
     #[schemars(range(min = 0.0, max = 86_400.0))]
     pub delay_s: f64,
 }
@@ -141,7 +144,7 @@
     }
 
     /// Adds the faults of the rule that stands at `path`.
-    fn check(&self, path: &str, faults: &mut Vec<Fault>) {
+    fn collect_faults(&self, path: &str, faults: &mut Vec<Fault>) {
         let mut add = |field: &str, message: String| {
             let path = format!("{path}{field}");
             faults.push(Fault { path, message });
@@ -155,10 +158,10 @@
         ] {
             match units.as_ref().map(Units::amount) {
                 Some(Err(error)) => add(field, error.to_string()),
-                Some(Ok(Amount::Count(count))) if count > MAX_UNITS => {
+                Some(Ok(Amount::Count(count))) if count > MAX_TASKS_PER_JOB => {
                     add(
                         field,
-                        format!("must be at most {MAX_UNITS}, the maximum number of units of a job"),
+                        format!("must be at most {MAX_TASKS_PER_JOB}, the maximum number of units of a job"),
                     );
                 }
                 _ => {}
@@ -183,7 +186,7 @@
     }
 
     /// Adds the faults of the drain that stands at `path`.
-    fn check(&self, path: &str, faults: &mut Vec<Fault>) {
+    fn collect_faults(&self, path: &str, faults: &mut Vec<Fault>) {
         let mut add = |field: &str, message: &str| {
             faults.push(Fault {
                 path: format!("{path}.{field}"),
@@ -219,17 +222,17 @@
     }
 
     /// Default budget for the replicas of one service.
-    pub fn default_for_job() -> Budget {
+    pub fn default_service_budget() -> Budget {
         Budget::MaxUnavailable(Amount::Count(DEFAULT_UNAVAILABLE_REPLICAS_PER_JOB))
     }
 
-    /// Default budget for the replicas of a production class, over all its jobs.
-    pub fn default_for_production() -> Budget {
+    /// Default budget for the replicas of a team's services of one class with production priority, over all these jobs.
+    pub fn default_production_class_budget() -> Budget {
         Budget::MaxUnavailable(Amount::PercentOrOne(DEFAULT_UNAVAILABLE_PRODUCTION_PERCENT))
     }
 
     /// Default budget for the tasks of a class of arrays or gangs.
-    pub fn default_for_tasks() -> Budget {
+    pub fn default_task_class_budget() -> Budget {
         Budget::MaxUnavailable(Amount::PercentOrOne(DEFAULT_INTERRUPTED_TASKS_PERCENT))
     }
 
@@ -242,12 +245,12 @@
     pub(super) fn value_faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         for (i, rule) in self.budgets.iter().enumerate() {
-            rule.check(&format!("disruption.budgets[{i}]"), &mut faults);
+            rule.collect_faults(&format!("disruption.budgets[{i}]"), &mut faults);
         }
         let mut names = BTreeSet::new();
         for (i, drain) in self.drains.iter().enumerate() {
             let path = format!("disruption.drains[{i}]");
-            drain.check(&path, &mut faults);
+            drain.collect_faults(&path, &mut faults);
             if !names.insert(&drain.name) {
                 faults.push(Fault {
                     path: format!("{path}.name"),
--- a/crates/tidelatch-core/src/settings/failure_detection.rs
+++ b/crates/tidelatch-core/src/settings/failure_detection.rs
@@ -54,11 +54,12 @@
     /// Number of controllers that are asked to probe an unresponsive controller.
     #[schemars(range(min = 0, max = 64))]
     pub probes: u32,
-    /// Upper bound of the local-health score. Each point raises the threshold while this controller considers itself
-    /// to be at fault.
+    /// Upper bound of the local-health score, which is above 0 while this controller considers itself to be at fault. At
+    /// a score of `k`, it suspects another controller only after `k + 1` times the usual time without heartbeats, or
+    /// after a whole lease.
     #[schemars(range(min = 0, max = 16))]
     pub local_health_most: u8,
-    /// Half-life of the penalty for flapping.
+    /// Half-life of the penalty for flapping. A flap is a suspicion that was cleared; each flap adds to the penalty.
     #[schemars(range(min = 0.1, max = 1_000.0))]
     pub flap_half_life_per_lease: f64,
     /// Number of flaps that have no effect. After each further flap, clearing a suspicion takes one more heartbeat.
--- a/crates/tidelatch-core/src/settings/operator.rs
+++ b/crates/tidelatch-core/src/settings/operator.rs
@@ -17,10 +17,11 @@
     /// Delay after which tasks that found no machine are tried again, as a fraction of the workers' report period.
     #[schemars(range(min = 0.01, max = 10.0))]
     pub batch_retry_per_report: f64,
-    /// Number of moves that the local search for a batch may try, per task of the batch.
+    /// Number of changes of a placement that the local search for a batch may try, per task of the batch.
     #[schemars(range(min = 0, max = 1_000))]
     pub search_moves_per_task: u32,
-    /// Time, in seconds, that one slice of the placement search may take at this controller's share of a processor.
+    /// Time, in seconds, that the placement search may take without interruption, at the controller's share of a
+    /// processor (`facts.machine_limits.cores`). The search counts its evaluations and reads no clock.
     #[schemars(range(min = 0.001, max = 10.0))]
     pub search_budget_s: f64,
     /// Duration of a controller's lease in the state service, as a fraction of the workers' lease.
--- a/crates/tidelatch-core/src/settings/platform.rs
+++ b/crates/tidelatch-core/src/settings/platform.rs
@@ -93,12 +93,13 @@
 /// A service level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// `wait`, `deadline` or `guarantee`.
+    /// `wait` (tasks of the class start within `within_s`), `guarantee` (guaranteed work starts within `within_s`), or
+    /// `deadline`.
     pub kind: String,
     /// Job class that the objective applies to.
     #[serde(default)]
     pub class: Option<String>,
-    /// Time within which the objective must be met, in seconds.
+    /// Maximum time until the start of a task, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
     /// Objective as a multiple of the deadline.
@@ -111,7 +112,7 @@
 pub struct WorkerFacts {
     /// Interval between the reports of a worker, in seconds.
     pub report_s: f64,
-    /// Duration of a worker's lease, in seconds: without an answer for so long, the lease expires.
+    /// Duration of a worker's lease, in seconds: if the worker's reports are not answered for so long, the lease expires.
     pub lease_s: f64,
     /// Time within which all tasks of a cancelled job must be gone, in seconds.
     pub cancel_s: f64,
@@ -183,7 +184,7 @@
         self.check_siblings(&mut faults);
         self.facts.check_amounts(&mut faults);
         self.facts.check_gangs(&mut faults);
-        self.facts.check_next_limits(&mut faults);
+        self.facts.check_announced_and_socket_limits(&mut faults);
         self.facts.check_teams(&mut faults);
         faults.0
     }
@@ -269,7 +270,7 @@
         }
     }
 
-    fn check_next_limits(&self, faults: &mut FaultList) {
+    fn check_announced_and_socket_limits(&self, faults: &mut FaultList) {
         let next = self.state.next.clone().unwrap_or_default();
         faults.add_unless_positive("facts.state.next.write_rps", next.write_rps);
         faults.add_unless_positive("facts.state.next.value_kb", next.value_kb);
