--- a/crates/tidelatch/src/admission.rs
+++ b/crates/tidelatch/src/admission.rs
@@ -35,6 +35,7 @@
     pub fn from_sockets(sockets: u32) -> Self {
         let sockets = sockets as usize;
         let outgoing = sockets / 4;
+        // The lower bounds of 8 and 2 matter only for fewer sockets than the settings allow.
         let max_incoming = (sockets - outgoing).max(8);
         Self {
             max_incoming,
@@ -133,8 +134,9 @@
         Some(AdmittedConnection { id, admission, evicted })
     }
 
-    /// Closes connections that have been idle for too long, or whose current request stays incomplete for too long. A
-    /// worker that has not reported for the duration of a lease reports to another controller, or has terminated.
+    /// Closes connections that have been idle for too long (one lease for a worker's, four leases for a user's), or whose
+    /// current request stays incomplete for one lease. A worker that has not reported for the duration of a lease reports
+    /// to another controller, or has terminated.
     pub fn close_stale(&self, now: Instant) {
         let mut open = self.lock();
         open.by_id.retain(|_, connection| {
@@ -228,8 +230,10 @@
 
     #[test]
     fn a_single_controller_has_sockets_for_all_workers_and_for_users() {
-        // Guards against too few sockets for incoming connections. With half of the sockets for them, and two of three
-        // controllers down, they were fewer than the workers, and leases expired.
+        // Guards against too few sockets for incoming connections. If only half of the sockets were for them, one
+        // controller of three could not accept all workers while the two others are down, and leases would expire. At
+        // least 150 incoming sockets are left for users, and 64 for the state service, the cloud, the
+        // peers and the process itself.
         for (sockets, workers) in [(3490, 1848), (3588, 2131), (1800, 960)] {
             let budget = SocketBudget::from_sockets(sockets);
             assert!(
--- a/crates/tidelatch/src/capacity.rs
+++ b/crates/tidelatch/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Estimates for `tidelatch check` of how many machines a controller's resource limits can serve.
+//! Estimates for `tidelatch check` of how many machines a controller's resource limits can serve. Each machine has one
+//! worker.
 
 use crate::admission::SocketBudget;
 use tidelatch_core::settings::MachineLimits;
--- a/crates/tidelatch/src/daemon/connections.rs
+++ b/crates/tidelatch/src/daemon/connections.rs
@@ -1,7 +1,7 @@
 //! Serves the HTTP connections of users and workers: passes each request to the core and writes back its answer.
 
 use super::inbox::REPORT_PATH;
-use super::{Event, TICK_INTERVAL};
+use super::{IncomingEvent, TICK_INTERVAL};
 use crate::admission::{Admission, AdmittedConnection};
 use crate::http::{Connection, HttpError, Request};
 use smol::channel::Sender;
@@ -23,7 +23,7 @@
 pub(super) async fn accept_connections(
     executor: Arc<Executor<'static>>,
     listener: TcpListener,
-    events: Sender<Event>,
+    events: Sender<IncomingEvent>,
     admission: Arc<Admission>,
 ) {
     loop {
@@ -57,7 +57,7 @@
 /// Serves the requests of one connection in sequence until it is closed.
 async fn serve_connection(
     mut connection: Connection,
-    events: Sender<Event>,
+    events: Sender<IncomingEvent>,
     admitted: &AdmittedConnection,
 ) -> Result<(), HttpError> {
     loop {
@@ -119,13 +119,13 @@
 }
 
 /// Sends a request to the core and waits for its answer; `None` if the daemon is stopping.
-async fn send_to_core(events: &Sender<Event>, method: Method, request: Request) -> Option<Answer> {
-    let (reply, answer) = smol::channel::bounded(1);
-    let event = Event::Request {
+async fn send_to_core(events: &Sender<IncomingEvent>, method: Method, request: Request) -> Option<Answer> {
+    let (answer_sender, answer) = smol::channel::bounded(1);
+    let event = IncomingEvent::HttpRequest {
         method,
         path: request.path,
         body: request.body,
-        reply,
+        answer_sender,
     };
     events.send(event).await.ok()?;
     answer.recv().await.ok()
--- a/crates/tidelatch/src/daemon/dispatcher.rs
+++ b/crates/tidelatch/src/daemon/dispatcher.rs
@@ -1,7 +1,7 @@
 //! Executes the core's outputs: answers, HTTP calls, requests to peers, and log lines.
 
 use super::deadlines::{CallDeadlines, wait_for_expiry};
-use super::{Event, StartError, parse_address};
+use super::{IncomingEvent, StartError, parse_address};
 use crate::admission::SocketBudget;
 use crate::http::{CallProgress, CallStage, Client, OutgoingRequest};
 use crate::peers::PeerClients;
@@ -24,7 +24,7 @@
     state_address: SocketAddr,
     cloud_address: SocketAddr,
     peer_addresses: HashMap<ControllerId, SocketAddr>,
-    events: Sender<Event>,
+    events: Sender<IncomingEvent>,
     next_request_id: u64,
     deadlines: CallDeadlines,
     /// Senders for the answers of HTTP requests that the core has not answered, by request id.
@@ -38,7 +38,7 @@
     pub(super) fn new(
         executor: &Arc<Executor<'static>>,
         settings: &Settings,
-        events: Sender<Event>,
+        events: Sender<IncomingEvent>,
         budget: SocketBudget,
     ) -> Result<Self, StartError> {
         let platform = &settings.platform;
@@ -62,28 +62,28 @@
     }
 
     /// Converts an event into the core's input, and keeps the sender for the answer under the request's id.
-    pub(super) fn make_input(&mut self, event: Event) -> Input {
+    pub(super) fn make_input(&mut self, event: IncomingEvent) -> Input {
         let id = self.next_request_id;
         self.next_request_id += 1;
         match event {
-            Event::Request {
+            IncomingEvent::HttpRequest {
                 method,
                 path,
                 body,
-                reply,
+                answer_sender,
             } => {
-                self.pending_requests.insert(id, reply);
+                self.pending_requests.insert(id, answer_sender);
                 Input::Request { id, method, path, body }
             }
-            Event::Peer { request, reply } => {
-                self.pending_peer_requests.insert(id, reply);
+            IncomingEvent::PeerRequest { request, reply_sender } => {
+                self.pending_peer_requests.insert(id, reply_sender);
                 Input::PeerRequest { id, request }
             }
-            Event::Reply { call, result } => {
+            IncomingEvent::HttpResult { call, result } => {
                 self.deadlines.remove(call);
                 Input::Reply { call, result }
             }
-            Event::PeerReply { call, result } => {
+            IncomingEvent::PeerResult { call, result } => {
                 self.deadlines.remove(call);
                 Input::PeerReply { call, result }
             }
@@ -99,9 +99,9 @@
     pub(super) fn execute(&mut self, output: Output) {
         match output {
             Output::Answer { id, answer } => {
-                if let Some(reply) = self.pending_requests.remove(&id) {
+                if let Some(answer_sender) = self.pending_requests.remove(&id) {
                     // The requester may have disconnected.
-                    let _ = reply.try_send(answer);
+                    let _ = answer_sender.try_send(answer);
                 }
             }
             Output::Tell { id, reply } => {
@@ -166,7 +166,7 @@
             };
             let result = http_call.or(wait_for_expiry(expiry)).await;
             let result = result.or_else(|| status_without_response(progress.stage()));
-            let _ = events.try_send(Event::Reply { call: id, result });
+            let _ = events.try_send(IncomingEvent::HttpResult { call: id, result });
         };
         self.executor.spawn(call).detach();
     }
@@ -197,14 +197,14 @@
             if let (None, Some(to)) = (&result, to) {
                 peer_clients.disconnect(to);
             }
-            let _ = events.try_send(Event::PeerReply { call: id, result });
+            let _ = events.try_send(IncomingEvent::PeerResult { call: id, result });
         };
         self.executor.spawn(call).detach();
     }
 }
 
 /// Result that the core gets for a call without a response: [`NOT_TRIED`] or [`NOT_SENT`] if the receiver cannot have
-/// got the request, `None` if it may have.
+/// got the request, `None` if it may have. A call to a worker address that cannot be parsed also gets [`NOT_TRIED`].
 fn status_without_response(stage: CallStage) -> Option<(u16, Vec<u8>)> {
     match stage {
         CallStage::WaitingForSocket => Some((NOT_TRIED, Vec::new())),
--- a/crates/tidelatch/src/daemon/inbox.rs
+++ b/crates/tidelatch/src/daemon/inbox.rs
@@ -1,27 +1,26 @@
 //! Priority queue of events for the core.
 //!
-//! Health checks, other controllers' requests and the results of calls come first, because leases, watches and grants
-//! depend on them. Workers' reports and users' requests follow in alternation. Among users' requests, submissions and
+//! Health checks, other controllers' requests and the results of calls come first, because leases, watches of
+//! the state service, and the grants that controllers give each other depend on them. Workers' reports and users' requests follow in alternation. Among users' requests, submissions and
 //! cancellations come before polls, because users poll many times as often when something is wrong. An event that
 //! has waited for longer than its sender waits for an answer is rejected without being processed.
 
-use super::Event;
+use super::IncomingEvent;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 use tidelatch_core::{Answer, Method, PeerReply, PeerRequest};
 
 /// Path of workers' reports.
 pub(super) const REPORT_PATH: &str = "/agent/beat";
-/// Time that a user waits for the answer to a poll, as specified in PROTOCOL, like the next two. An event that has
-/// waited for longer is rejected without being processed, so that time is spent on clients that still wait.
+/// Time that a user waits for the answer to a poll, as specified in PROTOCOL.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that a worker waits for the answer to a report.
+/// Time that a worker waits for the answer to a report, as specified in PROTOCOL.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time that a user waits for the answer to a submission.
+/// Time that a user waits for the answer to a submission, as specified in PROTOCOL.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Events in order of arrival, each with its time of arrival.
-type TimedEvents = VecDeque<(Instant, Event)>;
+type TimedEvents = VecDeque<(Instant, IncomingEvent)>;
 
 /// Kind of an event, which determines its priority and its client's timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,36 +29,39 @@
     Urgent,
     /// A worker's report, sent directly or relayed by another controller.
     Report,
-    /// A submission or a cancellation.
-    Change,
+    /// A submission, a cancellation, or any other POST or DELETE.
+    SubmitOrCancel,
     /// A user's query.
     Poll,
 }
 
 impl EventKind {
     /// Classifies an event.
-    fn of(event: &Event) -> Self {
+    fn of(event: &IncomingEvent) -> Self {
         match event {
-            Event::Request { path, .. } if path == REPORT_PATH => Self::Report,
-            Event::Request { path, .. } if path == "/up" => Self::Urgent,
-            Event::Request {
+            IncomingEvent::HttpRequest { path, .. } if path == REPORT_PATH => Self::Report,
+            IncomingEvent::HttpRequest { path, .. } if path == "/up" => Self::Urgent,
+            IncomingEvent::HttpRequest {
                 method: Method::Get, ..
             } => Self::Poll,
-            Event::Request { .. } => Self::Change,
-            Event::Peer {
+            IncomingEvent::HttpRequest { .. } => Self::SubmitOrCancel,
+            IncomingEvent::PeerRequest {
                 request: PeerRequest::Relay { .. },
                 ..
             } => Self::Report,
-            Event::Peer { .. } | Event::Reply { .. } | Event::PeerReply { .. } => Self::Urgent,
+            IncomingEvent::PeerRequest { .. } | IncomingEvent::HttpResult { .. } | IncomingEvent::PeerResult { .. } => {
+                Self::Urgent
+            }
         }
     }
 
-    /// Time that the sender waits for an answer.
+    /// Time that the sender waits for an answer. An event that has waited for longer is rejected without being
+    /// processed, so that time is spent on clients that still wait. Urgent events are always processed.
     fn client_timeout(self) -> Duration {
         match self {
             Self::Poll => POLL_TIMEOUT,
             Self::Report => REPORT_TIMEOUT,
-            Self::Urgent | Self::Change => SUBMIT_TIMEOUT,
+            Self::Urgent | Self::SubmitOrCancel => SUBMIT_TIMEOUT,
         }
     }
 }
@@ -67,7 +69,7 @@
 /// Events that wait for the core, in one queue for each kind.
 #[derive(Default)]
 pub(super) struct Inbox {
-    urgent: VecDeque<Event>,
+    urgent: VecDeque<IncomingEvent>,
     reports: TimedEvents,
     changes: TimedEvents,
     polls: TimedEvents,
@@ -77,18 +79,18 @@
 
 /// An event that was popped from the inbox.
 pub(super) struct QueuedEvent {
-    pub(super) event: Event,
+    pub(super) event: IncomingEvent,
     /// The sender's timeout has passed: it no longer waits for an answer.
     pub(super) is_expired: bool,
 }
 
 impl Inbox {
     /// Adds an event that arrived at `now`.
-    pub(super) fn push(&mut self, event: Event, now: Instant) {
+    pub(super) fn push(&mut self, event: IncomingEvent, now: Instant) {
         match EventKind::of(&event) {
             EventKind::Urgent => self.urgent.push_back(event),
             EventKind::Report => self.reports.push_back((now, event)),
-            EventKind::Change => self.changes.push_back((now, event)),
+            EventKind::SubmitOrCancel => self.changes.push_back((now, event)),
             EventKind::Poll => self.polls.push_back((now, event)),
         }
     }
@@ -113,19 +115,19 @@
     }
 
     /// Removes the next request of a user: changes before polls.
-    fn pop_user_request(&mut self) -> Option<(Instant, Event)> {
+    fn pop_user_request(&mut self) -> Option<(Instant, IncomingEvent)> {
         self.changes.pop_front().or_else(|| self.polls.pop_front())
     }
 }
 
 /// Rejects an event whose sender no longer waits, without passing it to the core.
-pub(super) fn reject_expired(event: Event) {
+pub(super) fn reject_expired(event: IncomingEvent) {
     let answer = Answer::later(503, 1, "overloaded");
     // The requester may have disconnected.
     match event {
-        Event::Request { reply, .. } => drop(reply.try_send(answer)),
-        Event::Peer { reply, .. } => drop(reply.try_send(PeerReply::Answer(answer))),
-        Event::Reply { .. } | Event::PeerReply { .. } => {}
+        IncomingEvent::HttpRequest { answer_sender, .. } => drop(answer_sender.try_send(answer)),
+        IncomingEvent::PeerRequest { reply_sender, .. } => drop(reply_sender.try_send(PeerReply::Answer(answer))),
+        IncomingEvent::HttpResult { .. } | IncomingEvent::PeerResult { .. } => {}
     }
 }
 
@@ -134,21 +136,21 @@
     use super::*;
     use smol::channel::Receiver;
 
-    fn request(method: Method, path: &str) -> (Event, Receiver<Answer>) {
-        let (reply, answer) = smol::channel::bounded(1);
-        let event = Event::Request {
+    fn request(method: Method, path: &str) -> (IncomingEvent, Receiver<Answer>) {
+        let (answer_sender, answer) = smol::channel::bounded(1);
+        let event = IncomingEvent::HttpRequest {
             method,
             path: path.to_owned(),
             body: Vec::new(),
-            reply,
+            answer_sender,
         };
         (event, answer)
     }
 
-    fn path(event: &Event) -> &str {
+    fn path(event: &IncomingEvent) -> &str {
         match event {
-            Event::Request { path, .. } => path,
-            Event::Reply { .. } => "reply",
+            IncomingEvent::HttpRequest { path, .. } => path,
+            IncomingEvent::HttpResult { .. } => "reply",
             _ => "peer",
         }
     }
@@ -166,7 +168,7 @@
         }
         inbox.push(request(Method::Post, "/submissions").0, arrived);
         inbox.push(request(Method::Get, "/up").0, arrived);
-        inbox.push(Event::Reply { call: 1, result: None }, arrived);
+        inbox.push(IncomingEvent::HttpResult { call: 1, result: None }, arrived);
         let now = arrived + Duration::from_secs(3);
         let popped: Vec<QueuedEvent> = std::iter::from_fn(|| inbox.pop(now)).collect();
         let order: Vec<(&str, bool)> = popped.iter().map(|q| (path(&q.event), q.is_expired)).collect();
--- a/crates/tidelatch/src/daemon/mod.rs
+++ b/crates/tidelatch/src/daemon/mod.rs
@@ -47,9 +47,9 @@
 }
 
 /// An event from outside that the core has to process.
-pub enum Event {
+pub enum IncomingEvent {
     /// An HTTP request, with the sender for its answer.
-    Request {
+    HttpRequest {
         /// HTTP method.
         method: Method,
         /// Path and query.
@@ -57,24 +57,24 @@
         /// Body.
         body: Vec<u8>,
         /// Sender for the answer.
-        reply: Sender<Answer>,
+        answer_sender: Sender<Answer>,
     },
     /// A peer's request, with the sender for its reply.
-    Peer {
+    PeerRequest {
         /// The request.
         request: PeerRequest,
         /// Sender for the reply.
-        reply: Sender<PeerReply>,
+        reply_sender: Sender<PeerReply>,
     },
     /// The result of an HTTP call.
-    Reply {
+    HttpResult {
         /// Id of the call.
         call: u64,
         /// Status and body of the response; `None` if there was none.
         result: Option<(u16, Vec<u8>)>,
     },
     /// The result of a request to a peer.
-    PeerReply {
+    PeerResult {
         /// Id of the call.
         call: u64,
         /// The reply; `None` if there was none.
@@ -82,11 +82,12 @@
     },
 }
 
-/// Clock for the core's inputs: counts steady milliseconds from the given instant.
+/// Clock for the core's inputs: counts monotonic milliseconds from the given instant.
 struct Clock(Instant);
 
 impl Clock {
-    /// Returns the steady time since the start of the clock (plus 1 ms) and the time of day.
+    /// Returns the monotonic time since the start of the clock and the time of day. 1 ms is added to the monotonic time,
+    /// so that it is never 0.
     fn now(&self) -> Now {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Now {
@@ -132,6 +133,7 @@
     );
     let budget = SocketBudget::from_sockets(platform.facts.machine_limits.sockets);
     let workers = &platform.facts.workers;
+    // Lower bound for both times: half a second.
     let [report_interval, lease_duration] =
         [workers.report_s, workers.lease_s].map(|s| Duration::from_secs_f64(s.max(0.5)));
     let admission = Admission::new(budget, report_interval, lease_duration);
@@ -153,7 +155,8 @@
         ))
         .detach();
     let mut dispatcher = Dispatcher::new(&executor, &settings, events, budget)?;
-    // Each incarnation of the process needs a unique number; random numbers do not depend on any clock.
+    // Each incarnation of the process needs a unique number; random numbers do not depend on any clock. The lower 12
+    // bits are 0 at first: the core adds 1 for each lost lease.
     let incarnation = Incarnation(fastrand::u64(1..1 << 40) << 12);
     let clock = Clock(Instant::now());
     let core = Controller::new(settings, incarnation, clock.now());
@@ -165,7 +168,7 @@
 async fn run_event_loop(
     mut core: Controller,
     clock: Clock,
-    incoming: Receiver<Event>,
+    incoming: Receiver<IncomingEvent>,
     dispatcher: &mut Dispatcher,
     admission: &Admission,
 ) {
@@ -221,7 +224,7 @@
 }
 
 /// Waits for the next event; `None` if the next tick is due first.
-async fn wait_for_event(incoming: &Receiver<Event>, timer: &mut Timer) -> Option<Event> {
+async fn wait_for_event(incoming: &Receiver<IncomingEvent>, timer: &mut Timer) -> Option<IncomingEvent> {
     let event = async { incoming.recv().await.ok() };
     let tick = async {
         timer.await;
--- a/crates/tidelatch/src/http/client.rs
+++ b/crates/tidelatch/src/http/client.rs
@@ -81,10 +81,10 @@
     }
 }
 
-/// An open connection, and for a worker's the permit that counts it against the limit.
+/// An open connection, and for a worker's the slot that counts it against the limit.
 struct PooledConnection {
     connection: Connection,
-    permit: Option<SemaphoreGuardArc>,
+    slot: Option<SemaphoreGuardArc>,
 }
 
 /// An idle connection, and the time since which it has been idle.
@@ -94,7 +94,7 @@
 #[derive(Clone)]
 pub struct Client {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>,
-    worker_permits: Arc<Semaphore>,
+    worker_slots: Arc<Semaphore>,
 }
 
 impl Client {
@@ -109,7 +109,7 @@
     pub fn new(max_worker_connections: usize) -> Self {
         Self {
             idle: Arc::default(),
-            worker_permits: Arc::new(Semaphore::new(max_worker_connections)),
+            worker_slots: Arc::new(Semaphore::new(max_worker_connections)),
         }
     }
 
@@ -148,7 +148,7 @@
     fn close_oldest_worker_connection(&self) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let oldest_idle_since =
-            |pool: &Vec<IdleConnection>| pool.iter().filter(|(c, _)| c.permit.is_some()).map(|(_, t)| *t).min();
+            |pool: &Vec<IdleConnection>| pool.iter().filter(|(c, _)| c.slot.is_some()).map(|(_, t)| *t).min();
         let oldest = idle
             .iter()
             .filter_map(|(to, connections)| Some((oldest_idle_since(connections)?, *to)))
@@ -160,14 +160,14 @@
         }
     }
 
-    /// Acquires a permit for a connection to a worker. If none is free, it closes the oldest idle connection to a
-    /// worker and waits for the next permit that is released. While a call waits here, it has sent nothing.
-    async fn acquire_worker_permit(&self) -> SemaphoreGuardArc {
-        if let Some(permit) = self.worker_permits.try_acquire_arc() {
-            return permit;
+    /// Acquires a slot for a connection to a worker. If none is free, it closes the oldest idle connection to a
+    /// worker and waits for the next slot that is released. While a call waits here, it has sent nothing.
+    async fn acquire_worker_slot(&self) -> SemaphoreGuardArc {
+        if let Some(slot) = self.worker_slots.try_acquire_arc() {
+            return slot;
         }
         self.close_oldest_worker_connection();
-        self.worker_permits.acquire_arc().await
+        self.worker_slots.acquire_arc().await
     }
 
     /// Sends a request and returns the response's status and body. After an error the request may or may not have been
@@ -187,12 +187,12 @@
         Ok((response.status, response.body))
     }
 
-    /// Opens a connection to a worker for later calls, if none is idle and a permit is free.
+    /// Opens a connection to a worker for later calls, if none is idle and a slot is free.
     pub async fn connect_ahead(&self, to: SocketAddr) -> Result<(), HttpError> {
         if self.has_idle(to) {
             return Ok(());
         }
-        let Some(permit) = self.worker_permits.try_acquire_arc() else {
+        let Some(slot) = self.worker_slots.try_acquire_arc() else {
             return Ok(());
         };
         let connecting = async { TcpStream::connect(to).await.map_err(HttpError::from) };
@@ -203,7 +203,7 @@
         let stream = connecting.or(timed_out).await?;
         let pooled = PooledConnection {
             connection: Connection::new(stream),
-            permit: Some(permit),
+            slot: Some(slot),
         };
         self.return_idle(to, pooled);
         Ok(())
@@ -215,10 +215,10 @@
         idle.get(&to).is_some_and(|connections| !connections.is_empty())
     }
 
-    /// Opens a connection for a request; acquires a permit first if it goes to a worker.
+    /// Opens a connection for a request; acquires a slot first if it goes to a worker.
     async fn connect(&self, request: &OutgoingRequest, progress: &CallProgress) -> Result<PooledConnection, HttpError> {
-        let permit = if request.is_to_worker {
-            Some(self.acquire_worker_permit().await)
+        let slot = if request.is_to_worker {
+            Some(self.acquire_worker_slot().await)
         } else {
             None
         };
@@ -226,7 +226,7 @@
         let stream = TcpStream::connect(request.to).await?;
         Ok(PooledConnection {
             connection: Connection::new(stream),
-            permit,
+            slot,
         })
     }
 }
--- a/crates/tidelatch/src/http/mod.rs
+++ b/crates/tidelatch/src/http/mod.rs
@@ -22,7 +22,7 @@
     /// The body exceeds its maximum size.
     #[error("message body too large")]
     BodyTooLarge,
-    /// The other side closed the connection before a message was complete.
-    #[error("closed")]
+    /// The other side closed the connection, between two messages or within one.
+    #[error("the other side closed the connection")]
     Closed,
 }
--- a/crates/tidelatch/src/main.rs
+++ b/crates/tidelatch/src/main.rs
@@ -25,7 +25,8 @@
 enum Command {
     /// Run a controller until it is killed.
     Serve(SettingsPaths),
-    /// Validate the settings: print one line for each error, and exit with code 1 if there is any.
+    /// Validate the settings: print one line for each error and exit with code 1, or else estimate this controller's
+    /// capacity.
     Check(SettingsPaths),
     /// Print the JSON schema of the operators' settings.
     Schema,
--- a/crates/tidelatch/src/peers/client.rs
+++ b/crates/tidelatch/src/peers/client.rs
@@ -20,12 +20,12 @@
 
 /// An HTTP/2 connection to a peer, as the service that tonic's generated client calls.
 #[derive(Clone)]
-struct Channel {
+struct PeerConnection {
     sender: RequestSender,
     authority: String,
 }
 
-impl Service<Request<Body>> for Channel {
+impl Service<Request<Body>> for PeerConnection {
     type Response = Response<hyper::body::Incoming>;
     type Error = hyper::Error;
     type Future = BoxedFuture<Result<Self::Response, Self::Error>>;
@@ -47,7 +47,7 @@
 #[derive(Clone)]
 pub struct PeerClients {
     executor: Arc<Executor<'static>>,
-    channels: Arc<Mutex<HashMap<SocketAddr, Channel>>>,
+    connections: Arc<Mutex<HashMap<SocketAddr, PeerConnection>>>,
 }
 
 impl PeerClients {
@@ -55,54 +55,60 @@
     pub fn new(executor: Arc<Executor<'static>>) -> Self {
         Self {
             executor,
-            channels: Arc::default(),
+            connections: Arc::default(),
         }
     }
 
     /// Returns the open connection to a peer, if there is one.
-    fn existing_channel(&self, to: SocketAddr) -> Option<Channel> {
-        let channels = self.channels.lock().unwrap_or_else(PoisonError::into_inner);
-        channels.get(&to).filter(|channel| !channel.sender.is_closed()).cloned()
+    fn existing_connection(&self, to: SocketAddr) -> Option<PeerConnection> {
+        let connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        connections
+            .get(&to)
+            .filter(|connection| !connection.sender.is_closed())
+            .cloned()
     }
 
     /// Drops the connection to a peer that did not answer, so that the next request opens a new one.
     pub fn disconnect(&self, to: SocketAddr) {
-        self.channels.lock().unwrap_or_else(PoisonError::into_inner).remove(&to);
+        self.connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&to);
     }
 
     /// Returns the open connection to a peer, or opens one; `None` if that fails.
-    async fn get_or_open_channel(&self, to: SocketAddr) -> Option<Channel> {
-        if let Some(channel) = self.existing_channel(to) {
-            return Some(channel);
+    async fn get_or_open_connection(&self, to: SocketAddr) -> Option<PeerConnection> {
+        if let Some(connection) = self.existing_connection(to) {
+            return Some(connection);
         }
         let stream = TcpStream::connect(to).await.ok()?;
         let _ = stream.set_nodelay(true);
         let rt = SmolExecutor::new(SharedExecutor(self.executor.clone()));
-        let (sender, connection) = hyper::client::conn::http2::Builder::new(rt)
+        let (sender, driver) = hyper::client::conn::http2::Builder::new(rt)
             .handshake(FuturesIo::new(stream))
             .await
             .ok()?;
         self.executor
             .spawn(async move {
-                if let Err(error) = connection.await {
+                if let Err(error) = driver.await {
                     tracing::debug!("outgoing peer connection closed: {error}");
                 }
             })
             .detach();
-        let channel = Channel {
+        let connection = PeerConnection {
             sender,
             authority: to.to_string(),
         };
-        self.channels
+        self.connections
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .insert(to, channel.clone());
-        Some(channel)
+            .insert(to, connection.clone());
+        Some(connection)
     }
 
     /// Sends a request to a peer and waits for its reply; `None` if the peer could not be reached or returned an error.
     pub async fn send_request(&self, to: SocketAddr, request: PeerRequest) -> Option<PeerReply> {
-        let mut client = PeerClient::new(self.get_or_open_channel(to).await?);
+        let mut client = PeerClient::new(self.get_or_open_connection(to).await?);
         match request.into() {
             WireRequest::Relay(request) => {
                 let answer = client.relay(request).await.ok()?;
--- a/crates/tidelatch/src/peers/convert.rs
+++ b/crates/tidelatch/src/peers/convert.rs
@@ -292,8 +292,8 @@
     }
 }
 
-/// Converts spare room; `None` if it has no machine or the wrong number of amounts, which no version of this program
-/// sends.
+/// Converts spare room; `None` if it has no machine or the wrong number of resource amounts, which no version of this
+/// program sends.
 fn parse_spare_room(spare_room: wire::SpareRoom) -> Option<SpareRoom> {
     Some(SpareRoom {
         machine: spare_room.machine?.into(),
@@ -338,6 +338,7 @@
 
 impl From<wire::Want> for WaitingTasks {
     fn from(waiting: wire::Want) -> Self {
+        // Processors, accelerators and GB of memory. Missing amounts stay 0.
         let mut size = [0.0; 3];
         size.iter_mut().zip(waiting.size).for_each(|(s, v)| *s = v);
         Self {
--- a/crates/tidelatch/src/peers/server.rs
+++ b/crates/tidelatch/src/peers/server.rs
@@ -2,7 +2,7 @@
 
 use super::wire::peer_server::{Peer, PeerServer};
 use super::{BoxedFuture, SharedExecutor, wire};
-use crate::daemon::Event;
+use crate::daemon::IncomingEvent;
 use http::{Request, Response};
 use smol::Executor;
 use smol::channel::Sender;
@@ -18,16 +18,19 @@
 /// Implements the peer service: passes requests to the core and returns its replies.
 #[derive(Clone)]
 struct PeerService {
-    events: Sender<Event>,
+    events: Sender<IncomingEvent>,
 }
 
 impl PeerService {
     /// Sends a request to the core and waits for its reply; fails if the daemon is stopping.
     async fn send_to_core(&self, request: PeerRequest) -> Result<PeerReply, Status> {
-        let (reply, answer) = smol::channel::bounded(1);
-        let sent = self.events.send(Event::Peer { request, reply }).await;
+        let (reply_sender, reply) = smol::channel::bounded(1);
+        let sent = self
+            .events
+            .send(IncomingEvent::PeerRequest { request, reply_sender })
+            .await;
         sent.map_err(|_| Status::unavailable("stopping"))?;
-        answer.recv().await.map_err(|_| Status::unavailable("stopping"))
+        reply.recv().await.map_err(|_| Status::unavailable("stopping"))
     }
 
     /// Handles a call: sends its request to the core, and converts the reply into the call's response message.
@@ -90,8 +93,8 @@
 /// Maximum number of open connections for each peer: the one in use, and those that the peer abandoned during network
 /// partitions and whose close has not arrived here yet.
 const MAX_CONNECTIONS_PER_PEER: usize = 16;
-/// Maximum number of concurrent requests on one connection: a third of a thousand workers' reports may be relayed
-/// while the controller that owns the workers is slow.
+/// Maximum number of concurrent requests on one connection. Up to a third of the reports of a thousand
+/// workers may be relayed while the controller that owns the workers is slow.
 const MAX_STREAMS_PER_CONNECTION: u32 = 256;
 
 /// Serves the `peer_count` other controllers. A connection is pinged at `keep_alive_interval`, and closed if the ping
@@ -100,13 +103,15 @@
 pub async fn serve(
     executor: Arc<Executor<'static>>,
     listener: TcpListener,
-    events: Sender<Event>,
+    events: Sender<IncomingEvent>,
     peer_count: usize,
     keep_alive_interval: Duration,
 ) {
+    // Each open connection holds a clone, so the reference count is the number of connections plus one.
     let connection_counter = Arc::new(());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
+            // Most likely the process is out of sockets: wait until some are closed, then retry.
             smol::Timer::after(Duration::from_millis(100)).await;
             continue;
         };
--- a/crates/tidelatch/src/settings.rs
+++ b/crates/tidelatch/src/settings.rs
@@ -146,7 +146,7 @@
             _ => return Err(SettingsError::Level(text)),
         },
     };
-    // Libraries log errors only: their details would drown out this program's log lines.
+    // Libraries log errors only: their details would outnumber this program's own log lines.
     let filter = Targets::new()
         .with_default(tracing::Level::ERROR)
         .with_target("tidelatch", level);
