--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -165,7 +165,7 @@
             job.and_then(|job| since.get(&job.partition)).copied().map(tenure) == Some(granted_by)
         };
         if let Some(disruption) = &mut self.disruption {
-            disruption.permit_holder.drop_superseded(is_current);
+            disruption.permit_holder.drop_superseded_requests(is_current);
         }
     }
 }
--- a/crates/tidelatch-core/src/disruption/budget_lookup.rs
+++ b/crates/tidelatch-core/src/disruption/budget_lookup.rs
@@ -55,6 +55,6 @@
             .entry((job.spec.team.as_str(), job.spec.class.as_str()))
             .or_insert_with(|| self.controller.census(id).unwrap_or_default());
         let usage = ledger.usage(&job_name(id), census);
-        usage.iter().all(|(_, usage)| usage.left() > 0)
+        usage.iter().all(|(_, usage)| usage.remaining() > 0)
     }
 }
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -8,14 +8,15 @@
 use crate::protocol::{Priority, Shape, TaskState};
 use crate::settings::Disruption as DisruptionSettings;
 use tidelatch_disruption::{
-    Budget, Census, Counting, JobCensus, JobName, LedgerView, ScopeName, SpentPermit, Unit, UnitSet, UnitState,
+    Budget, Census, JobCensus, JobName, OutstandingPermit, ScopeName, UnavailabilityRule, Unit, UnitSet, UnitState,
+    UnitStateSource,
 };
 
 /// How the units of a job count against a budget: as replicas of a service, or as tasks.
-fn counting(job: &Job) -> Counting {
+fn unavailability_rule(job: &Job) -> UnavailabilityRule {
     match job.spec.shape {
-        Shape::Service => Counting::Replicas,
-        Shape::Array | Shape::Gang => Counting::Tasks,
+        Shape::Service => UnavailabilityRule::Replicas,
+        Shape::Array | Shape::Gang => UnavailabilityRule::Tasks,
     }
 }
 
@@ -33,7 +34,7 @@
             disruption.census_count.set(disruption.census_count.get() + 1);
         }
         let mut census = Census::default();
-        census.set_unaccounted(u32::try_from(self.unconfirmed(job.partition)).unwrap_or(u32::MAX));
+        census.set_unreported_machines(u32::try_from(self.unconfirmed(job.partition)).unwrap_or(u32::MAX));
         let shares_team_and_class =
             |other: &&Job| other.spec.team == job.spec.team && other.spec.class == job.spec.class;
         for (name, other) in self.jobs.iter().filter(|(_, other)| shares_team_and_class(other)) {
@@ -43,7 +44,7 @@
             }
             let scopes = scopes.into_iter().map(|(scope, _)| scope);
             let running = self.running_units(name, other);
-            let job = JobCensus::new(counting(other), other.spec.tasks, running, scopes);
+            let job = JobCensus::new(unavailability_rule(other), other.spec.tasks, running, scopes);
             census.add_job(job_name(name), job);
         }
         Some(census)
@@ -64,7 +65,7 @@
             return vec![(ScopeName::new(class), budget)];
         }
         // A class may contain services and arrays. By default the two do not share a budget.
-        if counting(job) == Counting::Tasks {
+        if unavailability_rule(job) == UnavailabilityRule::Tasks {
             let tasks = ScopeName::new(format!("tasks of {class}"));
             return vec![(tasks, DisruptionSettings::default_task_class_budget())];
         }
@@ -118,7 +119,7 @@
                 controller: self,
                 partition: *partition,
             };
-            ledger.settle(self.now.ms, &view);
+            ledger.release_settled_permits(self.now.ms, &view);
         }
         self.disruption = Some(disruption);
     }
@@ -149,10 +150,10 @@
                 continue;
             }
             let jobs = self.jobs.iter().filter(|(_, job)| job.partition == partition);
-            for (id, job) in jobs.filter(|(_, job)| counting(job) == Counting::Tasks) {
+            for (id, job) in jobs.filter(|(_, job)| unavailability_rule(job) == UnavailabilityRule::Tasks) {
                 let units = started_but_unplaced_units(job);
                 if !units.is_empty() {
-                    ledger.presume_interrupted(job_name(id), &units);
+                    ledger.count_as_interrupted(job_name(id), &units);
                 }
             }
         }
@@ -204,24 +205,24 @@
 
     /// Whether the holder of a permit can no longer stop the permit's attempt: the holder no longer owns the machine,
     /// and the machine has since reported under the present fencing token.
-    fn is_fenced(&self, machine: &Machine, permit: &SpentPermit) -> bool {
+    fn is_fenced(&self, machine: &Machine, permit: &OutstandingPermit) -> bool {
         let Some((record, _)) = &self.controller.member.epoch else {
             return false;
         };
         let still_owns = record.parts.iter().any(|part| {
-            part.owner.as_str() == permit.asker().as_str() && tenure(part.since) == permit.machine_tenure()
+            part.owner.as_str() == permit.requester().as_str() && tenure(part.since) == permit.machine_tenure()
         });
         !still_owns && machine.token >= record.n
     }
 }
 
-impl LedgerView for OwnerView<'_> {
-    fn state(&self, unit: &Unit, permit: &SpentPermit) -> UnitState {
+impl UnitStateSource for OwnerView<'_> {
+    fn state(&self, unit: &Unit, permit: &OutstandingPermit) -> UnitState {
         let Some((id, job)) = self.find_job(unit.job()) else {
-            return UnitState::Over;
+            return UnitState::Finished;
         };
         if job.is_done(unit.index()) {
-            return UnitState::Over;
+            return UnitState::Finished;
         }
         let machine = MachineId::new(permit.machine().as_str());
         let m = self.controller.machines.get(&machine);
@@ -229,18 +230,18 @@
             |h: &&Held| h.task.index == unit.index() && h.task.job == id && h.attempt.0 == permit.attempt().0;
         let held = m.and_then(|m| m.held.iter().find(matches_permit));
         match m.zip(held) {
-            Some((m, held)) if is_running(held) && self.is_fenced(m, permit) => UnitState::RunsFenced,
+            Some((m, held)) if is_running(held) && self.is_fenced(m, permit) => UnitState::RunningFenced,
             Some(_) => UnitState::Stoppable,
-            None if self.runs_matching_attempt(unit, |attempt| attempt != permit.attempt().0) => UnitState::RunsAnew,
-            None => UnitState::Gone,
+            None if self.runs_matching_attempt(unit, |attempt| attempt != permit.attempt().0) => UnitState::Restarted,
+            None => UnitState::Ended,
         }
     }
 
-    fn counting(&self, job: &JobName) -> Option<Counting> {
-        self.find_job(job).map(|(_, job)| counting(job))
+    fn unavailability_rule(&self, job: &JobName) -> Option<UnavailabilityRule> {
+        self.find_job(job).map(|(_, job)| unavailability_rule(job))
     }
 
-    fn is_made_up_for(&self, unit: &Unit) -> bool {
+    fn has_recovered(&self, unit: &Unit) -> bool {
         let done = self
             .find_job(unit.job())
             .is_none_or(|(_, job)| job.is_done(unit.index()));
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -7,7 +7,7 @@
 use crate::messages::Level;
 use crate::protocol::Shape;
 use std::collections::BTreeSet;
-use tidelatch_disruption::Interruption;
+use tidelatch_disruption::InterruptionCost;
 
 /// Number of worker lease durations after which this controller stops emptying a machine that is to be returned.
 const MAX_EMPTYING_LEASES: u64 = 4;
@@ -161,13 +161,13 @@
             .map_or(0.0, |t| self.now.ms.saturating_sub(t) as f64 / 1000.0);
         let has_checkpoints = spec.checkpoint_s > 0.0;
         let age_s = self.now.wall_ms.saturating_sub(job.at_wall) as f64 / 1000.0;
-        let interruption = Interruption {
+        let interruption = InterruptionCost {
             remaining_s: (self.estimates.run_s(spec) - ran_s).max(0.0),
             lost_s: if has_checkpoints { ran_s.min(spec.save_s) } else { ran_s },
             fetch_s: spec.image_gb / fetch_rate,
-            slack_s: spec.deadline_s.map(|deadline_s| deadline_s - age_s),
+            time_to_deadline_s: spec.deadline_s.map(|deadline_s| deadline_s - age_s),
         };
-        interruption.is_worth_waiting()
+        interruption.is_waiting_cheaper()
     }
 
     /// Returns machines to service that did not become empty within `MAX_EMPTYING_LEASES`.
--- a/crates/tidelatch-core/src/disruption/interruption.rs
+++ b/crates/tidelatch-core/src/disruption/interruption.rs
@@ -75,7 +75,7 @@
             unit: unit(self.task),
             attempt: PermitAttempt(self.attempt.0),
             machine: machine_name(self.machine),
-            asker: controller_name(requester),
+            requester: controller_name(requester),
             machine_tenure: tenure(self.machine_owned_since),
         }
     }
@@ -160,7 +160,7 @@
             .ok_or(BlockReason::NoOwner)?;
         let first = candidates.first().ok_or(BlockReason::NoOwner)?;
         let census = self.census(&first.task.job).ok_or(BlockReason::NoOwner)?;
-        self.evaluated += census.units();
+        self.evaluated += census.unit_count();
         let requests: Vec<PermitRequest> = candidates
             .iter()
             .map(|candidate| candidate.permit_request(&self.me))
@@ -170,7 +170,7 @@
         let ledger = ledger.ok_or(BlockReason::NoOwner)?;
         ledger.request(now_ms, valid_for_ms, &requests, &census)?;
         for request in &requests {
-            ledger.note_used(&request.unit);
+            ledger.mark_used(&request.unit);
         }
         let usage = ledger.usage(requests.first().map_or(&unit(first.task), |r| &r.unit).job(), &census);
         let left: Vec<String> = usage
@@ -212,7 +212,7 @@
             _ => {
                 disruption
                     .permit_holder
-                    .want(wanted, controller_name(&owner), tenure(since));
+                    .request_stop(wanted, controller_name(&owner), tenure(since));
                 Err(BlockReason::PermitRequested(owner))
             }
         }
@@ -271,5 +271,5 @@
 
 /// Describes how many interruptions a scope has left, for a log line.
 fn describe_usage(scope: &str, usage: Usage) -> String {
-    format!("{} of {} in {scope}", usage.left(), usage.allowance)
+    format!("{} of {} in {scope}", usage.remaining(), usage.allowance)
 }
--- a/crates/tidelatch-core/src/disruption/machine_drains.rs
+++ b/crates/tidelatch-core/src/disruption/machine_drains.rs
@@ -164,7 +164,7 @@
             .then(|| self.replacement_candidate(m));
         Some(Observation {
             is_empty: is_empty(m),
-            replace_ahead: drained.replace_ahead,
+            requires_replacement: drained.replace_ahead,
             candidate: candidate.flatten().map(|machine| MachineName::new(machine.as_str())),
             replacement: drained.replacement().map(|machine| self.replacement_state(&machine)),
         })
--- a/crates/tidelatch-core/src/disruption/permit_exchange.rs
+++ b/crates/tidelatch-core/src/disruption/permit_exchange.rs
@@ -20,7 +20,7 @@
         }
         Some(Box::new(PermitListing {
             life,
-            message: holder.message_for(&granter),
+            message: holder.build_message(&granter),
         }))
     }
 
@@ -42,7 +42,7 @@
         // one whose permits it does not list.
         let mut has_changes = false;
         for ledger in ledgers.values_mut() {
-            has_changes |= ledger.take_message(&requester, listing.life, message);
+            has_changes |= ledger.accept_message(&requester, listing.life, message);
         }
         if !has_changes {
             return None;
@@ -74,18 +74,18 @@
             return None;
         }
         let census = self.census(&task.job)?;
-        self.evaluated += census.units();
+        self.evaluated += census.unit_count();
         let request = PermitRequest {
             unit: wanted.unit.clone(),
             attempt: wanted.attempt,
             machine: wanted.machine.clone(),
-            asker: controller_name(from),
+            requester: controller_name(from),
             machine_tenure: wanted.machine_tenure,
         };
         let (now_ms, valid_for_ms) = (self.now.ms, self.permit_validity_ms());
         let ledger = self.disruption.as_mut()?.ledgers.get_mut(&partition)?;
         let granted = ledger.request(now_ms, valid_for_ms, &[request], &census).ok()?;
-        ledger.note_answered(&wanted.unit);
+        ledger.mark_granted_by_message(&wanted.unit);
         granted.into_iter().next()
     }
 
@@ -95,7 +95,7 @@
             let granter = controller_name(from);
             disruption
                 .permit_holder
-                .take_answer(&granter, grants.sequence, sent_ms, &grants.permits);
+                .accept_answer(&granter, grants.sequence, sent_ms, &grants.permits);
         }
     }
 
--- a/crates/tidelatch-core/src/settings/disruption.rs
+++ b/crates/tidelatch-core/src/settings/disruption.rs
@@ -23,9 +23,9 @@
 /// at least one task.
 const DEFAULT_INTERRUPTED_TASKS_PERCENT: u8 = 25;
 
-/// A number of units (replicas of a service, tasks of an array or a gang), or a percentage of the units such as `"25%"`.
-/// With a percentage, the number of units that may be unavailable is rounded down, for `max_unavailable` and for
-/// `min_available`.
+/// A number of units (replicas of a service, tasks of an array or a gang), or a percentage of the units such as
+/// `"25%"`. With a percentage, the number of units that may be unavailable is rounded down, for `max_unavailable` and
+/// for `min_available`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
 pub enum Units {
@@ -50,9 +50,9 @@
 }
 
 /// Number of units of a team's classes that may be unavailable at a time. Exactly one of `max_unavailable` and
-/// `min_available` is set. All units of one team and class share the budget, over all jobs. A replica of a service counts
-/// as unavailable for any reason: its machine was lost, it waits for a machine, or its image is being fetched. A task of
-/// an array or a gang counts as unavailable only after it was interrupted under a permit, until it runs again.
+/// `min_available` is set. All units of one team and class share the budget, over all jobs. A replica of a service
+/// counts as unavailable for any reason: its machine was lost, it waits for a machine, or its image is being fetched. A
+/// task of an array or a gang counts as unavailable only after it was interrupted under a permit, until it runs again.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct BudgetRule {
@@ -264,8 +264,8 @@
 
     /// Drains that could never finish: they rent no replacements ahead, and a budget permits no interruption.
     fn never_ending_drain_faults(&self) -> Vec<Fault> {
-        let permits_nothing = |rule: &BudgetRule| rule.budget().is_some_and(Budget::permits_nothing);
-        let blocking_budget = self.budgets.iter().position(permits_nothing);
+        let never_permits_disruption = |rule: &BudgetRule| rule.budget().is_some_and(Budget::never_permits_disruption);
+        let blocking_budget = self.budgets.iter().position(never_permits_disruption);
         let find_fault = |(i, drain): (usize, &DrainRule)| {
             let budget = blocking_budget.filter(|_| drain.surge == 0)?;
             Some(Fault {
--- a/crates/tidelatch-core/src/settings/failure_detection.rs
+++ b/crates/tidelatch-core/src/settings/failure_detection.rs
@@ -54,8 +54,8 @@
     /// Number of controllers that are asked to probe an unresponsive controller.
     #[schemars(range(min = 0, max = 64))]
     pub probes: u32,
-    /// Upper bound of the local-health score, which is above 0 while this controller considers itself to be at fault. At
-    /// a score of `k`, it suspects another controller only after `k + 1` times the usual time without heartbeats, or
+    /// Upper bound of the local-health score, which is above 0 while this controller considers itself to be at fault.
+    /// At a score of `k`, it suspects another controller only after `k + 1` times the usual time without heartbeats, or
     /// after a whole lease.
     #[schemars(range(min = 0, max = 16))]
     pub local_health_most: u8,
--- a/crates/tidelatch-core/src/settings/features.rs
+++ b/crates/tidelatch-core/src/settings/features.rs
@@ -18,8 +18,8 @@
 }
 
 impl Features {
-    /// Feature level in a controller's member record. Level 0 stands for the versions before gangs; it was never written
-    /// to a record.
+    /// Feature level in a controller's member record. Level 0 stands for the versions before gangs; it was never
+    /// written to a record.
     pub fn level(self) -> u32 {
         match self {
             Self { gangs: false, .. } => 0,
--- a/crates/tidelatch-core/src/settings/platform.rs
+++ b/crates/tidelatch-core/src/settings/platform.rs
@@ -112,7 +112,8 @@
 pub struct WorkerFacts {
     /// Interval between the reports of a worker, in seconds.
     pub report_s: f64,
-    /// Duration of a worker's lease, in seconds: if the worker's reports are not answered for so long, the lease expires.
+    /// Duration of a worker's lease, in seconds: if the worker's reports are not answered for so long, the lease
+    /// expires.
     pub lease_s: f64,
     /// Time within which all tasks of a cancelled job must be gone, in seconds.
     pub cancel_s: f64,
--- a/crates/tidelatch-disruption/src/budget.rs
+++ b/crates/tidelatch-disruption/src/budget.rs
@@ -5,7 +5,7 @@
 
 const MAX_PERCENT: u64 = 100;
 
-/// A number of units, or a percentage of all units. Percentages are rounded down to whole units.
+/// A number of units, or a percentage of all units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Amount {
     /// A fixed number of units.
@@ -24,7 +24,7 @@
 }
 
 impl Amount {
-    /// The number of units that this amount stands for in a scope of `size` units.
+    /// The number of units that this amount stands for in a scope of `size` units. Percentages are rounded down.
     pub fn of(self, size: u32) -> u32 {
         match self {
             Self::Count(count) => count.min(size),
@@ -34,7 +34,7 @@
     }
 
     /// Returns whether this amount is zero for every scope size.
-    pub fn is_nothing(self) -> bool {
+    pub fn is_zero(self) -> bool {
         matches!(self, Self::Count(0) | Self::Percent(0))
     }
 }
@@ -74,7 +74,8 @@
 pub enum Budget {
     /// At most this many units may be unavailable.
     MaxUnavailable(Amount),
-    /// At least this many units must be available. The number that may be unavailable is rounded down.
+    /// At least this many units must be available. With [`Amount::Percent`], the number that may be unavailable is
+    /// rounded down; with [`Amount::PercentOrOne`], the number that must be available is.
     MinAvailable(Amount),
 }
 
@@ -90,9 +91,9 @@
     }
 
     /// Returns whether no unit may ever be unavailable, whatever the scope size is.
-    pub fn permits_nothing(self) -> bool {
+    pub fn never_permits_disruption(self) -> bool {
         match self {
-            Self::MaxUnavailable(amount) => amount.is_nothing(),
+            Self::MaxUnavailable(amount) => amount.is_zero(),
             Self::MinAvailable(amount) => matches!(amount, Amount::Percent(100) | Amount::Count(u32::MAX)),
         }
     }
--- a/crates/tidelatch-disruption/src/census.rs
+++ b/crates/tidelatch-disruption/src/census.rs
@@ -8,18 +8,18 @@
 
 /// Which units of a job count as unavailable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Counting {
+pub enum UnavailabilityRule {
     /// Every unit that does not run counts, because all replicas of a service are meant to run at all times.
     Replicas,
-    /// Only units that were interrupted under a permit and do not run again yet count. Tasks of an array may have to
-    /// wait for free capacity in any case.
+    /// Only units that were interrupted under a permit and do not run again yet count. Tasks of an array or a gang may
+    /// have to wait for free capacity in any case.
     Tasks,
 }
 
 /// One job as the controller that owns it sees it.
 #[derive(Debug, Clone)]
 pub struct JobCensus {
-    counting: Counting,
+    unavailability_rule: UnavailabilityRule,
     size: u32,
     running: UnitSet,
     scopes: Vec<ScopeName>,
@@ -27,9 +27,14 @@
 
 impl JobCensus {
     /// Creates the snapshot of a job of `size` units, with the units that run and the scopes that the job belongs to.
-    pub fn new(counting: Counting, size: u32, running: UnitSet, scopes: impl IntoIterator<Item = ScopeName>) -> Self {
+    pub fn new(
+        unavailability_rule: UnavailabilityRule,
+        size: u32,
+        running: UnitSet,
+        scopes: impl IntoIterator<Item = ScopeName>,
+    ) -> Self {
         Self {
-            counting,
+            unavailability_rule,
             size,
             running,
             scopes: scopes.into_iter().collect(),
@@ -37,12 +42,12 @@
     }
 
     /// Which of the job's units count as unavailable.
-    pub fn counting(&self) -> Counting {
-        self.counting
+    pub fn unavailability_rule(&self) -> UnavailabilityRule {
+        self.unavailability_rule
     }
 
     /// Returns whether a unit runs.
-    pub fn runs(&self, index: u32) -> bool {
+    pub fn is_running(&self, index: u32) -> bool {
         self.running.contains(index)
     }
 
@@ -56,12 +61,12 @@
     /// Units in `permitted` have an outstanding permit and may be stopped at any moment. Units in `interrupted` were
     /// stopped under a permit.
     fn usage(&self, permitted: &UnitSet, interrupted: &UnitSet) -> (u32, u32) {
-        match self.counting {
-            Counting::Replicas => {
+        match self.unavailability_rule {
+            UnavailabilityRule::Replicas => {
                 let available = self.running.difference_len(permitted).min(self.size);
                 (self.size, self.size - available)
             }
-            Counting::Tasks => {
+            UnavailabilityRule::Tasks => {
                 let mut unavailable_units = interrupted.clone();
                 unavailable_units.extend(permitted);
                 (self.running.union_len(&unavailable_units), unavailable_units.len())
@@ -83,7 +88,7 @@
 
 impl Usage {
     /// Number of further units that may become unavailable.
-    pub fn left(self) -> u32 {
+    pub fn remaining(self) -> u32 {
         self.allowance.saturating_sub(self.unavailable)
     }
 }
@@ -93,7 +98,7 @@
 pub struct Census {
     jobs: BTreeMap<JobName, JobCensus>,
     budgets: BTreeMap<ScopeName, Budget>,
-    unaccounted: u32,
+    unreported_machines: u32,
 }
 
 impl Census {
@@ -109,17 +114,17 @@
 
     /// Sets the number of machines that may run units of these jobs and have not reported to this owner yet. While
     /// there are any, no permit is granted.
-    pub fn set_unaccounted(&mut self, machines: u32) {
-        self.unaccounted = machines;
+    pub fn set_unreported_machines(&mut self, machines: u32) {
+        self.unreported_machines = machines;
     }
 
     /// Number of machines that may run units of these jobs and have not reported yet.
-    pub fn unaccounted(&self) -> u32 {
-        self.unaccounted
+    pub fn unreported_machines(&self) -> u32 {
+        self.unreported_machines
     }
 
-    /// Total number of units of all jobs, which is the cost of building this snapshot.
-    pub fn units(&self) -> u64 {
+    /// Total number of units of all jobs. The time that it takes to build this snapshot grows with it.
+    pub fn unit_count(&self) -> u64 {
         self.jobs.values().map(|job| u64::from(job.size)).sum()
     }
 
--- a/crates/tidelatch-disruption/src/drain.rs
+++ b/crates/tidelatch-disruption/src/drain.rs
@@ -19,7 +19,7 @@
     /// No unit is on the machine, and no delayed command can start one there.
     pub is_empty: bool,
     /// A replacement machine must be ready before the evictions begin.
-    pub replace_ahead: bool,
+    pub requires_replacement: bool,
     /// An unused machine of the same kind, if there is one. Machines that are still booting are included.
     pub candidate: Option<MachineName>,
     /// State of the chosen replacement. `None` if no replacement is chosen.
@@ -106,7 +106,7 @@
     /// Goes on to the next step if the observation allows it. Returns the new step, or `None` if the step does not
     /// change.
     pub fn advance(&mut self, now_ms: u64, observation: &Observation) -> Option<Step> {
-        let next = self.next_step(observation)?;
+        let next = self.choose_next_step(observation)?;
         if next == Step::ReplacementWanted {
             self.replacement = None;
         }
@@ -115,14 +115,14 @@
         Some(next)
     }
 
-    fn next_step(&mut self, observation: &Observation) -> Option<Step> {
+    fn choose_next_step(&mut self, observation: &Observation) -> Option<Step> {
         if observation.is_empty {
             return (self.step != Step::Empty).then_some(Step::Empty);
         }
         match (self.step, observation.replacement) {
-            (Step::Cordoned, _) if observation.replace_ahead => Some(Step::ReplacementWanted),
+            (Step::Cordoned, _) if observation.requires_replacement => Some(Step::ReplacementWanted),
             (Step::Cordoned, _) => Some(Step::Evicting),
-            (Step::ReplacementWanted, _) if !observation.replace_ahead => Some(Step::Evicting),
+            (Step::ReplacementWanted, _) if !observation.requires_replacement => Some(Step::Evicting),
             (Step::ReplacementWanted, _) => {
                 self.replacement = Some(observation.candidate.clone()?);
                 Some(Step::ReplacementBooting)
--- a/crates/tidelatch-disruption/src/holder.rs
+++ b/crates/tidelatch-disruption/src/holder.rs
@@ -8,6 +8,7 @@
 /// The holder shortens a permit's validity by this fraction (1/500), which is four times the assumed drift between two
 /// monotonic clocks, and by one timer step in addition.
 const CLOCK_DRIFT_DIVISOR: u64 = 500;
+/// One step of the holder's timer, by which a time may be read too early.
 const TIMER_STEP_MS: u64 = 20;
 
 /// A unit that a controller wants to stop, or is stopping.
@@ -41,9 +42,9 @@
     Requested,
     /// The permit may be used before this time.
     Granted { expires_ms: u64 },
-    /// The permit has been used. `first_seq` is the sequence number of the first message that reported this, or
-    /// 0 if no message has yet.
-    Used { first_seq: u64 },
+    /// The permit has been used. `first_reported_sequence` is the sequence number of the first message that reported
+    /// this, or 0 if no message has yet.
+    Used { first_reported_sequence: u64 },
 }
 
 /// A request of this controller to stop a unit.
@@ -54,7 +55,7 @@
     /// The ownership epoch of the unit's team when the request was created.
     tenure: Tenure,
     /// Sequence number of the first message that listed this request.
-    first_sequence: Option<u64>,
+    first_listed_sequence: Option<u64>,
     progress: Progress,
     /// The attempt is gone, or this controller no longer has to stop it. If the permit was used, the request is kept
     /// until the owner has learned of the use.
@@ -85,13 +86,13 @@
 impl PermitHolder {
     /// Adds a request to stop a unit once the owner of its team permits it. If there is one for the attempt already,
     /// nothing changes.
-    pub fn want(&mut self, wanted: WantedPermit, granter: ControllerName, tenure: Tenure) {
+    pub fn request_stop(&mut self, wanted: WantedPermit, granter: ControllerName, tenure: Tenure) {
         let key = (wanted.unit.clone(), wanted.attempt);
         self.stop_requests.entry(key).or_insert(StopRequest {
             wanted,
             granter,
             tenure,
-            first_sequence: None,
+            first_listed_sequence: None,
             progress: Progress::Requested,
             is_obsolete: false,
         });
@@ -105,7 +106,7 @@
     }
 
     /// Builds the next message to an owner.
-    pub fn message_for(&mut self, granter: &ControllerName) -> PermitMessage {
+    pub fn build_message(&mut self, granter: &ControllerName) -> PermitMessage {
         self.sequence += 1;
         let sequence = self.sequence;
         let mut message = PermitMessage {
@@ -117,11 +118,13 @@
             .values_mut()
             .filter(|request| request.granter == *granter)
         {
-            request.first_sequence.get_or_insert(sequence);
+            request.first_listed_sequence.get_or_insert(sequence);
             match &mut request.progress {
-                Progress::Used { first_seq } => {
-                    if *first_seq == 0 {
-                        *first_seq = sequence;
+                Progress::Used {
+                    first_reported_sequence,
+                } => {
+                    if *first_reported_sequence == 0 {
+                        *first_reported_sequence = sequence;
                     }
                     message.used.push(request.wanted.clone());
                 }
@@ -142,13 +145,13 @@
     ///
     /// A permit's validity is counted from the time of sending. A permit is accepted only for a stop request that the
     /// message listed.
-    pub fn take_answer(&mut self, granter: &ControllerName, sequence: u64, sent_ms: u64, permits: &[Permit]) {
+    pub fn accept_answer(&mut self, granter: &ControllerName, sequence: u64, sent_ms: u64, permits: &[Permit]) {
         for permit in permits {
             let key = (permit.unit.clone(), permit.attempt);
             let Some(request) = self.stop_requests.get_mut(&key) else {
                 continue;
             };
-            let was_listed = request.first_sequence.is_some_and(|first| first <= sequence);
+            let was_listed = request.first_listed_sequence.is_some_and(|first| first <= sequence);
             let is_same_grant = request.granter == *granter && request.tenure == permit.tenure;
             if !was_listed || !is_same_grant || request.is_obsolete || matches!(request.progress, Progress::Used { .. })
             {
@@ -160,7 +163,7 @@
         }
         self.stop_requests.retain(|_, request| {
             let is_use_known =
-                matches!(request.progress, Progress::Used { first_seq } if first_seq > 0 && first_seq <= sequence);
+                matches!(request.progress, Progress::Used { first_reported_sequence } if first_reported_sequence > 0 && first_reported_sequence <= sequence);
             !(request.is_obsolete && request.granter == *granter && is_use_known)
         });
         let has_acknowledged = |first_empty: &Option<u64>| first_empty.is_some_and(|first| first <= sequence);
@@ -182,7 +185,9 @@
             .ok_or(UseError::NotGranted)?;
         match request.progress {
             Progress::Granted { expires_ms } if now_ms < expires_ms => {
-                request.progress = Progress::Used { first_seq: 0 };
+                request.progress = Progress::Used {
+                    first_reported_sequence: 0,
+                };
                 Ok(request.tenure)
             }
             Progress::Granted { .. } => {
@@ -206,13 +211,13 @@
 
     /// Drops all stop requests whose ownership epoch is no longer current: a later owner cannot know of them. The
     /// caller has to cancel the stops that it began under such a permit.
-    pub fn drop_superseded(&mut self, is_current: impl Fn(&ControllerName, &Unit, Tenure) -> bool) {
+    pub fn drop_superseded_requests(&mut self, is_current: impl Fn(&ControllerName, &Unit, Tenure) -> bool) {
         self.stop_requests
             .retain(|(unit, _), request| is_current(&request.granter, unit, request.tenure));
     }
 
     /// Returns whether there is a stop request for an attempt of a unit that is not obsolete.
-    pub fn wants(&self, unit: &Unit, attempt: Attempt) -> bool {
+    pub fn has_stop_request(&self, unit: &Unit, attempt: Attempt) -> bool {
         self.stop_requests
             .get(&(unit.clone(), attempt))
             .is_some_and(|request| !request.is_obsolete)
--- a/crates/tidelatch-disruption/src/ids.rs
+++ b/crates/tidelatch-disruption/src/ids.rs
@@ -44,7 +44,7 @@
 }
 
 name_type!(
-    /// Name of a job, which is a service of replicas or an array of tasks.
+    /// Name of a job, which is a service of replicas, or an array or a gang of tasks.
     JobName
 );
 name_type!(
@@ -69,7 +69,7 @@
     Tenure
 );
 
-/// A replica of a service or a task of an array, identified by its job and its index in the job.
+/// A replica of a service, or a task of an array or a gang, identified by its job and its index in the job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Unit {
     job: JobName,
--- a/crates/tidelatch-disruption/src/ledger.rs
+++ b/crates/tidelatch-disruption/src/ledger.rs
@@ -1,6 +1,6 @@
 //! Permits, on the side of the controller that owns the teams: it grants permits and counts them against the budgets.
 
-use crate::census::{Census, Counting, Usage};
+use crate::census::{Census, UnavailabilityRule, Usage};
 use crate::holder::PermitMessage;
 use crate::ids::{Attempt, ControllerName, JobName, MachineName, ScopeName, Tenure, Unit};
 use crate::unit_set::UnitSet;
@@ -16,7 +16,7 @@
     /// The machine that the attempt is on.
     pub machine: MachineName,
     /// The requester, which is the owner of the machine.
-    pub asker: ControllerName,
+    pub requester: ControllerName,
     /// The fencing token with which the requester's ownership of the machine began.
     pub machine_tenure: Tenure,
 }
@@ -81,18 +81,19 @@
 
 /// An outstanding permit: it was granted, and counts against the budget.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct SpentPermit {
+pub struct OutstandingPermit {
     attempt: Attempt,
     machine: MachineName,
-    asker: ControllerName,
+    requester: ControllerName,
     machine_tenure: Tenure,
     expires_ms: u64,
     is_used: bool,
-    /// The permit was granted in answer to a permit message. A later message that does not list it returns it.
+    /// The permit was granted in answer to a permit message. A later message that does not list the permit gives it
+    /// back.
     is_granted_by_message: bool,
 }
 
-impl SpentPermit {
+impl OutstandingPermit {
     /// The attempt that may be stopped.
     pub fn attempt(&self) -> Attempt {
         self.attempt
@@ -104,8 +105,8 @@
     }
 
     /// The controller that may stop the attempt.
-    pub fn asker(&self) -> &ControllerName {
-        &self.asker
+    pub fn requester(&self) -> &ControllerName {
+        &self.requester
     }
 
     /// The fencing token with which the requester's ownership of the machine began.
@@ -124,26 +125,26 @@
 pub enum UnitState {
     /// The attempt may be on its machine, and the holder of the permit may still stop it.
     Stoppable,
-    /// The attempt runs, and the holder of the permit can no longer stop it. The report that shows this is newer than
-    /// anything the holder could still send: the holder's ownership of the machine has ended, and the machine has seen
-    /// the fencing token of the next owner.
-    RunsFenced,
+    /// The attempt runs, and no command that the holder of the permit sent can stop it any more: the holder's ownership
+    /// of the machine has ended, and the machine has reported since it saw the fencing token of the next owner. The
+    /// permit still counts until it expires.
+    RunningFenced,
     /// The attempt is known to have ended, and the unit does not run.
-    Gone,
+    Ended,
     /// The unit runs again, as another attempt.
-    RunsAnew,
+    Restarted,
     /// The unit has finished, or its job has ended.
-    Over,
+    Finished,
 }
 
-/// The state of units and jobs that the ledger reads from its embedder in [`PermitLedger::settle`].
-pub trait LedgerView {
+/// The state of units and jobs that the ledger reads from its embedder in [`PermitLedger::release_settled_permits`].
+pub trait UnitStateSource {
     /// Returns the state of a unit for which a permit is outstanding.
-    fn state(&self, unit: &Unit, permit: &SpentPermit) -> UnitState;
+    fn state(&self, unit: &Unit, permit: &OutstandingPermit) -> UnitState;
     /// Returns which units of a job count as unavailable, or `None` if the job has ended.
-    fn counting(&self, job: &JobName) -> Option<Counting>;
+    fn unavailability_rule(&self, job: &JobName) -> Option<UnavailabilityRule>;
     /// Returns whether an interrupted unit runs again or has finished.
-    fn is_made_up_for(&self, unit: &Unit) -> bool;
+    fn has_recovered(&self, unit: &Unit) -> bool;
 }
 
 /// The permits that the owner of some teams has granted during one ownership epoch.
@@ -151,7 +152,7 @@
 pub struct PermitLedger {
     tenure: Tenure,
     grants_from_ms: u64,
-    outstanding: BTreeMap<Unit, SpentPermit>,
+    outstanding: BTreeMap<Unit, OutstandingPermit>,
     interrupted: BTreeMap<JobName, UnitSet>,
     /// Incarnation and sequence number of the last message accepted from each requester.
     last_messages: BTreeMap<ControllerName, (u64, u64)>,
@@ -171,7 +172,7 @@
     }
 
     /// Counts units that an earlier owner may have interrupted as interrupted until they run again.
-    pub fn presume_interrupted(&mut self, job: JobName, units: &UnitSet) {
+    pub fn count_as_interrupted(&mut self, job: JobName, units: &UnitSet) {
         self.interrupted.entry(job).or_default().extend(units);
     }
 
@@ -181,12 +182,12 @@
     }
 
     /// The outstanding permits by unit.
-    pub fn outstanding(&self) -> impl Iterator<Item = (&Unit, &SpentPermit)> {
+    pub fn outstanding(&self) -> impl Iterator<Item = (&Unit, &OutstandingPermit)> {
         self.outstanding.iter()
     }
 
     /// Number of interrupted tasks of a job that do not run again yet.
-    pub fn interrupted(&self, job: &JobName) -> u32 {
+    pub fn interrupted_count(&self, job: &JobName) -> u32 {
         self.interrupted.get(job).map_or(0, UnitSet::len)
     }
 
@@ -209,7 +210,7 @@
         for request in requests {
             self.check_unit_is_stoppable(request, census)?;
         }
-        let before: Vec<(Unit, Option<SpentPermit>)> = requests
+        let before: Vec<(Unit, Option<OutstandingPermit>)> = requests
             .iter()
             .map(|request| (request.unit.clone(), self.outstanding.get(&request.unit).cloned()))
             .collect();
@@ -238,7 +239,7 @@
             let wait_ms = self.grants_from_ms - now_ms;
             return Err(Denial::EarlierOwnerPermits { wait_ms });
         }
-        let machines = census.unaccounted();
+        let machines = census.unreported_machines();
         if machines > 0 {
             return Err(Denial::UnreportedMachines { machines });
         }
@@ -249,7 +250,7 @@
         let unit = || request.unit.clone();
         let runs = census
             .job(request.unit.job())
-            .is_some_and(|job| job.runs(request.unit.index()));
+            .is_some_and(|job| job.is_running(request.unit.index()));
         match self.outstanding.get(&request.unit) {
             Some(permit) if permit.matches_request(request) => Ok(()),
             Some(_) => Err(Denial::PermitOutstanding { unit: unit() }),
@@ -259,12 +260,12 @@
     }
 
     /// Builds the ledger entry for a request. What is known from an earlier entry for the same unit is kept.
-    fn build_entry(&self, request: &PermitRequest, expires_ms: u64) -> SpentPermit {
+    fn build_entry(&self, request: &PermitRequest, expires_ms: u64) -> OutstandingPermit {
         let earlier = self.outstanding.get(&request.unit);
-        SpentPermit {
+        OutstandingPermit {
             attempt: request.attempt,
             machine: request.machine.clone(),
-            asker: request.asker.clone(),
+            requester: request.requester.clone(),
             machine_tenure: request.machine_tenure,
             expires_ms: earlier.map_or(expires_ms, |earlier| earlier.expires_ms.max(expires_ms)),
             is_used: earlier.is_some_and(|earlier| earlier.is_used),
@@ -295,7 +296,7 @@
         Ok(())
     }
 
-    fn restore_entries(&mut self, before: Vec<(Unit, Option<SpentPermit>)>) {
+    fn restore_entries(&mut self, before: Vec<(Unit, Option<OutstandingPermit>)>) {
         for (unit, earlier) in before {
             match earlier {
                 Some(permit) => self.outstanding.insert(unit, permit),
@@ -321,7 +322,7 @@
     }
 
     /// Records that the permit for a unit has been used: the attempt is being stopped.
-    pub fn note_used(&mut self, unit: &Unit) {
+    pub fn mark_used(&mut self, unit: &Unit) {
         if let Some(permit) = self.outstanding.get_mut(unit) {
             permit.is_used = true;
         }
@@ -331,16 +332,18 @@
     /// newer than those before it. If it is not, its requests must not be answered.
     ///
     /// A message is a complete list, so an unused permit that it does not list has been returned. The caller must not
-    /// pass in messages that are late, or that come from another incarnation than the registered one.
-    pub fn take_message(&mut self, asker: &ControllerName, life: u64, message: &PermitMessage) -> bool {
-        let last_message = self.last_messages.get(asker);
+    /// pass in messages that are late, or that come from another incarnation than the requester's registered one.
+    pub fn accept_message(&mut self, requester: &ControllerName, life: u64, message: &PermitMessage) -> bool {
+        let last_message = self.last_messages.get(requester);
         if last_message.is_some_and(|(earlier, sequence)| *earlier == life && message.sequence <= *sequence) {
             return false;
         }
-        self.last_messages.insert(asker.clone(), (life, message.sequence));
+        self.last_messages.insert(requester.clone(), (life, message.sequence));
         for used in &message.used {
             let permit = self.outstanding.get_mut(&used.unit);
-            if let Some(permit) = permit.filter(|permit| permit.attempt == used.attempt && permit.asker == *asker) {
+            if let Some(permit) =
+                permit.filter(|permit| permit.attempt == used.attempt && permit.requester == *requester)
+            {
                 permit.is_used = true;
             }
         }
@@ -349,7 +352,7 @@
             all.any(|wanted| wanted.unit == *unit && wanted.attempt == attempt)
         };
         self.outstanding.retain(|unit, permit| {
-            let is_returned = permit.asker == *asker
+            let is_returned = permit.requester == *requester
                 && !permit.is_used
                 && permit.is_granted_by_message
                 && !is_listed(unit, permit.attempt);
@@ -359,7 +362,7 @@
     }
 
     /// Records that a message is answered with the permit for a unit.
-    pub fn note_answered(&mut self, unit: &Unit) {
+    pub fn mark_granted_by_message(&mut self, unit: &Unit) {
         if let Some(permit) = self.outstanding.get_mut(unit) {
             permit.is_granted_by_message = true;
         }
@@ -367,32 +370,32 @@
 
     /// Releases permits that no longer count against the budget: the unit runs again, its job has ended, or no
     /// controller can stop the attempt any more.
-    pub fn settle(&mut self, now_ms: u64, view: &impl LedgerView) {
+    pub fn release_settled_permits(&mut self, now_ms: u64, view: &impl UnitStateSource) {
         let interrupted = &mut self.interrupted;
         self.outstanding.retain(|unit, permit| match view.state(unit, permit) {
             UnitState::Stoppable => true,
-            UnitState::RunsFenced => now_ms <= permit.expires_ms,
-            UnitState::RunsAnew | UnitState::Over => false,
-            UnitState::Gone => {
-                if view.counting(unit.job()) == Some(Counting::Tasks) {
+            UnitState::RunningFenced => now_ms <= permit.expires_ms,
+            UnitState::Restarted | UnitState::Finished => false,
+            UnitState::Ended => {
+                if view.unavailability_rule(unit.job()) == Some(UnavailabilityRule::Tasks) {
                     interrupted.entry(unit.job().clone()).or_default().insert(unit.index());
                 }
                 false
             }
         });
         interrupted.retain(|job, units| {
-            let is_unrecovered = |index: &u32| !view.is_made_up_for(&Unit::new(job.clone(), *index));
+            let is_unrecovered = |index: &u32| !view.has_recovered(&Unit::new(job.clone(), *index));
             *units = units.iter().filter(is_unrecovered).collect();
-            view.counting(job).is_some() && !units.is_empty()
+            view.unavailability_rule(job).is_some() && !units.is_empty()
         });
     }
 }
 
-impl SpentPermit {
+impl OutstandingPermit {
     /// Returns whether a request is for this same permit.
     fn matches_request(&self, request: &PermitRequest) -> bool {
         self.attempt == request.attempt
-            && self.asker == request.asker
+            && self.requester == request.requester
             && self.machine == request.machine
             && self.machine_tenure == request.machine_tenure
     }
--- a/crates/tidelatch-disruption/src/lib.rs
+++ b/crates/tidelatch-disruption/src/lib.rs
@@ -3,8 +3,8 @@
 //! A scheduler that moves tasks for its own reasons (it replaces machines, packs tasks more densely, hands machines
 //! over to another owner) interrupts its users' workloads. This crate limits how much of that may happen at a time:
 //!
-//! * A [`Budget`] states how many units (replicas of a service, tasks of an array) may be unavailable at a time within
-//!   a scope, which is a set of jobs. Units that failed on their own also use up the budget.
+//! * A [`Budget`] states how many units (replicas of a service, tasks of an array or a gang) may be unavailable at a
+//!   time within a scope, which is a set of jobs. Units that failed on their own also use up the budget.
 //! * A [`PermitLedger`] is kept by the one controller that owns a team's jobs. Only the ledger grants permits. It
 //!   counts each permit against the budget until the unit runs again, or until no controller can act on the permit any
 //!   more.
@@ -23,15 +23,16 @@
 //!
 //! ```
 //! use tidelatch_disruption::{
-//!     Amount, Attempt, Budget, Census, ControllerName, Counting, Denial, JobCensus, JobName, MachineName,
-//!     PermitLedger, PermitRequest, ScopeName, Tenure, Unit, UnitSet,
+//!     Amount, Attempt, Budget, Census, ControllerName, Denial, JobCensus, JobName, MachineName,
+//!     PermitLedger, PermitRequest, ScopeName, Tenure, UnavailabilityRule, Unit,
+//!     UnitSet,
 //! };
 //!
 //! let job = JobName::new("shop");
 //! let scope = ScopeName::new("shop");
 //! let mut census = Census::default();
 //! census.add_scope(scope.clone(), Budget::MaxUnavailable(Amount::Count(1)));
-//! let replicas = JobCensus::new(Counting::Replicas, 4, (0..4).collect::<UnitSet>(), [scope]);
+//! let replicas = JobCensus::new(UnavailabilityRule::Replicas, 4, (0..4).collect::<UnitSet>(), [scope]);
 //! census.add_job(job.clone(), replicas);
 //!
 //! let mut ledger = PermitLedger::new(Tenure(7), 0);
@@ -39,7 +40,7 @@
 //!     unit: Unit::new(job.clone(), index),
 //!     attempt: Attempt(1),
 //!     machine: MachineName::new("m-1"),
-//!     asker: ControllerName::new("a"),
+//!     requester: ControllerName::new("a"),
 //!     machine_tenure: Tenure(7),
 //! };
 //! let permits = ledger.request(0, 5_000, &[request(0)], &census)?;
@@ -62,11 +63,11 @@
 mod unit_set;
 
 pub use budget::{Amount, AmountError, Budget};
-pub use census::{Census, Counting, JobCensus, Usage};
+pub use census::{Census, JobCensus, UnavailabilityRule, Usage};
 pub use drain::{MachineDrain, Observation, Replacement, Step};
 pub use holder::{PermitHolder, PermitMessage, UseError, WantedPermit};
 pub use ids::{Attempt, ControllerName, JobName, MachineName, ScopeName, Tenure, Unit};
-pub use interruption::Interruption;
-pub use ledger::{Denial, LedgerView, Permit, PermitLedger, PermitRequest, SpentPermit, UnitState};
+pub use interruption::InterruptionCost;
+pub use ledger::{Denial, OutstandingPermit, Permit, PermitLedger, PermitRequest, UnitState, UnitStateSource};
 pub use machine_set::{MachineSet, MachineSetError, MachineSetPart};
 pub use unit_set::UnitSet;
--- a/crates/tidelatch-disruption/src/machine_set.rs
+++ b/crates/tidelatch-disruption/src/machine_set.rs
@@ -111,7 +111,7 @@
         let mut parts = Vec::new();
         for ((prefix, width), bitmap) in &self.numbered {
             let max_bytes = max_part_bytes.saturating_sub(PART_OVERHEAD_BYTES + prefix.len());
-            for bits in split_bitmap(bitmap, max_bytes) {
+            for bits in encode_bitmap_in_pieces(bitmap, max_bytes) {
                 parts.push(MachineSetPart::Numbered {
                     prefix: prefix.clone(),
                     width: *width,
@@ -164,7 +164,7 @@
 
 /// Encodes a bitmap in as many pieces as it takes for each to have at most `max_bytes` bytes. A bitmap with a single
 /// number is not split further.
-fn split_bitmap(bitmap: &RoaringBitmap, max_bytes: usize) -> Vec<String> {
+fn encode_bitmap_in_pieces(bitmap: &RoaringBitmap, max_bytes: usize) -> Vec<String> {
     let text = encode_bitmap(bitmap);
     let half = bitmap.len() / 2;
     if text.len() <= max_bytes || half == 0 {
@@ -172,7 +172,7 @@
     }
     let lower: RoaringBitmap = bitmap.iter().take(half as usize).collect();
     let upper = bitmap - &lower;
-    let mut pieces = split_bitmap(&lower, max_bytes);
-    pieces.extend(split_bitmap(&upper, max_bytes));
+    let mut pieces = encode_bitmap_in_pieces(&lower, max_bytes);
+    pieces.extend(encode_bitmap_in_pieces(&upper, max_bytes));
     pieces
 }
--- a/crates/tidelatch-disruption/tests/budgets.rs
+++ b/crates/tidelatch-disruption/tests/budgets.rs
@@ -35,10 +35,10 @@
             // The minimum number of available units is kept, whatever the rounding.
             prop_assert!(f64::from(size - min_available) + 1e-9 >= exact);
         }
-        if Budget::MaxUnavailable(amount).permits_nothing() {
+        if Budget::MaxUnavailable(amount).never_permits_disruption() {
             prop_assert_eq!(max_unavailable, 0);
         }
-        if Budget::MinAvailable(amount).permits_nothing() {
+        if Budget::MinAvailable(amount).never_permits_disruption() {
             prop_assert_eq!(min_available, 0);
         }
         Ok(())
--- a/crates/tidelatch-disruption/tests/drains.rs
+++ b/crates/tidelatch-disruption/tests/drains.rs
@@ -1,11 +1,11 @@
 //! Tests of the steps of a machine's drain, and of the decision to wait for a task to finish.
 
-use tidelatch_disruption::{Interruption, MachineDrain, MachineName, Observation, Replacement, Step};
+use tidelatch_disruption::{InterruptionCost, MachineDrain, MachineName, Observation, Replacement, Step};
 
 fn observe_busy_machine() -> Observation {
     Observation {
         is_empty: false,
-        replace_ahead: true,
+        requires_replacement: true,
         candidate: None,
         replacement: None,
     }
@@ -79,7 +79,7 @@
 fn evictions_begin_at_once_if_no_replacement_is_required() {
     let mut drain = MachineDrain::new(0);
     let without_replacement = Observation {
-        replace_ahead: false,
+        requires_replacement: false,
         ..observe_busy_machine()
     };
     assert_eq!(drain.advance(1, &without_replacement), Some(Step::Evicting));
@@ -97,31 +97,31 @@
 
 #[test]
 fn task_is_waited_for_if_nearly_finished_or_if_moving_it_misses_the_deadline() {
-    let task = Interruption {
+    let task = InterruptionCost {
         remaining_s: 100.0,
         lost_s: 20.0,
         fetch_s: 5.0,
-        slack_s: None,
+        time_to_deadline_s: None,
     };
-    assert!(!task.is_worth_waiting());
+    assert!(!task.is_waiting_cheaper());
     assert!(
-        Interruption {
+        InterruptionCost {
             remaining_s: 24.0,
             ..task
         }
-        .is_worth_waiting()
+        .is_waiting_cheaper()
     );
-    let with_slack = |slack_s| Interruption {
-        slack_s: Some(slack_s),
+    let with_slack = |time_to_deadline_s| InterruptionCost {
+        time_to_deadline_s: Some(time_to_deadline_s),
         ..task
     };
     assert!(
-        with_slack(110.0).is_worth_waiting(),
+        with_slack(110.0).is_waiting_cheaper(),
         "if moved, the task would finish after 125 s"
     );
-    assert!(!with_slack(126.0).is_worth_waiting());
+    assert!(!with_slack(126.0).is_waiting_cheaper());
     assert!(
-        !with_slack(99.0).is_worth_waiting(),
+        !with_slack(99.0).is_waiting_cheaper(),
         "the task misses the deadline in either case"
     );
 }
--- a/crates/tidelatch-disruption/tests/ledger.rs
+++ b/crates/tidelatch-disruption/tests/ledger.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use tidelatch_disruption::{
-    Amount, Attempt, Budget, Census, ControllerName, Counting, Denial, JobCensus, JobName, LedgerView, MachineName,
-    PermitHolder, PermitLedger, PermitRequest, ScopeName, SpentPermit, Tenure, Unit, UnitSet, UnitState, UseError,
-    WantedPermit,
+    Amount, Attempt, Budget, Census, ControllerName, Denial, JobCensus, JobName, MachineName, OutstandingPermit,
+    PermitHolder, PermitLedger, PermitRequest, ScopeName, Tenure, UnavailabilityRule, Unit, UnitSet, UnitState,
+    UnitStateSource, UseError, WantedPermit,
 };
 
 const VALID_MS: u64 = 5_000;
@@ -27,7 +27,7 @@
         unit: unit(index),
         attempt: Attempt(1),
         machine: MachineName::new("m"),
-        asker: requester(),
+        requester: requester(),
         machine_tenure: Tenure(3),
     }
 }
@@ -41,18 +41,23 @@
     }
 }
 
-fn census(counting: Counting, size: u32, running: impl IntoIterator<Item = u32>, budget: Budget) -> Census {
+fn census(
+    unavailability_rule: UnavailabilityRule,
+    size: u32,
+    running: impl IntoIterator<Item = u32>,
+    budget: Budget,
+) -> Census {
     let mut census = Census::default();
     let scope = ScopeName::new("scope");
     census.add_scope(scope.clone(), budget);
-    let job = JobCensus::new(counting, size, running.into_iter().collect(), [scope]);
+    let job = JobCensus::new(unavailability_rule, size, running.into_iter().collect(), [scope]);
     census.add_job(JobName::new("job"), job);
     census
 }
 
 fn replicas(running: impl IntoIterator<Item = u32>, most: u32) -> Census {
     census(
-        Counting::Replicas,
+        UnavailabilityRule::Replicas,
         6,
         running,
         Budget::MaxUnavailable(Amount::Count(most)),
@@ -61,29 +66,29 @@
 
 /// A ledger view whose unit states a test sets.
 struct TestView {
-    counting: Option<Counting>,
+    unavailability_rule: Option<UnavailabilityRule>,
     states: BTreeMap<u32, UnitState>,
     recovered: BTreeSet<u32>,
 }
 
 impl TestView {
-    fn of(counting: Counting, states: impl IntoIterator<Item = (u32, UnitState)>) -> Self {
+    fn of(unavailability_rule: UnavailabilityRule, states: impl IntoIterator<Item = (u32, UnitState)>) -> Self {
         Self {
-            counting: Some(counting),
+            unavailability_rule: Some(unavailability_rule),
             states: states.into_iter().collect(),
             recovered: BTreeSet::new(),
         }
     }
 }
 
-impl LedgerView for TestView {
-    fn state(&self, unit: &Unit, _permit: &SpentPermit) -> UnitState {
+impl UnitStateSource for TestView {
+    fn state(&self, unit: &Unit, _permit: &OutstandingPermit) -> UnitState {
         self.states.get(&unit.index()).copied().unwrap_or(UnitState::Stoppable)
     }
-    fn counting(&self, _job: &JobName) -> Option<Counting> {
-        self.counting
+    fn unavailability_rule(&self, _job: &JobName) -> Option<UnavailabilityRule> {
+        self.unavailability_rule
     }
-    fn is_made_up_for(&self, unit: &Unit) -> bool {
+    fn has_recovered(&self, unit: &Unit) -> bool {
         self.recovered.contains(&unit.index())
     }
 }
@@ -120,10 +125,10 @@
     let mut census = replicas(0..6, 2);
     let early = ledger.request(999, VALID_MS, &[request(0)], &census);
     assert_eq!(early, Err(Denial::EarlierOwnerPermits { wait_ms: 1 }));
-    census.set_unaccounted(1);
+    census.set_unreported_machines(1);
     let unknown = ledger.request(1_000, VALID_MS, &[request(0)], &census);
     assert_eq!(unknown, Err(Denial::UnreportedMachines { machines: 1 }));
-    census.set_unaccounted(0);
+    census.set_unreported_machines(0);
     assert!(ledger.request(1_000, VALID_MS, &[request(0)], &census).is_ok());
 }
 
@@ -131,7 +136,7 @@
 fn request_for_several_units_is_granted_for_all_or_none() {
     let budget = Budget::MaxUnavailable(Amount::Percent(50));
     let mut ledger = PermitLedger::new(TENURE, 0);
-    let tasks = census(Counting::Tasks, 6, 0..6, budget);
+    let tasks = census(UnavailabilityRule::Tasks, 6, 0..6, budget);
     let four_requests: Vec<PermitRequest> = (0..4).map(request).collect();
     assert!(ledger.request(0, VALID_MS, &four_requests, &tasks).is_err());
     assert_eq!(outstanding(&ledger), []);
@@ -152,23 +157,23 @@
     ledger
         .request(0, VALID_MS, &[request(0)], &all)
         .expect("the budget allows one more unit");
-    ledger.settle(
+    ledger.release_settled_permits(
         10 * VALID_MS,
-        &TestView::of(Counting::Replicas, [(0, UnitState::Stoppable)]),
+        &TestView::of(UnavailabilityRule::Replicas, [(0, UnitState::Stoppable)]),
     );
     assert_eq!(
         outstanding(&ledger),
         [0],
         "its holder is unresponsive, but still owns the machine"
     );
-    ledger.settle(
+    ledger.release_settled_permits(
         VALID_MS,
-        &TestView::of(Counting::Replicas, [(0, UnitState::RunsFenced)]),
+        &TestView::of(UnavailabilityRule::Replicas, [(0, UnitState::RunningFenced)]),
     );
     assert_eq!(outstanding(&ledger), [0], "the permit has not expired");
-    ledger.settle(
+    ledger.release_settled_permits(
         VALID_MS + 1,
-        &TestView::of(Counting::Replicas, [(0, UnitState::RunsFenced)]),
+        &TestView::of(UnavailabilityRule::Replicas, [(0, UnitState::RunningFenced)]),
     );
     assert_eq!(outstanding(&ledger), []);
 }
@@ -177,46 +182,46 @@
 fn array_tasks_count_as_interrupted_until_they_run_again() {
     let quarter = Budget::MaxUnavailable(Amount::PercentOrOne(25));
     let mut ledger = PermitLedger::new(TENURE, 0);
-    let running = |tasks: std::ops::Range<u32>| census(Counting::Tasks, 100, tasks, quarter);
+    let running = |tasks: std::ops::Range<u32>| census(UnavailabilityRule::Tasks, 100, tasks, quarter);
     ledger
         .request(0, VALID_MS, &[request(0)], &running(0..4))
         .expect("one of four tasks may be interrupted");
-    let mut view = TestView::of(Counting::Tasks, [(0, UnitState::Gone)]);
-    ledger.settle(10, &view);
+    let mut view = TestView::of(UnavailabilityRule::Tasks, [(0, UnitState::Ended)]);
+    ledger.release_settled_permits(10, &view);
     assert_eq!(
-        (outstanding(&ledger), ledger.interrupted(&JobName::new("job"))),
+        (outstanding(&ledger), ledger.interrupted_count(&JobName::new("job"))),
         (vec![], 1)
     );
     assert!(ledger.request(10, VALID_MS, &[request(1)], &running(1..4)).is_err());
     view.recovered.insert(0);
-    ledger.settle(20, &view);
+    ledger.release_settled_permits(20, &view);
     assert!(ledger.request(20, VALID_MS, &[request(1)], &running(0..4)).is_ok());
     // A job that has ended releases its outstanding permits.
     let over = TestView {
-        counting: None,
-        ..TestView::of(Counting::Tasks, [(1, UnitState::Over)])
+        unavailability_rule: None,
+        ..TestView::of(UnavailabilityRule::Tasks, [(1, UnitState::Finished)])
     };
-    ledger.settle(30, &over);
+    ledger.release_settled_permits(30, &over);
     assert_eq!(outstanding(&ledger), []);
 }
 
 #[test]
 fn tasks_an_earlier_owner_may_have_interrupted_count_until_they_run() {
     let mut ledger = PermitLedger::new(TENURE, 0);
-    ledger.presume_interrupted(JobName::new("job"), &(4..6).collect::<UnitSet>());
+    ledger.count_as_interrupted(JobName::new("job"), &(4..6).collect::<UnitSet>());
     let quarter = Budget::MaxUnavailable(Amount::PercentOrOne(25));
-    let tasks = census(Counting::Tasks, 6, 0..4, quarter);
+    let tasks = census(UnavailabilityRule::Tasks, 6, 0..4, quarter);
     assert!(ledger.request(0, VALID_MS, &[request(0)], &tasks).is_err());
-    let mut view = TestView::of(Counting::Tasks, []);
+    let mut view = TestView::of(UnavailabilityRule::Tasks, []);
     view.recovered.extend([4, 5]);
-    ledger.settle(0, &view);
+    ledger.release_settled_permits(0, &view);
     assert!(ledger.request(0, VALID_MS, &[request(0)], &tasks).is_ok());
 }
 
 /// Sends the holder's message to the ledger and the answer back. Returns the number of permits granted.
 fn exchange(ledger: &mut PermitLedger, holder: &mut PermitHolder, now_ms: u64, census: &Census) -> usize {
-    let message = holder.message_for(&granter());
-    if !ledger.take_message(&requester(), 1, &message) {
+    let message = holder.build_message(&granter());
+    if !ledger.accept_message(&requester(), 1, &message) {
         return 0;
     }
     let mut permits = Vec::new();
@@ -225,15 +230,15 @@
             unit: wanted.unit.clone(),
             attempt: wanted.attempt,
             machine: wanted.machine.clone(),
-            asker: requester(),
+            requester: requester(),
             machine_tenure: wanted.machine_tenure,
         };
         if let Ok(granted) = ledger.request(now_ms, VALID_MS, &[request], census) {
-            ledger.note_answered(&wanted.unit);
+            ledger.mark_granted_by_message(&wanted.unit);
             permits.extend(granted);
         }
     }
-    holder.take_answer(&granter(), message.sequence, now_ms, &permits);
+    holder.accept_answer(&granter(), message.sequence, now_ms, &permits);
     permits.len()
 }
 
@@ -241,7 +246,7 @@
 fn permits_missing_from_a_later_message_are_returned() {
     let (mut ledger, mut holder) = (PermitLedger::new(TENURE, 0), PermitHolder::default());
     let all = replicas(0..6, 1);
-    holder.want(wanted(0), granter(), TENURE);
+    holder.request_stop(wanted(0), granter(), TENURE);
     assert_eq!(exchange(&mut ledger, &mut holder, 0, &all), 1);
     holder.retain(|_| false);
     assert!(
@@ -257,7 +262,7 @@
 fn used_permit_is_listed_until_its_owner_has_learned_of_it() {
     let (mut ledger, mut holder) = (PermitLedger::new(TENURE, 0), PermitHolder::default());
     let all = replicas(0..6, 1);
-    holder.want(wanted(0), granter(), TENURE);
+    holder.request_stop(wanted(0), granter(), TENURE);
     exchange(&mut ledger, &mut holder, 0, &all);
     assert_eq!(holder.use_permit(10, &unit(0), Attempt(1)), Ok(TENURE));
     // The holder drops the stop request before the owner has learned that the permit was used. If the next message did
@@ -278,37 +283,40 @@
 fn late_messages_and_late_answers_are_ignored() {
     let (mut ledger, mut holder) = (PermitLedger::new(TENURE, 0), PermitHolder::default());
     let all = replicas(0..6, 1);
-    holder.want(wanted(0), granter(), TENURE);
-    let first = holder.message_for(&granter());
-    assert!(ledger.take_message(&requester(), 1, &first));
+    holder.request_stop(wanted(0), granter(), TENURE);
+    let first = holder.build_message(&granter());
+    assert!(ledger.accept_message(&requester(), 1, &first));
     let permits = ledger
         .request(0, VALID_MS, &[request(0)], &all)
         .expect("the budget allows one more unit");
-    ledger.note_answered(&unit(0));
+    ledger.mark_granted_by_message(&unit(0));
     // While the answer is in flight, the stop request is dropped and then made again.
     holder.retain(|_| false);
-    let second = holder.message_for(&granter());
-    assert!(ledger.take_message(&requester(), 1, &second));
+    let second = holder.build_message(&granter());
+    assert!(ledger.accept_message(&requester(), 1, &second));
     assert_eq!(outstanding(&ledger), []);
-    holder.want(wanted(0), granter(), TENURE);
-    holder.message_for(&granter());
-    holder.take_answer(&granter(), first.sequence, 0, &permits);
+    holder.request_stop(wanted(0), granter(), TENURE);
+    holder.build_message(&granter());
+    holder.accept_answer(&granter(), first.sequence, 0, &permits);
     assert_eq!(holder.use_permit(10, &unit(0), Attempt(1)), Err(UseError::NotGranted));
     // A copy of the first message arrives late.
-    assert!(!ledger.take_message(&requester(), 1, &first));
+    assert!(!ledger.accept_message(&requester(), 1, &first));
 }
 
 #[test]
 fn permit_expires_at_its_holder_before_it_expires_at_its_owner() {
     let (mut ledger, mut holder) = (PermitLedger::new(TENURE, 0), PermitHolder::default());
-    holder.want(wanted(0), granter(), TENURE);
+    holder.request_stop(wanted(0), granter(), TENURE);
     exchange(&mut ledger, &mut holder, 0, &replicas(0..6, 1));
     let mut late = holder.clone();
     assert_eq!(
         late.use_permit(VALID_MS - 20, &unit(0), Attempt(1)),
         Err(UseError::Expired)
     );
-    assert!(late.wants(&unit(0), Attempt(1)), "the permit is requested again");
+    assert!(
+        late.has_stop_request(&unit(0), Attempt(1)),
+        "the permit is requested again"
+    );
     assert!(holder.use_permit(VALID_MS - 100, &unit(0), Attempt(1)).is_ok());
     assert_eq!(
         holder.use_permit(VALID_MS - 100, &unit(0), Attempt(1)),
@@ -319,13 +327,13 @@
 #[test]
 fn permits_of_an_earlier_ownership_epoch_are_rejected_and_dropped() {
     let (mut ledger, mut holder) = (PermitLedger::new(TENURE, 0), PermitHolder::default());
-    holder.want(wanted(0), granter(), Tenure(8));
+    holder.request_stop(wanted(0), granter(), Tenure(8));
     exchange(&mut ledger, &mut holder, 0, &replicas(0..6, 1));
     assert_eq!(
         holder.use_permit(10, &unit(0), Attempt(1)),
         Err(UseError::NotGranted),
         "granted under ownership epoch 7"
     );
-    holder.drop_superseded(|_, _, tenure| tenure != Tenure(8));
-    assert!(!holder.wants(&unit(0), Attempt(1)));
+    holder.drop_superseded_requests(|_, _, tenure| tenure != Tenure(8));
+    assert!(!holder.has_stop_request(&unit(0), Attempt(1)));
 }
--- a/crates/tidelatch-disruption/tests/model.rs
+++ b/crates/tidelatch-disruption/tests/model.rs
@@ -10,9 +10,9 @@
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::BTreeMap;
 use tidelatch_disruption::{
-    Amount, Attempt, Budget, Census, ControllerName, Counting, JobCensus, JobName, LedgerView, MachineName, Permit,
-    PermitHolder, PermitLedger, PermitMessage, PermitRequest, ScopeName, SpentPermit, Tenure, Unit, UnitSet, UnitState,
-    WantedPermit,
+    Amount, Attempt, Budget, Census, ControllerName, JobCensus, JobName, MachineName, OutstandingPermit, Permit,
+    PermitHolder, PermitLedger, PermitMessage, PermitRequest, ScopeName, Tenure, UnavailabilityRule, Unit, UnitSet,
+    UnitState, UnitStateSource, WantedPermit,
 };
 
 const REPLICAS: u32 = 3;
@@ -141,8 +141,8 @@
 /// The owner's view of the units, as the ledger reads it.
 struct View<'a>(&'a State);
 
-impl LedgerView for View<'_> {
-    fn state(&self, unit: &Unit, permit: &SpentPermit) -> UnitState {
+impl UnitStateSource for View<'_> {
+    fn state(&self, unit: &Unit, permit: &OutstandingPermit) -> UnitState {
         let Some(view) = &self.0.view else {
             return UnitState::Stoppable;
         };
@@ -151,15 +151,15 @@
             // The requester owns the machine for the whole history.
             UnitState::Stoppable
         } else if replica.is_running {
-            UnitState::RunsAnew
+            UnitState::Restarted
         } else {
-            UnitState::Gone
+            UnitState::Ended
         }
     }
-    fn counting(&self, _job: &JobName) -> Option<Counting> {
-        Some(Counting::Replicas)
+    fn unavailability_rule(&self, _job: &JobName) -> Option<UnavailabilityRule> {
+        Some(UnavailabilityRule::Replicas)
     }
-    fn is_made_up_for(&self, _unit: &Unit) -> bool {
+    fn has_recovered(&self, _unit: &Unit) -> bool {
         false
     }
 }
@@ -175,9 +175,9 @@
         census.add_scope(scope.clone(), Budget::MaxUnavailable(Amount::Count(1)));
         let runs = |index: &u32| self.view.is_some_and(|view| view[*index as usize].is_running);
         let running: UnitSet = (0..REPLICAS).filter(runs).collect();
-        let job = JobCensus::new(Counting::Replicas, REPLICAS, running, [scope]);
+        let job = JobCensus::new(UnavailabilityRule::Replicas, REPLICAS, running, [scope]);
         census.add_job(JobName::new("job"), job);
-        census.set_unaccounted(u32::from(self.view.is_none()));
+        census.set_unreported_machines(u32::from(self.view.is_none()));
         census
     }
 
@@ -249,7 +249,7 @@
             self.view = Some(self.replicas);
         }
         let mut ledger = self.ledger.clone();
-        ledger.settle(self.now_ms(), &View(self));
+        ledger.release_settled_permits(self.now_ms(), &View(self));
         self.ledger = ledger;
     }
 
@@ -258,7 +258,8 @@
             // The requester has read the new epoch, and cancels what an earlier owner permitted.
             self.requester_epoch = self.epoch;
             let current = self.epoch;
-            self.requester.drop_superseded(|_, _, tenure| tenure == current);
+            self.requester
+                .drop_superseded_requests(|_, _, tenure| tenure == current);
             self.stopping.retain(|_, tenure| *tenure == current);
         }
         let actual = self.replicas;
@@ -276,7 +277,7 @@
                     machine: MachineName::new("m"),
                     machine_tenure: FIRST_EPOCH,
                 };
-                self.requester.want(wanted, owner(self.epoch), self.epoch);
+                self.requester.request_stop(wanted, owner(self.epoch), self.epoch);
             }
         }
         self.exchange_messages(fault);
@@ -287,9 +288,9 @@
     fn exchange_messages(&mut self, fault: Fault) {
         if let Some((sequence, sent_ms, permits)) = self.late_answer.take() {
             self.requester
-                .take_answer(&owner(self.requester_epoch), sequence, sent_ms, &permits);
+                .accept_answer(&owner(self.requester_epoch), sequence, sent_ms, &permits);
         }
-        let message = self.requester.message_for(&owner(self.requester_epoch));
+        let message = self.requester.build_message(&owner(self.requester_epoch));
         if fault == Fault::MessageLost {
             return;
         }
@@ -306,12 +307,12 @@
             self.late_answer = Some((sequence, sent_ms, permits));
         } else {
             self.requester
-                .take_answer(&owner(self.requester_epoch), sequence, sent_ms, &permits);
+                .accept_answer(&owner(self.requester_epoch), sequence, sent_ms, &permits);
         }
     }
 
     fn answer(&mut self, message: &PermitMessage) -> Vec<Permit> {
-        if !self.ledger.take_message(&requester(), 1, message) {
+        if !self.ledger.accept_message(&requester(), 1, message) {
             return Vec::new();
         }
         let census = self.census();
@@ -322,11 +323,11 @@
                 unit: wanted.unit.clone(),
                 attempt: wanted.attempt,
                 machine: wanted.machine.clone(),
-                asker: requester(),
+                requester: requester(),
                 machine_tenure: wanted.machine_tenure,
             };
             if let Ok(granted) = self.ledger.request(now_ms, VALID_MS, &[request], &census) {
-                self.ledger.note_answered(&wanted.unit);
+                self.ledger.mark_granted_by_message(&wanted.unit);
                 permits.extend(granted);
             }
         }
--- a/crates/tidelatch/src/admission.rs
+++ b/crates/tidelatch/src/admission.rs
@@ -134,9 +134,9 @@
         Some(AdmittedConnection { id, admission, evicted })
     }
 
-    /// Closes connections that have been idle for too long (one lease for a worker's, four leases for a user's), or whose
-    /// current request stays incomplete for one lease. A worker that has not reported for the duration of a lease reports
-    /// to another controller, or has terminated.
+    /// Closes connections that have been idle for too long (one lease for a worker's, four leases for a user's), or
+    /// whose current request stays incomplete for one lease. A worker that has not reported for the duration of a lease
+    /// reports to another controller, or has terminated.
     pub fn close_stale(&self, now: Instant) {
         let mut open = self.lock();
         open.by_id.retain(|_, connection| {
--- a/crates/tidelatch/src/daemon/inbox.rs
+++ b/crates/tidelatch/src/daemon/inbox.rs
@@ -1,9 +1,10 @@
 //! Priority queue of events for the core.
 //!
-//! Health checks, other controllers' requests and the results of calls come first, because leases, watches of
-//! the state service, and the grants that controllers give each other depend on them. Workers' reports and users' requests follow in alternation. Among users' requests, submissions and
-//! cancellations come before polls, because users poll many times as often when something is wrong. An event that
-//! has waited for longer than its sender waits for an answer is rejected without being processed.
+//! Health checks, other controllers' requests and the results of calls come first, because leases, watches of the state
+//! service, and the grants that controllers give each other depend on them. Workers' reports and users' requests follow
+//! in alternation. Among users' requests, submissions and cancellations come before polls, because users poll many
+//! times as often when something is wrong. An event that has waited for longer than its sender waits for an answer is
+//! rejected without being processed.
 
 use super::IncomingEvent;
 use std::collections::VecDeque;
