--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -19,7 +19,7 @@
 use crate::settings::Settings;
 use crate::write_limits::WriteLimits;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tidelatch_failure_detector::Channel;
+use tidelatch_failure_detector::HeartbeatTrigger;
 
 /// One controller, with its view of the cluster, the jobs and the machines. Times are in milliseconds unless stated
 /// otherwise.
@@ -318,7 +318,7 @@
                 permits,
             } => {
                 let from = ControllerId::new(name);
-                self.on_peer_heartbeat(&from, Channel::Scheduled, liveness);
+                self.on_peer_heartbeat(&from, HeartbeatTrigger::Scheduled, liveness);
                 self.take_cancellations(&from, &told);
                 let granted = permits.and_then(|listing| self.on_permit_listing(&from, &listing));
                 self.on_hello(id, from, (entitled, wants_grant, relies), digests, granted);
@@ -433,7 +433,7 @@
                 } else {
                     self.record_peer_contact(&to, true, entitled);
                     self.note_reliance(&to, relies);
-                    self.on_peer_heartbeat(&to, Channel::Answer, liveness);
+                    self.on_peer_heartbeat(&to, HeartbeatTrigger::Answer, liveness);
                 }
                 // The cancellations that the giver of a grant knows are applied before the grant counts.
                 self.take_cancellations(&to, &cancellations);
--- a/crates/tidelatch-core/src/failure_detection.rs
+++ b/crates/tidelatch-core/src/failure_detection.rs
@@ -17,7 +17,9 @@
 use crate::settings::Settings;
 use registrations::Registrations;
 use std::collections::{BTreeMap, BTreeSet};
-use tidelatch_failure_detector::{Channel, Event, FailureDetector, Heartbeat, Life, MemberId, MemberState};
+use tidelatch_failure_detector::{
+    Event, FailureDetector, Heartbeat, HeartbeatTrigger, IncarnationId, MemberId, MemberState,
+};
 
 /// The failure detector of this controller, and the probes in progress.
 pub(crate) struct FailureDetection {
@@ -48,7 +50,7 @@
         let siblings = settings.platform.siblings.iter();
         let detector = FailureDetector::new(
             MemberId::new(settings.platform.host_name.as_str()),
-            Life(incarnation.0),
+            IncarnationId(incarnation.0),
             siblings.map(|sibling| MemberId::new(sibling.host_name.as_str())),
             settings.detection_timing(),
             options.policy(),
@@ -112,20 +114,25 @@
     }
 
     /// Passes another controller's heartbeat, or its plain message, to the detector.
-    pub(crate) fn on_peer_heartbeat(&mut self, from: &ControllerId, channel: Channel, heartbeat: Option<Heartbeat>) {
+    pub(crate) fn on_peer_heartbeat(
+        &mut self,
+        from: &ControllerId,
+        trigger: HeartbeatTrigger,
+        heartbeat: Option<Heartbeat>,
+    ) {
         let now_ms = self.now.ms;
         let Some(detection) = self.detection.as_mut() else {
             return;
         };
         let Some(mut heartbeat) = heartbeat else {
             // The sender's version has no detector, or the detector is disabled there.
-            let events = detection.detector.on_contact(now_ms, &member_id(from), channel);
+            let events = detection.detector.on_contact(now_ms, &member_id(from), trigger);
             self.handle_detector_events(events);
             return;
         };
         // Replies carry no sender name: they come from the controller that the request was sent to.
         heartbeat.from = member_id(from);
-        match detection.detector.on_heartbeat(now_ms, channel, &heartbeat) {
+        match detection.detector.on_heartbeat(now_ms, trigger, &heartbeat) {
             Ok(events) => {
                 detection.schedule_probe_reports(from);
                 if let Some(target) = &heartbeat.probe {
@@ -143,7 +150,7 @@
     /// Tells the detector this controller's new incarnation.
     pub(crate) fn set_detector_incarnation(&mut self, incarnation: Incarnation) {
         if let Some(detection) = &mut self.detection {
-            detection.detector.begin_life(Life(incarnation.0));
+            detection.detector.begin_incarnation(IncarnationId(incarnation.0));
         }
     }
 
--- a/crates/tidelatch-core/src/failure_detection/events.rs
+++ b/crates/tidelatch-core/src/failure_detection/events.rs
@@ -3,25 +3,25 @@
 use super::controller_id;
 use crate::controller::Controller;
 use crate::messages::Level;
-use tidelatch_failure_detector::{Cleared, Event, MemberId, SuspicionLevel, Verdict};
+use tidelatch_failure_detector::{ClearReason, Event, MemberId, SuspicionLevel, Verdict};
 
 /// The phi value of a suspicion level, which is stored in thousandths.
 fn suspicion_phi(level: SuspicionLevel) -> f64 {
     f64::from(level.0) / 1000.0
 }
 
-fn describe_clearing(by: Cleared) -> &'static str {
-    match by {
-        Cleared::Heard => "a heartbeat from it arrived",
-        Cleared::Refuted => "another controller forwarded its refutation",
-        Cleared::NewLife => "it has a new incarnation",
+fn describe_clearing(reason: ClearReason) -> &'static str {
+    match reason {
+        ClearReason::Heard => "a heartbeat from it arrived",
+        ClearReason::Refuted => "another controller forwarded its refutation",
+        ClearReason::NewIncarnation => "it has a new incarnation",
     }
 }
 
 fn describe_verdict(verdict: Verdict) -> String {
     match verdict {
         Verdict::RegistrationEnded => "its lease in the state service has ended".to_owned(),
-        Verdict::Superseded(life) => format!("incarnation {} is registered in its place", life.0),
+        Verdict::Superseded(incarnation) => format!("incarnation {} is registered in its place", incarnation.0),
         Verdict::Released => "it has released its registration".to_owned(),
     }
 }
@@ -33,26 +33,26 @@
         Event::Suspected {
             member,
             suspicion,
-            silent_ms,
+            since_heard_directly_ms: silence_ms,
         } => {
             let level = suspicion_phi(suspicion.level);
             let text = format!(
-                "suspects {member}: no heartbeat for {silent_ms} ms (phi {level:.1}), and no other controller hears it"
+                "suspects {member}: no heartbeat for {silence_ms} ms (phi {level:.1}), and no other controller hears it"
             );
             (Level::Info, text)
         }
         Event::Cleared {
             member,
-            by,
+            reason,
             suspected_for_ms,
         } => {
-            let by = describe_clearing(*by);
-            let text = format!("{member} is no longer suspected, after {suspected_for_ms} ms: {by}");
+            let reason = describe_clearing(*reason);
+            let text = format!("{member} is no longer suspected, after {suspected_for_ms} ms: {reason}");
             (Level::Info, text)
         }
         Event::Confirmed {
             member,
-            life: _,
+            incarnation: _,
             verdict,
             suspected_for_ms,
         } => {
@@ -60,13 +60,13 @@
             let text = format!("{member} is confirmed as gone, after {suspected_for_ms} ms of suspicion: {evidence}");
             (Level::Info, text)
         }
-        Event::Returned { member, life } => (Level::Info, format!("{member} is back, life {}", life.0)),
-        Event::RefutedOwn {
+        Event::Returned { member, incarnation } => (Level::Info, format!("{member} is back, life {}", incarnation.0)),
+        Event::SuspicionRefuted {
             suspected_by,
-            refutation,
+            refutation_count,
         } => (
             Level::Info,
-            format!("suspected by {suspected_by}: refuted ({refutation})"),
+            format!("suspected by {suspected_by}: refuted ({refutation_count})"),
         ),
         own_event => return own_health_log_line(own_event),
     };
@@ -109,25 +109,25 @@
         if let Some((level, text)) = log_line(event) {
             self.log(level, text);
         }
-        if let Event::ProbeWanted { target, through } = event {
-            self.request_probes(target, through);
+        if let Event::ProbeWanted { target, helpers } = event {
+            self.request_probes(target, helpers);
         }
         if changes_suspicion(event) {
             self.update_preparations();
         }
     }
 
-    /// Asks the controllers `through` to probe `target`, with the next heartbeats to them.
-    fn request_probes(&mut self, target: &MemberId, through: &[MemberId]) {
+    /// Asks the controllers `helpers` to probe `target`, with the next heartbeats to them.
+    fn request_probes(&mut self, target: &MemberId, helpers: &[MemberId]) {
         let Some(detection) = self.detection.as_mut() else {
             return;
         };
-        for prober in through {
+        for prober in helpers {
             detection
                 .probes_to_request
                 .insert(controller_id(prober), controller_id(target));
         }
-        let probers: Vec<&str> = through.iter().map(MemberId::as_str).collect();
+        let probers: Vec<&str> = helpers.iter().map(MemberId::as_str).collect();
         let probers = probers.join(", ");
         self.log(
             Level::Debug,
--- a/crates/tidelatch-core/src/failure_detection/registrations.rs
+++ b/crates/tidelatch-core/src/failure_detection/registrations.rs
@@ -1,8 +1,8 @@
-//! The detector's arbiter: the member records in the state service, as delivered by the watch.
+//! The detector's source of registrations: the member records in the state service, as delivered by the watch.
 
 use crate::ids::ControllerId;
 use crate::membership::Membership;
-use tidelatch_failure_detector::{Arbiter, Life, MemberId, Registration};
+use tidelatch_failure_detector::{IncarnationId, MemberId, Registration, RegistrationSource};
 
 /// The member records that this controller has read, and the grants that it has given.
 ///
@@ -19,15 +19,15 @@
     }
 }
 
-impl Arbiter for Registrations<'_> {
+impl RegistrationSource for Registrations<'_> {
     fn registration(&self, member: &MemberId) -> Registration {
         let observed_ms = self.membership.last_view_ms;
         if !self.membership.has_read_members() {
-            return Registration::Unreachable;
+            return Registration::Unknown;
         }
         match self.membership.members.get(&ControllerId::new(member.as_str())) {
             Some(record) => Registration::Present {
-                life: Life(record.inc.0),
+                incarnation: IncarnationId(record.inc.0),
                 observed_ms,
             },
             None => Registration::Absent { observed_ms },
--- a/crates/tidelatch-core/src/settings/failure_detection.rs
+++ b/crates/tidelatch-core/src/settings/failure_detection.rs
@@ -76,14 +76,14 @@
         Self {
             estimator: EstimatorChoice::PhiNormal,
             threshold_phi: f64::from(policy.threshold_milliphi) / THOUSANDTHS_PER_UNIT,
-            window_heartbeats: policy.window as u32,
-            least_deviation_per_heartbeat: f64::from(policy.least_deviation_permille) / THOUSANDTHS_PER_UNIT,
+            window_heartbeats: policy.window_intervals as u32,
+            least_deviation_per_heartbeat: f64::from(policy.min_deviation_permille) / THOUSANDTHS_PER_UNIT,
             acceptable_pause_per_heartbeat: f64::from(policy.acceptable_pause_permille) / THOUSANDTHS_PER_UNIT,
             probe_wait_per_heartbeat: f64::from(policy.probe_wait_permille) / THOUSANDTHS_PER_UNIT,
-            probes: policy.probes as u32,
-            local_health_most: policy.local_health_most,
+            probes: policy.probe_helpers as u32,
+            local_health_most: policy.max_local_health_score,
             flap_half_life_per_lease: f64::from(policy.flap_half_life_permille) / THOUSANDTHS_PER_UNIT,
-            flaps_forgiven: policy.flaps_forgiven,
+            flaps_forgiven: policy.tolerated_flaps,
             prepare: true,
         }
     }
@@ -102,14 +102,14 @@
         Policy {
             estimator: self.estimator.into(),
             threshold_milliphi: to_thousandths(self.threshold_phi),
-            window: self.window_heartbeats as usize,
-            least_deviation_permille: to_thousandths(self.least_deviation_per_heartbeat),
+            window_intervals: self.window_heartbeats as usize,
+            min_deviation_permille: to_thousandths(self.least_deviation_per_heartbeat),
             acceptable_pause_permille: to_thousandths(self.acceptable_pause_per_heartbeat),
             probe_wait_permille: to_thousandths(self.probe_wait_per_heartbeat),
-            probes: self.probes as usize,
-            local_health_most: self.local_health_most,
+            probe_helpers: self.probes as usize,
+            max_local_health_score: self.local_health_most,
             flap_half_life_permille: to_thousandths(self.flap_half_life_per_lease),
-            flaps_forgiven: self.flaps_forgiven,
+            tolerated_flaps: self.flaps_forgiven,
         }
     }
 
@@ -176,7 +176,7 @@
             };
             Fault {
                 path: path.to_owned(),
-                message: format!("{}: {}", fault.field, fault.fault),
+                message: format!("{}: {}", fault.field, fault.message),
             }
         });
         with_paths.collect()
--- a/crates/tidelatch-core/tests/failure_detection.rs
+++ b/crates/tidelatch-core/tests/failure_detection.rs
@@ -5,7 +5,9 @@
 use tidelatch_core::ids::Incarnation;
 use tidelatch_core::settings::{FailureDetection, Features, Operator, Settings};
 use tidelatch_core::{CancellationNotice, Controller, Input, Level, Now, Output, PeerReply, PeerRequest};
-use tidelatch_failure_detector::{Claim, Heartbeat, Incarnation as MemberIncarnation, Life, MemberId, Opinion};
+use tidelatch_failure_detector::{
+    Claim, Heartbeat, Incarnation as MemberIncarnation, IncarnationId, MemberId, Opinion,
+};
 
 /// The controller `berth-0` of three, with failure detection and incarnation 7.
 fn controller() -> Controller {
@@ -36,8 +38,8 @@
     Heartbeat {
         from: MemberId::new(""),
         incarnation: MemberIncarnation {
-            life: Life(incarnation),
-            refutation: 0,
+            id: IncarnationId(incarnation),
+            refutation_count: 0,
         },
         sequence,
         claims: Vec::new(),
@@ -50,8 +52,8 @@
     Claim {
         member: MemberId::new(member),
         incarnation: MemberIncarnation {
-            life: Life(number),
-            refutation: number,
+            id: IncarnationId(number),
+            refutation_count: number,
         },
         opinion: Opinion::Suspected,
         heard_ago_ms: number,
--- a/crates/tidelatch-disruption/src/holder.rs
+++ b/crates/tidelatch-disruption/src/holder.rs
@@ -163,7 +163,7 @@
         }
         self.stop_requests.retain(|_, request| {
             let is_use_known =
-                matches!(request.progress, Progress::Used { first_reported_sequence } if first_reported_sequence > 0 && first_reported_sequence <= sequence);
+                matches!(request.progress, Progress::Used { first_reported_sequence: n } if n > 0 && n <= sequence);
             !(request.is_obsolete && request.granter == *granter && is_use_known)
         });
         let has_acknowledged = |first_empty: &Option<u64>| first_empty.is_some_and(|first| first <= sequence);
--- a/crates/tidelatch-disruption/src/ledger.rs
+++ b/crates/tidelatch-disruption/src/ledger.rs
@@ -333,12 +333,13 @@
     ///
     /// A message is a complete list, so an unused permit that it does not list has been returned. The caller must not
     /// pass in messages that are late, or that come from another incarnation than the requester's registered one.
-    pub fn accept_message(&mut self, requester: &ControllerName, life: u64, message: &PermitMessage) -> bool {
+    pub fn accept_message(&mut self, requester: &ControllerName, incarnation: u64, message: &PermitMessage) -> bool {
         let last_message = self.last_messages.get(requester);
-        if last_message.is_some_and(|(earlier, sequence)| *earlier == life && message.sequence <= *sequence) {
+        if last_message.is_some_and(|(earlier, sequence)| *earlier == incarnation && message.sequence <= *sequence) {
             return false;
         }
-        self.last_messages.insert(requester.clone(), (life, message.sequence));
+        self.last_messages
+            .insert(requester.clone(), (incarnation, message.sequence));
         for used in &message.used {
             let permit = self.outstanding.get_mut(&used.unit);
             if let Some(permit) =
--- a/crates/tidelatch-failure-detector/examples/measure.rs
+++ b/crates/tidelatch-failure-detector/examples/measure.rs
@@ -12,13 +12,16 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 use tidelatch_failure_detector::{
-    Arbiter, Channel, Estimator, Event, FailureDetector, Heartbeat, Life, MemberId, Policy, Registration, Timing,
+    Estimator, Event, FailureDetector, Heartbeat, HeartbeatTrigger, IncarnationId, MemberId, Policy, Registration,
+    RegistrationSource, Timing,
 };
 
+/// Heartbeat interval and lease duration of the simulated cluster.
 const TIMING: Timing = Timing {
     heartbeat_ms: 1_000,
     lease_ms: 7_200,
 };
+/// Step of the simulated time.
 const TICK_MS: u64 = 100;
 /// Time without crashes at the start. Every suspicion in it is a false one.
 const CRASH_FREE_MS: u64 = 3_600_000;
@@ -26,6 +29,7 @@
 const CRASH_COUNT: u64 = 20;
 /// Time between two crashes, long enough for the cluster to become steady again.
 const CRASH_INTERVAL_MS: u64 = 60_000;
+/// Seed of the random delays.
 const SEED: u64 = 1;
 
 /// Distribution of message delays.
@@ -44,7 +48,9 @@
 }
 
 impl Network {
-    fn delays(self) -> Result<DelaySampler, Box<dyn std::error::Error>> {
+    /// Normal: mean and standard deviation in ms. LogNormal: mean and standard deviation of the logarithm of the delay
+    /// in ms. Pareto: minimum in ms, and shape.
+    fn sampler(self) -> Result<DelaySampler, Box<dyn std::error::Error>> {
         Ok(match self {
             Self::Steady => DelaySampler::Normal(Normal::new(5.0, 2.0)?),
             Self::Jittery => DelaySampler::LogNormal(LogNormal::new(5.0, 0.8)?),
@@ -67,16 +73,16 @@
 /// The store. A crashed member loses its registration one lease after the crash.
 #[derive(Default)]
 struct Store {
-    registered: BTreeMap<MemberId, Life>,
+    registered: BTreeMap<MemberId, IncarnationId>,
     now_ms: u64,
 }
 
-impl Arbiter for Store {
+impl RegistrationSource for Store {
     fn registration(&self, member: &MemberId) -> Registration {
         let observed_ms = self.now_ms;
         match self.registered.get(member) {
-            Some(life) => Registration::Present {
-                life: *life,
+            Some(incarnation) => Registration::Present {
+                incarnation: *incarnation,
                 observed_ms,
             },
             None => Registration::Absent { observed_ms },
@@ -88,11 +94,13 @@
     }
 }
 
+/// A simulated cluster: one detector per member, the store, and the heartbeats on their way.
 struct Cluster {
     detectors: Vec<FailureDetector>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     down_since_ms: Vec<Option<u64>>,
     store: Store,
+    /// Receiver and heartbeat, by arrival time in ms and number of the message.
     in_flight: BTreeMap<(u64, u64), (usize, Heartbeat)>,
     sent_messages: u64,
     delays: DelaySampler,
@@ -100,6 +108,7 @@
     policy: Policy,
     suspected: Histogram<u64>,
     confirmed: Histogram<u64>,
+    /// Suspicions and confirmations of members that were not down.
     false_suspicions: u64,
 }
 
@@ -111,12 +120,12 @@
     fn new(size: usize, network: Network, policy: Policy) -> Result<Self, Box<dyn std::error::Error>> {
         let mut cluster = Self {
             detectors: Vec::new(),
-            lives: (1..=size as u64).map(|index| index * 1_000).collect(),
+            incarnations: (1..=size as u64).map(|index| index * 1_000).collect(),
             down_since_ms: vec![None; size],
             store: Store::default(),
             in_flight: BTreeMap::new(),
             sent_messages: 0,
-            delays: network.delays()?,
+            delays: network.sampler()?,
             random: StdRng::seed_from_u64(SEED),
             policy,
             suspected: Histogram::new(3)?,
@@ -124,20 +133,23 @@
             false_suspicions: 0,
         };
         for index in 0..size {
-            let detector = cluster.detector(index)?;
+            let detector = cluster.new_detector(index)?;
             cluster.detectors.push(detector);
-            cluster.store.registered.insert(name(index), Life(cluster.lives[index]));
+            cluster
+                .store
+                .registered
+                .insert(name(index), IncarnationId(cluster.incarnations[index]));
         }
         Ok(cluster)
     }
 
-    fn detector(&self, index: usize) -> Result<FailureDetector, Box<dyn std::error::Error>> {
-        let names = (0..self.lives.len()).map(name);
-        let life = Life(self.lives[index]);
+    fn new_detector(&self, index: usize) -> Result<FailureDetector, Box<dyn std::error::Error>> {
+        let names = (0..self.incarnations.len()).map(name);
+        let incarnation = IncarnationId(self.incarnations[index]);
         let now_ms = self.store.now_ms;
         Ok(FailureDetector::new(
             name(index),
-            life,
+            incarnation,
             names,
             TIMING,
             self.policy,
@@ -179,7 +191,7 @@
             };
             if self.down_since_ms[to].is_none() {
                 // A heartbeat that arrives after a newer one is rejected as evidence.
-                let _ = self.detectors[to].on_heartbeat(now_ms, Channel::Scheduled, &heartbeat);
+                let _ = self.detectors[to].on_heartbeat(now_ms, HeartbeatTrigger::Scheduled, &heartbeat);
             }
         }
     }
@@ -209,7 +221,7 @@
             Event::Confirmed { member, .. } => (member, &mut self.confirmed),
             _ => return Ok(()),
         };
-        let index = (0..self.lives.len()).find(|index| name(*index) == *member);
+        let index = (0..self.incarnations.len()).find(|index| name(*index) == *member);
         match index.and_then(|index| self.down_since_ms[index]) {
             Some(since_ms) => times.record(self.store.now_ms - since_ms)?,
             None => self.false_suspicions += 1,
@@ -221,9 +233,11 @@
         self.down_since_ms[index] = Some(self.store.now_ms);
         self.run(CRASH_INTERVAL_MS / 2)?;
         self.down_since_ms[index] = None;
-        self.lives[index] += 1;
-        self.detectors[index] = self.detector(index)?;
-        self.store.registered.insert(name(index), Life(self.lives[index]));
+        self.incarnations[index] += 1;
+        self.detectors[index] = self.new_detector(index)?;
+        self.store
+            .registered
+            .insert(name(index), IncarnationId(self.incarnations[index]));
         self.run(CRASH_INTERVAL_MS / 2)
     }
 }
--- a/crates/tidelatch-failure-detector/src/arbiter.rs
+++ b/crates/tidelatch-failure-detector/src/arbiter.rs
@@ -2,20 +2,21 @@
 //!
 //! A confirmation rests on fencing alone, never on missing heartbeats. Three conditions must hold before a suspicion
 //! becomes a confirmation: the registration of the suspected incarnation has ended, this was observed after the
-//! suspicion began, and every grant to the member has expired.
+//! suspicion began, and every grant to the member has expired. If the suspected incarnation has itself released its
+//! registration, it does not matter when this was observed.
 
 use crate::member::Suspicion;
-use crate::message::{Life, MemberId};
+use crate::message::{IncarnationId, MemberId};
 
 /// What the store shows about a member's registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Registration {
     /// The store cannot be reached, or has not been read yet.
-    Unreachable,
+    Unknown,
     /// The member is registered.
     Present {
         /// The registered incarnation.
-        life: Life,
+        incarnation: IncarnationId,
         /// When the store was observed, on the caller's clock.
         observed_ms: u64,
     },
@@ -27,7 +28,7 @@
     /// The member itself has recorded that it gives up its registration.
     Released {
         /// The incarnation that gave it up.
-        life: Life,
+        incarnation: IncarnationId,
     },
 }
 
@@ -36,7 +37,7 @@
 ///
 /// Answers may be outdated, but must never go backwards: once an answer has shown that an incarnation is absent, or
 /// that another one is present, no older answer may follow.
-pub trait Arbiter {
+pub trait RegistrationSource {
     /// Returns what is known about a member's registration.
     fn registration(&self, member: &MemberId) -> Registration;
 
@@ -51,7 +52,7 @@
     /// Its registration has ended.
     RegistrationEnded,
     /// Another incarnation has registered in its place.
-    Superseded(Life),
+    Superseded(IncarnationId),
     /// It gave up its registration itself.
     Released,
 }
@@ -68,12 +69,15 @@
     }
     match registration {
         Registration::Absent { observed_ms } if observed_ms > suspicion.since_ms => Some(Verdict::RegistrationEnded),
-        Registration::Present { life, observed_ms }
-            if suspicion.life.is_some_and(|suspected| suspected != life) && observed_ms > suspicion.since_ms =>
+        Registration::Present {
+            incarnation,
+            observed_ms,
+        } if suspicion.incarnation.is_some_and(|suspected| suspected != incarnation)
+            && observed_ms > suspicion.since_ms =>
         {
-            Some(Verdict::Superseded(life))
+            Some(Verdict::Superseded(incarnation))
         }
-        Registration::Released { life } if suspicion.life == Some(life) => Some(Verdict::Released),
+        Registration::Released { incarnation } if suspicion.incarnation == Some(incarnation) => Some(Verdict::Released),
         _ => None,
     }
 }
--- a/crates/tidelatch-failure-detector/src/config.rs
+++ b/crates/tidelatch-failure-detector/src/config.rs
@@ -21,22 +21,23 @@
     /// Suspicion level from which on a member is suspected, in thousandths of a phi.
     pub threshold_milliphi: u32,
     /// Number of heartbeat intervals that are kept per member.
-    pub window: usize,
+    pub window_intervals: usize,
     /// Minimum standard deviation that is assumed, in thousandths of the heartbeat interval.
-    pub least_deviation_permille: u32,
+    pub min_deviation_permille: u32,
     /// Pause that is tolerated in addition to the usual interval, in thousandths of the heartbeat interval.
     pub acceptable_pause_permille: u32,
     /// How long to wait for answers to probes through other members, in thousandths of the heartbeat interval.
     pub probe_wait_permille: u32,
     /// Number of members that are asked to probe an unresponsive one.
-    pub probes: usize,
-    /// Maximum of the local-health score. Each point multiplies the time without heartbeats that a suspicion takes by
-    /// one more.
-    pub local_health_most: u8,
+    pub probe_helpers: usize,
+    /// Maximum of the local-health score. At a score of `k`, a suspicion takes `k + 1` times the usual time without
+    /// heartbeats.
+    pub max_local_health_score: u8,
     /// Half-life of the flapping penalty, in thousandths of the lease.
     pub flap_half_life_permille: u32,
-    /// Number of flaps that are tolerated before it takes more than one heartbeat to clear a suspicion.
-    pub flaps_forgiven: u32,
+    /// Number of flaps (suspicions that were cleared) that are tolerated before it takes more than one heartbeat to
+    /// clear a suspicion.
+    pub tolerated_flaps: u32,
 }
 
 impl Default for Policy {
@@ -44,26 +45,26 @@
         Self {
             estimator: Estimator::PhiNormal,
             threshold_milliphi: 6_000,
-            window: 64,
-            least_deviation_permille: 250,
+            window_intervals: 64,
+            min_deviation_permille: 250,
             acceptable_pause_permille: 500,
             probe_wait_permille: 750,
-            probes: 2,
-            local_health_most: 3,
+            probe_helpers: 2,
+            max_local_health_score: 3,
             flap_half_life_permille: 8_000,
-            flaps_forgiven: 2,
+            tolerated_flaps: 2,
         }
     }
 }
 
 /// One invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{field}: {fault}")]
+#[error("{field}: {message}")]
 pub struct ConfigFault {
     /// Name of the field.
     pub field: &'static str,
     /// Description of the fault.
-    pub fault: &'static str,
+    pub message: &'static str,
 }
 
 /// All faults in the settings of a detector.
@@ -77,7 +78,7 @@
     }
 }
 
-/// Maximum of [`Policy::window`].
+/// Maximum of [`Policy::window_intervals`].
 const MAX_WINDOW_INTERVALS: usize = 4_096;
 
 impl Policy {
@@ -96,13 +97,13 @@
             ),
             ("threshold_milliphi", self.threshold_milliphi > 0, "must be above 0"),
             (
-                "window",
-                (2..=MAX_WINDOW_INTERVALS).contains(&self.window),
+                "window_intervals",
+                (2..=MAX_WINDOW_INTERVALS).contains(&self.window_intervals),
                 "must lie between 2 and 4096",
             ),
             (
-                "least_deviation_permille",
-                self.least_deviation_permille > 0,
+                "min_deviation_permille",
+                self.min_deviation_permille > 0,
                 "must be above 0",
             ),
             (
@@ -124,7 +125,7 @@
         let faults: Vec<ConfigFault> = checks
             .into_iter()
             .filter(|(_, is_valid, _)| !is_valid)
-            .map(|(field, _, fault)| ConfigFault { field, fault })
+            .map(|(field, _, message)| ConfigFault { field, message })
             .collect();
         if faults.is_empty() {
             Ok(())
--- a/crates/tidelatch-failure-detector/src/detector.rs
+++ b/crates/tidelatch-failure-detector/src/detector.rs
@@ -1,12 +1,14 @@
 //! The failure detector: it processes heartbeats and the passing of time, and returns events.
 
-use crate::arbiter::Arbiter;
+use crate::arbiter::RegistrationSource;
 use crate::config::{ConfigFaults, Policy, Timing};
 use crate::estimator::SuspicionLevel;
-use crate::event::{Cleared, Event};
+use crate::event::{ClearReason, Event};
 use crate::local_health::LocalHealth;
 use crate::member::{Member, MemberState, Suspicion};
-use crate::message::{Channel, Claim, ClaimRejection, Heartbeat, Incarnation, Life, MemberId, Opinion, Rejection};
+use crate::message::{
+    Claim, ClaimRejection, Heartbeat, HeartbeatTrigger, Incarnation, IncarnationId, MemberId, Opinion, Rejection,
+};
 use crate::registrations::{Timestamps, apply_registration};
 use std::collections::BTreeMap;
 
@@ -35,7 +37,7 @@
     /// Returns the invalid settings.
     pub fn new(
         own_id: MemberId,
-        life: Life,
+        incarnation: IncarnationId,
         others: impl IntoIterator<Item = MemberId>,
         timing: Timing,
         policy: Policy,
@@ -44,12 +46,17 @@
         policy.check(timing)?;
         let members = others.into_iter().filter(|other| *other != own_id);
         Ok(Self {
-            incarnation: Incarnation { life, refutation: 0 },
+            incarnation: Incarnation {
+                id: incarnation,
+                refutation_count: 0,
+            },
             sequence: 0,
             timing,
             policy,
-            members: members.map(|name| (name, Member::new(policy.window))).collect(),
-            local_health: LocalHealth::new(policy.local_health_most),
+            members: members
+                .map(|name| (name, Member::new(policy.window_intervals)))
+                .collect(),
+            local_health: LocalHealth::new(policy.max_local_health_score),
             active_ms: 0,
             last_update_ms: now_ms,
             probe_rotation: 0,
@@ -57,10 +64,13 @@
         })
     }
 
-    /// Starts a new incarnation of this member, after it has registered again with the arbiter.
-    pub fn begin_life(&mut self, life: Life) {
-        if self.incarnation.life != life {
-            self.incarnation = Incarnation { life, refutation: 0 };
+    /// Starts a new incarnation of this member, after it has registered again.
+    pub fn begin_incarnation(&mut self, incarnation: IncarnationId) {
+        if self.incarnation.id != incarnation {
+            self.incarnation = Incarnation {
+                id: incarnation,
+                refutation_count: 0,
+            };
             self.sequence = 0;
         }
     }
@@ -114,11 +124,12 @@
     ///
     /// # Errors
     ///
-    /// Returns why the heartbeat is rejected as evidence. A rejected heartbeat changes nothing.
+    /// Returns why the heartbeat is rejected as evidence. It does not count as contact with its sender then, and its
+    /// claims are ignored. Time passes all the same if it is rejected because of its incarnation or sequence number.
     pub fn on_heartbeat(
         &mut self,
         now_ms: u64,
-        channel: Channel,
+        trigger: HeartbeatTrigger,
         heartbeat: &Heartbeat,
     ) -> Result<Vec<Event>, Rejection> {
         self.check_heartbeat(heartbeat)?;
@@ -128,21 +139,21 @@
             return Err(Rejection::UnknownSender(heartbeat.from.clone()));
         };
         let was_confirmed = member.is_confirmed();
-        let is_new_incarnation = member.accept_heartbeat(channel, heartbeat, now_ms)?;
-        member.record_contact(channel, self.active_ms);
+        let is_new_incarnation = member.accept_heartbeat(trigger, heartbeat, now_ms)?;
+        member.record_contact(trigger, self.active_ms);
         if was_confirmed {
             member.state = MemberState::Alive;
             events.push(Event::Returned {
                 member: heartbeat.from.clone(),
-                life: heartbeat.incarnation.life,
+                incarnation: heartbeat.incarnation.id,
             });
         } else {
-            let by = if is_new_incarnation {
-                Cleared::NewLife
+            let reason = if is_new_incarnation {
+                ClearReason::NewIncarnation
             } else {
-                Cleared::Heard
+                ClearReason::Heard
             };
-            self.count_heartbeat_and_clear(&heartbeat.from, by, now_ms, &mut events);
+            self.count_heartbeat_and_clear(&heartbeat.from, reason, now_ms, &mut events);
         }
         self.recover_local_health(now_ms, &mut events);
         for claim in &heartbeat.claims {
@@ -154,7 +165,7 @@
     /// Processes a contact from a member whose version sends neither incarnations nor claims. Such a member is
     /// monitored by its contacts alone. A contact does not bring back a member that is confirmed as gone, because
     /// nothing shows which incarnation it comes from.
-    pub fn on_contact(&mut self, now_ms: u64, from: &MemberId, channel: Channel) -> Vec<Event> {
+    pub fn on_contact(&mut self, now_ms: u64, from: &MemberId, trigger: HeartbeatTrigger) -> Vec<Event> {
         let mut events = Vec::new();
         self.advance_clock(now_ms, &mut events);
         let active_ms = self.active_ms;
@@ -162,16 +173,16 @@
             return events;
         };
         if !member.is_confirmed() {
-            member.record_contact(channel, active_ms);
-            self.count_heartbeat_and_clear(from, Cleared::Heard, now_ms, &mut events);
+            member.record_contact(trigger, active_ms);
+            self.count_heartbeat_and_clear(from, ClearReason::Heard, now_ms, &mut events);
             self.recover_local_health(now_ms, &mut events);
         }
         events
     }
 
-    /// Advances the time: suspects unresponsive members, and confirms suspected ones as gone where the arbiter's facts
-    /// allow it.
-    pub fn tick(&mut self, now_ms: u64, arbiter: &impl Arbiter) -> Vec<Event> {
+    /// Advances the time: suspects unresponsive members, and confirms suspected ones as gone where their
+    /// registrations allow it.
+    pub fn tick(&mut self, now_ms: u64, registrations: &impl RegistrationSource) -> Vec<Event> {
         let mut events = Vec::new();
         self.advance_clock(now_ms, &mut events);
         self.detect_unresponsive_members(now_ms, &mut events);
@@ -181,7 +192,7 @@
             active_ms: self.active_ms,
         };
         for (name, member) in &mut self.members {
-            apply_registration(name, member, arbiter, time, lease_ms, &mut events);
+            apply_registration(name, member, registrations, time, lease_ms, &mut events);
         }
         events
     }
@@ -195,7 +206,7 @@
         if !self.members.contains_key(from) {
             return Err(Rejection::UnknownSender(from.clone()));
         }
-        if heartbeat.incarnation.life == Life(0) {
+        if heartbeat.incarnation.id == IncarnationId(0) {
             return Err(Rejection::MissingIncarnation(from.clone()));
         }
         let max_claims = self.members.len() + 1;
@@ -234,7 +245,7 @@
             .filter(|(_, m)| self.is_unresponsive(m))
             .map(|(name, _)| name.clone())
             .collect();
-        self.check_local_health(unresponsive.len(), now_ms, events);
+        self.record_fault_if_majority_unresponsive(unresponsive.len(), now_ms, events);
         for name in unresponsive {
             self.probe_or_suspect(&name, now_ms, events);
         }
@@ -248,9 +259,9 @@
         level.0 >= self.policy.threshold_milliphi || since_heard_ms >= self.timing.lease_ms
     }
 
-    /// Lowers the local health if more than half of the other members became unresponsive together: this member itself
-    /// may be cut off.
-    fn check_local_health(&mut self, unresponsive: usize, now_ms: u64, events: &mut Vec<Event>) {
+    /// Adds a point to the local-health score if more than half of the other members became unresponsive together: this
+    /// member itself may be cut off.
+    fn record_fault_if_majority_unresponsive(&mut self, unresponsive: usize, now_ms: u64, events: &mut Vec<Event>) {
         let others = self.members.values().filter(|m| !m.is_confirmed()).count();
         let is_majority_unresponsive = others > 1 && unresponsive * 2 > others;
         if is_majority_unresponsive && self.local_health.is_settled(now_ms, self.timing.heartbeat_ms) {
@@ -264,7 +275,7 @@
     /// Handles a member above the threshold: asks others to probe it first, and suspects it if no answer arrives in
     /// time.
     fn probe_or_suspect(&mut self, name: &MemberId, now_ms: u64, events: &mut Vec<Event>) {
-        let through = self.select_probe_helpers(name);
+        let helpers = self.select_probe_helpers(name);
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
@@ -272,10 +283,10 @@
         let level = member.level(active_ms, self.timing, &self.policy);
         let Some(probing_since_ms) = member.probing_since_ms else {
             member.probing_since_ms = Some(active_ms);
-            if !through.is_empty() {
+            if !helpers.is_empty() {
                 events.push(Event::ProbeWanted {
                     target: name.clone(),
-                    through,
+                    helpers,
                 });
             }
             return;
@@ -294,8 +305,8 @@
             return;
         }
         let suspicion = Suspicion {
-            life: member.incarnation.map(|i| i.life),
-            refutation: member.incarnation.map_or(0, |i| i.refutation),
+            incarnation: member.incarnation.map(|i| i.id),
+            refutation_count: member.incarnation.map_or(0, |i| i.refutation_count),
             since_ms: now_ms,
             level,
         };
@@ -306,7 +317,7 @@
         events.push(Event::Suspected {
             member: name.clone(),
             suspicion,
-            silent_ms: active_ms.saturating_sub(member.last_direct_contact_ms.unwrap_or(0)),
+            since_heard_directly_ms: active_ms.saturating_sub(member.last_direct_contact_ms.unwrap_or(0)),
         });
     }
 
@@ -320,7 +331,7 @@
         self.probe_rotation = self.probe_rotation.wrapping_add(1);
         let rotated = candidates.iter().cycle().skip(start % candidates.len().max(1));
         rotated
-            .take(self.policy.probes.min(candidates.len()))
+            .take(self.policy.probe_helpers.min(candidates.len()))
             .cloned()
             .collect()
     }
@@ -337,7 +348,13 @@
 
     /// Counts a heartbeat of a suspected member and clears the suspicion. This takes one heartbeat, or more if the
     /// member has been flapping. A new incarnation always clears it.
-    fn count_heartbeat_and_clear(&mut self, name: &MemberId, by: Cleared, now_ms: u64, events: &mut Vec<Event>) {
+    fn count_heartbeat_and_clear(
+        &mut self,
+        name: &MemberId,
+        reason: ClearReason,
+        now_ms: u64,
+        events: &mut Vec<Event>,
+    ) {
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
@@ -348,12 +365,12 @@
         let needed = member
             .flap_penalty
             .heartbeats_to_clear(now_ms, self.timing, &self.policy);
-        if by == Cleared::NewLife || member.heartbeats_since_suspicion >= needed {
-            self.clear_suspicion(name, by, now_ms, events);
+        if reason == ClearReason::NewIncarnation || member.heartbeats_since_suspicion >= needed {
+            self.clear_suspicion(name, reason, now_ms, events);
         }
     }
 
-    fn clear_suspicion(&mut self, name: &MemberId, by: Cleared, now_ms: u64, events: &mut Vec<Event>) {
+    fn clear_suspicion(&mut self, name: &MemberId, reason: ClearReason, now_ms: u64, events: &mut Vec<Event>) {
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
@@ -363,7 +380,7 @@
         member.last_contact_ms = self.active_ms;
         events.push(Event::Cleared {
             member: name.clone(),
-            by,
+            reason,
             suspected_for_ms: now_ms.saturating_sub(suspicion.since_ms),
         });
     }
@@ -386,13 +403,14 @@
         let Some(member) = self.members.get_mut(&claim.member) else {
             return;
         };
-        let is_newer = member.raise_refutation_count(claim.incarnation.refutation);
+        let is_newer = member.raise_refutation_count(claim.incarnation.refutation_count);
         match member.state {
             MemberState::Alive => member.record_indirect_contact(active_ms, claim.heard_ago_ms),
-            // The time since others heard the member may be outdated by now, but a refutation of this very suspicion is
-            // not.
-            MemberState::Suspected(suspicion) if is_newer && claim.incarnation.refutation > suspicion.refutation => {
-                self.clear_suspicion(&claim.member, Cleared::Refuted, now_ms, events);
+            // Only a refutation of this very suspicion clears it: that others heard the member may be outdated by now.
+            MemberState::Suspected(suspicion)
+                if is_newer && claim.incarnation.refutation_count > suspicion.refutation_count =>
+            {
+                self.clear_suspicion(&claim.member, ClearReason::Refuted, now_ms, events);
             }
             MemberState::Suspected(_) | MemberState::Confirmed(_) => {}
         }
@@ -404,7 +422,7 @@
         }
         let member = self.members.get(&claim.member).ok_or(ClaimRejection::UnknownMember)?;
         match member.incarnation {
-            Some(known) if known.life == claim.incarnation.life && !member.is_confirmed() => Ok(()),
+            Some(known) if known.id == claim.incarnation.id && !member.is_confirmed() => Ok(()),
             _ => Err(ClaimRejection::OtherIncarnation),
         }
     }
@@ -413,13 +431,13 @@
     /// now on.
     fn refute_suspicion(&mut self, from: &MemberId, claim: &Claim, events: &mut Vec<Event>) {
         let own = self.incarnation;
-        let suspected = claim.opinion == Opinion::Suspected && claim.incarnation.life == own.life;
-        if suspected && claim.incarnation.refutation >= own.refutation {
-            let refutation = claim.incarnation.refutation.saturating_add(1);
-            self.incarnation.refutation = refutation;
-            events.push(Event::RefutedOwn {
+        let suspected = claim.opinion == Opinion::Suspected && claim.incarnation.id == own.id;
+        if suspected && claim.incarnation.refutation_count >= own.refutation_count {
+            let refutation_count = claim.incarnation.refutation_count.saturating_add(1);
+            self.incarnation.refutation_count = refutation_count;
+            events.push(Event::SuspicionRefuted {
                 suspected_by: from.clone(),
-                refutation,
+                refutation_count,
             });
         }
     }
--- a/crates/tidelatch-failure-detector/src/estimator.rs
+++ b/crates/tidelatch-failure-detector/src/estimator.rs
@@ -9,7 +9,8 @@
 /// How the suspicion level is computed from the time without heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Estimator {
-    /// A fixed timeout: half of the lease reaches the threshold. It does not adapt to the observed intervals.
+    /// A fixed timeout: half of the lease without heartbeats reaches the threshold. It does not adapt to the observed
+    /// intervals.
     FixedTimeout,
     /// Assumes normally distributed intervals, as in the original phi detector.
     PhiNormal,
@@ -49,7 +50,7 @@
                 f64::from(policy.threshold_milliphi) / 1000.0 * silence / timeout
             }
             Self::PhiNormal => {
-                let min_deviation = heartbeat * f64::from(policy.least_deviation_permille) / 1000.0;
+                let min_deviation = heartbeat * f64::from(policy.min_deviation_permille) / 1000.0;
                 let deviation = window.deviation_ms().unwrap_or(min_deviation).max(min_deviation);
                 phi_from_normal_tail((silence - mean) / deviation)
             }
--- a/crates/tidelatch-failure-detector/src/event.rs
+++ b/crates/tidelatch-failure-detector/src/event.rs
@@ -2,17 +2,17 @@
 
 use crate::arbiter::Verdict;
 use crate::member::Suspicion;
-use crate::message::{ClaimRejection, Life, MemberId};
+use crate::message::{ClaimRejection, IncarnationId, MemberId};
 
 /// Why a suspicion was cleared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Cleared {
+pub enum ClearReason {
     /// The member itself was heard.
     Heard,
     /// Another member passed on its refutation.
     Refuted,
     /// It has started a new incarnation.
-    NewLife,
+    NewIncarnation,
 }
 
 /// A change of state, or an action for the caller.
@@ -23,7 +23,7 @@
         /// The unresponsive member.
         target: MemberId,
         /// The members to ask.
-        through: Vec<MemberId>,
+        helpers: Vec<MemberId>,
     },
     /// A member is suspected.
     Suspected {
@@ -31,15 +31,16 @@
         member: MemberId,
         /// The suspicion.
         suspicion: Suspicion,
-        /// Time since it was last heard directly, without pauses of this member.
-        silent_ms: u64,
+        /// Time since it was last heard directly, without pauses of this member. For a member that was never heard, the
+        /// time since the detector was created.
+        since_heard_directly_ms: u64,
     },
     /// A suspicion was cleared, and the member was not confirmed as gone.
     Cleared {
         /// The member.
         member: MemberId,
         /// Why.
-        by: Cleared,
+        reason: ClearReason,
         /// How long the suspicion lasted.
         suspected_for_ms: u64,
     },
@@ -48,7 +49,7 @@
         /// The member.
         member: MemberId,
         /// The incarnation that is gone. `None` if the member was never heard.
-        life: Option<Life>,
+        incarnation: Option<IncarnationId>,
         /// The evidence.
         verdict: Verdict,
         /// How long it was suspected before.
@@ -59,14 +60,14 @@
         /// The member.
         member: MemberId,
         /// Its new incarnation.
-        life: Life,
+        incarnation: IncarnationId,
     },
     /// Another member suspects this one: this member's heartbeats carry a higher refutation count from now on.
-    RefutedOwn {
+    SuspicionRefuted {
         /// The member that suspects this one.
         suspected_by: MemberId,
         /// The new refutation count.
-        refutation: u64,
+        refutation_count: u64,
     },
     /// This member considers itself impaired, and requires more evidence before it suspects others.
     Impaired {
--- a/crates/tidelatch-failure-detector/src/flapping.rs
+++ b/crates/tidelatch-failure-detector/src/flapping.rs
@@ -25,7 +25,7 @@
     /// Number of consecutive heartbeats that it takes to clear a suspicion now.
     pub(crate) fn heartbeats_to_clear(&self, now_ms: u64, timing: Timing, policy: &Policy) -> u64 {
         let flaps = self.current_points(now_ms, timing, policy) / POINTS_PER_FLAP;
-        1 + flaps.saturating_sub(u64::from(policy.flaps_forgiven))
+        1 + flaps.saturating_sub(u64::from(policy.tolerated_flaps))
     }
 
     /// Returns the current penalty points. They are halved once for each complete half-life since the last flap.
--- a/crates/tidelatch-failure-detector/src/lib.rs
+++ b/crates/tidelatch-failure-detector/src/lib.rs
@@ -5,9 +5,10 @@
 //!
 //! * **Suspicion** is an estimate. It is computed from the arrival times of heartbeats ([`estimator`]), is checked
 //!   through other members before it is raised, can be refuted, and never entitles anyone to act.
-//! * **Confirmation** is certain. A suspected member is [`Confirmed`](MemberState::Confirmed) as gone only once an
-//!   [`Arbiter`], a store that all members register with, shows that its registration has ended, and every grant that
-//!   was given to it has expired ([`arbiter`]). The evidence is recorded as a [`Verdict`].
+//! * **Confirmation** is certain. A suspected member is [`Confirmed`](MemberState::Confirmed) as gone only once a
+//!   [`RegistrationSource`], the store that all members register with, shows that its registration has ended, and
+//!   every grant that lets it act without a registration has expired ([`arbiter`]). The evidence is recorded as a
+//!   [`Verdict`].
 //!
 //! The crate does no I/O, reads no clock, starts no threads and uses no random numbers: the caller passes in times, in
 //! milliseconds of a monotonic clock, and messages are passed in and returned as values. The same sequence of calls
@@ -15,24 +16,25 @@
 //!
 //! # Example
 //!
-//! A stand-alone program with two members, and an in-memory table as the arbiter:
+//! A stand-alone program with two members, and an in-memory table as the source of registrations:
 //!
 //! ```
 //! use std::collections::BTreeMap;
 //! use tidelatch_failure_detector::{
-//!     Arbiter, Channel, Event, FailureDetector, Life, MemberId, MemberState, Policy, Registration, Timing,
+//!     Event, FailureDetector, HeartbeatTrigger, IncarnationId, MemberId, MemberState, Policy, Registration,
+//!     RegistrationSource, Timing,
 //! };
 //!
 //! /// The registrations as a store would list them, and the time of the listing.
 //! struct Table {
-//!     registered: BTreeMap<MemberId, Life>,
+//!     registered: BTreeMap<MemberId, IncarnationId>,
 //!     listed_ms: u64,
 //! }
 //!
-//! impl Arbiter for Table {
+//! impl RegistrationSource for Table {
 //!     fn registration(&self, member: &MemberId) -> Registration {
 //!         match self.registered.get(member) {
-//!             Some(life) => Registration::Present { life: *life, observed_ms: self.listed_ms },
+//!             Some(incarnation) => Registration::Present { incarnation: *incarnation, observed_ms: self.listed_ms },
 //!             None => Registration::Absent { observed_ms: self.listed_ms },
 //!         }
 //!     }
@@ -43,9 +45,9 @@
 //!
 //! let (a, b) = (MemberId::new("a"), MemberId::new("b"));
 //! let timing = Timing { heartbeat_ms: 1_000, lease_ms: 8_000 };
-//! let mut detector_a = FailureDetector::new(a.clone(), Life(1), [b.clone()], timing, Policy::default(), 0)?;
-//! let mut detector_b = FailureDetector::new(b.clone(), Life(2), [a.clone()], timing, Policy::default(), 0)?;
-//! let mut table = Table { registered: BTreeMap::from([(b.clone(), Life(2))]), listed_ms: 0 };
+//! let mut detector_a = FailureDetector::new(a.clone(), IncarnationId(1), [b.clone()], timing, Policy::default(), 0)?;
+//! let mut detector_b = FailureDetector::new(b.clone(), IncarnationId(2), [a.clone()], timing, Policy::default(), 0)?;
+//! let mut table = Table { registered: BTreeMap::from([(b.clone(), IncarnationId(2))]), listed_ms: 0 };
 //!
 //! // For one minute, `b` sends a heartbeat each second. Then it stops, and its registration ends one lease later.
 //! let mut suspected_ms = None;
@@ -53,7 +55,7 @@
 //! for now_ms in (0..90_000).step_by(100) {
 //!     if now_ms <= 60_000 && now_ms % 1_000 == 0 {
 //!         let heartbeat = detector_b.heartbeat(now_ms, None);
-//!         detector_a.on_heartbeat(now_ms, Channel::Scheduled, &heartbeat)?;
+//!         detector_a.on_heartbeat(now_ms, HeartbeatTrigger::Scheduled, &heartbeat)?;
 //!     }
 //!     table.listed_ms = now_ms;
 //!     if now_ms >= 68_000 {
@@ -87,11 +89,13 @@
 mod message;
 mod registrations;
 
-pub use arbiter::{Arbiter, Registration, Verdict};
+pub use arbiter::{Registration, RegistrationSource, Verdict};
 pub use arrivals::ArrivalWindow;
 pub use config::{ConfigFault, ConfigFaults, Policy, Timing};
 pub use detector::FailureDetector;
 pub use estimator::{Estimator, SuspicionLevel};
-pub use event::{Cleared, Event};
+pub use event::{ClearReason, Event};
 pub use member::{MemberState, Suspicion};
-pub use message::{Channel, Claim, ClaimRejection, Heartbeat, Incarnation, Life, MemberId, Opinion, Rejection};
+pub use message::{
+    Claim, ClaimRejection, Heartbeat, HeartbeatTrigger, Incarnation, IncarnationId, MemberId, Opinion, Rejection,
+};
--- a/crates/tidelatch-failure-detector/src/local_health.rs
+++ b/crates/tidelatch-failure-detector/src/local_health.rs
@@ -3,8 +3,8 @@
 //! After Dadgar and others, "Lifeguard: local health awareness for more accurate failure detection" (2018): a member
 //! that is slow itself, or hears from no other member any more, is more likely at fault than all the others at once.
 
-/// The local-health score. 0 is healthy. Each point multiplies the time without heartbeats that a suspicion of others
-/// takes by one more.
+/// The local-health score. 0 is healthy. At a score of `k`, a suspicion of another member takes `k + 1` times the usual
+/// time without heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct LocalHealth {
     score: u8,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns whether the last change of the score is at least one interval ago.
+    /// Returns whether the last change of the score is at least one interval ago, or the score has never changed.
     pub(crate) fn is_settled(&self, now_ms: u64, interval_ms: u64) -> bool {
         self.changed_ms == 0 || now_ms >= self.changed_ms + interval_ms
     }
--- a/crates/tidelatch-failure-detector/src/member.rs
+++ b/crates/tidelatch-failure-detector/src/member.rs
@@ -5,7 +5,7 @@
 use crate::config::{Policy, Timing};
 use crate::estimator::SuspicionLevel;
 use crate::flapping::FlapPenalty;
-use crate::message::{Channel, Heartbeat, Incarnation, Life, Rejection};
+use crate::message::{Heartbeat, HeartbeatTrigger, Incarnation, IncarnationId, Rejection};
 use std::collections::VecDeque;
 
 /// Number of earlier incarnations that are remembered per member, so that their late heartbeats are recognized as
@@ -16,9 +16,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Suspicion {
     /// The suspected incarnation. `None` if the member was never heard.
-    pub life: Option<Life>,
+    pub incarnation: Option<IncarnationId>,
     /// Refutation count of that incarnation when the suspicion began.
-    pub refutation: u64,
+    pub refutation_count: u64,
     /// When the suspicion began, on the caller's clock.
     pub since_ms: u64,
     /// The suspicion level when the suspicion began.
@@ -52,7 +52,7 @@
     pub(crate) probing_since_ms: Option<u64>,
     /// Number of heartbeats received since it was suspected.
     pub(crate) heartbeats_since_suspicion: u64,
-    earlier_incarnations: VecDeque<Life>,
+    earlier_incarnations: VecDeque<IncarnationId>,
     /// When its current incarnation was first heard or registered, on the caller's clock.
     incarnation_began_ms: u64,
     /// Highest sequence number of scheduled heartbeats in the current incarnation.
@@ -94,24 +94,24 @@
     /// whether its incarnation is a new one.
     pub(crate) fn accept_heartbeat(
         &mut self,
-        channel: Channel,
+        trigger: HeartbeatTrigger,
         heartbeat: &Heartbeat,
         now_ms: u64,
     ) -> Result<bool, Rejection> {
-        let life = heartbeat.incarnation.life;
-        if self.is_ended(life) {
+        let incarnation = heartbeat.incarnation.id;
+        if self.is_ended(incarnation) {
             return Err(Rejection::EndedIncarnation {
                 from: heartbeat.from.clone(),
-                life,
+                incarnation,
             });
         }
-        let is_new_incarnation = self.incarnation.is_none_or(|known| known.life != life);
+        let is_new_incarnation = self.incarnation.is_none_or(|known| known.id != incarnation);
         if is_new_incarnation {
             self.begin_incarnation(heartbeat.incarnation, now_ms);
         }
-        let newest = match channel {
-            Channel::Scheduled => &mut self.newest_scheduled_sequence,
-            Channel::Answer => &mut self.newest_answer_sequence,
+        let newest = match trigger {
+            HeartbeatTrigger::Scheduled => &mut self.newest_scheduled_sequence,
+            HeartbeatTrigger::Answer => &mut self.newest_answer_sequence,
         };
         if heartbeat.sequence <= *newest {
             return Err(Rejection::OutdatedSequence {
@@ -121,30 +121,32 @@
             });
         }
         *newest = heartbeat.sequence;
-        self.raise_refutation_count(heartbeat.incarnation.refutation);
+        self.raise_refutation_count(heartbeat.incarnation.refutation_count);
         Ok(is_new_incarnation)
     }
 
     /// Returns whether an incarnation has ended, so that its heartbeats are outdated.
-    fn is_ended(&self, life: Life) -> bool {
-        let is_confirmed_as_gone = self.is_confirmed() && self.incarnation.is_some_and(|known| known.life == life);
-        is_confirmed_as_gone || self.earlier_incarnations.contains(&life)
+    fn is_ended(&self, incarnation: IncarnationId) -> bool {
+        let is_confirmed_as_gone = self.is_confirmed() && self.incarnation.is_some_and(|known| known.id == incarnation);
+        is_confirmed_as_gone || self.earlier_incarnations.contains(&incarnation)
     }
 
     /// Returns whether a registered incarnation was left behind by an earlier process, while the current one has not
-    /// registered yet. This is possible only within one lease after the current incarnation was first heard. Later than
-    /// that, the heartbeat that started the current incarnation must have been an old message that arrived late.
-    pub(crate) fn is_stale_registration(&self, listed: Life, observed_ms: u64, lease_ms: u64) -> bool {
+    /// registered yet. If so, the caller ignores the registration. This is possible only within one lease after the
+    /// current incarnation was first heard: by then the earlier registration has expired. If the earlier incarnation is
+    /// still registered later than that, the heartbeat that started the current incarnation was an old message that
+    /// arrived late, and the caller relies on the registration.
+    pub(crate) fn is_stale_registration(&self, listed: IncarnationId, observed_ms: u64, lease_ms: u64) -> bool {
         self.earlier_incarnations.contains(&listed) && observed_ms < self.incarnation_began_ms.saturating_add(lease_ms)
     }
 
     /// Starts another incarnation. Evidence from the one before does not count for it.
     pub(crate) fn begin_incarnation(&mut self, incarnation: Incarnation, now_ms: u64) {
-        self.earlier_incarnations.retain(|earlier| *earlier != incarnation.life);
+        self.earlier_incarnations.retain(|earlier| *earlier != incarnation.id);
         self.incarnation_began_ms = now_ms;
         let earlier = self.incarnation.replace(incarnation);
-        if let Some(earlier) = earlier.filter(|earlier| earlier.life != incarnation.life) {
-            self.earlier_incarnations.push_back(earlier.life);
+        if let Some(earlier) = earlier.filter(|earlier| earlier.id != incarnation.id) {
+            self.earlier_incarnations.push_back(earlier.id);
             if self.earlier_incarnations.len() > MAX_EARLIER_INCARNATIONS {
                 self.earlier_incarnations.pop_front();
             }
@@ -163,10 +165,10 @@
     }
 
     /// Records a refutation count. Returns whether it is higher than the known one.
-    pub(crate) fn raise_refutation_count(&mut self, refutation: u64) -> bool {
+    pub(crate) fn raise_refutation_count(&mut self, refutation_count: u64) -> bool {
         match &mut self.incarnation {
-            Some(known) if known.refutation < refutation => {
-                known.refutation = refutation;
+            Some(known) if known.refutation_count < refutation_count => {
+                known.refutation_count = refutation_count;
                 true
             }
             _ => false,
@@ -174,11 +176,11 @@
     }
 
     /// Records that the member was heard directly.
-    pub(crate) fn record_contact(&mut self, channel: Channel, active_ms: u64) {
+    pub(crate) fn record_contact(&mut self, trigger: HeartbeatTrigger, active_ms: u64) {
         self.last_contact_ms = self.last_contact_ms.max(active_ms);
         self.last_direct_contact_ms = Some(active_ms);
         self.probing_since_ms = None;
-        if channel == Channel::Scheduled {
+        if trigger == HeartbeatTrigger::Scheduled {
             self.arrivals.record(active_ms);
         }
     }
--- a/crates/tidelatch-failure-detector/src/message.rs
+++ b/crates/tidelatch-failure-detector/src/message.rs
@@ -24,19 +24,19 @@
     }
 }
 
-/// Identifier of one incarnation of a member: one run of it, from its registration with the arbiter until that
+/// Identifier of one incarnation of a member: one run of it, from its registration until that
 /// registration ends. The identifiers of different incarnations have no order, since they may be random numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life(pub u64);
+pub struct IncarnationId(pub u64);
 
 /// An incarnation of a member and its refutation count. Within one incarnation the higher refutation count is the newer
 /// one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Incarnation {
     /// The incarnation's identifier.
-    pub life: Life,
+    pub id: IncarnationId,
     /// How often the member has refuted a suspicion of this incarnation.
-    pub refutation: u64,
+    pub refutation_count: u64,
 }
 
 /// One member's opinion of another.
@@ -79,7 +79,7 @@
 
 /// How a heartbeat was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Channel {
+pub enum HeartbeatTrigger {
     /// On schedule, once per heartbeat interval. Its arrival time is added to the window of intervals.
     Scheduled,
     /// In answer to a message from the receiver. It shows that the sender is alive, but its arrival time says nothing
@@ -110,12 +110,12 @@
         max_claims: usize,
     },
     /// It was sent in an incarnation that has ended: another one followed, or it was confirmed as gone.
-    #[error("{from} sent the heartbeat in incarnation {life:?}, which has ended")]
+    #[error("{from} sent the heartbeat in incarnation {}, which has ended", .incarnation.0)]
     EndedIncarnation {
         /// The sender.
         from: MemberId,
         /// The incarnation that has ended.
-        life: Life,
+        incarnation: IncarnationId,
     },
     /// It is a duplicate, or a newer heartbeat arrived before it.
     #[error("{from} sent heartbeat {sequence}, but heartbeat {newest} has come before")]
--- a/crates/tidelatch-failure-detector/src/registrations.rs
+++ b/crates/tidelatch-failure-detector/src/registrations.rs
@@ -1,61 +1,77 @@
-//! Applies the arbiter's facts to a member: confirmations, and incarnations that replace others.
+//! Applies the registrations to a member: confirmations, and incarnations that replace others.
 
-use crate::arbiter::{Arbiter, Registration, Verdict, decide_verdict};
+use crate::arbiter::{Registration, RegistrationSource, Verdict, decide_verdict};
 use crate::event::Event;
 use crate::member::{Member, MemberState};
-use crate::message::{Incarnation, Life, MemberId};
+use crate::message::{Incarnation, IncarnationId, MemberId};
 
-/// A point in time, on the caller's clock and as the running time of this member.
+/// One point in time on two clocks: the caller's clock, and the running time of this member.
 #[derive(Clone, Copy)]
 pub(crate) struct Timestamps {
     pub(crate) now_ms: u64,
     pub(crate) active_ms: u64,
 }
 
-/// Applies what the arbiter shows about a member. Confirms a suspected member as gone if the facts allow it, and
+/// Applies what the store shows about a member. Confirms a suspected member as gone if the facts allow it, and
 /// continues with the incarnation that is registered in place of one that is gone.
 pub(crate) fn apply_registration(
     name: &MemberId,
     member: &mut Member,
-    arbiter: &impl Arbiter,
+    registrations: &impl RegistrationSource,
     time: Timestamps,
     lease_ms: u64,
     events: &mut Vec<Event>,
 ) {
-    let registration = arbiter.registration(name);
-    if let Registration::Present { life, observed_ms } = registration {
-        if member.is_stale_registration(life, observed_ms, lease_ms) {
+    let registration = registrations.registration(name);
+    if let Registration::Present {
+        incarnation,
+        observed_ms,
+    } = registration
+    {
+        if member.is_stale_registration(incarnation, observed_ms, lease_ms) {
             return;
         }
         // The registered incarnation may be the confirmed one itself, if that one was heard before it ever registered.
         if member.is_confirmed() {
-            adopt_incarnation(name, member, life, time, events);
+            adopt_incarnation(name, member, incarnation, time, events);
         }
     }
     let Some(suspicion) = member.suspicion() else { return };
-    let granted_until_ms = arbiter.granted_until_ms(name);
+    let granted_until_ms = registrations.granted_until_ms(name);
     let Some(verdict) = decide_verdict(&suspicion, registration, granted_until_ms, time.now_ms) else {
         return;
     };
     member.state = MemberState::Confirmed(verdict);
     events.push(Event::Confirmed {
         member: name.clone(),
-        life: suspicion.life,
+        incarnation: suspicion.incarnation,
         verdict,
         suspected_for_ms: time.now_ms.saturating_sub(suspicion.since_ms),
     });
-    if let Verdict::Superseded(life) = verdict {
-        adopt_incarnation(name, member, life, time, events);
+    if let Verdict::Superseded(incarnation) = verdict {
+        adopt_incarnation(name, member, incarnation, time, events);
     }
 }
 
 /// Continues with a registered incarnation that has not been heard yet. It has one full lease to send its first
 /// heartbeat.
-fn adopt_incarnation(name: &MemberId, member: &mut Member, life: Life, time: Timestamps, events: &mut Vec<Event>) {
-    member.begin_incarnation(Incarnation { life, refutation: 0 }, time.now_ms);
+fn adopt_incarnation(
+    name: &MemberId,
+    member: &mut Member,
+    incarnation: IncarnationId,
+    time: Timestamps,
+    events: &mut Vec<Event>,
+) {
+    member.begin_incarnation(
+        Incarnation {
+            id: incarnation,
+            refutation_count: 0,
+        },
+        time.now_ms,
+    );
     member.await_first_heartbeat(time.active_ms);
     events.push(Event::Returned {
         member: name.clone(),
-        life,
+        incarnation,
     });
 }
--- a/crates/tidelatch-failure-detector/tests/detector.rs
+++ b/crates/tidelatch-failure-detector/tests/detector.rs
@@ -4,21 +4,22 @@
 
 use support::{Cluster, LEASE_MS, Store, TIMING, heartbeat, member};
 use tidelatch_failure_detector::{
-    Channel, Claim, ClaimRejection, Cleared, Event, FailureDetector, Incarnation, Life, MemberState, Opinion, Policy,
-    Rejection, Timing, Verdict,
+    Claim, ClaimRejection, ClearReason, Event, FailureDetector, HeartbeatTrigger, Incarnation, IncarnationId,
+    MemberState, Opinion, Policy, Rejection, Timing, Verdict,
 };
 
 fn new_detector(others: &[&str]) -> FailureDetector {
     let others = others.iter().map(|name| member(name));
-    FailureDetector::new(member("a"), Life(1), others, TIMING, Policy::default(), 0).expect("the settings are valid")
+    FailureDetector::new(member("a"), IncarnationId(1), others, TIMING, Policy::default(), 0)
+        .expect("the settings are valid")
 }
 
-fn claim_alive(about: &str, life: u64) -> Claim {
+fn claim_alive(about: &str, incarnation: u64) -> Claim {
     Claim {
         member: member(about),
         incarnation: Incarnation {
-            life: Life(life),
-            refutation: 0,
+            id: IncarnationId(incarnation),
+            refutation_count: 0,
         },
         opinion: Opinion::Alive,
         heard_ago_ms: 0,
@@ -80,7 +81,7 @@
     for second in 1..=30 {
         let message = heartbeat("b", 2, second);
         detector
-            .on_heartbeat(second * 1_000, Channel::Scheduled, &message)
+            .on_heartbeat(second * 1_000, HeartbeatTrigger::Scheduled, &message)
             .expect("the heartbeat is accepted");
         detector.tick(second * 1_000, &Store::present("b", 2, second * 1_000));
     }
@@ -134,9 +135,9 @@
     cluster.run(30_000);
     cluster.crash(2);
     cluster.run(2 * LEASE_MS);
-    let late = heartbeat("m2", cluster.life(2), 1_000);
+    let late = heartbeat("m2", cluster.incarnation(2), 1_000);
     let now_ms = cluster.now_ms;
-    let result = cluster.detectors[0].on_heartbeat(now_ms, Channel::Scheduled, &late);
+    let result = cluster.detectors[0].on_heartbeat(now_ms, HeartbeatTrigger::Scheduled, &late);
     assert!(matches!(result, Err(Rejection::EndedIncarnation { .. })), "{result:?}");
     assert!(matches!(cluster.state(0, 2), Some(MemberState::Confirmed(_))));
     cluster.restart(2);
@@ -188,13 +189,13 @@
     for step in 1..=600 {
         let now_ms = step * 100;
         if now_ms <= 30_000 && now_ms % 1_000 == 0 {
-            detector.on_contact(now_ms, &member("b"), Channel::Scheduled);
+            detector.on_contact(now_ms, &member("b"), HeartbeatTrigger::Scheduled);
         }
         detector.tick(now_ms, &Store::present("b", 2, now_ms));
         let suspected = matches!(detector.state(&member("b")), Some(MemberState::Suspected(_)));
         assert_eq!(suspected, now_ms > 33_400, "at {now_ms}");
     }
-    let events = detector.on_contact(60_100, &member("b"), Channel::Answer);
+    let events = detector.on_contact(60_100, &member("b"), HeartbeatTrigger::Answer);
     assert!(matches!(events.as_slice(), [Event::Cleared { .. }]), "{events:?}");
 }
 
@@ -202,12 +203,12 @@
 fn fast_restart_supersedes_the_earlier_incarnation() {
     let mut cluster = Cluster::new(3, Policy::default());
     cluster.run(30_000);
-    let late = heartbeat("m2", cluster.life(2), 1_000);
+    let late = heartbeat("m2", cluster.incarnation(2), 1_000);
     cluster.restart(2);
     cluster.run(5_000);
     assert_eq!(cluster.count_events(is_suspected), 0);
     let now_ms = cluster.now_ms;
-    let result = cluster.detectors[0].on_heartbeat(now_ms, Channel::Scheduled, &late);
+    let result = cluster.detectors[0].on_heartbeat(now_ms, HeartbeatTrigger::Scheduled, &late);
     assert!(matches!(result, Err(Rejection::EndedIncarnation { .. })), "{result:?}");
 }
 
@@ -219,7 +220,7 @@
     let mut sequence = 0;
     let mut send = |detector: &mut FailureDetector, now_ms: u64| {
         sequence += 1;
-        let result = detector.on_heartbeat(now_ms, Channel::Scheduled, &heartbeat("b", 7, sequence));
+        let result = detector.on_heartbeat(now_ms, HeartbeatTrigger::Scheduled, &heartbeat("b", 7, sequence));
         detector.tick(now_ms, &Store::present("b", 7, now_ms));
         result
     };
@@ -227,7 +228,7 @@
         send(&mut detector, second * 1_000).expect("the heartbeat is accepted");
     }
     detector
-        .on_heartbeat(10_500, Channel::Scheduled, &heartbeat("b", 3, 99))
+        .on_heartbeat(10_500, HeartbeatTrigger::Scheduled, &heartbeat("b", 3, 99))
         .expect("taken for a new incarnation");
     assert!(send(&mut detector, 11_000).is_err());
     for second in 12..=20 {
@@ -283,7 +284,7 @@
         matches!(
             e,
             Event::Cleared {
-                by: Cleared::Refuted,
+                reason: ClearReason::Refuted,
                 ..
             }
         )
@@ -291,7 +292,7 @@
     assert!(cluster.first_event_ms(0, refuted).is_some());
     assert!(
         cluster
-            .first_event_ms(2, |e| matches!(e, Event::RefutedOwn { .. }))
+            .first_event_ms(2, |e| matches!(e, Event::SuspicionRefuted { .. }))
             .is_some()
     );
 }
@@ -355,7 +356,7 @@
 fn malformed_foreign_or_outdated_heartbeats_are_rejected_without_effect() {
     let mut detector = new_detector(&["b", "c"]);
     detector
-        .on_heartbeat(1_000, Channel::Scheduled, &heartbeat("b", 2, 5))
+        .on_heartbeat(1_000, HeartbeatTrigger::Scheduled, &heartbeat("b", 2, 5))
         .expect("the heartbeat is accepted");
     let before = detector.clone();
     let mut message_with_too_many_claims = heartbeat("b", 2, 6);
@@ -379,7 +380,7 @@
         (message_with_too_many_claims, too_many_claims),
     ] {
         assert_eq!(
-            detector.on_heartbeat(1_000, Channel::Scheduled, &message),
+            detector.on_heartbeat(1_000, HeartbeatTrigger::Scheduled, &message),
             Err(expected)
         );
         assert_eq!(detector, before);
@@ -390,12 +391,12 @@
 fn rejected_claims_are_reported_with_a_reason() {
     let mut detector = new_detector(&["b", "c"]);
     detector
-        .on_heartbeat(500, Channel::Scheduled, &heartbeat("c", 3, 1))
+        .on_heartbeat(500, HeartbeatTrigger::Scheduled, &heartbeat("c", 3, 1))
         .expect("the heartbeat is accepted");
     let mut message = heartbeat("b", 2, 1);
     message.claims = vec![claim_alive("z", 9), claim_alive("b", 2), claim_alive("c", 4)];
     let events = detector
-        .on_heartbeat(1_000, Channel::Scheduled, &message)
+        .on_heartbeat(1_000, HeartbeatTrigger::Scheduled, &message)
         .expect("the heartbeat is accepted");
     let reasons: Vec<ClaimRejection> = events
         .iter()
@@ -415,14 +416,17 @@
 #[test]
 fn invalid_settings_are_reported_by_field() {
     let policy = Policy {
-        window: 1,
+        window_intervals: 1,
         threshold_milliphi: 0,
         probe_wait_permille: 8_000,
         ..Policy::default()
     };
     let faults = policy.check(TIMING).expect_err("the settings are invalid").0;
     let fields: Vec<&str> = faults.iter().map(|fault| fault.field).collect();
-    assert_eq!(fields, ["threshold_milliphi", "window", "probe_wait_permille"]);
+    assert_eq!(
+        fields,
+        ["threshold_milliphi", "window_intervals", "probe_wait_permille"]
+    );
     let short = Timing {
         heartbeat_ms: 1_000,
         lease_ms: 1_500,
--- a/crates/tidelatch-failure-detector/tests/model.rs
+++ b/crates/tidelatch-failure-detector/tests/model.rs
@@ -9,8 +9,8 @@
 
 use pathfinding::directed::bfs::bfs_reach;
 use tidelatch_failure_detector::{
-    Arbiter, Channel, Event, FailureDetector, Heartbeat, Life, MemberId, MemberState, Policy, Registration, Timing,
-    Verdict,
+    Event, FailureDetector, Heartbeat, HeartbeatTrigger, IncarnationId, MemberId, MemberState, Policy, Registration,
+    RegistrationSource, Timing, Verdict,
 };
 
 /// Number of intervals in a history.
@@ -58,18 +58,21 @@
 /// `a`'s view of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct View {
-    registered: Option<Life>,
+    registered: Option<IncarnationId>,
     owner: Owner,
     read_interval: u64,
     /// The interval in which the last grant from `a` to `b` expires.
     granted_until_interval: u64,
 }
 
-impl Arbiter for View {
+impl RegistrationSource for View {
     fn registration(&self, _member: &MemberId) -> Registration {
         let observed_ms = self.read_interval * INTERVAL_MS;
         match self.registered {
-            Some(life) => Registration::Present { life, observed_ms },
+            Some(incarnation) => Registration::Present {
+                incarnation,
+                observed_ms,
+            },
             None => Registration::Absent { observed_ms },
         }
     }
@@ -84,7 +87,7 @@
 enum Owner {
     A,
     /// An incarnation of `b`.
-    B(Life),
+    B(IncarnationId),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -101,8 +104,8 @@
     is_link_cut: bool,
     lost_heartbeat: Option<Heartbeat>,
     /// The registration in the store: the registered incarnation, and the interval in which its lease ends.
-    registration: Option<(Life, u64)>,
-    incarnation_of_b: Life,
+    registration: Option<(IncarnationId, u64)>,
+    incarnation_of_b: IncarnationId,
     /// `b` may act before this interval, by its lease or by the grant.
     b_entitled_until_interval: u64,
     owner: Owner,
@@ -112,18 +115,19 @@
 
 fn initial() -> State {
     let (a, b) = (MemberId::new("a"), MemberId::new("b"));
-    let new = |me: &MemberId, life| {
+    let new = |me: &MemberId, incarnation| {
         let both = [a.clone(), b.clone()];
-        FailureDetector::new(me.clone(), life, both, TIMING, Policy::default(), 0).expect("the settings are valid")
+        FailureDetector::new(me.clone(), incarnation, both, TIMING, Policy::default(), 0)
+            .expect("the settings are valid")
     };
     let mut state = State {
         interval: 0,
         changes_left: MAX_CHANGES,
-        detector_of_a: new(&a, Life(1)),
-        detector_of_b: new(&b, Life(10)),
+        detector_of_a: new(&a, IncarnationId(1)),
+        detector_of_b: new(&b, IncarnationId(10)),
         view_of_a: View {
-            registered: Some(Life(10)),
-            owner: Owner::B(Life(10)),
+            registered: Some(IncarnationId(10)),
+            owner: Owner::B(IncarnationId(10)),
             read_interval: 0,
             granted_until_interval: 0,
         },
@@ -133,10 +137,10 @@
         is_b_served: true,
         is_link_cut: false,
         lost_heartbeat: None,
-        registration: Some((Life(10), LEASE_INTERVALS)),
-        incarnation_of_b: Life(10),
+        registration: Some((IncarnationId(10), LEASE_INTERVALS)),
+        incarnation_of_b: IncarnationId(10),
         b_entitled_until_interval: LEASE_INTERVALS,
-        owner: Owner::B(Life(10)),
+        owner: Owner::B(IncarnationId(10)),
         violation: None,
     };
     // Enough heartbeats for the detector to have intervals in its window.
@@ -189,13 +193,13 @@
         let now = self.interval;
         if self.is_b_served {
             match self.registration {
-                Some((life, _)) if life == self.incarnation_of_b => {}
+                Some((incarnation, _)) if incarnation == self.incarnation_of_b => {}
                 _ => {
                     // `b` lost its lease and registers as a new incarnation. A third member, the leader, assigns to it
                     // what its earlier incarnation owned.
                     let earlier = self.incarnation_of_b;
-                    self.incarnation_of_b = Life(earlier.0 + 1);
-                    self.detector_of_b.begin_life(self.incarnation_of_b);
+                    self.incarnation_of_b = IncarnationId(earlier.0 + 1);
+                    self.detector_of_b.begin_incarnation(self.incarnation_of_b);
                     self.b_entitled_until_interval = 0;
                     if self.owner == Owner::B(earlier) {
                         self.owner = Owner::B(self.incarnation_of_b);
@@ -223,19 +227,21 @@
     fn deliver(&mut self, heartbeat: &Heartbeat) {
         let now_ms = self.interval * INTERVAL_MS;
         // A rejected heartbeat is no evidence and changes nothing.
-        let _ = self.detector_of_a.on_heartbeat(now_ms, Channel::Scheduled, heartbeat);
+        let _ = self
+            .detector_of_a
+            .on_heartbeat(now_ms, HeartbeatTrigger::Scheduled, heartbeat);
     }
 
     fn step_a(&mut self) {
         let now = self.interval;
         if self.is_a_served && self.is_a_view_updated {
-            self.view_of_a.registered = self.registration.map(|(life, _)| life);
+            self.view_of_a.registered = self.registration.map(|(incarnation, _)| incarnation);
             self.view_of_a.owner = self.owner;
             self.view_of_a.read_interval = now;
         }
         for event in self.detector_of_a.tick(now * INTERVAL_MS, &self.view_of_a) {
-            if let Event::Confirmed { life, .. } = event {
-                self.check_verdict(life);
+            if let Event::Confirmed { incarnation, .. } = event {
+                self.check_verdict(incarnation);
             }
         }
         // The write is conditional on the owner that was read together with the registrations.
@@ -247,12 +253,12 @@
     }
 
     /// An incarnation that is confirmed as gone must have lost its registration and every right to act.
-    fn check_verdict(&mut self, life: Option<Life>) {
-        let registered = self.registration.map(|(life, _)| life);
-        if life.is_some() && registered == life {
+    fn check_verdict(&mut self, incarnation: Option<IncarnationId>) {
+        let registered = self.registration.map(|(incarnation, _)| incarnation);
+        if incarnation.is_some() && registered == incarnation {
             self.violation = Some("a registered incarnation is confirmed as gone");
         }
-        if life == Some(self.incarnation_of_b) && self.interval < self.b_entitled_until_interval {
+        if incarnation == Some(self.incarnation_of_b) && self.interval < self.b_entitled_until_interval {
             self.violation = Some("an entitled incarnation is confirmed as gone");
         }
     }
@@ -319,7 +325,9 @@
             Owner::A,
             "a crashed owner is never confirmed as gone: {state:#?}"
         );
-        let is_lease_held = |(life, ends): (Life, u64)| life == state.incarnation_of_b && ends > state.interval + 1;
+        let is_lease_held = |(incarnation, ends): (IncarnationId, u64)| {
+            incarnation == state.incarnation_of_b && ends > state.interval + 1
+        };
         let is_owner_with_lease =
             state.owner == Owner::B(state.incarnation_of_b) && state.registration.is_some_and(is_lease_held);
         let after_recovery = state.clone().step_until_recovered(true);
--- a/crates/tidelatch-failure-detector/tests/properties.rs
+++ b/crates/tidelatch-failure-detector/tests/properties.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use support::{Cluster, LEASE_MS, heartbeat};
-use tidelatch_failure_detector::{Channel, Event, MemberState, Policy};
+use tidelatch_failure_detector::{Event, HeartbeatTrigger, MemberState, Policy};
 
 /// Number of cases per property.
 const CASES: u32 = 64;
@@ -65,9 +65,9 @@
         Fault::Duplicate(sequence) => {
             let other = (member + 1) % cluster.detectors.len();
             let name = support::name_of(member).as_str().to_owned();
-            let duplicate = heartbeat(&name, cluster.life(member), sequence);
+            let duplicate = heartbeat(&name, cluster.incarnation(member), sequence);
             let now_ms = cluster.now_ms;
-            let _ = cluster.detectors[other].on_heartbeat(now_ms, Channel::Scheduled, &duplicate);
+            let _ = cluster.detectors[other].on_heartbeat(now_ms, HeartbeatTrigger::Scheduled, &duplicate);
         }
     }
 }
--- a/crates/tidelatch-failure-detector/tests/support/mod.rs
+++ b/crates/tidelatch-failure-detector/tests/support/mod.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use tidelatch_failure_detector::{
-    Arbiter, Channel, Event, FailureDetector, Heartbeat, Incarnation, Life, MemberId, MemberState, Policy,
-    Registration, Timing,
+    Event, FailureDetector, Heartbeat, HeartbeatTrigger, Incarnation, IncarnationId, MemberId, MemberState, Policy,
+    Registration, RegistrationSource, Timing,
 };
 
 pub const HEARTBEAT_MS: u64 = 1_000;
@@ -20,12 +20,12 @@
 }
 
 /// Builds a heartbeat without claims.
-pub fn heartbeat(from: &str, life: u64, sequence: u64) -> Heartbeat {
+pub fn heartbeat(from: &str, incarnation: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
         from: member(from),
         incarnation: Incarnation {
-            life: Life(life),
-            refutation: 0,
+            id: IncarnationId(incarnation),
+            refutation_count: 0,
         },
         sequence,
         claims: Vec::new(),
@@ -36,17 +36,17 @@
 /// The store: the registered members, as listed at `listed_ms`.
 #[derive(Debug, Clone, Default)]
 pub struct Store {
-    pub registered: BTreeMap<MemberId, Life>,
-    pub released: BTreeMap<MemberId, Life>,
+    pub registered: BTreeMap<MemberId, IncarnationId>,
+    pub released: BTreeMap<MemberId, IncarnationId>,
     pub reachable: bool,
     pub listed_ms: u64,
     pub granted_until_ms: u64,
 }
 
 impl Store {
-    pub fn present(name: &str, life: u64, listed_ms: u64) -> Self {
+    pub fn present(name: &str, incarnation: u64, listed_ms: u64) -> Self {
         Self {
-            registered: BTreeMap::from([(member(name), Life(life))]),
+            registered: BTreeMap::from([(member(name), IncarnationId(incarnation))]),
             ..Self::absent(listed_ms)
         }
     }
@@ -60,18 +60,20 @@
     }
 }
 
-impl Arbiter for Store {
+impl RegistrationSource for Store {
     fn registration(&self, name: &MemberId) -> Registration {
         if !self.reachable {
-            return Registration::Unreachable;
+            return Registration::Unknown;
         }
-        if let Some(life) = self.released.get(name) {
-            return Registration::Released { life: *life };
+        if let Some(incarnation) = self.released.get(name) {
+            return Registration::Released {
+                incarnation: *incarnation,
+            };
         }
         let observed_ms = self.listed_ms;
         match self.registered.get(name) {
-            Some(life) => Registration::Present {
-                life: *life,
+            Some(incarnation) => Registration::Present {
+                incarnation: *incarnation,
                 observed_ms,
             },
             None => Registration::Absent { observed_ms },
@@ -96,7 +98,7 @@
     pub detectors: Vec<FailureDetector>,
     pub store: Store,
     processes: Vec<Process>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     lease_extended_ms: Vec<u64>,
     /// When a member's process may register. A new process sends heartbeats from its start, but may register later.
     registers_from_ms: Vec<u64>,
@@ -120,7 +122,7 @@
             detectors: Vec::new(),
             store: Store::absent(0),
             processes: vec![Process::Running; size],
-            lives: (0..size as u64).map(|i| 100 * (i + 1)).collect(),
+            incarnations: (0..size as u64).map(|i| 100 * (i + 1)).collect(),
             lease_extended_ms: vec![0; size],
             registers_from_ms: vec![0; size],
             was_registered: vec![false; size],
@@ -141,14 +143,14 @@
     }
 
     fn new_detector(&self, index: usize) -> FailureDetector {
-        let names = (0..self.lives.len()).map(name_of);
-        let life = Life(self.lives[index]);
-        FailureDetector::new(name_of(index), life, names, TIMING, self.policy, self.now_ms)
+        let names = (0..self.incarnations.len()).map(name_of);
+        let incarnation = IncarnationId(self.incarnations[index]);
+        FailureDetector::new(name_of(index), incarnation, names, TIMING, self.policy, self.now_ms)
             .expect("the settings are valid")
     }
 
-    pub fn life(&self, index: usize) -> u64 {
-        self.lives[index]
+    pub fn incarnation(&self, index: usize) -> u64 {
+        self.incarnations[index]
     }
 
     pub fn crash(&mut self, index: usize) {
@@ -206,10 +208,10 @@
     fn check_confirmation(&mut self, observer: usize, event: &Event) {
         if let Event::Confirmed {
             member,
-            life: Some(life),
+            incarnation: Some(incarnation),
             ..
         } = event
-            && self.store.registered.get(member) == Some(life)
+            && self.store.registered.get(member) == Some(incarnation)
         {
             let now_ms = self.now_ms;
             self.false_confirmations.push(format!(
@@ -220,7 +222,7 @@
 
     /// Starts a new process under the same name at once.
     pub fn restart(&mut self, index: usize) {
-        self.lives[index] += 1;
+        self.incarnations[index] += 1;
         self.was_registered[index] = false;
         self.detectors[index] = self.new_detector(index);
         self.processes[index] = Process::Running;
@@ -233,7 +235,9 @@
     }
 
     pub fn release(&mut self, index: usize) {
-        self.store.released.insert(name_of(index), Life(self.lives[index]));
+        self.store
+            .released
+            .insert(name_of(index), IncarnationId(self.incarnations[index]));
         self.processes[index] = Process::Crashed;
     }
 
@@ -296,7 +300,7 @@
                 break;
             };
             if self.processes[to] == Process::Running {
-                let events = self.detectors[to].on_heartbeat(self.now_ms, Channel::Scheduled, &message);
+                let events = self.detectors[to].on_heartbeat(self.now_ms, HeartbeatTrigger::Scheduled, &message);
                 self.record_events(to, events.unwrap_or_default());
             }
         }
@@ -313,7 +317,7 @@
 
     /// Running members extend their leases. The registrations of the others end with their leases.
     fn update_store(&mut self) {
-        for index in 0..self.lives.len() {
+        for index in 0..self.incarnations.len() {
             let can_register = self.now_ms >= self.registers_from_ms[index];
             if self.processes[index] == Process::Running && can_register {
                 self.register(index);
@@ -330,12 +334,14 @@
     fn register(&mut self, index: usize) {
         let registered = self.store.registered.contains_key(&name_of(index));
         if self.was_registered[index] && !registered {
-            self.lives[index] += 1;
-            self.detectors[index].begin_life(Life(self.lives[index]));
+            self.incarnations[index] += 1;
+            self.detectors[index].begin_incarnation(IncarnationId(self.incarnations[index]));
         }
         self.was_registered[index] = true;
         self.lease_extended_ms[index] = self.now_ms;
-        self.store.registered.insert(name_of(index), Life(self.lives[index]));
+        self.store
+            .registered
+            .insert(name_of(index), IncarnationId(self.incarnations[index]));
     }
 
     /// Returns when an observer first reported an event that `matches` accepts.
--- a/crates/tidelatch/src/peers/convert.rs
+++ b/crates/tidelatch/src/peers/convert.rs
@@ -6,7 +6,7 @@
     Answer, CancellationNotice, Digest, IdleMachine, MachineRequest, Move, PeerReply, PeerRequest, SpareRoom,
     WaitingTasks,
 };
-use tidelatch_failure_detector::{Claim, Heartbeat, Incarnation, Life, MemberId, Opinion};
+use tidelatch_failure_detector::{Claim, Heartbeat, Incarnation, IncarnationId, MemberId, Opinion};
 
 /// The core's reply belongs to another kind of request than the one that was made.
 #[derive(Debug, thiserror::Error)]
@@ -177,8 +177,8 @@
 impl From<Heartbeat> for wire::Liveness {
     fn from(heartbeat: Heartbeat) -> Self {
         Self {
-            life: heartbeat.incarnation.life.0,
-            refutation: heartbeat.incarnation.refutation,
+            life: heartbeat.incarnation.id.0,
+            refutation: heartbeat.incarnation.refutation_count,
             sequence: heartbeat.sequence,
             claims: convert_all(heartbeat.claims),
             probe: heartbeat
@@ -194,8 +194,8 @@
         Self {
             from: MemberId::new(""),
             incarnation: Incarnation {
-                life: Life(liveness.life),
-                refutation: liveness.refutation,
+                id: IncarnationId(liveness.life),
+                refutation_count: liveness.refutation,
             },
             sequence: liveness.sequence,
             claims: convert_all(liveness.claims),
@@ -208,8 +208,8 @@
     fn from(claim: Claim) -> Self {
         Self {
             name: claim.member.as_str().to_owned(),
-            life: claim.incarnation.life.0,
-            refutation: claim.incarnation.refutation,
+            life: claim.incarnation.id.0,
+            refutation: claim.incarnation.refutation_count,
             suspected: claim.opinion == Opinion::Suspected,
             heard_ago_ms: claim.heard_ago_ms,
         }
@@ -226,8 +226,8 @@
         Self {
             member: MemberId::new(claim.name),
             incarnation: Incarnation {
-                life: Life(claim.life),
-                refutation: claim.refutation,
+                id: IncarnationId(claim.life),
+                refutation_count: claim.refutation,
             },
             opinion,
             heard_ago_ms: claim.heard_ago_ms,
