--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -10,7 +10,7 @@
 use crate::ids::{ControllerId, Partition};
 use crate::membership::{Stage, next_epoch};
 use crate::messages::{Level, Method, Output, Target};
-use crate::protocol::{Changes, Items};
+use crate::protocol::{StoreChanges, StoredItems};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -205,7 +205,7 @@
             return;
         };
         let page = match result {
-            Some((200, body)) => serde_json::from_slice::<Items>(&body).ok(),
+            Some((200, body)) => serde_json::from_slice::<StoredItems>(&body).ok(),
             _ => None,
         };
         let Some(page) = page else {
@@ -259,7 +259,7 @@
 
 impl RecordsReadAhead {
     /// Applies the changes since the records were read, and returns the current keys and values.
-    pub(crate) fn apply(mut self, changes: Changes) -> Vec<(String, Value)> {
+    pub(crate) fn apply(mut self, changes: StoreChanges) -> Vec<(String, Value)> {
         for change in changes.news {
             if let Some(key) = change.write {
                 self.records.insert(key, change.value);
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -7,7 +7,7 @@
 use crate::ids::{ControllerId, JobId, Partition};
 use crate::membership::JOB_PREFIX;
 use crate::messages::{Answer, Method, PeerRequest, Target};
-use crate::protocol::{Item, TaskState};
+use crate::protocol::{StoredItem, TaskState};
 use serde_json::json;
 
 impl Controller {
@@ -149,7 +149,7 @@
 
     /// Applies the job record that a read returned and returns its status, or `None` if the body cannot be parsed.
     pub(super) fn apply_read_record(&mut self, id: &JobId, body: &[u8]) -> Option<StoredJobStatus> {
-        let item: Item = serde_json::from_slice(body).ok()?;
+        let item: StoredItem = serde_json::from_slice(body).ok()?;
         match serde_json::from_value::<JobRecord>(item.value.clone()) {
             Ok(record) if self.is_readable_record(&record) => {
                 let state = record.st;
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared.rs
@@ -9,7 +9,7 @@
 use crate::disruption::DRAIN_PREFIX;
 use crate::ids::{ControllerId, JobId, Stamp};
 use crate::messages::{Level, Method, Target};
-use crate::protocol::{Changes, Items, MachineTypes};
+use crate::protocol::{MachineTypes, StoreChanges, StoredItems};
 use serde_json::Value;
 
 impl Controller {
@@ -61,7 +61,7 @@
     pub(crate) fn on_shared_keys(&mut self, cursor: String, first_revision: u64, result: Option<(u16, Vec<u8>)>) {
         self.member.is_listing_keys = false;
         let page = match result {
-            Some((200, body)) => serde_json::from_slice::<Items>(&body).ok(),
+            Some((200, body)) => serde_json::from_slice::<StoredItems>(&body).ok(),
             _ => None,
         };
         let Some(page) = page else {
@@ -106,7 +106,7 @@
         }
         self.member.is_watching = false;
         match result {
-            Some((200, body)) => match serde_json::from_slice::<Changes>(&body) {
+            Some((200, body)) => match serde_json::from_slice::<StoreChanges>(&body) {
                 Ok(changes) => {
                     self.member.watch_failures = 0;
                     for change in changes.news {
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -7,7 +7,7 @@
 use crate::ids::{Epoch, JobId, Partition};
 use crate::jobs::{Piece, bits_from_hex};
 use crate::messages::{Level, Method, Target};
-use crate::protocol::{Changes, Items};
+use crate::protocol::{StoreChanges, StoredItems};
 use serde_json::Value;
 
 /// Stage of the takeover of a partition.
@@ -173,7 +173,7 @@
         };
         t.loading = false;
         let changes = match result {
-            Some((200, body)) => serde_json::from_slice::<Changes>(&body).ok(),
+            Some((200, body)) => serde_json::from_slice::<StoreChanges>(&body).ok(),
             _ => None,
         };
         match (t.read_ahead.take(), changes) {
@@ -229,7 +229,7 @@
         };
         t.loading = false;
         let page = match result {
-            Some((200, body)) => serde_json::from_slice::<Items>(&body).ok(),
+            Some((200, body)) => serde_json::from_slice::<StoredItems>(&body).ok(),
             _ => None,
         };
         let Some(page) = page else {
--- a/crates/tidelatch-core/src/protocol.rs
+++ b/crates/tidelatch-core/src/protocol.rs
@@ -7,6 +7,6 @@
 mod workers;
 
 pub use cloud::{ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, Rental};
-pub use state_service::{Change, Changes, Granted, Item, Items, TxnAnswer};
+pub use state_service::{Granted, StoreChange, StoreChanges, StoredItem, StoredItems, TxnAnswer};
 pub use submissions::{JobSpec, Malformed, Priority, Shape, parse_submission, submission_id};
 pub use workers::{Command, Orders, Report, ReportedTask, TaskState};
--- a/crates/tidelatch-core/src/protocol/state_service.rs
+++ b/crates/tidelatch-core/src/protocol/state_service.rs
@@ -6,7 +6,7 @@
 
 /// A stored key with its value, from a read or a list.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Item {
+pub struct StoredItem {
     /// The key.
     pub k: String,
     /// The value.
@@ -17,9 +17,9 @@
 
 /// A page of a list.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Items {
+pub struct StoredItems {
     /// Keys on this page, with their values.
-    pub items: Vec<Item>,
+    pub items: Vec<StoredItem>,
     /// Whether the list continues after this page.
     #[serde(default)]
     pub more: bool,
@@ -29,7 +29,7 @@
 
 /// One change that a watch reports.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Change {
+pub struct StoreChange {
     /// Key that was written, if the change is a write.
     #[serde(default)]
     pub write: Option<String>,
@@ -45,12 +45,12 @@
 
 /// Answer to a watch request.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Changes {
+pub struct StoreChanges {
     /// Revision up to which the answer contains all changes.
     pub ledger: u64,
     /// The changes, oldest first.
     #[serde(default)]
-    pub news: Vec<Change>,
+    pub news: Vec<StoreChange>,
 }
 
 /// Answer to a transaction.
--- a/crates/tidelatch-core/src/protocol/submissions.rs
+++ b/crates/tidelatch-core/src/protocol/submissions.rs
@@ -161,6 +161,7 @@
         .ok_or(Malformed::Field("uid"))?;
     let tasks = required(map, "wagons")?
         .as_u64()
+        // A job has at most 100,000 tasks.
         .filter(|n| (1..=100_000).contains(n))
         .ok_or(Malformed::Field("wagons"))? as u32;
     let models = match map.get("models") {
--- a/crates/tidelatch-core/src/settings/disruption.rs
+++ b/crates/tidelatch-core/src/settings/disruption.rs
@@ -161,7 +161,7 @@
                 Some(Ok(Amount::Count(count))) if count > MAX_TASKS_PER_JOB => {
                     add(
                         field,
-                        format!("must be at most {MAX_TASKS_PER_JOB}, the maximum number of units of a job"),
+                        format!("must be at most {MAX_TASKS_PER_JOB}, the maximum number of tasks of a job"),
                     );
                 }
                 _ => {}
--- a/crates/tidelatch-failure-detector/examples/measure.rs
+++ b/crates/tidelatch-failure-detector/examples/measure.rs
@@ -34,7 +34,7 @@
 
 /// Distribution of message delays.
 #[derive(Debug, Clone, Copy)]
-enum Network {
+enum DelayDistribution {
     Steady,
     Jittery,
     HeavyTailed,
@@ -47,7 +47,7 @@
     Pareto(Pareto<f64>),
 }
 
-impl Network {
+impl DelayDistribution {
     /// Normal: mean and standard deviation in ms. LogNormal: mean and standard deviation of the logarithm of the delay
     /// in ms. Pareto: minimum in ms, and shape.
     fn sampler(self) -> Result<DelaySampler, Box<dyn std::error::Error>> {
@@ -117,7 +117,11 @@
 }
 
 impl Cluster {
-    fn new(size: usize, network: Network, policy: Policy) -> Result<Self, Box<dyn std::error::Error>> {
+    fn new(
+        size: usize,
+        delay_distribution: DelayDistribution,
+        policy: Policy,
+    ) -> Result<Self, Box<dyn std::error::Error>> {
         let mut cluster = Self {
             detectors: Vec::new(),
             incarnations: (1..=size as u64).map(|index| index * 1_000).collect(),
@@ -125,7 +129,7 @@
             store: Store::default(),
             in_flight: BTreeMap::new(),
             sent_messages: 0,
-            delays: network.sampler()?,
+            delays: delay_distribution.sampler()?,
             random: StdRng::seed_from_u64(SEED),
             policy,
             suspected: Histogram::new(3)?,
@@ -242,9 +246,13 @@
     }
 }
 
-fn measure(size: usize, network: Network, policy: Policy) -> Result<String, Box<dyn std::error::Error>> {
+fn measure(
+    size: usize,
+    delay_distribution: DelayDistribution,
+    policy: Policy,
+) -> Result<String, Box<dyn std::error::Error>> {
     let started = Instant::now();
-    let mut cluster = Cluster::new(size, network, policy)?;
+    let mut cluster = Cluster::new(size, delay_distribution, policy)?;
     cluster.run(CRASH_FREE_MS)?;
     let false_suspicions = cluster.false_suspicions;
     for crash in 0..CRASH_COUNT {
@@ -255,7 +263,7 @@
     let quantile_s = |times: &Histogram<u64>, quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
     let (suspected, confirmed) = (&cluster.suspected, &cluster.confirmed);
     Ok(format!(
-        "| {size} | {network:?} | {:?} | {:.1} | {:.1} / {:.1} | {:.1} / {:.1} | {false_suspicions} | {us_per_second:.0} |",
+        "| {size} | {delay_distribution:?} | {:?} | {:.1} | {:.1} / {:.1} | {:.1} / {:.1} | {false_suspicions} | {us_per_second:.0} |",
         policy.estimator,
         f64::from(policy.threshold_milliphi) / 1000.0,
         quantile_s(suspected, 0.5),
@@ -267,12 +275,16 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!(
-        "| members | network | estimator | phi | suspected, s (p50 / p99) | confirmed, s | false in 1 h | us a second and member |"
+        "| members | network | estimator | phi | suspected, s (p50 / p99) | confirmed, s | false suspicions in 1 h | processor time per member, us per simulated second |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    let networks = [Network::Steady, Network::Jittery, Network::HeavyTailed];
+    let delay_distributions = [
+        DelayDistribution::Steady,
+        DelayDistribution::Jittery,
+        DelayDistribution::HeavyTailed,
+    ];
     let estimators = [Estimator::FixedTimeout, Estimator::PhiNormal, Estimator::PhiExponential];
-    for network in networks {
+    for delay_distribution in delay_distributions {
         for estimator in estimators {
             for threshold_milliphi in [2_000, 6_000, 12_000] {
                 // The fixed timeout is a fraction of the lease and does not depend on the threshold.
@@ -284,12 +296,12 @@
                     threshold_milliphi,
                     ..Policy::default()
                 };
-                println!("{}", measure(3, network, policy)?);
+                println!("{}", measure(3, delay_distribution, policy)?);
             }
         }
     }
     for size in [5, 10, 20, 50] {
-        println!("{}", measure(size, Network::Jittery, Policy::default())?);
+        println!("{}", measure(size, DelayDistribution::Jittery, Policy::default())?);
     }
     Ok(())
 }
