--- a/crates/tidelatch-disruption/src/holder.rs
+++ b/crates/tidelatch-disruption/src/holder.rs
@@ -8,7 +8,7 @@
 /// The holder shortens a permit's validity by this fraction (1/500), which is four times the assumed drift between two
 /// monotonic clocks, and by one timer step in addition.
 const CLOCK_DRIFT_DIVISOR: u64 = 500;
-/// One step of the holder's timer, by which a time may be read too early.
+/// One step of the timer, which is subtracted from the validity of each permit.
 const TIMER_STEP_MS: u64 = 20;
 
 /// A unit that a controller wants to stop, or is stopping.
