--- a/crates/tidelatch-failure-detector/src/config.rs
+++ b/crates/tidelatch-failure-detector/src/config.rs
@@ -97,12 +97,12 @@
             ),
             ("threshold_milliphi", self.threshold_milliphi > 0, "must be above 0"),
             (
-                "window_intervals",
+                "window",
                 (2..=MAX_WINDOW_INTERVALS).contains(&self.window_intervals),
                 "must lie between 2 and 4096",
             ),
             (
-                "min_deviation_permille",
+                "least_deviation_permille",
                 self.min_deviation_permille > 0,
                 "must be above 0",
             ),
--- a/crates/tidelatch-failure-detector/tests/detector.rs
+++ b/crates/tidelatch-failure-detector/tests/detector.rs
@@ -423,10 +423,7 @@
     };
     let faults = policy.check(TIMING).expect_err("the settings are invalid").0;
     let fields: Vec<&str> = faults.iter().map(|fault| fault.field).collect();
-    assert_eq!(
-        fields,
-        ["threshold_milliphi", "window_intervals", "probe_wait_permille"]
-    );
+    assert_eq!(fields, ["threshold_milliphi", "window", "probe_wait_permille"]);
     let short = Timing {
         heartbeat_ms: 1_000,
         lease_ms: 1_500,
--- a/crates/tidelatch/src/http/mod.rs
+++ b/crates/tidelatch/src/http/mod.rs
@@ -23,6 +23,6 @@
     #[error("message body too large")]
     BodyTooLarge,
     /// The other side closed the connection, between two messages or within one.
-    #[error("the other side closed the connection")]
+    #[error("closed")]
     Closed,
 }
