--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -8,14 +8,15 @@
 use crate::protocol::{Priority, Shape, TaskState};
 use crate::settings::Disruption as DisruptionSettings;
 use tidelatch_disruption::{
-    Budget, Census, Counting, JobCensus, JobName, LedgerView, ScopeName, SpentPermit, Unit, UnitSet, UnitState,
+    Budget, Census, JobCensus, JobName, OutstandingPermit, ScopeName, UnavailabilityRule, Unit, UnitSet, UnitState,
+    UnitStateSource,
 };
 
 /// How the units of a job count against a budget: as replicas of a service, or as tasks.
-fn counting(job: &Job) -> Counting {
+fn counting(job: &Job) -> UnavailabilityRule {
     match job.spec.shape {
-        Shape::Service => Counting::Replicas,
-        Shape::Array | Shape::Gang => Counting::Tasks,
+        Shape::Service => UnavailabilityRule::Replicas,
+        Shape::Array | Shape::Gang => UnavailabilityRule::Tasks,
     }
 }
 
@@ -33,7 +34,8 @@
             disruption.census_count.set(disruption.census_count.get() + 1);
         }
         let mut census = Census::default();
-        census.set_unaccounted(u32::try_from(self.count_unconfirmed_machines(job.partition)).unwrap_or(u32::MAX));
+        census
+            .set_unreported_machines(u32::try_from(self.count_unconfirmed_machines(job.partition)).unwrap_or(u32::MAX));
         let shares_team_and_class =
             |other: &&Job| other.spec.team == job.spec.team && other.spec.class == job.spec.class;
         for (name, other) in self.jobs.iter().filter(|(_, other)| shares_team_and_class(other)) {
@@ -64,14 +66,17 @@
             return vec![(ScopeName::new(class), budget)];
         }
         // A class may contain services and arrays. By default the two do not share a budget.
-        if counting(job) == Counting::Tasks {
+        if counting(job) == UnavailabilityRule::Tasks {
             let tasks = ScopeName::new(format!("tasks of {class}"));
-            return vec![(tasks, DisruptionSettings::default_for_tasks())];
+            return vec![(tasks, DisruptionSettings::default_task_class_budget())];
         }
-        let mut scopes = vec![(ScopeName::new(id.as_str()), DisruptionSettings::default_for_job())];
+        let mut scopes = vec![(
+            ScopeName::new(id.as_str()),
+            DisruptionSettings::default_service_budget(),
+        )];
         if spec.priority >= Priority::Prod {
             let replicas = ScopeName::new(format!("replicas of {class}"));
-            scopes.push((replicas, DisruptionSettings::default_for_production()));
+            scopes.push((replicas, DisruptionSettings::default_production_class_budget()));
         }
         scopes
     }
@@ -115,7 +120,7 @@
                 controller: self,
                 partition: *partition,
             };
-            ledger.settle(self.now.ms, &view);
+            ledger.release_settled_permits(self.now.ms, &view);
         }
         self.disruption = Some(disruption);
     }
@@ -146,10 +151,10 @@
                 continue;
             }
             let jobs = self.jobs.iter().filter(|(_, job)| job.partition == partition);
-            for (id, job) in jobs.filter(|(_, job)| counting(job) == Counting::Tasks) {
+            for (id, job) in jobs.filter(|(_, job)| counting(job) == UnavailabilityRule::Tasks) {
                 let units = started_but_unplaced_units(job);
                 if !units.is_empty() {
-                    ledger.presume_interrupted(job_name(id), &units);
+                    ledger.count_as_interrupted(job_name(id), &units);
                 }
             }
         }
@@ -201,24 +206,24 @@
 
     /// Whether the holder of a permit can no longer stop the permit's attempt: the holder no longer owns the machine,
     /// and the machine has since reported under the present fencing token.
-    fn is_fenced(&self, machine: &Machine, permit: &SpentPermit) -> bool {
+    fn is_fenced(&self, machine: &Machine, permit: &OutstandingPermit) -> bool {
         let Some((record, _)) = &self.controller.membership.epoch else {
             return false;
         };
         let still_owns = record.partitions.iter().any(|part| {
-            part.owner.as_str() == permit.asker().as_str() && tenure(part.since_epoch) == permit.machine_tenure()
+            part.owner.as_str() == permit.requester().as_str() && tenure(part.since_epoch) == permit.machine_tenure()
         });
         !still_owns && machine.seen_epoch >= record.number
     }
 }
 
-impl LedgerView for OwnerView<'_> {
-    fn state(&self, unit: &Unit, permit: &SpentPermit) -> UnitState {
+impl UnitStateSource for OwnerView<'_> {
+    fn state(&self, unit: &Unit, permit: &OutstandingPermit) -> UnitState {
         let Some((id, job)) = self.find_job(unit.job()) else {
-            return UnitState::Over;
+            return UnitState::Finished;
         };
         if job.is_done(unit.index()) {
-            return UnitState::Over;
+            return UnitState::Finished;
         }
         let machine = MachineId::new(permit.machine().as_str());
         let m = self.controller.machines.get(&machine);
@@ -226,18 +231,18 @@
             |h: &&HeldTask| h.task.index == unit.index() && h.task.job == id && h.attempt.0 == permit.attempt().0;
         let held = m.and_then(|m| m.held.iter().find(matches_permit));
         match m.zip(held) {
-            Some((m, held)) if is_running(held) && self.is_fenced(m, permit) => UnitState::RunsFenced,
+            Some((m, held)) if is_running(held) && self.is_fenced(m, permit) => UnitState::RunningFenced,
             Some(_) => UnitState::Stoppable,
-            None if self.runs_matching_attempt(unit, |attempt| attempt != permit.attempt().0) => UnitState::RunsAnew,
-            None => UnitState::Gone,
+            None if self.runs_matching_attempt(unit, |attempt| attempt != permit.attempt().0) => UnitState::Restarted,
+            None => UnitState::Ended,
         }
     }
 
-    fn counting(&self, job: &JobName) -> Option<Counting> {
+    fn unavailability_rule(&self, job: &JobName) -> Option<UnavailabilityRule> {
         self.find_job(job).map(|(_, job)| counting(job))
     }
 
-    fn is_made_up_for(&self, unit: &Unit) -> bool {
+    fn has_recovered(&self, unit: &Unit) -> bool {
         let done = self
             .find_job(unit.job())
             .is_none_or(|(_, job)| job.is_done(unit.index()));
--- a/crates/tidelatch-core/src/settings/failure_detection.rs
+++ b/crates/tidelatch-core/src/settings/failure_detection.rs
@@ -54,11 +54,12 @@
     /// Number of controllers that are asked to probe an unresponsive controller.
     #[schemars(range(min = 0, max = 64))]
     pub probes: u32,
-    /// Upper bound of the local-health score. Each point raises the threshold while this controller considers itself
-    /// to be at fault.
+    /// Upper bound of the local-health score, which is above 0 while this controller considers itself to be at fault.
+    /// At a score of `k`, it suspects another controller only after `k + 1` times the usual time without heartbeats, or
+    /// after a whole lease.
     #[schemars(range(min = 0, max = 16))]
     pub local_health_most: u8,
-    /// Half-life of the penalty for flapping.
+    /// Half-life of the penalty for flapping. A flap is a suspicion that was cleared; each flap adds to the penalty.
     #[schemars(range(min = 0.1, max = 1_000.0))]
     pub flap_half_life_per_lease: f64,
     /// Number of flaps that have no effect. After each further flap, clearing a suspicion takes one more heartbeat.
@@ -75,14 +76,14 @@
         Self {
             estimator: EstimatorChoice::PhiNormal,
             threshold_phi: f64::from(policy.threshold_milliphi) / THOUSANDTHS_PER_UNIT,
-            window_heartbeats: policy.window as u32,
-            least_deviation_per_heartbeat: f64::from(policy.least_deviation_permille) / THOUSANDTHS_PER_UNIT,
+            window_heartbeats: policy.window_intervals as u32,
+            least_deviation_per_heartbeat: f64::from(policy.min_deviation_permille) / THOUSANDTHS_PER_UNIT,
             acceptable_pause_per_heartbeat: f64::from(policy.acceptable_pause_permille) / THOUSANDTHS_PER_UNIT,
             probe_wait_per_heartbeat: f64::from(policy.probe_wait_permille) / THOUSANDTHS_PER_UNIT,
-            probes: policy.probes as u32,
-            local_health_most: policy.local_health_most,
+            probes: policy.probe_helpers as u32,
+            local_health_most: policy.max_local_health_score,
             flap_half_life_per_lease: f64::from(policy.flap_half_life_permille) / THOUSANDTHS_PER_UNIT,
-            flaps_forgiven: policy.flaps_forgiven,
+            flaps_forgiven: policy.tolerated_flaps,
             prepare: true,
         }
     }
@@ -101,14 +102,14 @@
         Policy {
             estimator: self.estimator.into(),
             threshold_milliphi: to_thousandths(self.threshold_phi),
-            window: self.window_heartbeats as usize,
-            least_deviation_permille: to_thousandths(self.least_deviation_per_heartbeat),
+            window_intervals: self.window_heartbeats as usize,
+            min_deviation_permille: to_thousandths(self.least_deviation_per_heartbeat),
             acceptable_pause_permille: to_thousandths(self.acceptable_pause_per_heartbeat),
             probe_wait_permille: to_thousandths(self.probe_wait_per_heartbeat),
-            probes: self.probes as usize,
-            local_health_most: self.local_health_most,
+            probe_helpers: self.probes as usize,
+            max_local_health_score: self.local_health_most,
             flap_half_life_permille: to_thousandths(self.flap_half_life_per_lease),
-            flaps_forgiven: self.flaps_forgiven,
+            tolerated_flaps: self.flaps_forgiven,
         }
     }
 
@@ -175,7 +176,7 @@
             };
             Fault {
                 path: path.to_owned(),
-                message: format!("{}: {}", fault.field, fault.fault),
+                message: format!("{}: {}", fault.field, fault.message),
             }
         });
         with_paths.collect()
--- a/crates/tidelatch-failure-detector/examples/measure.rs
+++ b/crates/tidelatch-failure-detector/examples/measure.rs
@@ -12,13 +12,16 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 use tidelatch_failure_detector::{
-    Arbiter, Channel, Estimator, Event, FailureDetector, Heartbeat, Life, MemberId, Policy, Registration, Timing,
+    Estimator, Event, FailureDetector, Heartbeat, HeartbeatTrigger, IncarnationId, MemberId, Policy, Registration,
+    RegistrationSource, Timing,
 };
 
+/// Heartbeat interval and lease duration of the simulated cluster.
 const TIMING: Timing = Timing {
     heartbeat_ms: 1_000,
     lease_ms: 7_200,
 };
+/// Step of the simulated time.
 const TICK_MS: u64 = 100;
 /// Time without crashes at the start. Every suspicion in it is a false one.
 const CRASH_FREE_MS: u64 = 3_600_000;
@@ -26,11 +29,12 @@
 const CRASH_COUNT: u64 = 20;
 /// Time between two crashes, long enough for the cluster to become steady again.
 const CRASH_INTERVAL_MS: u64 = 60_000;
+/// Seed of the random delays.
 const SEED: u64 = 1;
 
 /// Distribution of message delays.
 #[derive(Debug, Clone, Copy)]
-enum Network {
+enum DelayDistribution {
     Steady,
     Jittery,
     HeavyTailed,
@@ -43,8 +47,10 @@
     Pareto(Pareto<f64>),
 }
 
-impl Network {
-    fn delays(self) -> Result<DelaySampler, Box<dyn std::error::Error>> {
+impl DelayDistribution {
+    /// Normal: mean and standard deviation in ms. LogNormal: mean and standard deviation of the logarithm of the delay
+    /// in ms. Pareto: minimum in ms, and shape.
+    fn sampler(self) -> Result<DelaySampler, Box<dyn std::error::Error>> {
         Ok(match self {
             Self::Steady => DelaySampler::Normal(Normal::new(5.0, 2.0)?),
             Self::Jittery => DelaySampler::LogNormal(LogNormal::new(5.0, 0.8)?),
@@ -67,16 +73,16 @@
 /// The store. A crashed member loses its registration one lease after the crash.
 #[derive(Default)]
 struct Store {
-    registered: BTreeMap<MemberId, Life>,
+    registered: BTreeMap<MemberId, IncarnationId>,
     now_ms: u64,
 }
 
-impl Arbiter for Store {
+impl RegistrationSource for Store {
     fn registration(&self, member: &MemberId) -> Registration {
         let observed_ms = self.now_ms;
         match self.registered.get(member) {
-            Some(life) => Registration::Present {
-                life: *life,
+            Some(incarnation) => Registration::Present {
+                incarnation: *incarnation,
                 observed_ms,
             },
             None => Registration::Absent { observed_ms },
@@ -88,11 +94,13 @@
     }
 }
 
+/// A simulated cluster: one detector per member, the store, and the heartbeats on their way.
 struct Cluster {
     detectors: Vec<FailureDetector>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     down_since_ms: Vec<Option<u64>>,
     store: Store,
+    /// Receiver and heartbeat, by arrival time in ms and number of the message.
     in_flight: BTreeMap<(u64, u64), (usize, Heartbeat)>,
     sent_messages: u64,
     delays: DelaySampler,
@@ -100,6 +108,7 @@
     policy: Policy,
     suspected: Histogram<u64>,
     confirmed: Histogram<u64>,
+    /// Suspicions and confirmations of members that were not down.
     false_suspicions: u64,
 }
 
@@ -108,15 +117,19 @@
 }
 
 impl Cluster {
-    fn new(size: usize, network: Network, policy: Policy) -> Result<Self, Box<dyn std::error::Error>> {
+    fn new(
+        size: usize,
+        delay_distribution: DelayDistribution,
+        policy: Policy,
+    ) -> Result<Self, Box<dyn std::error::Error>> {
         let mut cluster = Self {
             detectors: Vec::new(),
-            lives: (1..=size as u64).map(|index| index * 1_000).collect(),
+            incarnations: (1..=size as u64).map(|index| index * 1_000).collect(),
             down_since_ms: vec![None; size],
             store: Store::default(),
             in_flight: BTreeMap::new(),
             sent_messages: 0,
-            delays: network.delays()?,
+            delays: delay_distribution.sampler()?,
             random: StdRng::seed_from_u64(SEED),
             policy,
             suspected: Histogram::new(3)?,
@@ -124,20 +137,23 @@
             false_suspicions: 0,
         };
         for index in 0..size {
-            let detector = cluster.detector(index)?;
+            let detector = cluster.new_detector(index)?;
             cluster.detectors.push(detector);
-            cluster.store.registered.insert(name(index), Life(cluster.lives[index]));
+            cluster
+                .store
+                .registered
+                .insert(name(index), IncarnationId(cluster.incarnations[index]));
         }
         Ok(cluster)
     }
 
-    fn detector(&self, index: usize) -> Result<FailureDetector, Box<dyn std::error::Error>> {
-        let names = (0..self.lives.len()).map(name);
-        let life = Life(self.lives[index]);
+    fn new_detector(&self, index: usize) -> Result<FailureDetector, Box<dyn std::error::Error>> {
+        let names = (0..self.incarnations.len()).map(name);
+        let incarnation = IncarnationId(self.incarnations[index]);
         let now_ms = self.store.now_ms;
         Ok(FailureDetector::new(
             name(index),
-            life,
+            incarnation,
             names,
             TIMING,
             self.policy,
@@ -179,7 +195,7 @@
             };
             if self.down_since_ms[to].is_none() {
                 // A heartbeat that arrives after a newer one is rejected as evidence.
-                let _ = self.detectors[to].on_heartbeat(now_ms, Channel::Scheduled, &heartbeat);
+                let _ = self.detectors[to].on_heartbeat(now_ms, HeartbeatTrigger::Scheduled, &heartbeat);
             }
         }
     }
@@ -209,7 +225,7 @@
             Event::Confirmed { member, .. } => (member, &mut self.confirmed),
             _ => return Ok(()),
         };
-        let index = (0..self.lives.len()).find(|index| name(*index) == *member);
+        let index = (0..self.incarnations.len()).find(|index| name(*index) == *member);
         match index.and_then(|index| self.down_since_ms[index]) {
             Some(since_ms) => times.record(self.store.now_ms - since_ms)?,
             None => self.false_suspicions += 1,
@@ -221,16 +237,22 @@
         self.down_since_ms[index] = Some(self.store.now_ms);
         self.run(CRASH_INTERVAL_MS / 2)?;
         self.down_since_ms[index] = None;
-        self.lives[index] += 1;
-        self.detectors[index] = self.detector(index)?;
-        self.store.registered.insert(name(index), Life(self.lives[index]));
+        self.incarnations[index] += 1;
+        self.detectors[index] = self.new_detector(index)?;
+        self.store
+            .registered
+            .insert(name(index), IncarnationId(self.incarnations[index]));
         self.run(CRASH_INTERVAL_MS / 2)
     }
 }
 
-fn measure(size: usize, network: Network, policy: Policy) -> Result<String, Box<dyn std::error::Error>> {
+fn measure(
+    size: usize,
+    delay_distribution: DelayDistribution,
+    policy: Policy,
+) -> Result<String, Box<dyn std::error::Error>> {
     let started = Instant::now();
-    let mut cluster = Cluster::new(size, network, policy)?;
+    let mut cluster = Cluster::new(size, delay_distribution, policy)?;
     cluster.run(CRASH_FREE_MS)?;
     let false_suspicions = cluster.false_suspicions;
     for crash in 0..CRASH_COUNT {
@@ -241,7 +263,7 @@
     let quantile_s = |times: &Histogram<u64>, quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
     let (suspected, confirmed) = (&cluster.suspected, &cluster.confirmed);
     Ok(format!(
-        "| {size} | {network:?} | {:?} | {:.1} | {:.1} / {:.1} | {:.1} / {:.1} | {false_suspicions} | {us_per_second:.0} |",
+        "| {size} | {delay_distribution:?} | {:?} | {:.1} | {:.1} / {:.1} | {:.1} / {:.1} | {false_suspicions} | {us_per_second:.0} |",
         policy.estimator,
         f64::from(policy.threshold_milliphi) / 1000.0,
         quantile_s(suspected, 0.5),
@@ -253,12 +275,16 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!(
-        "| members | network | estimator | phi | suspected, s (p50 / p99) | confirmed, s | false in 1 h | us a second and member |"
+        "| members | network | estimator | phi | suspected, s (p50 / p99) | confirmed, s | false suspicions in 1 h | processor time per member, us per simulated second |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    let networks = [Network::Steady, Network::Jittery, Network::HeavyTailed];
+    let delay_distributions = [
+        DelayDistribution::Steady,
+        DelayDistribution::Jittery,
+        DelayDistribution::HeavyTailed,
+    ];
     let estimators = [Estimator::FixedTimeout, Estimator::PhiNormal, Estimator::PhiExponential];
-    for network in networks {
+    for delay_distribution in delay_distributions {
         for estimator in estimators {
             for threshold_milliphi in [2_000, 6_000, 12_000] {
                 // The fixed timeout is a fraction of the lease and does not depend on the threshold.
@@ -270,12 +296,12 @@
                     threshold_milliphi,
                     ..Policy::default()
                 };
-                println!("{}", measure(3, network, policy)?);
+                println!("{}", measure(3, delay_distribution, policy)?);
             }
         }
     }
     for size in [5, 10, 20, 50] {
-        println!("{}", measure(size, Network::Jittery, Policy::default())?);
+        println!("{}", measure(size, DelayDistribution::Jittery, Policy::default())?);
     }
     Ok(())
 }
--- a/crates/tidelatch/src/peers/convert.rs
+++ b/crates/tidelatch/src/peers/convert.rs
@@ -6,7 +6,7 @@
     Answer, CancellationNotice, Digest, IdleMachine, MachineMove, MachineRequest, PeerReply, PeerRequest, SpareRoom,
     WaitingTasks,
 };
-use tidelatch_failure_detector::{Claim, Heartbeat, Incarnation, Life, MemberId, Opinion};
+use tidelatch_failure_detector::{Claim, Heartbeat, Incarnation, IncarnationId, MemberId, Opinion};
 
 /// The core's reply belongs to another kind of request than the one that was made.
 #[derive(Debug, thiserror::Error)]
@@ -177,8 +177,8 @@
 impl From<Heartbeat> for wire::Liveness {
     fn from(heartbeat: Heartbeat) -> Self {
         Self {
-            life: heartbeat.incarnation.life.0,
-            refutation: heartbeat.incarnation.refutation,
+            life: heartbeat.incarnation.id.0,
+            refutation: heartbeat.incarnation.refutation_count,
             sequence: heartbeat.sequence,
             claims: convert_all(heartbeat.claims),
             probe: heartbeat
@@ -194,8 +194,8 @@
         Self {
             from: MemberId::new(""),
             incarnation: Incarnation {
-                life: Life(liveness.life),
-                refutation: liveness.refutation,
+                id: IncarnationId(liveness.life),
+                refutation_count: liveness.refutation,
             },
             sequence: liveness.sequence,
             claims: convert_all(liveness.claims),
@@ -208,8 +208,8 @@
     fn from(claim: Claim) -> Self {
         Self {
             name: claim.member.as_str().to_owned(),
-            life: claim.incarnation.life.0,
-            refutation: claim.incarnation.refutation,
+            life: claim.incarnation.id.0,
+            refutation: claim.incarnation.refutation_count,
             suspected: claim.opinion == Opinion::Suspected,
             heard_ago_ms: claim.heard_ago_ms,
         }
@@ -226,8 +226,8 @@
         Self {
             member: MemberId::new(claim.name),
             incarnation: Incarnation {
-                life: Life(claim.life),
-                refutation: claim.refutation,
+                id: IncarnationId(claim.life),
+                refutation_count: claim.refutation,
             },
             opinion,
             heard_ago_ms: claim.heard_ago_ms,
@@ -292,8 +292,8 @@
     }
 }
 
-/// Converts spare room; `None` if it has no machine or the wrong number of amounts, which no version of this program
-/// sends.
+/// Converts spare room; `None` if it has no machine or the wrong number of resource amounts, which no version of this
+/// program sends.
 fn parse_spare_room(spare_room: wire::SpareRoom) -> Option<SpareRoom> {
     Some(SpareRoom {
         machine: spare_room.machine?.into(),
@@ -338,6 +338,7 @@
 
 impl From<wire::Want> for WaitingTasks {
     fn from(waiting: wire::Want) -> Self {
+        // Processors, accelerators and GB of memory. Missing amounts stay 0.
         let mut size = [0.0; 3];
         size.iter_mut().zip(waiting.size).for_each(|(s, v)| *s = v);
         Self {
