--- a/crates/tidelatch-standin/src/faults.rs
+++ b/crates/tidelatch-standin/src/faults.rs
@@ -8,7 +8,7 @@
 pub type FaultInjector = Box<dyn FnMut(&Message<'_>) -> Delivery>;
 
 /// Combines several injectors: the first one that does not pass a message decides its delivery.
-pub fn all(mut injectors: Vec<FaultInjector>) -> FaultInjector {
+pub fn combine(mut injectors: Vec<FaultInjector>) -> FaultInjector {
     Box::new(move |message| {
         // Every injector sees every message, so that its random sequence does not depend on the other injectors.
         let deliveries: Vec<Delivery> = injectors.iter_mut().map(|injector| injector(message)).collect();
@@ -20,7 +20,7 @@
 }
 
 /// Limits an injector to a time range, in milliseconds since the beginning of the simulation.
-pub fn during(time: Range<u64>, mut injector: FaultInjector) -> FaultInjector {
+pub fn limit_to(time: Range<u64>, mut injector: FaultInjector) -> FaultInjector {
     Box::new(move |message| {
         if time.contains(&message.at) {
             injector(message)
@@ -31,7 +31,7 @@
 }
 
 /// Delays a share (0 to 1) of the transactions: they get no answer and are carried out 2 to 12 s later.
-pub fn late_writes(seed: u64, share: f64) -> FaultInjector {
+pub fn delay_transactions(seed: u64, share: f64) -> FaultInjector {
     let mut random = fastrand::Rng::with_seed(seed);
     Box::new(move |message| {
         if message.what == "POST /txn" && random.f64() < share {
@@ -43,7 +43,7 @@
 }
 
 /// Loses the answers to a share (0 to 1) of the transactions, which are carried out at once.
-pub fn lost_answers(seed: u64, share: f64) -> FaultInjector {
+pub fn lose_transaction_answers(seed: u64, share: f64) -> FaultInjector {
     let mut random = fastrand::Rng::with_seed(seed);
     Box::new(move |message| {
         if message.what == "POST /txn" && random.f64() < share {
@@ -55,7 +55,7 @@
 }
 
 /// Duplicates a share (0 to 1) of the reports: the copy arrives 2 to 45 s late, the latter well over two worker leases.
-pub fn late_copies(seed: u64, share: f64) -> FaultInjector {
+pub fn duplicate_reports(seed: u64, share: f64) -> FaultInjector {
     let mut random = fastrand::Rng::with_seed(seed);
     Box::new(move |message| {
         if message.what == "POST /agent/beat" && random.f64() < share {
@@ -68,7 +68,7 @@
 
 /// Loses the answers to a machine's reports and the direct commands to it. Its reports arrive, and it still answers
 /// status requests.
-pub fn deaf(machine: &str) -> FaultInjector {
+pub fn lose_messages_to_machine(machine: &str) -> FaultInjector {
     let machine = machine.to_owned();
     Box::new(move |message| {
         if message.from == machine {
@@ -82,7 +82,7 @@
 }
 
 /// Loses all reports of a machine. Direct commands reach it and are answered.
-pub fn mute(machine: &str) -> FaultInjector {
+pub fn lose_reports_of_machine(machine: &str) -> FaultInjector {
     let machine = machine.to_owned();
     Box::new(move |message| {
         if message.from == machine {
@@ -95,7 +95,7 @@
 
 /// Isolates a controller from the state service and from its peers, in both directions. Its workers and users still
 /// reach it.
-pub fn cut_off(controller: usize) -> FaultInjector {
+pub fn isolate_controller(controller: usize) -> FaultInjector {
     let name = format!("berth-{controller}");
     Box::new(move |message| {
         let is_outgoing = message.from == name && (message.to == "state" || message.to.starts_with("berth-"));
@@ -109,7 +109,7 @@
 }
 
 /// Makes the state service answer 503 to one controller, and only to this one.
-pub fn refused(controller: usize) -> FaultInjector {
+pub fn refuse_state_requests(controller: usize) -> FaultInjector {
     let name = format!("berth-{controller}");
     Box::new(move |message| {
         if message.from == name && message.to == "state" {
@@ -124,16 +124,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateServiceSide {
     /// Only the named controllers reach the state service.
-    Named,
+    NamedControllers,
     /// All controllers reach it: only the links between controllers are cut.
-    Both,
+    AllControllers,
     /// No controller reaches it.
-    Neither,
+    NoController,
 }
 
 /// Partitions the network: the named controllers reach each other, and so do the others, but no named controller
 /// reaches one of the others.
-pub fn split(named: &[usize], state: StateServiceSide) -> FaultInjector {
+pub fn partition_controllers(named: &[usize], state: StateServiceSide) -> FaultInjector {
     let named: Vec<String> = named.iter().map(|controller| format!("berth-{controller}")).collect();
     Box::new(move |message| {
         let is_named = |name: &str| named.iter().any(|n| n == name);
@@ -141,9 +141,9 @@
         let crosses_split = between_controllers && is_named(message.from) != is_named(message.to);
         let cut_from_state = message.to == "state"
             && match state {
-                StateServiceSide::Named => !is_named(message.from),
-                StateServiceSide::Both => false,
-                StateServiceSide::Neither => true,
+                StateServiceSide::NamedControllers => !is_named(message.from),
+                StateServiceSide::AllControllers => false,
+                StateServiceSide::NoController => true,
             };
         if crosses_split || cut_from_state {
             Delivery::Lost
@@ -154,7 +154,7 @@
 }
 
 /// Cuts the network from one controller to another. Messages in the other direction arrive, but their answers are lost.
-pub fn one_way(from: usize, to: usize) -> FaultInjector {
+pub fn cut_direction(from: usize, to: usize) -> FaultInjector {
     let (from, to) = (format!("berth-{from}"), format!("berth-{to}"));
     Box::new(move |message| {
         if message.from == from && message.to == to {
@@ -168,7 +168,7 @@
 }
 
 /// Delays, loses, duplicates and reorders messages between controllers.
-pub fn rough_peer_network(seed: u64) -> FaultInjector {
+pub fn unreliable_peer_network(seed: u64) -> FaultInjector {
     let mut random = fastrand::Rng::with_seed(seed);
     Box::new(move |message| {
         let between_controllers = message.from.starts_with("berth-") && message.to.starts_with("berth-");
--- a/crates/tidelatch-standin/tests/compound_fault_regressions.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_regressions.rs
@@ -103,8 +103,11 @@
         let mut follow_ups = FollowUps::new();
         world.accepted(0, &job(90, 0, "sweep", 1));
         follow_ups.run(&mut world, 9000, &bodies);
-        let injectors: Vec<FaultInjector> = vec![faults::lost_answers(seed, 0.3), faults::late_copies(seed, 0.2)];
-        world.meddle(faults::all(injectors));
+        let injectors: Vec<FaultInjector> = vec![
+            faults::lose_transaction_answers(seed, 0.3),
+            faults::duplicate_reports(seed, 0.2),
+        ];
+        world.meddle(faults::combine(injectors));
         for (n, body) in bodies.iter().enumerate() {
             world.submit(n % 3, body);
             follow_ups.run(&mut world, 300, &bodies);
@@ -296,11 +299,11 @@
         let mut world = World::new();
         world.run_ms = 8000;
         world.run(3000);
-        let mut injectors: Vec<FaultInjector> = vec![faults::late_writes(seed, 0.4)];
+        let mut injectors: Vec<FaultInjector> = vec![faults::delay_transactions(seed, 0.4)];
         if seed % 2 == 0 {
-            injectors.push(faults::lost_answers(seed, 0.3));
+            injectors.push(faults::lose_transaction_answers(seed, 0.3));
         }
-        world.meddle(faults::all(injectors));
+        world.meddle(faults::combine(injectors));
         for n in 1..=4 {
             world.submit(n as usize % 3, &job(n, n % 3, "sweep", 3));
         }
--- a/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
@@ -115,5 +115,5 @@
 
 /// The same fault for each of these machines.
 pub fn for_each_machine(machines: &[String], fault: fn(&str) -> FaultInjector) -> FaultInjector {
-    faults::all(machines.iter().map(|m| fault(m)).collect())
+    faults::combine(machines.iter().map(|m| fault(m)).collect())
 }
--- a/crates/tidelatch-standin/tests/compound_faults_answers.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_answers.rs
@@ -21,8 +21,8 @@
         let mut world = World::new();
         world.run_ms = 7000;
         world.run(3000);
-        let late_writes = faults::late_writes(seed, if seed % 2 == 0 { 0.15 } else { 0.4 });
-        world.meddle(faults::during(0..70_000, late_writes));
+        let late_writes = faults::delay_transactions(seed, if seed % 2 == 0 { 0.15 } else { 0.4 });
+        world.meddle(faults::limit_to(0..70_000, late_writes));
         let mut jobs = vec![job(1, 0, "standing", 2)];
         jobs.extend((2..8).map(|i| job(i, i % 3, "sweep", 1 + i % 3)));
         for (i, body) in jobs.iter().enumerate() {
--- a/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
@@ -25,7 +25,7 @@
             let name = format!("berth-{cut_off}");
             world.note(&format!("{name} is cut from the state service and its peers"));
             world.workers.values_mut().for_each(|w| w.node = cut_off);
-            let mut cut_off_fault = faults::cut_off(cut_off);
+            let mut cut_off_fault = faults::isolate_controller(cut_off);
             world.meddle(move |l| {
                 let worker = |who: &str| who.starts_with("n-");
                 let elsewhere = (worker(l.from) && l.to != name) || (worker(l.to) && l.from != name);
@@ -170,7 +170,7 @@
                 world.note(&format!("{fault}: {machines:?}"));
                 match fault {
                     "cut" => world.meddle(cut_off_machines(&machines)),
-                    "deaf" => world.meddle(for_each_machine(&machines, faults::deaf)),
+                    "deaf" => world.meddle(for_each_machine(&machines, faults::lose_messages_to_machine)),
                     _ => machines.iter().for_each(|m| {
                         world.workers.get_mut(m).expect("a worker").hanging = true;
                     }),
@@ -216,7 +216,7 @@
                 machines = world.workers.keys().cloned().collect();
             }
             world.note(&format!("reports of {machines:?} reach nobody any more"));
-            world.meddle(for_each_machine(&machines, faults::mute));
+            world.meddle(for_each_machine(&machines, faults::lose_reports_of_machine));
             world.run(mute_ms);
             let before = world.machines_of("job-000001");
             assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000001"), "withdrawn", "{case:?}");
--- a/crates/tidelatch-standin/tests/compound_faults_placement.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_placement.rs
@@ -113,24 +113,24 @@
         let machines: Vec<String> = world.workers.keys().cloned().collect();
         let from = world.now;
         let mut injectors = vec![
-            faults::late_writes(seed, 0.1),
-            faults::late_copies(seed, 0.2),
-            faults::lost_answers(seed + 100, 0.1),
+            faults::delay_transactions(seed, 0.1),
+            faults::duplicate_reports(seed, 0.2),
+            faults::lose_transaction_answers(seed + 100, 0.1),
         ];
         for (i, m) in machines.iter().enumerate() {
             match (seed + i as u64) % 5 {
-                0 => injectors.push(faults::mute(m)),
-                1 => injectors.push(faults::deaf(m)),
+                0 => injectors.push(faults::lose_reports_of_machine(m)),
+                1 => injectors.push(faults::lose_messages_to_machine(m)),
                 2 => injectors.push(cut_off_machines(std::slice::from_ref(m))),
                 _ => {}
             }
         }
         let controller = seed as usize % 3;
-        injectors.push(faults::during(
+        injectors.push(faults::limit_to(
             from + 20_000..from + 40_000,
-            faults::cut_off(controller),
+            faults::isolate_controller(controller),
         ));
-        world.meddle(faults::during(from..from + 60_000, faults::all(injectors)));
+        world.meddle(faults::limit_to(from..from + 60_000, faults::combine(injectors)));
         world.run(10_000);
         world.crash((controller + 1) % 3);
         world.run(500);
--- a/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
@@ -71,7 +71,7 @@
                 let injector = if fault == "cut" {
                     cut_off_machines(&machines)
                 } else {
-                    for_each_machine(&machines, faults::deaf)
+                    for_each_machine(&machines, faults::lose_messages_to_machine)
                 };
                 world.note(&format!("{fault}: {machines:?}"));
                 world.meddle(injector);
--- a/crates/tidelatch-standin/tests/drains.rs
+++ b/crates/tidelatch-standin/tests/drains.rs
@@ -339,7 +339,7 @@
 fn a_one_way_cut_between_owner_and_leader_exceeds_no_budget_and_the_drain_ends_after_it() {
     let mut deployment = start_with_drain();
     let leader = deployment.world.leader().expect("there is a leader");
-    deployment.world.meddle(faults::one_way((leader + 1) % 3, leader));
+    deployment.world.meddle(faults::cut_direction((leader + 1) % 3, leader));
     deployment.run(120_000);
     // The leader rents the replacements that the owner needs, but does not receive the owner's requests for them.
     deployment.world.calm();
--- a/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
+++ b/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
@@ -171,7 +171,7 @@
         let mut shared = with_shared_machine();
         shared.restart_all_with_drain(&drain_of_all());
         shared.run(6_000);
-        shared.world.meddle(faults::rough_peer_network(seed));
+        shared.world.meddle(faults::unreliable_peer_network(seed));
         shared.run(60_000);
         shared.world.calm();
         shared.assert_drain_ends(&format!("seed {seed}"));
--- a/crates/tidelatch-standin/tests/drains_under_faults.rs
+++ b/crates/tidelatch-standin/tests/drains_under_faults.rs
@@ -36,13 +36,19 @@
     let seed = rng.u64(..);
     let controller = rng.usize(..controllers);
     match rng.u32(0..8) {
-        0 => faults::cut_off(controller),
-        1 => faults::refused(controller),
-        2 => faults::split(&[controller, (controller + 1) % controllers], StateServiceSide::Both),
-        3 => faults::one_way(controller, (controller + 1) % controllers),
-        4 => faults::rough_peer_network(seed),
-        5 => faults::lost_answers(seed, 0.4),
-        6 => faults::all(vec![faults::late_copies(seed, 0.3), faults::late_writes(seed, 0.2)]),
+        0 => faults::isolate_controller(controller),
+        1 => faults::refuse_state_requests(controller),
+        2 => faults::partition_controllers(
+            &[controller, (controller + 1) % controllers],
+            StateServiceSide::AllControllers,
+        ),
+        3 => faults::cut_direction(controller, (controller + 1) % controllers),
+        4 => faults::unreliable_peer_network(seed),
+        5 => faults::lose_transaction_answers(seed, 0.4),
+        6 => faults::combine(vec![
+            faults::duplicate_reports(seed, 0.3),
+            faults::delay_transactions(seed, 0.2),
+        ]),
         _ => delayed_commands(seed, 0.5),
     }
 }
--- a/crates/tidelatch-standin/tests/failure_detection.rs
+++ b/crates/tidelatch-standin/tests/failure_detection.rs
@@ -113,7 +113,7 @@
         // The other controllers suspect the owner and read its records ahead of a takeover. The owner continues its
         // work, stores more done tasks and then crashes.
         let peers: Vec<usize> = (0..3).filter(|controller| *controller != owner).collect();
-        world.meddle(faults::split(&peers, StateServiceSide::Both));
+        world.meddle(faults::partition_controllers(&peers, StateServiceSide::AllControllers));
         world.run(10_000);
         world.crash(owner);
         world.run(500);
@@ -307,22 +307,22 @@
 fn at_most_one_half_of_a_split_network_takes_over() {
     for (controllers, first_half) in [(4, vec![0, 1]), (6, vec![0, 1, 2])] {
         for state in [
-            StateServiceSide::Named,
-            StateServiceSide::Both,
-            StateServiceSide::Neither,
+            StateServiceSide::NamedControllers,
+            StateServiceSide::AllControllers,
+            StateServiceSide::NoController,
         ] {
             let mut world = start_with_work(controllers, &with_failure_detection());
             let epoch = world.epoch();
             world.note(&format!("split, state service: {state:?}"));
-            world.meddle(faults::split(&first_half, state));
+            world.meddle(faults::partition_controllers(&first_half, state));
             world.run(3 * LEASE_MS);
             match state {
                 // A suspicion takes nothing over, even if a majority of the controllers has it.
-                StateServiceSide::Both | StateServiceSide::Neither => {
+                StateServiceSide::AllControllers | StateServiceSide::NoController => {
                     assert_eq!(world.epoch(), epoch, "{}", world.trace());
                     assert_eq!(count_trace_lines(&world, "is confirmed as gone"), 0);
                 }
-                StateServiceSide::Named => {
+                StateServiceSide::NamedControllers => {
                     assert!(world.epoch() > epoch);
                     assert!(
                         first_half.contains(&world.owner_of_team(controllers - 1)),
@@ -348,7 +348,10 @@
     // The times reach from before the first suspicion until the new owners act.
     for healed_after_ms in (1_000..=11_000).step_by(1_000) {
         let mut world = start_with_work(4, &with_failure_detection());
-        world.meddle(faults::split(&[0, 1], StateServiceSide::Named));
+        world.meddle(faults::partition_controllers(
+            &[0, 1],
+            StateServiceSide::NamedControllers,
+        ));
         world.run(healed_after_ms);
         world.calm();
         assert_recovers(&mut world, 4);
@@ -359,7 +362,7 @@
 #[test]
 fn a_controller_that_one_peer_does_not_hear_is_not_suspected() {
     let mut world = start_with_work(4, &with_failure_detection());
-    world.meddle(faults::one_way(3, 0));
+    world.meddle(faults::cut_direction(3, 0));
     world.run(60_000);
     assert_eq!(count_trace_lines(&world, "suspects berth-"), 0, "{}", world.trace());
     assert_trace(&world, "not_heard_by_one_sibling");
@@ -373,7 +376,7 @@
     for seed in 1..=5 {
         let mut world = start_with_work(4, &with_failure_detection());
         let epoch = world.epoch();
-        world.meddle(faults::rough_peer_network(seed));
+        world.meddle(faults::unreliable_peer_network(seed));
         world.run(120_000);
         assert_eq!(
             count_trace_lines(&world, "is confirmed as gone"),
--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -52,9 +52,9 @@
     // Guards against injectors that affect too few, too many or the wrong messages, or that do something else when
     // they are run again with the same seed.
     for (make_injector, what) in [
-        (faults::late_writes as fn(u64, f64) -> FaultInjector, "POST /txn"),
-        (faults::lost_answers, "POST /txn"),
-        (faults::late_copies, "POST /agent/beat"),
+        (faults::delay_transactions as fn(u64, f64) -> FaultInjector, "POST /txn"),
+        (faults::lose_transaction_answers, "POST /txn"),
+        (faults::duplicate_reports, "POST /agent/beat"),
     ] {
         let deliveries = |seed: u64| -> Vec<Delivery> {
             let mut injector = make_injector(seed, 0.3);
@@ -90,9 +90,9 @@
 fn combined_faults_affect_only_their_messages_and_end() {
     // Guards against injectors that affect messages other than their own, that do not end in time, or that hide each
     // other when they are combined.
-    let mut combined = faults::all(vec![
-        faults::during(100..200, faults::mute("n-000001")),
-        faults::refused(1),
+    let mut combined = faults::combine(vec![
+        faults::limit_to(100..200, faults::lose_reports_of_machine("n-000001")),
+        faults::refuse_state_requests(1),
     ]);
     let report = "POST /agent/beat";
     assert_eq!(
@@ -127,7 +127,7 @@
         delivery_of(&mut combined, 150, "berth-1", "cloud", "POST /hosts"),
         Delivery::Pass
     );
-    let mut no_input = faults::deaf("n-000001");
+    let mut no_input = faults::lose_messages_to_machine("n-000001");
     assert_eq!(
         delivery_of(&mut no_input, 0, "n-000001", "berth-0", report),
         Delivery::AnswerLost
@@ -136,7 +136,7 @@
         delivery_of(&mut no_input, 0, "berth-0", "n-000001", "POST /commands"),
         Delivery::Lost
     );
-    let mut cut = faults::cut_off(1);
+    let mut cut = faults::isolate_controller(1);
     assert_eq!(
         delivery_of(&mut cut, 0, "berth-1", "state", "POST /txn"),
         Delivery::Lost
@@ -157,12 +157,12 @@
     let mut world = World::new();
     world.run(3000);
     world.keep_reports();
-    world.meddle(faults::during(
+    world.meddle(faults::limit_to(
         0..80_000,
-        faults::all(vec![
-            faults::late_writes(seed, 0.05),
-            faults::lost_answers(seed + 1, 0.05),
-            faults::late_copies(seed + 2, 0.2),
+        faults::combine(vec![
+            faults::delay_transactions(seed, 0.05),
+            faults::lose_transaction_answers(seed + 1, 0.05),
+            faults::duplicate_reports(seed + 2, 0.2),
         ]),
     ));
     world.accepted(0, &job(1, 0, "standing", 1));
@@ -206,7 +206,7 @@
     let before = world.epoch();
     let name = format!("berth-{owner}");
     world.note(&format!("the state service refuses {name} alone"));
-    world.meddle(faults::refused(owner));
+    world.meddle(faults::refuse_state_requests(owner));
     // The state service still answers the others, which go on without the refused controller.
     world.run(25_000);
     assert!(world.epoch() > before, "{}", world.trace());
@@ -230,7 +230,7 @@
     world.run(3000);
     let team = (0..3).find(|t| world.owner_of_team(*t) == 2).expect("it owns a team");
     // Submissions that are passed on are lost, so that no peer stores the job either.
-    let mut refused = faults::refused(2);
+    let mut refused = faults::refuse_state_requests(2);
     world.meddle(move |m| match m.what {
         "submit" => Delivery::Lost,
         _ => refused(m),
@@ -301,7 +301,7 @@
         .cloned()
         .expect("the job runs on a machine");
     world.note(&format!("nothing reaches {machine} any more; its reports arrive"));
-    world.meddle(faults::deaf(&machine));
+    world.meddle(faults::lose_messages_to_machine(&machine));
     let has_moved = |w: &World| w.running("job-000001") == 2 && !w.machines_of("job-000001").contains(&machine);
     assert!(world.run_until(110_000, has_moved), "{}", world.trace());
     assert_no_breaches(&world);
@@ -317,7 +317,7 @@
         .cloned()
         .expect("the job runs on a machine");
     world.note(&format!("reports of {machine} reach nobody any more"));
-    world.meddle(faults::mute(&machine));
+    world.meddle(faults::lose_reports_of_machine(&machine));
     world.run(1000);
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
     world.run(60_000);
@@ -389,7 +389,7 @@
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     world.note(&format!("berth-{owner} is cut from the state service and its peers"));
-    world.meddle(faults::cut_off(owner));
+    world.meddle(faults::isolate_controller(owner));
     world.run(25_000);
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
     assert!(!is_healthy(&mut world, owner), "{}", world.trace());
--- a/crates/tidelatch-standin/tests/on_call.rs
+++ b/crates/tidelatch-standin/tests/on_call.rs
@@ -107,7 +107,7 @@
         .filter(|n| *n != owner)
         .map(|n| format!("berth-{n} is entitled"))
         .collect();
-    world.meddle(faults::refused(owner));
+    world.meddle(faults::refuse_state_requests(owner));
     world.run(12_000);
     let first_line = log_line(&world, owner, "lease not extended: the state service refuses (503)");
     assert!(
@@ -137,7 +137,7 @@
 fn the_log_names_a_network_cut_as_the_cause_of_a_lost_lease() {
     let mut world = with_service(2);
     let owner = world.owner_of_team(0);
-    world.meddle(faults::cut_off(owner));
+    world.meddle(faults::isolate_controller(owner));
     world.run(12_000);
     let expiry_line = log_line(&world, owner, "not entitled to act");
     for other in (0..3).filter(|n| *n != owner) {
@@ -192,7 +192,7 @@
             if is_pause {
                 world.freeze(controller);
             } else {
-                world.meddle(faults::refused(controller));
+                world.meddle(faults::refuse_state_requests(controller));
             }
             world.run(fault_ms);
             let leader_during = leader(&world);
--- a/crates/tidelatch-standin/tests/partial_failures.rs
+++ b/crates/tidelatch-standin/tests/partial_failures.rs
@@ -12,7 +12,7 @@
 /// Loses every answer and command to a machine. Its reports still arrive, and it still tells its state.
 fn lose_messages_to(world: &mut World, machine: &str) {
     world.note(&format!("nothing reaches {machine} any more; its reports arrive"));
-    world.meddle(faults::deaf(machine));
+    world.meddle(faults::lose_messages_to_machine(machine));
 }
 
 #[test]
--- a/crates/tidelatch-standin/tests/preemption.rs
+++ b/crates/tidelatch-standin/tests/preemption.rs
@@ -369,7 +369,7 @@
     let half_full = half_full.map(|w| w.name.clone()).expect("one machine has one task");
     let owner = world.owner_of_team(0);
     let successor = (owner + 1) % 3;
-    let stops = record_stops(&mut world, faults::deaf(&half_full));
+    let stops = record_stops(&mut world, faults::lose_messages_to_machine(&half_full));
     world.crash(owner);
     let epoch = world.epoch();
     assert!(world.run_until(20_000, |w| w.epoch() > epoch), "{}", world.trace());
--- a/crates/tidelatch-standin/tests/shared_machines.rs
+++ b/crates/tidelatch-standin/tests/shared_machines.rs
@@ -266,7 +266,11 @@
             if is_lost { Delivery::Lost } else { Delivery::Pass }
         })
     };
-    let kinds: [(&str, Fault); 3] = [("mute", faults::mute), ("deaf", faults::deaf), ("cut", cut)];
+    let kinds: [(&str, Fault); 3] = [
+        ("mute", faults::lose_reports_of_machine),
+        ("deaf", faults::lose_messages_to_machine),
+        ("cut", cut),
+    ];
     for (name, fault) in kinds {
         for crash in [None, Some(0), Some(1), Some(2)] {
             let case = (name, crash);
