--- a/crates/tidelatch-standin/examples/take_over.rs
+++ b/crates/tidelatch-standin/examples/take_over.rs
@@ -47,11 +47,11 @@
         write_rps: 200.0,
         ..Size::default()
     };
-    let mut world = World::sized(operator, size);
+    let mut world = World::with_size(operator, size);
     world.cloud.most = 60;
     world.run_ms = 20_000;
     world.uneven = true;
-    world.run(3_000);
+    world.run_for(3_000);
     for team in 0..3 {
         for array in 0..ARRAYS_PER_TEAM {
             let mut body = job(team * 100 + array, team, "sweep", 600);
@@ -59,7 +59,7 @@
             world.accepted(0, &body);
         }
     }
-    world.run(60_000);
+    world.run_for(60_000);
     world
 }
 
@@ -76,12 +76,12 @@
 fn measure_round(world: &mut World, team: usize, times: &mut Times) -> Result<(), MeasurementError> {
     let owner = world.owner_of_team(team);
     let (from, crashed_ms) = (world.trace().len(), world.now);
-    world.crash(owner);
+    world.crash_controller(owner);
     let polled_job = format!("job-{:06}", team * 100);
     let mut answered = None;
     let mut polls = Vec::new();
     while world.now < crashed_ms + ROUND_MS {
-        world.run(CHECK_INTERVAL_MS);
+        world.run_for(CHECK_INTERVAL_MS);
         let acting = first_line_ms(world, from, &format!("acting for partition {team}"), crashed_ms);
         if acting.is_some() && answered.is_none() {
             let controller = world.owner_of_team(team);
@@ -105,8 +105,8 @@
     if let Some(ms) = answered {
         times.answered.record(ms)?;
     }
-    world.start(owner);
-    world.run(20_000);
+    world.start_controller(owner);
+    world.run_for(20_000);
     Ok(())
 }
 
@@ -114,7 +114,7 @@
 fn measure_row(name: &str, operator: &Operator) -> Result<String, MeasurementError> {
     let mut world = start_loaded_world(operator);
     let (sent, from_ms) = (world.sent, world.now);
-    world.run(ROUND_MS);
+    world.run_for(ROUND_MS);
     let minutes = (world.now - from_ms) as f64 / 60_000.0;
     let messages = (world.sent.peer_requests - sent.peer_requests) as f64 / minutes;
     let reads = (world.sent.state_requests - sent.state_requests) as f64 / minutes;
--- a/crates/tidelatch-standin/src/faults.rs
+++ b/crates/tidelatch-standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injectors for [`World::meddle`](crate::World::meddle): network faults and failing services. They can be
+//! Fault injectors for [`World::set_fault_injector`](crate::World::set_fault_injector): network faults and failing services. They can be
 //! combined. The random ones are deterministic for a given seed.
 
 use crate::world::{Delivery, Message};
--- a/crates/tidelatch-standin/src/loopback/controllers.rs
+++ b/crates/tidelatch-standin/src/loopback/controllers.rs
@@ -33,7 +33,7 @@
     /// # Errors
     ///
     /// If the process has ended.
-    pub fn freeze(&self) -> io::Result<()> {
+    pub fn pause(&self) -> io::Result<()> {
         self.signal(Signal::STOP)
     }
 
--- a/crates/tidelatch-standin/src/support.rs
+++ b/crates/tidelatch-standin/src/support.rs
@@ -41,7 +41,7 @@
 /// If the service does not run within 30 s.
 pub fn with_service(team: u32) -> World {
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, team, "standing", 2));
     assert!(
         world.run_until(30_000, |w| w.running("job-000001") == 2),
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -42,21 +42,21 @@
 impl World {
     /// Sets the features of a controller from its next start on, to simulate an older or the current version of the
     /// program, for example the version before gangs.
-    pub fn version(&mut self, controller: usize, features: Features) {
+    pub fn set_features(&mut self, controller: usize, features: Features) {
         if let Some(process) = self.controllers.get_mut(controller) {
             process.settings.features = features;
         }
     }
 
     /// Sets the operators' settings of a controller from its next start on.
-    pub fn operator(&mut self, controller: usize, operator: &Operator) {
+    pub fn set_operator(&mut self, controller: usize, operator: &Operator) {
         if let Some(process) = self.controllers.get_mut(controller) {
             process.settings.operator = operator.clone();
         }
     }
 
     /// Starts a controller as a new incarnation.
-    pub fn start(&mut self, controller: usize) {
+    pub fn start_controller(&mut self, controller: usize) {
         let now = Now {
             ms: self.now,
             wall_ms: self.now,
@@ -76,7 +76,7 @@
     }
 
     /// Pauses a controller. Its clocks run on, and its inputs are buffered.
-    pub fn freeze(&mut self, controller: usize) {
+    pub fn pause(&mut self, controller: usize) {
         self.note(&format!("berth-{controller} is paused"));
         if let Some(process) = self.controllers.get_mut(controller) {
             process.paused_inputs = Some(Vec::new());
@@ -84,7 +84,7 @@
     }
 
     /// Resumes a paused controller, which first receives the buffered inputs.
-    pub fn thaw(&mut self, controller: usize) {
+    pub fn resume(&mut self, controller: usize) {
         self.note(&format!("berth-{controller} resumes"));
         let inputs = self
             .controllers
@@ -97,7 +97,7 @@
     }
 
     /// Crashes a controller without warning.
-    pub fn crash(&mut self, controller: usize) {
+    pub fn crash_controller(&mut self, controller: usize) {
         if let Some(process) = self.controllers.get_mut(controller) {
             process.core = None;
             process.incarnation += 1;
@@ -240,7 +240,7 @@
     }
 
     /// Returns how often the controllers evaluated a machine as a place for a task.
-    pub fn evaluations(&self) -> u64 {
+    pub fn machine_evaluations(&self) -> u64 {
         self.controllers
             .iter()
             .flat_map(|process| &process.core)
@@ -249,7 +249,7 @@
     }
 
     /// Returns how often the controllers counted the running units of the jobs that share a disruption budget.
-    pub fn censuses(&self) -> u64 {
+    pub fn budget_counts(&self) -> u64 {
         self.controllers
             .iter()
             .flat_map(|process| &process.core)
--- a/crates/tidelatch-standin/src/world/mod.rs
+++ b/crates/tidelatch-standin/src/world/mod.rs
@@ -115,16 +115,16 @@
 impl World {
     /// Creates a world with three controllers that have just been started.
     pub fn new() -> Self {
-        Self::with(&Operator::default())
+        Self::with_operator(&Operator::default())
     }
 
     /// Creates a world with three controllers and these operators' settings.
-    pub fn with(operator: &Operator) -> Self {
-        Self::sized(operator, Size::default())
+    pub fn with_operator(operator: &Operator) -> Self {
+        Self::with_size(operator, Size::default())
     }
 
     /// Creates a world with these operators' settings and this size.
-    pub fn sized(operator: &Operator, size: Size) -> Self {
+    pub fn with_size(operator: &Operator, size: Size) -> Self {
         let mut world = Self {
             now: 0,
             store: Store::default(),
@@ -164,7 +164,7 @@
                 .push(SimulatedController::new(deployment::controller_settings(
                     i, operator, &size,
                 )));
-            world.start(i);
+            world.start_controller(i);
         }
         world
     }
@@ -176,7 +176,7 @@
     }
 
     /// Runs the simulation for this many milliseconds.
-    pub fn run(&mut self, ms: u64) {
+    pub fn run_for(&mut self, ms: u64) {
         let until = self.now + ms;
         // The test may have changed the state of machines since the last run.
         self.observe_machines();
@@ -208,7 +208,7 @@
             if holds(self) {
                 return true;
             }
-            self.run(20);
+            self.run_for(20);
         }
         holds(self)
     }
--- a/crates/tidelatch-standin/src/world/network.rs
+++ b/crates/tidelatch-standin/src/world/network.rs
@@ -67,12 +67,12 @@
 
 impl World {
     /// Installs a fault injector, which decides the delivery of every message from now on.
-    pub fn meddle(&mut self, injector: impl FnMut(&Message<'_>) -> Delivery + 'static) {
+    pub fn set_fault_injector(&mut self, injector: impl FnMut(&Message<'_>) -> Delivery + 'static) {
         self.injector = Box::new(injector);
     }
 
     /// Removes the fault injector: all messages are delivered again.
-    pub fn calm(&mut self) {
+    pub fn clear_fault_injector(&mut self) {
         self.injector = Box::new(|_| Delivery::Pass);
     }
 
--- a/crates/tidelatch-standin/src/world/users.rs
+++ b/crates/tidelatch-standin/src/world/users.rs
@@ -110,11 +110,11 @@
     pub fn accepted(&mut self, controller: usize, body: &Value) {
         for _ in 0..20 {
             let request = self.submit(controller, body);
-            self.run(500);
+            self.run_for(500);
             if matches!(self.status(request), 200 | 201) {
                 return;
             }
-            self.run(500);
+            self.run_for(500);
         }
         panic!("not accepted:\n{}", self.trace());
     }
@@ -131,7 +131,7 @@
                 polls.push(polled);
                 controller = (controller + 1) % self.controllers.len();
             }
-            self.run(3000);
+            self.run_for(3000);
         }
         let answered = |r: &u64| self.status(*r) == 200;
         polls_by_job
--- a/crates/tidelatch-standin/tests/acceptance.rs
+++ b/crates/tidelatch-standin/tests/acceptance.rs
@@ -53,7 +53,7 @@
         let until = world.now + ms;
         while world.now < until {
             self.submit_and_read(world);
-            world.run(50);
+            world.run_for(50);
         }
     }
 
@@ -108,7 +108,7 @@
 
 /// A deployment whose state service counts changes, and takes as many a second as the settings say.
 fn with_few_writes(operator: &Operator) -> World {
-    let mut world = World::sized(
+    let mut world = World::with_size(
         operator,
         Size {
             write_rps: 25.0,
@@ -125,7 +125,7 @@
     // got 429 gave up before it had drained.
     let mut world = with_few_writes(&Operator::default());
     world.run_ms = 20_000;
-    world.run(5000);
+    world.run_for(5000);
     let mut users = Users::default();
     for n in 0..700 {
         users.add(&world, n % 3, job(n as u32, 0, "sweep", 1));
@@ -145,7 +145,7 @@
     // service could take, and the others' submissions were refused for a time as well.
     let mut world = with_few_writes(&Operator::default());
     world.run_ms = 20_000;
-    world.run(5000);
+    world.run_for(5000);
     let mut users = Users::default();
     let mut others = Users::default();
     for step in 0..200u32 {
@@ -177,17 +177,17 @@
 fn a_team_that_fills_its_share_of_the_queue_leaves_the_others_theirs() {
     // Guards against one team that takes the whole queue. The batch period is so short here that the scheduler can go
     // through 75 jobs in its share of it, which bounds the queue.
-    let mut world = World::with(&Operator {
+    let mut world = World::with_operator(&Operator {
         batch_retry_per_report: 0.01,
         ..Operator::default()
     });
     world.cloud.most = 1;
     world.run_ms = 600_000;
-    world.run(3000);
+    world.run_for(3000);
     let mut statuses = Vec::new();
     for n in 0..150 {
         let request = world.submit(n % 3, &job(n as u32, 0, "sweep", 1));
-        world.run(300);
+        world.run_for(300);
         statuses.push(world.status(request));
     }
     let accepted = statuses.iter().filter(|s| **s == 201).count();
@@ -196,7 +196,7 @@
     for team in [1, 2] {
         for n in 0..10 {
             let request = world.submit(0, &job(200 + 10 * team + n, team, "sweep", 1));
-            world.run(300);
+            world.run_for(300);
             assert_eq!(world.status(request), 201, "{}", world.trace());
         }
     }
@@ -207,12 +207,12 @@
 fn refused_users_are_told_to_retry_one_after_the_other() {
     // Guards against users who retry all at once: all of them were told to come back after ten seconds, however fast
     // the queue drained.
-    let mut world = World::with(&Operator {
+    let mut world = World::with_operator(&Operator {
         queue_jobs_per_team: Some(12),
         ..Operator::default()
     });
     world.run_ms = 1500;
-    world.run(3000);
+    world.run_for(3000);
     // A first wave of jobs ends, so that the controllers know the rate at which jobs end.
     let mut users = Users::default();
     for n in 0..40 {
@@ -287,7 +287,7 @@
         limit: TEAM_LIMIT_ACCELERATORS,
         ..Size::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     world.store.rate = Some(LOW_WRITE_RPS);
     world.cloud.most = MAX_MACHINES;
     let staggered_boots =
@@ -295,7 +295,7 @@
     world.cloud.next_boots = staggered_boots.collect();
     world.run_ms = MIN_TASK_MS;
     world.uneven = true;
-    world.run(5000);
+    world.run_for(5000);
     let mut arrays = Users::default();
     for n in 0..ARRAY_COUNT {
         arrays.add(&world, n as usize % 3, job(1 + n, 0, "sweep", TASKS_PER_ARRAY));
@@ -345,8 +345,8 @@
     // Guards against submissions that are refused needlessly. A controller that the state service refuses alone stays
     // healthy for the load balancer until its lease ends. Meanwhile all submissions sent to it were answered with 503.
     let mut world = World::new();
-    world.run(5000);
-    world.meddle(|m| match (m.from, m.to) {
+    world.run_for(5000);
+    world.set_fault_injector(|m| match (m.from, m.to) {
         ("berth-0", "state") => Delivery::Refused,
         _ => Delivery::Pass,
     });
@@ -369,7 +369,7 @@
         "{late:?}\n{}",
         world.trace()
     );
-    world.meddle(|_| Delivery::Pass);
+    world.set_fault_injector(|_| Delivery::Pass);
     let jobs: Vec<String> = users.accepted.keys().cloned().collect();
     let are_done = world.run_until(120_000, |w| jobs.iter().all(|j| is_done(w, j)));
     assert!(are_done, "{}", world.trace());
@@ -381,16 +381,16 @@
     // Guards against a submission that is passed on in circles. In an outage the state service refuses every
     // controller, and each of them assumes that the others are served.
     let mut world = World::new();
-    world.run(5000);
+    world.run_for(5000);
     world.store.down = true;
     let passed_on = Rc::new(Cell::new(0));
     let count = passed_on.clone();
-    world.meddle(move |m| {
+    world.set_fault_injector(move |m| {
         count.set(count.get() + u32::from(m.what == "submit"));
         Delivery::Pass
     });
     let request = world.submit(0, &job(1, 0, "sweep", 1));
-    world.run(500);
+    world.run_for(500);
     assert_eq!(world.status(request), 503, "{}", world.trace());
     assert_eq!(passed_on.get(), 1);
     assert_no_breaches(&world);
--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -50,12 +50,12 @@
 fn run_scenario(scenario: Scenario, features: Features) -> World {
     let mut world = World::new();
     for controller in 0..3 {
-        world.crash(controller);
-        world.version(controller, features);
-        world.start(controller);
+        world.crash_controller(controller);
+        world.set_features(controller, features);
+        world.start_controller(controller);
     }
     world.run_ms = 300_000;
-    world.run(3000);
+    world.run_for(3000);
     for team in 0..3 {
         world.accepted(0, &job(team + 1, team, "sweep", 3));
     }
@@ -72,7 +72,7 @@
     let only_refused_reachable = scenario.only_refused_reachable;
     let loses_hellos = Rc::new(Cell::new(false));
     let hellos_are_lost = loses_hellos.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         let worker = |who: &str| who.starts_with("n-");
         let elsewhere =
             only_refused_reachable && ((worker(l.from) && l.to != name) || (worker(l.to) && l.from != name));
@@ -90,7 +90,7 @@
             Delivery::Pass
         }
     });
-    world.run(scenario.refused_ms.saturating_sub(scenario.cancelled_ms));
+    world.run_for(scenario.refused_ms.saturating_sub(scenario.cancelled_ms));
     loses_hellos.set(true);
     let owner = world.owner_of_team(0);
     world.withdraw(confirming, "job-000002");
@@ -98,44 +98,44 @@
         // By then another controller owns the team of the refused one.
         world.withdraw(owner, "job-000001");
     }
-    world.run(scenario.cancelled_ms);
+    world.run_for(scenario.cancelled_ms);
     world.note("the state service is down");
     world.store.down = true;
-    world.run(20);
+    world.run_for(20);
     loses_hellos.set(scenario.hello_loss == HelloLoss::LostToRefused && scenario.confirmer == ConfirmerFate::Survives);
     match scenario.confirmer {
         ConfirmerFate::Survives => {}
-        ConfirmerFate::Freezes => world.freeze(confirming),
+        ConfirmerFate::Freezes => world.pause(confirming),
         ConfirmerFate::Restarts(away_ms) => {
-            world.crash(confirming);
-            world.run(away_ms);
-            world.start(confirming);
+            world.crash_controller(confirming);
+            world.run_for(away_ms);
+            world.start_controller(confirming);
         }
-        ConfirmerFate::RestartsAfterOutage => world.crash(confirming),
+        ConfirmerFate::RestartsAfterOutage => world.crash_controller(confirming),
         ConfirmerFate::BothOthersRestart(away_ms) => {
             let others: Vec<usize> = (0..3).filter(|n| *n != refused).collect();
-            others.iter().for_each(|n| world.crash(*n));
-            world.run(away_ms);
-            others.iter().for_each(|n| world.start(*n));
+            others.iter().for_each(|n| world.crash_controller(*n));
+            world.run_for(away_ms);
+            others.iter().for_each(|n| world.start_controller(*n));
         }
     }
-    world.run(scenario.outage_ms);
+    world.run_for(scenario.outage_ms);
     world.note("the state service is back");
     world.store.down = false;
-    world.calm();
+    world.clear_fault_injector();
     if scenario.confirmer == ConfirmerFate::Freezes {
-        world.thaw(confirming);
+        world.resume(confirming);
     }
     if scenario.confirmer == ConfirmerFate::RestartsAfterOutage {
-        world.start(confirming);
+        world.start_controller(confirming);
     }
-    world.run(CANCEL_MS);
+    world.run_for(CANCEL_MS);
     for controller in 0..3 {
         world.withdraw(controller, "job-000002");
         world.poll(controller, "job-000002");
         world.poll(controller, "job-000001");
     }
-    world.run(3000);
+    world.run_for(3000);
     world
 }
 
@@ -232,7 +232,7 @@
     for (reader_crashes, only_refused_reachable) in [(false, true), (true, true), (true, false)] {
         let mut world = World::new();
         world.run_ms = 300_000;
-        world.run(3000);
+        world.run_for(3000);
         for team in 0..3 {
             world.accepted(0, &job(team + 1, team, "sweep", 3));
         }
@@ -242,7 +242,7 @@
         let reader = 3 - refused - writer;
         let (refused_name, writer_name) = (format!("berth-{refused}"), format!("berth-{writer}"));
         world.workers.values_mut().for_each(|w| w.node = refused);
-        world.meddle(move |l| {
+        world.set_fault_injector(move |l| {
             let worker = |who: &str| who.starts_with("n-");
             let elsewhere = only_refused_reachable
                 && ((worker(l.from) && l.to != refused_name) || (worker(l.to) && l.from != refused_name));
@@ -259,19 +259,19 @@
             }
         });
         world.withdraw(writer, "job-000002");
-        world.run(10);
+        world.run_for(10);
         let poll = world.poll(reader, "job-000002");
-        world.run(30);
+        world.run_for(30);
         world.note("the state service is down");
         world.store.down = true;
         let crashed = if reader_crashes { reader } else { writer };
-        world.crash(crashed);
-        world.run(300);
-        world.start(crashed);
-        world.run(58_500);
+        world.crash_controller(crashed);
+        world.run_for(300);
+        world.start_controller(crashed);
+        world.run_for(58_500);
         world.store.down = false;
-        world.calm();
-        world.run(10_000);
+        world.clear_fault_injector();
+        world.run_for(10_000);
         assert_eq!(world.said(poll), "withdrawn", "{}", world.trace());
         assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
     }
@@ -294,7 +294,7 @@
     for (hanging, crash_ms, max_crashes) in cases {
         let mut world = World::new();
         world.run_ms = 300_000;
-        world.run(3000);
+        world.run_for(3000);
         world.accepted(0, &job(1, 0, "sweep", 4));
         assert!(
             world.run_until(30_000, |w| w.running("job-000001") == 4),
@@ -309,20 +309,20 @@
             world.workers.get_mut(m).expect("a worker").hanging = true;
         }
         let cancellation = world.withdraw(owner, "job-000001");
-        world.run(20);
+        world.run_for(20);
         assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
         if let Some(ms) = crash_ms {
-            world.run(ms);
-            world.crash(owner);
+            world.run_for(ms);
+            world.crash_controller(owner);
         }
         if max_crashes == 3 {
             // All controllers crash: the next owner of the machines learns of the cancellation from the state service
             // only.
-            (0..3).for_each(|n| world.crash(n));
-            world.run(6000);
-            (0..3).for_each(|n| world.start(n));
+            (0..3).for_each(|n| world.crash_controller(n));
+            world.run_for(6000);
+            (0..3).for_each(|n| world.start_controller(n));
         }
-        world.run(CANCEL_MS + 5000);
+        world.run_for(CANCEL_MS + 5000);
         assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
         assert!(world.cloud.deleted.contains(&machines[0]), "{}", world.trace());
     }
@@ -336,7 +336,7 @@
     // start was carried out late, after its owner had ended.
     let mut world = World::new();
     world.run_ms = 300_000;
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "sweep", 1));
     let runs = world.run_until(30_000, |w| w.running("job-000001") == 1);
     assert!(runs, "{}", world.trace());
@@ -351,7 +351,7 @@
     let answered = Rc::new(Cell::new(0));
     let (name, count) = (machine.clone(), answered.clone());
     // Reports that are passed on and direct commands are lost. One report of the machine is answered.
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.what == "relay" || (l.to == name && l.what.starts_with("POST /commands")) {
             return Delivery::Lost;
         }
@@ -366,12 +366,12 @@
         Delivery::Pass
     });
     let cancellation = world.withdraw(owner, "job-000001");
-    world.run(20);
+    world.run_for(20);
     assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
     while answered.get() == 0 {
-        world.run(1);
+        world.run_for(1);
     }
-    world.run(50);
+    world.run_for(50);
     assert!(world.machines_of("job-000001").is_empty(), "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
 }
--- a/crates/tidelatch-standin/tests/compound_fault_regressions.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_regressions.rs
@@ -25,7 +25,7 @@
 fn cancel(world: &mut World, from: usize, id: &str) -> String {
     for i in 0..60 {
         let request = world.withdraw((from + i) % 3, id);
-        world.run(1000);
+        world.run_for(1000);
         if world.status(request) == 200 {
             return world.said(request);
         }
@@ -59,7 +59,7 @@
     /// Runs the simulation for `ms`, and follows up the answers to users after each millisecond.
     fn run(&mut self, world: &mut World, ms: u64, bodies: &[serde_json::Value]) {
         for _ in 0..ms {
-            world.run(1);
+            world.run_for(1);
             let new_answers: Vec<(u64, String)> = world
                 .answers
                 .iter()
@@ -98,7 +98,7 @@
     for (seed, crash) in [(1, false), (2, false), (3, true), (4, true)] {
         let mut world = World::new();
         world.run_ms = 1500;
-        world.run(3000);
+        world.run_for(3000);
         let bodies: Vec<serde_json::Value> = (1..=12).map(|n| job(n, n % 3, "sweep", 1 + n % 2)).collect();
         let mut follow_ups = FollowUps::new();
         world.accepted(0, &job(90, 0, "sweep", 1));
@@ -107,15 +107,15 @@
             faults::lose_transaction_answers(seed, 0.3),
             faults::duplicate_reports(seed, 0.2),
         ];
-        world.meddle(faults::combine(injectors));
+        world.set_fault_injector(faults::combine(injectors));
         for (n, body) in bodies.iter().enumerate() {
             world.submit(n % 3, body);
             follow_ups.run(&mut world, 300, &bodies);
             if n == 6 && crash {
                 let owner = world.owner_of_team(0);
-                world.crash(owner);
+                world.crash_controller(owner);
                 follow_ups.run(&mut world, 200, &bodies);
-                world.start(owner);
+                world.start_controller(owner);
             }
             if n % 3 == 0 {
                 // The job is cancelled at two controllers at the same time.
@@ -125,7 +125,7 @@
             }
         }
         follow_ups.run(&mut world, 25_000, &bodies);
-        world.calm();
+        world.clear_fault_injector();
         // The submissions are repeated, in case they got no answer.
         for (n, body) in bodies.iter().enumerate() {
             world.submit((n + 1) % 3, body);
@@ -151,7 +151,7 @@
     // older from its memory.
     let mut world = World::new();
     world.run_ms = 300_000;
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "sweep", 4));
     assert!(
         world.run_until(20_000, |w| w.running("job-000001") >= 2),
@@ -160,7 +160,7 @@
     );
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         let is_end = l.from == name && l.what == "POST /txn" && l.body.contains("withdrawn");
         // The owner's watch is lost as well.
         let is_watch = l.from == name && l.what.starts_with("GET /changes");
@@ -170,22 +170,22 @@
             _ => Delivery::Pass,
         }
     });
-    world.run(6000);
+    world.run_for(6000);
     world.withdraw(owner, "job-000001");
-    world.run(10);
+    world.run_for(10);
     for _ in 0..20 {
         for controller in 0..3 {
             world.poll(controller, "job-000001");
         }
-        world.run(20);
+        world.run_for(20);
     }
     let told = world.answers.values().filter(|(_, a)| a.body.contains("withdrawn"));
     assert!(told.count() > 3, "{}", world.trace());
-    world.run(4000);
+    world.run_for(4000);
     assert!(world.machines_of("job-000001").is_empty(), "{}", world.trace());
     assert_eq!(world.checker().ordered_after("job-000001"), 0, "{}", world.trace());
-    world.calm();
-    world.run(20_000);
+    world.clear_fault_injector();
+    world.run_for(20_000);
     assert_no_breaches(&world);
 }
 
@@ -198,7 +198,7 @@
     for (crash_ms, back_ms) in [(10, 300), (3000, 6000), (12_000, 300)] {
         let mut world = World::new();
         world.run_ms = 300_000;
-        world.run(3000);
+        world.run_for(3000);
         for team in 0..3 {
             world.accepted(0, &job(team + 1, team, "sweep", 4));
         }
@@ -223,14 +223,14 @@
         for n in 1..=3 {
             world.withdraw(1, &id(n));
         }
-        world.run(crash_ms);
-        world.crash(leader);
-        world.run(back_ms);
-        world.start(leader);
+        world.run_for(crash_ms);
+        world.crash_controller(leader);
+        world.run_for(back_ms);
+        world.start_controller(leader);
         for n in 1..=3 {
             assert_eq!(cancel(&mut world, 1, &id(n)), "withdrawn");
         }
-        world.run(CANCEL_MS);
+        world.run_for(CANCEL_MS);
         assert_no_breaches(&world);
         for machine in &hanging {
             assert!(world.cloud.deleted.contains(machine), "{machine}\n{}", world.trace());
@@ -249,7 +249,7 @@
     for (away_ms, cancel_after_ms) in [(300, 0), (300, 40), (900, 400), (8000, 0), (8000, 7000), (12_000, 9000)] {
         let mut world = World::new();
         world.run_ms = 300_000;
-        world.run(3000);
+        world.run_for(3000);
         world.accepted(0, &job(1, 0, "sweep", 2));
         assert!(
             world.run_until(30_000, |w| w.running("job-000001") == 2),
@@ -260,7 +260,7 @@
         let name = format!("berth-{owner}");
         // Direct commands of the old owner are delayed by seconds.
         let old_owner = name.clone();
-        world.meddle(move |l| {
+        world.set_fault_injector(move |l| {
             if l.from == old_owner && l.what == "POST /commands" {
                 Delivery::Late(9000)
             } else {
@@ -268,19 +268,19 @@
             }
         });
         world.accepted(0, &job(2, 0, "sweep", 2));
-        world.run(300);
-        world.crash(owner);
-        world.run(away_ms.min(cancel_after_ms));
+        world.run_for(300);
+        world.crash_controller(owner);
+        world.run_for(away_ms.min(cancel_after_ms));
         let first = world.withdraw((owner + 1) % 3, "job-000001");
         world.withdraw((owner + 2) % 3, "job-000002");
-        world.run(away_ms - away_ms.min(cancel_after_ms));
-        world.start(owner);
+        world.run_for(away_ms - away_ms.min(cancel_after_ms));
+        world.start_controller(owner);
         let _ = first;
         for n in 1..=2 {
             assert_eq!(cancel(&mut world, owner + 1, &id(n)), "withdrawn", "{}", world.trace());
         }
-        world.calm();
-        world.run(CANCEL_MS);
+        world.clear_fault_injector();
+        world.run_for(CANCEL_MS);
         assert_no_breaches(&world);
         for n in 1..=2 {
             assert_eq!(world.checker().ordered_after(&id(n)), 0, "{}", world.trace());
@@ -298,25 +298,25 @@
     for seed in 1..=6 {
         let mut world = World::new();
         world.run_ms = 8000;
-        world.run(3000);
+        world.run_for(3000);
         let mut injectors: Vec<FaultInjector> = vec![faults::delay_transactions(seed, 0.4)];
         if seed % 2 == 0 {
             injectors.push(faults::lose_transaction_answers(seed, 0.3));
         }
-        world.meddle(faults::combine(injectors));
+        world.set_fault_injector(faults::combine(injectors));
         for n in 1..=4 {
             world.submit(n as usize % 3, &job(n, n % 3, "sweep", 3));
         }
         // Machines boot in 3 s. The leader crashes while their entries are being written.
-        world.run(1500 + 700 * seed);
+        world.run_for(1500 + 700 * seed);
         let leader = world.owner_of_team(0);
-        world.crash(leader);
-        world.run(if seed % 3 == 0 { 300 } else { 9000 });
-        world.start(leader);
+        world.crash_controller(leader);
+        world.run_for(if seed % 3 == 0 { 300 } else { 9000 });
+        world.start_controller(leader);
         for n in 1..=4 {
             world.submit(1, &job(n, n % 3, "sweep", 3));
         }
-        world.run(20_000);
+        world.run_for(20_000);
         // Every machine with tasks is in the roster.
         let roster: BTreeSet<String> = world.roster().into_iter().collect();
         for n in 1..=4 {
@@ -324,7 +324,7 @@
                 assert!(roster.contains(&m), "seed {seed}: {m}\n{}", world.trace());
             }
         }
-        world.calm();
+        world.clear_fault_injector();
         for n in 1..=4 {
             world.accepted(1, &job(n, n % 3, "sweep", 3));
         }
@@ -342,14 +342,14 @@
     for back_ms in [None, Some(300), Some(9000)] {
         let mut world = World::new();
         world.run_ms = 300_000;
-        world.run(3000);
+        world.run_for(3000);
         world.keep_reports();
         for team in 0..3 {
             world.accepted(0, &job(team + 1, team, "sweep", 4));
         }
         let are_at_limit = |w: &World| (1..=3).all(|n| w.running(&id(n)) == 4);
         assert!(world.run_until(40_000, are_at_limit), "{}", world.trace());
-        world.run(5000);
+        world.run_for(5000);
         let dead = world
             .machines_of("job-000001")
             .first()
@@ -360,7 +360,7 @@
         let owner = world.owner_of_team(0);
         // Copies of earlier reports go on arriving.
         let (machine, count) = (dead.clone(), std::cell::Cell::new(0));
-        world.meddle(move |l| {
+        world.set_fault_injector(move |l| {
             count.set(count.get() + 1);
             let is_copied = l.what == "POST /agent/beat" && l.from != machine && count.get() % 3 == 0;
             if is_copied {
@@ -369,10 +369,10 @@
                 Delivery::Pass
             }
         });
-        world.crash(owner);
+        world.crash_controller(owner);
         if let Some(ms) = back_ms {
-            world.run(ms);
-            world.start(owner);
+            world.run_for(ms);
+            world.start_controller(owner);
         }
         let since = world.now;
         let is_given_up = |w: &World| w.cloud.deleted.contains(&dead);
@@ -389,7 +389,7 @@
     // Guards against many small jobs that use up the writes of the state service. An acceptance and an end cost one
     // change each, a cancellation no more. Hello messages that tell of cancellations are few. Other jobs are served
     // meanwhile.
-    let mut world = World::sized(
+    let mut world = World::with_size(
         &Operator::default(),
         Size {
             teams: 6,
@@ -402,7 +402,7 @@
     );
     world.cloud.most = 120;
     world.run_ms = 6000;
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(9001, 1, "standing", 4));
     world.accepted(0, &job(9002, 2, "sweep", 40));
     let sent = world.sent;
@@ -413,7 +413,7 @@
         let controller = n as usize % 3;
         let body = job(n, n % 6, "sweep", 1);
         let request = world.submit(controller, &body);
-        world.run(250);
+        world.run_for(250);
         if world.status(request) != 201 {
             not_accepted.push(body);
         } else if n % 4 == 0 {
@@ -451,7 +451,7 @@
     // Guards against a service that is starved by an array of its own team. The array retook each place that it freed,
     // on machines that the service may not use, and nothing was rented for tasks without room under the limit.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     let mut array = job(1, 0, "sweep", 400);
     array["yard"] = "a".into();
     world.accepted(0, &array);
@@ -469,7 +469,7 @@
         world.trace()
     );
     assert!(!is_over(&world, "job-000001"), "{}", world.trace());
-    world.run(20_000);
+    world.run_for(20_000);
     assert_eq!(world.running("job-000002"), 2, "{}", world.trace());
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
@@ -21,7 +21,7 @@
 pub fn with_running_jobs(run_ms: u64, jobs: &[Value]) -> World {
     let mut world = World::new();
     world.run_ms = run_ms;
-    world.run(3000);
+    world.run_for(3000);
     for (i, body) in jobs.iter().enumerate() {
         world.accepted(i % 3, body);
     }
@@ -56,7 +56,7 @@
 pub fn cancel(world: &mut World, controllers: &[usize], id: &str) -> String {
     for i in 0..60 {
         let request = world.withdraw(controllers[i % controllers.len()], id);
-        world.run(1000);
+        world.run_for(1000);
         if world.status(request) == 200 {
             return world.said(request);
         }
@@ -74,7 +74,7 @@
     for controller in 0..3 {
         for _ in 0..20 {
             let request = world.poll(controller, id);
-            world.run(1500);
+            world.run_for(1500);
             if world.status(request) == 200 {
                 states.push(world.said(request));
                 break;
--- a/crates/tidelatch-standin/tests/compound_faults_answers.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_answers.rs
@@ -20,33 +20,33 @@
     for seed in 0..24 {
         let mut world = World::new();
         world.run_ms = 7000;
-        world.run(3000);
+        world.run_for(3000);
         let late_writes = faults::delay_transactions(seed, if seed % 2 == 0 { 0.15 } else { 0.4 });
-        world.meddle(faults::limit_to(0..70_000, late_writes));
+        world.set_fault_injector(faults::limit_to(0..70_000, late_writes));
         let mut jobs = vec![job(1, 0, "standing", 2)];
         jobs.extend((2..8).map(|i| job(i, i % 3, "sweep", 1 + i % 3)));
         for (i, body) in jobs.iter().enumerate() {
             // The submission is repeated at different controllers, as the load balancer would send it.
             for again in 0..30 {
                 let asked = world.submit((i + again) % 3, body);
-                world.run(700);
+                world.run_for(700);
                 if matches!(world.status(asked), 200 | 201) {
                     break;
                 }
             }
             if i == 3 {
                 let owner = world.owner_of_team(1);
-                world.crash(owner);
-                world.run(400);
-                world.start(owner);
+                world.crash_controller(owner);
+                world.run_for(400);
+                world.start_controller(owner);
             }
             if i == 5 {
                 world.withdraw(i % 3, "job-000003");
             }
             world.withdraw(i % 3, "job-000005");
-            world.run(2500);
+            world.run_for(2500);
         }
-        world.run(70_000);
+        world.run_for(70_000);
         cancel(&mut world, &[0, 1, 2], "job-000005");
         let ids: Vec<&str> = jobs.iter().map(job_id).collect();
         assert!(world.unanswered(75_000, &ids).is_empty(), "{seed}\n{}", world.trace());
@@ -87,7 +87,7 @@
             let name = format!("berth-{refused}");
             let from = world.now + 3000;
             let mut n = 0;
-            world.meddle(move |l| {
+            world.set_fault_injector(move |l| {
                 n += 1;
                 if l.to != "state" {
                     Delivery::Pass
@@ -107,22 +107,22 @@
                     world.withdraw((i + 1) % 3, "job-000001");
                     world.poll((i + 2) % 3, "job-000002");
                     world.submit(i % 3, &jobs[2]);
-                    world.run(170);
+                    world.run_for(170);
                     i += 1;
                 }
             };
-            world.run(2950);
+            world.run_for(2950);
             send_requests(&mut world, 50 + refused_ms);
             world.note("the state service is down");
             world.store.down = true;
             world.withdraw(refused, "job-000002");
             send_requests(&mut world, 300);
-            world.run(CANCEL_MS + 7000);
+            world.run_for(CANCEL_MS + 7000);
             world.store.down = false;
-            world.calm();
+            world.clear_fault_injector();
             send_requests(&mut world, 2000);
             assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000001"), "withdrawn", "{case:?}");
-            world.run(CANCEL_MS + 2000);
+            world.run_for(CANCEL_MS + 2000);
             assert_gone_in_time(&world, "job-000001", case);
             assert_eq!(
                 states_at_all_controllers(&mut world, "job-000001"),
@@ -143,9 +143,9 @@
         for question in ["poll", "withdraw", "odd"] {
             let case = (late_ms, question);
             let mut world = World::new();
-            world.run(4000);
+            world.run_for(4000);
             let controller = world.owner_of_team(0);
-            world.meddle(move |l| {
+            world.set_fault_injector(move |l| {
                 if l.what.starts_with("GET /store/t/j/") {
                     Delivery::AnswerLate(late_ms)
                 } else {
@@ -163,9 +163,9 @@
                 }
             };
             // The same user's submission, or its repetition, arrives on another connection.
-            world.run(3);
+            world.run_for(3);
             let accepted = world.submit(controller, &body);
-            world.run(1500);
+            world.run_for(1500);
             assert_eq!(world.status(accepted), 201, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
         }
@@ -187,7 +187,7 @@
                         with_running_jobs(if task_ends { 4000 } else { 300_000 }, std::slice::from_ref(&body));
                     let asked_controller = (world.owner_of_team(0) + controller) % 3;
                     let mut forwards = 0;
-                    world.meddle(move |l| {
+                    world.set_fault_injector(move |l| {
                         forwards += u64::from(l.what == "forward");
                         // Every other answer is late, the first one included.
                         if l.what == "forward" && forwards % 2 == 1 {
@@ -199,7 +199,7 @@
                     if task_ends {
                         // The requests begin at the end of the last task, and are repeated every 10 ms.
                         while !world.checker().all_done("job-000001") {
-                            world.run(1);
+                            world.run_for(1);
                         }
                     }
                     let first = if submits {
@@ -212,7 +212,7 @@
                     }
                     for _ in 0..60 {
                         world.poll(asked_controller, "job-000001");
-                        world.run(10);
+                        world.run_for(10);
                     }
                     assert!(matches!(world.status(first), 200 | 503), "{case:?}\n{}", world.trace());
                     assert_no_breaches(&world, case);
@@ -240,16 +240,16 @@
                 } else {
                     world.submit(asked_controller, &job(1, 0, "sweep", 2));
                 }
-                world.run(1);
+                world.run_for(1);
                 // The request has been passed on. Its answer arrives while the controller is paused.
-                world.freeze(asked_controller);
-                world.run(20);
+                world.pause(asked_controller);
+                world.run_for(20);
                 let cancellation = world.withdraw(owner, "job-000001");
-                world.run(50);
+                world.run_for(50);
                 assert_eq!(world.said(cancellation), "withdrawn", "{case:?}\n{}", world.trace());
-                world.run(paused_ms);
-                world.thaw(asked_controller);
-                world.run(2000);
+                world.run_for(paused_ms);
+                world.resume(asked_controller);
+                world.run_for(2000);
                 assert_no_breaches(&world, case);
             }
         }
--- a/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
@@ -26,7 +26,7 @@
             world.note(&format!("{name} is cut from the state service and its peers"));
             world.workers.values_mut().for_each(|w| w.node = cut_off);
             let mut cut_off_fault = faults::isolate_controller(cut_off);
-            world.meddle(move |l| {
+            world.set_fault_injector(move |l| {
                 let worker = |who: &str| who.starts_with("n-");
                 let elsewhere = (worker(l.from) && l.to != name) || (worker(l.to) && l.from != name);
                 if only_cut_off_reachable && elsewhere {
@@ -37,7 +37,7 @@
             });
             let is_replaced = world.run_until(30_000, |w| leader(w).is_some_and(|l| l != cut_off));
             assert!(is_replaced, "{case:?}\n{}", world.trace());
-            world.run(after_ms);
+            world.run_for(after_ms);
             for id in ["job-000001", "job-000002"] {
                 // Users of the cut-off controller must not be told an older or a final state.
                 world.poll(cut_off, id);
@@ -45,13 +45,13 @@
                 world.poll(cut_off, id);
                 world.withdraw(cut_off, id);
             }
-            world.run(CANCEL_MS + 2000);
+            world.run_for(CANCEL_MS + 2000);
             assert_no_breaches(&world, case);
             for id in ["job-000001", "job-000002"] {
                 assert_gone_in_time(&world, id, case);
             }
-            world.calm();
-            world.run(40_000);
+            world.clear_fault_injector();
+            world.run_for(40_000);
             assert_eq!(world.running("job-000003"), 2, "{case:?}\n{}", world.trace());
             assert_eq!(
                 states_at_all_controllers(&mut world, "job-000001"),
@@ -74,7 +74,7 @@
                 let case = (tasks, after_ms, controller);
                 let body = job(1, 0, "sweep", tasks);
                 let mut world = World::new();
-                world.run(3000);
+                world.run_for(3000);
                 world.accepted(0, &body);
                 world.cancel_at_end(controller, "job-000001", after_ms);
                 assert!(
@@ -85,9 +85,9 @@
                 for i in 0..24 {
                     world.poll(i % 3, "job-000001");
                     world.submit((i + 1) % 3, &body);
-                    world.run(1 + after_ms / 20);
+                    world.run_for(1 + after_ms / 20);
                 }
-                world.run(3000);
+                world.run_for(3000);
                 let request = world.cancelled_at_end["job-000001"];
                 let first = world.said(request);
                 assert_eq!(world.status(request), 200, "{case:?}\n{}", world.trace());
@@ -119,7 +119,7 @@
             }
             let case = (late_ms, hang_ms, cancel_after_ms, delays_answer);
             let mut world = with_running_jobs(300_000, &[job(1, 0, "standing", 1)]);
-            world.meddle(move |l| {
+            world.set_fault_injector(move |l| {
                 let is_start = l.what == "POST /commands" && l.body.contains("\"start\"");
                 match is_start && l.body.contains("job-000002/0") {
                     true if delays_answer => Delivery::AnswerLate(late_ms),
@@ -134,14 +134,14 @@
             }
             // That machine has room, so the start is sent there directly.
             world.accepted(0, &job(2, 0, "sweep", 1));
-            world.run(cancel_after_ms);
+            world.run_for(cancel_after_ms);
             assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000002"), "withdrawn", "{case:?}");
-            world.run(hang_ms);
+            world.run_for(hang_ms);
             if let Some(w) = world.workers.get_mut(&machine) {
                 w.hanging = false;
             }
             world.note(&format!("{machine} goes on"));
-            world.run(60_000);
+            world.run_for(60_000);
             assert_no_breaches(&world, case);
             assert_gone_in_time(&world, "job-000002", case);
             assert_eq!(world.running("job-000001"), 1, "{case:?}\n{}", world.trace());
@@ -169,8 +169,8 @@
                     .collect();
                 world.note(&format!("{fault}: {machines:?}"));
                 match fault {
-                    "cut" => world.meddle(cut_off_machines(&machines)),
-                    "deaf" => world.meddle(for_each_machine(&machines, faults::lose_messages_to_machine)),
+                    "cut" => world.set_fault_injector(cut_off_machines(&machines)),
+                    "deaf" => world.set_fault_injector(for_each_machine(&machines, faults::lose_messages_to_machine)),
                     _ => machines.iter().for_each(|m| {
                         world.workers.get_mut(m).expect("a worker").hanging = true;
                     }),
@@ -178,17 +178,17 @@
                 let owner = world.owner_of_team(0);
                 if cancel_at_ms < 0 {
                     world.withdraw(owner, "job-000001");
-                    world.run(-cancel_at_ms as u64);
+                    world.run_for(-cancel_at_ms as u64);
                 }
                 let crashed: Vec<usize> = leader(&world).into_iter().chain([owner]).collect();
-                crashed.iter().for_each(|n| world.crash(*n));
-                world.run(300);
-                crashed.iter().for_each(|n| world.start(*n));
-                world.run(cancel_at_ms.max(0) as u64);
+                crashed.iter().for_each(|n| world.crash_controller(*n));
+                world.run_for(300);
+                crashed.iter().for_each(|n| world.start_controller(*n));
+                world.run_for(cancel_at_ms.max(0) as u64);
                 assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000001"), "withdrawn", "{case:?}");
-                world.run(CANCEL_MS + 1000);
+                world.run_for(CANCEL_MS + 1000);
                 assert_gone_in_time(&world, "job-000001", case);
-                world.calm();
+                world.clear_fault_injector();
                 for m in &machines {
                     if let Some(w) = world.workers.get_mut(m) {
                         w.hanging = false;
@@ -216,19 +216,19 @@
                 machines = world.workers.keys().cloned().collect();
             }
             world.note(&format!("reports of {machines:?} reach nobody any more"));
-            world.meddle(for_each_machine(&machines, faults::lose_reports_of_machine));
-            world.run(mute_ms);
+            world.set_fault_injector(for_each_machine(&machines, faults::lose_reports_of_machine));
+            world.run_for(mute_ms);
             let before = world.machines_of("job-000001");
             assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000001"), "withdrawn", "{case:?}");
-            world.run(CANCEL_MS + 2000);
+            world.run_for(CANCEL_MS + 2000);
             assert_gone_in_time(&world, "job-000001", case);
             let gone = world.gone_after_confirmation("job-000001").unwrap_or(u64::MAX);
             // If its tasks were still on machines, only direct commands can end them so soon: the sessions there
             // would last longer.
             let must_end_at_once = mute_ms <= 9000 && !before.is_empty();
             assert!(!must_end_at_once || gone <= 5000, "{case:?}: {gone}\n{}", world.trace());
-            world.calm();
-            world.run(40_000);
+            world.clear_fault_injector();
+            world.run_for(40_000);
             assert_eq!(world.running("job-000002"), 2, "{case:?}\n{}", world.trace());
             assert_eq!(world.running("job-000003"), 4, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
@@ -264,7 +264,7 @@
             assert!(zone.len() > 4, "{zone:?}");
             world.note(&format!("cut off: {zone:?}"));
             world.cloud.most_in_zone.insert("b".into(), 0);
-            world.meddle(move |l| {
+            world.set_fault_injector(move |l| {
                 let is_inside = |who: &str| zone.iter().any(|z| z == who);
                 if is_inside(l.from) == is_inside(l.to) {
                     Delivery::Pass
@@ -273,12 +273,12 @@
                 }
             });
             let outside = [(inside + 1) % 3, (inside + 2) % 3];
-            world.run(cancel_after_ms);
+            world.run_for(cancel_after_ms);
             assert_eq!(cancel(&mut world, &outside, "job-000001"), "withdrawn", "{case:?}");
-            world.run(cut_ms);
-            world.calm();
+            world.run_for(cut_ms);
+            world.clear_fault_injector();
             world.cloud.most_in_zone.clear();
-            world.run(CANCEL_MS + 2000);
+            world.run_for(CANCEL_MS + 2000);
             assert_gone_in_time(&world, "job-000001", case);
             let has_recovered = |w: &World| stored_state(w, "job-000003") == "done" && w.running("job-000002") == 4;
             assert!(world.run_until(150_000, has_recovered), "{case:?}\n{}", world.trace());
@@ -303,16 +303,16 @@
             let jobs = [job(1, 0, "standing", 4), job(2, 1, "sweep", 4), job(3, 2, "sweep", 4)];
             let mut world = with_running_jobs(40_000, &jobs);
             let request = world.withdraw(world.owner_of_team(1), "job-000002");
-            world.run(told_ms);
+            world.run_for(told_ms);
             let is_confirmed = world.said(request) == "withdrawn";
-            (0..3).for_each(|n| world.crash(n));
-            world.run(down_ms);
-            (0..3).for_each(|n| world.start(n));
-            world.run(6000);
+            (0..3).for_each(|n| world.crash_controller(n));
+            world.run_for(down_ms);
+            (0..3).for_each(|n| world.start_controller(n));
+            world.run_for(6000);
             let before = stored_state(&world, "job-000002");
             assert!(!is_confirmed || before == "withdrawn", "{case:?}\n{}", world.trace());
             cancel(&mut world, &[0, 1, 2], "job-000002");
-            world.run(CANCEL_MS);
+            world.run_for(CANCEL_MS);
             assert_gone_in_time(&world, "job-000002", case);
             let has_recovered = |w: &World| stored_state(w, "job-000003") == "done" && w.running("job-000001") == 4;
             assert!(world.run_until(120_000, has_recovered), "{case:?}\n{}", world.trace());
--- a/crates/tidelatch-standin/tests/compound_faults_placement.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_placement.rs
@@ -61,16 +61,16 @@
                     }
                 }
                 if fault == "cut" {
-                    world.meddle(cut_off_machines(&lost));
+                    world.set_fault_injector(cut_off_machines(&lost));
                 }
                 if restarts_leader {
                     let crashed = leader(&world).expect("a leader");
-                    world.crash(crashed);
-                    world.run(300);
-                    world.start(crashed);
+                    world.crash_controller(crashed);
+                    world.run_for(300);
+                    world.start_controller(crashed);
                 }
-                world.run(45_000);
-                world.calm();
+                world.run_for(45_000);
+                world.clear_fault_injector();
                 for name in &lost {
                     if let Some(w) = world.workers.get_mut(name) {
                         w.hanging = false;
@@ -105,11 +105,11 @@
         let mut world = World::new();
         world.run_ms = 9000;
         world.cloud.most = 8;
-        world.run(3000);
+        world.run_for(3000);
         for (i, body) in jobs.iter().enumerate() {
             world.accepted(i % 3, body);
         }
-        world.run(6000);
+        world.run_for(6000);
         let machines: Vec<String> = world.workers.keys().cloned().collect();
         let from = world.now;
         let mut injectors = vec![
@@ -130,13 +130,13 @@
             from + 20_000..from + 40_000,
             faults::isolate_controller(controller),
         ));
-        world.meddle(faults::limit_to(from..from + 60_000, faults::combine(injectors)));
-        world.run(10_000);
-        world.crash((controller + 1) % 3);
-        world.run(500);
-        world.start((controller + 1) % 3);
-        world.run(52_000);
-        world.calm();
+        world.set_fault_injector(faults::limit_to(from..from + 60_000, faults::combine(injectors)));
+        world.run_for(10_000);
+        world.crash_controller((controller + 1) % 3);
+        world.run_for(500);
+        world.start_controller((controller + 1) % 3);
+        world.run_for(52_000);
+        world.clear_fault_injector();
         // Since when each job has waited although a machine has capacity and its team is below its limit.
         let mut waiting_since_by_job = vec![None; jobs.len()];
         let end = world.now + 200_000;
@@ -167,7 +167,7 @@
                     waiting_since_by_job[i] = None;
                 }
             }
-            world.run(500);
+            world.run_for(500);
             step += 1;
         }
         for (i, requests) in polls.iter().enumerate() {
@@ -215,7 +215,7 @@
             let mut world = World::new();
             world.run_ms = 600_000;
             world.cloud.most = 2;
-            world.run(3000);
+            world.run_for(3000);
             world.accepted(0, &job(1, 0, shape, 1));
             let first_runs = world.run_until(30_000, |w| w.running("job-000001") == 1);
             assert!(first_runs, "{case:?}\n{}", world.trace());
@@ -224,9 +224,9 @@
             assert!(second_runs, "{case:?}\n{}", world.trace());
             if restarts_owner {
                 let owner = world.owner_of_team(2);
-                world.crash(owner);
-                world.run(300);
-                world.start(owner);
+                world.crash_controller(owner);
+                world.run_for(300);
+                world.start_controller(owner);
             }
             world.accepted(0, &job(3, 2, shape, 1));
             let third_runs = world.run_until(90_000, |w| w.running("job-000003") == 1);
--- a/crates/tidelatch-standin/tests/compound_faults_requests.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_requests.rs
@@ -77,7 +77,7 @@
         body,
         (id.to_owned(), "submit"),
     );
-    world.run(30);
+    world.run_for(30);
     world.status(request)
 }
 
@@ -86,7 +86,7 @@
     // Guards against a final refusal of a job that was accepted before. A submission is refused permanently only after
     // a read of the state service has found no job of its id.
     let mut world = World::new();
-    world.run(4000);
+    world.run_for(4000);
     let accepted = job(1, 0, "sweep", 2);
     let service = job(2, 1, "standing", 1);
     world.accepted(0, &accepted);
@@ -106,7 +106,7 @@
         let body = job(10 + i, i % 3, "sweep", 1);
         let acceptance = world.submit(i as usize % 3, &body);
         while world.status(acceptance) == 0 {
-            world.run(1);
+            world.run_for(1);
         }
         assert_eq!(world.status(acceptance), 201, "{}", world.trace());
         for (wait_ms, controller) in [(1, (i + 1) % 3), (5, (i + 2) % 3)] {
@@ -114,7 +114,7 @@
             invalid["wagons"] = json!(0);
             let status = send(&mut world, controller as usize, &invalid.to_string(), job_id(&body));
             assert_eq!(status, 200, "{}", world.trace());
-            world.run(wait_ms);
+            world.run_for(wait_ms);
         }
     }
     let is_done = |w: &World| stored_state(w, "job-000001") == "done";
@@ -125,12 +125,12 @@
         let controller = i % 3;
         world.store.down = i % 4 == 3;
         if i % 5 == 4 {
-            world.crash(controller);
-            world.run(20);
-            world.start(controller);
+            world.crash_controller(controller);
+            world.run_for(20);
+            world.start_controller(controller);
         }
         for wait in [1, 5, 40] {
-            world.run(wait);
+            world.run_for(wait);
             let status = send(&mut world, controller, &body.to_string(), "job-000001");
             assert!(matches!(status, 0 | 200 | 503), "{status} to {body}\n{}", world.trace());
             let incomplete = json!({ "uid": "job-000002" }).to_string();
@@ -139,7 +139,7 @@
         }
     }
     world.store.down = false;
-    world.run(20_000);
+    world.run_for(20_000);
     for controller in 0..3 {
         let of_ended_job = [
             world.withdraw(controller, "job-000001"),
@@ -149,7 +149,7 @@
             world.withdraw(controller, "job-000900"),
             world.poll(controller, "job-000900"),
         ];
-        world.run(200);
+        world.run_for(200);
         for request in of_ended_job {
             assert_eq!((world.status(request), world.said(request).as_str()), (200, "done"));
         }
@@ -170,7 +170,7 @@
     // Guards against a controller that crashes on input from outside. No input is assumed to be well-formed, and
     // whatever is malformed is refused.
     let mut world = World::new();
-    world.run(4000);
+    world.run_for(4000);
     world.accepted(0, &job(1, 0, "standing", 1));
     let mut too_long = job(900, 0, "sweep", 1);
     too_long["consist"] = json!("x".repeat(70_000));
@@ -216,7 +216,7 @@
         }
         for (body, is_well_formed) in bodies.iter().map(|b| (b.as_str(), false)).chain(reports) {
             let request = world.user(controller, Method::Post, "/agent/beat", body, ("beat".into(), "health"));
-            world.run(30);
+            world.run_for(30);
             let status = world.status(request);
             assert!(is_well_formed || status != 200, "{status} to {body:.80}");
         }
@@ -230,13 +230,13 @@
         ] {
             for method in [Method::Get, Method::Post, Method::Delete] {
                 let request = world.user(controller, method, path, "", ("odd".into(), "health"));
-                world.run(30);
+                world.run_for(30);
                 let status = world.status(request);
                 assert!((400..500).contains(&status), "{status} to {path}");
             }
         }
     }
-    world.run(10_000);
+    world.run_for(10_000);
     assert!(
         world.unanswered(20_000, &["job-000001"]).is_empty(),
         "{}",
--- a/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
@@ -30,15 +30,15 @@
                 }
                 // If the leader key is gone, a controller that may become leader is restarted instead.
                 let crashed = leader(&world).unwrap_or(i % 3);
-                world.crash(crashed);
-                world.run(away_ms);
-                world.start(crashed);
-                world.run(12_000 - away_ms);
+                world.crash_controller(crashed);
+                world.run_for(away_ms);
+                world.start_controller(crashed);
+                world.run_for(12_000 - away_ms);
                 world.withdraw(i % 3, "job-000003");
                 world.poll((i + 1) % 3, "job-000002");
             }
             assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000003"), "withdrawn", "{case:?}");
-            world.run(CANCEL_MS + 2000);
+            world.run_for(CANCEL_MS + 2000);
             assert_gone_in_time(&world, "job-000003", case);
             assert!(
                 world.unanswered(75_000, &["job-000001", "job-000002"]).is_empty(),
@@ -74,19 +74,19 @@
                     for_each_machine(&machines, faults::lose_messages_to_machine)
                 };
                 world.note(&format!("{fault}: {machines:?}"));
-                world.meddle(injector);
+                world.set_fault_injector(injector);
                 let crashed = leader(&world).expect("a leader");
-                world.crash(crashed);
-                world.run(300);
-                world.start(crashed);
+                world.crash_controller(crashed);
+                world.run_for(300);
+                world.start_controller(crashed);
                 let owner = world.owner_of_team(0);
                 if owner != crashed {
-                    world.crash(owner);
-                    world.run(900);
-                    world.start(owner);
+                    world.crash_controller(owner);
+                    world.run_for(900);
+                    world.start_controller(owner);
                 }
-                world.run(unreachable_ms);
-                world.calm();
+                world.run_for(unreachable_ms);
+                world.clear_fault_injector();
                 let has_recovered = |w: &World| stored_state(w, "job-000001") == "done" && w.running("job-000002") == 2;
                 assert!(world.run_until(260_000, has_recovered), "{case:?}\n{}", world.trace());
                 assert_no_breaches(&world, case);
@@ -116,29 +116,29 @@
                 }
                 // At least one report of each machine is from before the start of its further task.
                 let until = world.now + 2600;
-                world.meddle(move |l| match l.what {
+                world.set_fault_injector(move |l| match l.what {
                     "POST /agent/beat" if l.at < until && is_lost => Delivery::Late(delay_ms),
                     "POST /agent/beat" if l.at < until => Delivery::Copied(delay_ms),
                     _ => Delivery::Pass,
                 });
-                world.run(2600);
+                world.run_for(2600);
                 let further = [job(4, 0, "sweep", 1), job(5, 1, "sweep", 1), job(6, 2, "sweep", 1)];
                 further.iter().for_each(|j| world.accepted(next_owner, j));
                 let are_running = world.run_until(8000, |w| further.iter().all(|j| all_tasks_run(w, j)));
                 assert!(are_running, "{case:?}\n{}", world.trace());
-                world.run(crash_after_ms);
+                world.run_for(crash_after_ms);
                 let crashed = [owner, leader(&world).unwrap_or(owner)];
-                crashed.iter().for_each(|n| world.crash(*n));
+                crashed.iter().for_each(|n| world.crash_controller(*n));
                 world.withdraw(next_owner, "job-000002");
-                world.run(300);
-                crashed.iter().for_each(|n| world.start(*n));
+                world.run_for(300);
+                crashed.iter().for_each(|n| world.start_controller(*n));
                 cancel(&mut world, &[0, 1, 2], "job-000002");
                 let has_recovered = |w: &World| {
                     let are_done = further.iter().all(|j| stored_state(w, job_id(j)) == "done");
                     are_done && w.running("job-000001") == 1 && w.running("job-000003") == 3
                 };
                 assert!(world.run_until(120_000, has_recovered), "{case:?}\n{}", world.trace());
-                world.run(30_000);
+                world.run_for(30_000);
                 assert_gone_in_time(&world, "job-000002", case);
                 assert_no_breaches(&world, case);
             }
@@ -161,26 +161,26 @@
                     limit: 1.0,
                     ..Size::default()
                 };
-                let mut world = World::sized(&Operator::default(), one_task_at_a_time);
+                let mut world = World::with_size(&Operator::default(), one_task_at_a_time);
                 world.run_ms = 12_000;
-                world.run(3000);
+                world.run_for(3000);
                 world.accepted(0, &job(1, 0, "sweep", tasks));
                 world.accepted(1, &job(2, 1, "sweep", tasks));
                 let has_started = |w: &World| w.running("job-000001") == 1;
                 assert!(world.run_until(30_000, has_started), "{case:?}\n{}", world.trace());
                 while world.running("job-000001") == 1 {
-                    world.run(1);
+                    world.run_for(1);
                 }
-                world.run(crash_after_ms);
+                world.run_for(crash_after_ms);
                 let owner = world.owner_of_team(0);
                 let crashed = if two_crash {
                     vec![owner, (owner + 1) % 3]
                 } else {
                     vec![owner]
                 };
-                crashed.iter().for_each(|n| world.crash(*n));
-                world.run(400);
-                crashed.iter().for_each(|n| world.start(*n));
+                crashed.iter().for_each(|n| world.crash_controller(*n));
+                world.run_for(400);
+                crashed.iter().for_each(|n| world.start_controller(*n));
                 let mut controller = 0;
                 let are_done = |w: &World| {
                     ["job-000001", "job-000002"]
@@ -191,7 +191,7 @@
                 while world.now < until && !are_done(&world) {
                     world.poll(controller % 3, "job-000001");
                     world.poll((controller + 1) % 3, "job-000002");
-                    world.run(700);
+                    world.run_for(700);
                     controller += 1;
                 }
                 assert!(are_done(&world), "{case:?}\n{}", world.trace());
@@ -219,27 +219,27 @@
                 let mut world = with_running_jobs(60_000, &jobs);
                 // Each partition moves to another owner and back.
                 for controller in [world.owner_of_team(0), world.owner_of_team(1)] {
-                    world.crash(controller);
-                    world.run(away_ms);
-                    world.start(controller);
-                    world.run(away_ms);
+                    world.crash_controller(controller);
+                    world.run_for(away_ms);
+                    world.start_controller(controller);
+                    world.run_for(away_ms);
                 }
                 world.withdraw(first, "job-000003");
                 world.submit((first + 1) % 3, &job(4, 0, "sweep", 2));
-                world.run(4);
-                (0..3).for_each(|n| world.crash(n));
-                world.run(away_ms);
-                world.start(first);
-                world.run(others_after_ms);
+                world.run_for(4);
+                (0..3).for_each(|n| world.crash_controller(n));
+                world.run_for(away_ms);
+                world.start_controller(first);
+                world.run_for(others_after_ms);
                 if others_after_ms > 20_000 {
                     let polls = ["job-000001", "job-000002", "job-000003"].map(|id| world.poll(first, id));
-                    world.run(2000);
+                    world.run_for(2000);
                     let are_answered = polls.iter().all(|p| world.status(*p) == 200);
                     assert!(are_answered, "{case:?}\n{}", world.trace());
                 }
-                (0..3).filter(|n| *n != first).for_each(|n| world.start(n));
+                (0..3).filter(|n| *n != first).for_each(|n| world.start_controller(n));
                 cancel(&mut world, &[0, 1, 2], "job-000003");
-                world.run(CANCEL_MS + 2000);
+                world.run_for(CANCEL_MS + 2000);
                 assert_gone_in_time(&world, "job-000003", case);
                 let has_recovered = |w: &World| stored_state(w, "job-000002") == "done" && w.running("job-000001") == 2;
                 assert!(world.run_until(150_000, has_recovered), "{case:?}\n{}", world.trace());
--- a/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
+++ b/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
@@ -14,7 +14,7 @@
 /// and restarts within a moment, and messages are duplicated late.
 #[test]
 fn many_machines_that_hang_at_once_and_resume_run_no_task_twice() {
-    let mut world = World::sized(
+    let mut world = World::with_size(
         &Operator::default(),
         Size {
             teams: 3,
@@ -27,7 +27,7 @@
     );
     world.cloud.most = 120;
     world.run_ms = 40_000;
-    world.run(3000);
+    world.run_for(3000);
     for i in 0..3 {
         let mut service = job(i, i, "standing", 12);
         service["spread"] = true.into();
@@ -37,7 +37,7 @@
     let all_run = |w: &World| (0..3).all(|i| w.running(&format!("job-{i:06}")) == 12);
     assert!(world.run_until(60_000, all_run), "{}", world.trace());
     let messages = Rc::new(Cell::new(0u64));
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         messages.set(messages.get() + 1);
         match message.what {
             "POST /agent/beat" | "POST /commands" if messages.get().is_multiple_of(5) => {
@@ -56,17 +56,17 @@
     };
     world.note("a third of the machines hang");
     hang(&mut world, 0, true);
-    world.run(4000);
+    world.run_for(4000);
     world.note("another third hangs");
     hang(&mut world, 1, true);
     let owner = world.owner_of_team(1);
-    world.crash(owner);
-    world.run(300);
-    world.start(owner);
-    world.run(6000);
+    world.crash_controller(owner);
+    world.run_for(300);
+    world.start_controller(owner);
+    world.run_for(6000);
     world.note("the second third resumes within its lease");
     hang(&mut world, 1, false);
-    world.run(17_000);
+    world.run_for(17_000);
     world.note("the first third resumes after its lease");
     hang(&mut world, 0, false);
     let done = |w: &World| {
@@ -86,7 +86,7 @@
 /// waited for as long as one that had just reported.
 #[test]
 fn a_machine_that_failed_before_a_takeover_delays_it_for_little_more_than_a_report() {
-    let mut world = World::sized(
+    let mut world = World::with_size(
         &Operator::default(),
         Size {
             teams: 3,
@@ -96,7 +96,7 @@
         },
     );
     world.cloud.most = 60;
-    world.run(3000);
+    world.run_for(3000);
     for i in 0..3 {
         let mut service = job(i, i, "standing", 8);
         service["spread"] = true.into();
@@ -104,18 +104,18 @@
     }
     let all_run = |w: &World| (0..3).all(|i| w.running(&format!("job-{i:06}")) == 8);
     assert!(world.run_until(40_000, all_run), "{}", world.trace());
-    world.run(5000);
+    world.run_for(5000);
     let failed_machine = world.machines_of("job-000000").first().cloned().expect("it runs");
     if let Some(w) = world.workers.get_mut(&failed_machine) {
         w.hanging = true;
     }
     world.note(&format!("{failed_machine} fails"));
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(300);
+    world.crash_controller(owner);
+    world.run_for(300);
     let trace_start = world.trace().len();
-    world.start(owner);
-    world.run(15_000);
+    world.start_controller(owner);
+    world.run_for(15_000);
     let trace = &world.trace()[trace_start..];
     let waits_ms: Vec<u64> = trace
         .lines()
@@ -137,8 +137,8 @@
         limit: 16.0,
         ..Size::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
-    world.run(3000);
+    let mut world = World::with_size(&Operator::default(), size);
+    world.run_for(3000);
     let mut service_in_b = job(1, 0, "standing", 4);
     service_in_b["yard"] = "b".into();
     let mut service_in_a = job(2, 0, "standing", 2);
@@ -147,15 +147,15 @@
     world.accepted(0, &service_in_a);
     let all_run = |w: &World| w.running("job-000001") == 4 && w.running("job-000002") == 2;
     assert!(world.run_until(40_000, all_run), "{}", world.trace());
-    world.run(3000);
+    world.run_for(3000);
     let failed_machine = world.machines_of("job-000002").first().cloned().expect("it runs");
     if let Some(w) = world.workers.get_mut(&failed_machine) {
         w.hanging = true;
     }
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(300);
-    world.start(owner);
+    world.crash_controller(owner);
+    world.run_for(300);
+    world.start_controller(owner);
     let is_deleted = |w: &World| w.cloud.deleted.contains(&failed_machine);
     assert!(world.run_until(7000, is_deleted), "{}", world.trace());
     assert_no_breaches(&world);
@@ -167,7 +167,7 @@
 #[test]
 fn a_machine_with_unstored_results_is_not_returned() {
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.run_ms = 3_000;
     let mut array = job(1, 0, "sweep", 4);
     array["standby"] = true.into();
@@ -178,7 +178,7 @@
         world.trace()
     );
     world.store.down = true;
-    world.run(40_000);
+    world.run_for(40_000);
     assert!(world.cloud.deleted.is_empty(), "{}", world.trace());
     world.store.down = false;
     let done = |w: &World| w.store.get("t/j/job-000001").is_some_and(|j| j["st"] == "done");
--- a/crates/tidelatch-standin/tests/drain_support/mod.rs
+++ b/crates/tidelatch-standin/tests/drain_support/mod.rs
@@ -55,9 +55,9 @@
             write_rps: 200.0,
             ..Size::default()
         };
-        let mut world = World::sized(&operator(&json!({})), size);
+        let mut world = World::with_size(&operator(&json!({})), size);
         world.cloud.most = 60;
-        world.run(5_000);
+        world.run_for(5_000);
         let mut deployment = Self {
             world,
             recorder: InterruptionRecorder::new(GRACE_MS),
@@ -98,12 +98,12 @@
     /// Crashes all controllers and restarts them with these settings.
     pub fn restart_all(&mut self, operator: &Operator) {
         for controller in 0..self.controllers {
-            self.world.crash(controller);
-            self.world.operator(controller, operator);
+            self.world.crash_controller(controller);
+            self.world.set_operator(controller, operator);
         }
         self.run(200);
         for controller in 0..self.controllers {
-            self.world.start(controller);
+            self.world.start_controller(controller);
         }
     }
 
@@ -162,7 +162,7 @@
     pub fn run(&mut self, ms: u64) {
         let until = self.world.now + ms;
         while self.world.now < until {
-            self.world.run(20.min(until - self.world.now));
+            self.world.run_for(20.min(until - self.world.now));
             self.sample();
         }
     }
--- a/crates/tidelatch-standin/tests/drains.rs
+++ b/crates/tidelatch-standin/tests/drains.rs
@@ -27,9 +27,9 @@
 /// Crashes the controllers one after the other and restarts each with these settings, 12 s apart.
 fn restart_one_by_one(deployment: &mut Deployment, operator: &Operator) {
     for controller in 0..deployment.controllers {
-        deployment.world.crash(controller);
-        deployment.world.operator(controller, operator);
-        deployment.world.start(controller);
+        deployment.world.crash_controller(controller);
+        deployment.world.set_operator(controller, operator);
+        deployment.world.start_controller(controller);
         deployment.run(12_000);
     }
 }
@@ -65,12 +65,12 @@
         deployment.run(crash_after_ms);
         // The leader, which often owns machines under drain itself, and a second owner.
         let leader = deployment.world.leader().expect("there is a leader");
-        deployment.world.crash(leader);
+        deployment.world.crash_controller(leader);
         deployment.run(1_000);
-        deployment.world.crash((leader + 1) % 3);
+        deployment.world.crash_controller((leader + 1) % 3);
         deployment.run(20_000);
-        deployment.world.start(leader);
-        deployment.world.start((leader + 1) % 3);
+        deployment.world.start_controller(leader);
+        deployment.world.start_controller((leader + 1) % 3);
         deployment.assert_drain_ends("all", &format!("crash after {crash_after_ms} ms"));
         assert_eq!(
             deployment.count_trace_lines("drain all begins"),
@@ -89,9 +89,9 @@
         let mut deployment = start_with_drain();
         deployment.run(pause_after_ms);
         for controller in 0..3 {
-            deployment.world.freeze(controller);
+            deployment.world.pause(controller);
             deployment.run(LEASE_MS + 300);
-            deployment.world.thaw(controller);
+            deployment.world.resume(controller);
             deployment.run(2_000);
         }
         deployment.assert_drain_ends("all", &format!("pause after {pause_after_ms} ms"));
@@ -305,14 +305,14 @@
     let mut deployment = Deployment::start(3);
     let with_budgets = with_drain(&drain_of_all_machines());
     for controller in 0..3 {
-        deployment.world.crash(controller);
+        deployment.world.crash_controller(controller);
         let settings = if controller == 1 {
             Operator::default()
         } else {
             with_budgets.clone()
         };
-        deployment.world.operator(controller, &settings);
-        deployment.world.start(controller);
+        deployment.world.set_operator(controller, &settings);
+        deployment.world.start_controller(controller);
         deployment.run(15_000);
     }
     deployment.run(120_000);
@@ -327,9 +327,9 @@
             .all(|i| !i.unit.starts_with("job-00001"))
     );
     // The drain continues once the last controller has budgets as well.
-    deployment.world.crash(1);
-    deployment.world.operator(1, &with_budgets);
-    deployment.world.start(1);
+    deployment.world.crash_controller(1);
+    deployment.world.set_operator(1, &with_budgets);
+    deployment.world.start_controller(1);
     deployment.assert_drain_ends("all", "budgets turned on everywhere");
 }
 
@@ -339,10 +339,12 @@
 fn a_one_way_cut_between_owner_and_leader_exceeds_no_budget_and_the_drain_ends_after_it() {
     let mut deployment = start_with_drain();
     let leader = deployment.world.leader().expect("there is a leader");
-    deployment.world.meddle(faults::cut_direction((leader + 1) % 3, leader));
+    deployment
+        .world
+        .set_fault_injector(faults::cut_direction((leader + 1) % 3, leader));
     deployment.run(120_000);
     // The leader rents the replacements that the owner needs, but does not receive the owner's requests for them.
-    deployment.world.calm();
+    deployment.world.clear_fault_injector();
     deployment.assert_drain_ends("all", "one-way cut");
 }
 
@@ -431,7 +433,7 @@
 fn a_drain_continues_after_lost_answers_to_writes_of_its_record() {
     let mut deployment = Deployment::start(3);
     let mut lost = 0;
-    deployment.world.meddle(move |message| {
+    deployment.world.set_fault_injector(move |message| {
         let writes_record = message.what == "POST /txn" && message.body.contains("t/d/all\"") && lost < 3;
         if writes_record {
             lost += 1;
@@ -502,9 +504,9 @@
     let leader = deployment.world.leader().expect("there is a leader");
     assert_ne!(leader, 1, "{}", deployment.trace());
     // The controller restarts at once, without the drain in its settings, and becomes leader again.
-    deployment.world.crash(leader);
-    deployment.world.operator(leader, &operator(&json!({})));
-    deployment.world.start(leader);
+    deployment.world.crash_controller(leader);
+    deployment.world.set_operator(leader, &operator(&json!({})));
+    deployment.world.start_controller(leader);
     let is_back = |d: &Deployment| {
         d.count_trace_lines("berth-1: n-") > 0 && d.count_trace_lines("was withdrawn: back in service") > 0
     };
--- a/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
+++ b/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
@@ -28,9 +28,9 @@
 /// Starts a deployment with two machines and a replica on each. The replica of a third team is placed beside one of
 /// them.
 fn with_shared_machine() -> SharedMachine {
-    let mut world = World::with(&operator(&json!({})));
+    let mut world = World::with_operator(&operator(&json!({})));
     world.cloud.most = 2;
-    world.run(3_000);
+    world.run_for(3_000);
     for (team, id) in (0..).zip(SERVICES) {
         world.accepted(0, &job(team + 1, team, "standing", 1));
         assert!(world.run_until(90_000, |w| w.running(id) == 1), "{}", world.trace());
@@ -58,7 +58,7 @@
     fn run(&mut self, ms: u64) {
         let until = self.world.now + ms;
         while self.world.now < until {
-            self.world.run(20);
+            self.world.run_for(20);
             self.recorder.sample(self.world.now, self.world.running_units());
         }
     }
@@ -68,11 +68,11 @@
     fn restart_all_with_drain(&mut self, operator: &Operator) {
         self.world.cloud.most = 6;
         for controller in 0..3 {
-            self.world.crash(controller);
-            self.world.operator(controller, operator);
+            self.world.crash_controller(controller);
+            self.world.set_operator(controller, operator);
         }
         self.run(200);
-        (0..3).for_each(|controller| self.world.start(controller));
+        (0..3).for_each(|controller| self.world.start_controller(controller));
     }
 
     /// Whether the drain is stored as done.
@@ -132,11 +132,13 @@
             shared.run(crash_after_ms);
             let crashed = [(remaining + 1) % 3, (remaining + 2) % 3];
             for controller in crashed {
-                shared.world.crash(controller);
+                shared.world.crash_controller(controller);
                 shared.run(700);
             }
             shared.run(LEASE_MS);
-            crashed.iter().for_each(|controller| shared.world.start(*controller));
+            crashed
+                .iter()
+                .for_each(|controller| shared.world.start_controller(*controller));
             shared.assert_drain_ends(&format!("{crashed:?} crash after {crash_after_ms} ms"));
         }
     }
@@ -151,13 +153,13 @@
             let mut shared = with_shared_machine();
             shared.restart_all_with_drain(&drain_of_all());
             shared.run(pause_after_ms);
-            shared.world.freeze(controller);
+            shared.world.pause(controller);
             shared.run(LEASE_MS / 2);
-            shared.world.freeze((controller + 1) % 3);
+            shared.world.pause((controller + 1) % 3);
             shared.run(LEASE_MS);
-            shared.world.thaw(controller);
+            shared.world.resume(controller);
             shared.run(1_000);
-            shared.world.thaw((controller + 1) % 3);
+            shared.world.resume((controller + 1) % 3);
             shared.assert_drain_ends(&format!("berth-{controller} pauses after {pause_after_ms} ms"));
         }
     }
@@ -171,9 +173,9 @@
         let mut shared = with_shared_machine();
         shared.restart_all_with_drain(&drain_of_all());
         shared.run(6_000);
-        shared.world.meddle(faults::unreliable_peer_network(seed));
+        shared.world.set_fault_injector(faults::unreliable_peer_network(seed));
         shared.run(60_000);
-        shared.world.calm();
+        shared.world.clear_fault_injector();
         shared.assert_drain_ends(&format!("seed {seed}"));
     }
 }
@@ -213,9 +215,9 @@
     let with_budgets = drain_of_all();
     shared.restart_all_with_drain(&with_budgets);
     // The team's owner restarts with budgets turned off.
-    shared.world.crash(owner);
-    shared.world.operator(owner, &Operator::default());
-    shared.world.start(owner);
+    shared.world.crash_controller(owner);
+    shared.world.set_operator(owner, &Operator::default());
+    shared.world.start_controller(owner);
     shared.run(DRAIN_MS / 4);
     assert_eq!(shared.count_permits_of_other_owners(), 0, "{}", shared.world.trace());
     let earlier_replica = format!("{}/0", SERVICES[shared.earlier_team]);
@@ -228,18 +230,18 @@
         "{}",
         shared.world.trace()
     );
-    shared.world.crash(owner);
-    shared.world.operator(owner, &with_budgets);
-    shared.world.start(owner);
+    shared.world.crash_controller(owner);
+    shared.world.set_operator(owner, &with_budgets);
+    shared.world.start_controller(owner);
     shared.assert_drain_ends("budgets are turned on everywhere");
 }
 
 /// Starts a service of team 0 with two replicas on a machine each. One of the machines, with its replica, has moved to
 /// partition 2.
 fn with_one_replica_on_a_machine_of_partition_2() -> (World, String) {
-    let mut world = World::with(&operator(&json!({})));
+    let mut world = World::with_operator(&operator(&json!({})));
     world.cloud.most = 3;
-    world.run(3_000);
+    world.run_for(3_000);
     let sized = |id, team, tasks, cpus: f64| {
         let mut service = job(id, team, "standing", tasks);
         service["vcpus"] = json!(cpus);
@@ -298,7 +300,7 @@
         { "name": "rest", "zone": other, "surge": 0, "max_machines": 4, "delay_s": 15.0 },
     ] })));
     shared.run(7_500);
-    shared.world.meddle(cut);
+    shared.world.set_fault_injector(cut);
     let has_permit = |s: &SharedMachine| s.count_permits_of_other_owners() > 0;
     let has_successor_used_permit = |s: &SharedMachine| {
         let mut lines = s.world.trace().lines().filter(|line| line.contains("berth-1: "));
@@ -316,7 +318,7 @@
         2,
         "the stop should not have arrived yet"
     );
-    shared.world.crash(0);
+    shared.world.crash_controller(0);
     for _ in 0..3_000 {
         if has_successor_used_permit(&shared) {
             break;
@@ -326,9 +328,9 @@
     assert!(has_successor_used_permit(&shared), "{}", shared.world.trace());
     // Without the revocation the stop that the earlier owner permitted would arrive now, while the other replica is
     // unavailable.
-    shared.world.calm();
+    shared.world.clear_fault_injector();
     shared.run(20_000);
-    shared.world.start(0);
+    shared.world.start_controller(0);
     shared.assert_drain_ends("earlier stop revoked");
 }
 
@@ -343,7 +345,7 @@
     let team_owner = format!("berth-{}", shared.world.owner_of_team(shared.earlier_team));
     let machine_owner = shared.world.owner_of_team(2);
     let requester = format!("berth-{machine_owner}");
-    shared.world.meddle(move |message| {
+    shared.world.set_fault_injector(move |message| {
         let is_request = message.from == requester && message.to == team_owner && message.what == "hello";
         if is_request {
             Delivery::AnswerLost
@@ -353,7 +355,7 @@
     });
     shared.run(15_000);
     assert_eq!(shared.count_permits_of_other_owners(), 0, "{}", shared.world.trace());
-    shared.world.crash(machine_owner);
-    shared.world.calm();
+    shared.world.crash_controller(machine_owner);
+    shared.world.clear_fault_injector();
     shared.assert_drain_ends("permit holder crashed");
 }
--- a/crates/tidelatch-standin/tests/drains_under_faults.rs
+++ b/crates/tidelatch-standin/tests/drains_under_faults.rs
@@ -62,17 +62,17 @@
         0 | 1 => {
             // Two controllers crash, the second up to 3 s after the first.
             let other = (controller + 1) % controllers;
-            deployment.world.crash(controller);
+            deployment.world.crash_controller(controller);
             deployment.run(rng.u64(0..3_000));
-            deployment.world.crash(other);
+            deployment.world.crash_controller(other);
             deployment.run(duration_ms);
-            deployment.world.start(controller);
-            deployment.world.start(other);
+            deployment.world.start_controller(controller);
+            deployment.world.start_controller(other);
         }
         2 | 3 => {
-            deployment.world.freeze(controller);
+            deployment.world.pause(controller);
             deployment.run(duration_ms);
-            deployment.world.thaw(controller);
+            deployment.world.resume(controller);
         }
         4 => {
             deployment.world.store.down = true;
@@ -88,14 +88,14 @@
         }
         _ => {
             let injector = random_network_fault(rng, controllers);
-            deployment.world.meddle(injector);
+            deployment.world.set_fault_injector(injector);
             deployment.run(duration_ms);
             if rng.bool() {
-                deployment.world.crash(controller);
+                deployment.world.crash_controller(controller);
                 deployment.run(rng.u64(100..3_000));
-                deployment.world.start(controller);
+                deployment.world.start_controller(controller);
             }
-            deployment.world.calm();
+            deployment.world.clear_fault_injector();
         }
     }
 }
--- a/crates/tidelatch-standin/tests/failing_jobs.rs
+++ b/crates/tidelatch-standin/tests/failing_jobs.rs
@@ -30,8 +30,8 @@
         idle_per_boot: 40.0,
         ..Operator::default()
     };
-    let mut world = World::sized(&operator, size);
-    world.run(3000);
+    let mut world = World::with_size(&operator, size);
+    world.run_for(3000);
     world
 }
 
@@ -78,7 +78,7 @@
         world.trace()
     );
     // All other machines are free for the failing job now, and it is soon suspected of failing everywhere.
-    world.run(30_000);
+    world.run_for(30_000);
     let trace_start = world.trace().len();
     for id in 4..8 {
         world.accepted(2, &job(id, 0, "sweep", 6));
@@ -87,7 +87,7 @@
         assert!(world.running(FAILING_JOB) <= 1, "{}", world.trace());
     }
     let observed_s = 30;
-    world.run(observed_s * 1000);
+    world.run_for(observed_s * 1000);
     let retries = count_starts(&world.trace()[trace_start..], FAILING_JOB);
     assert!((1..=6).contains(&retries), "{retries} starts\n{}", world.trace());
     // Only the faulty machine is taken out of service.
@@ -103,14 +103,14 @@
     );
     // The failing job stays known until it is cancelled, and its cancellation stays known as well.
     let request = world.poll(0, FAILING_JOB);
-    world.run(1000);
+    world.run_for(1000);
     assert!(
         matches!(world.said(request).as_str(), "queued" | "running"),
         "{}",
         world.trace()
     );
     let request = world.withdraw(1, FAILING_JOB);
-    world.run(3000);
+    world.run_for(3000);
     assert_eq!(world.said(request), "withdrawn", "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -129,7 +129,7 @@
     for id in [1, 2] {
         world.accepted(0, &failing_array(id, 1));
     }
-    world.run(60_000);
+    world.run_for(60_000);
     assert!(!world.trace().contains(FAULTY_LOG_TEXT), "{}", world.trace());
     world.accepted(0, &job(4, 0, "sweep", 12));
     assert!(
@@ -147,7 +147,7 @@
     let mut world = start();
     world.accepted(0, &failing_array(1, 30));
     world.accepted(0, &failing_array(2, 30));
-    world.run(40_000);
+    world.run_for(40_000);
     world.accepted(0, &job(3, 0, "sweep", 12));
     assert!(
         world.run_until(40_000, |w| is_done(w, "job-000003")),
@@ -170,7 +170,7 @@
         world.trace()
     );
     // Lets some tasks complete.
-    world.run(world.run_ms + 3000);
+    world.run_for(world.run_ms + 3000);
     let machines = world.machines_of("job-000002");
     for id in machines.iter().take(4) {
         if let Some(w) = world.workers.get_mut(id) {
--- a/crates/tidelatch-standin/tests/failure_detection.rs
+++ b/crates/tidelatch-standin/tests/failure_detection.rs
@@ -29,9 +29,9 @@
         write_rps: 200.0,
         ..Size::default()
     };
-    let mut world = World::sized(operator, size);
+    let mut world = World::with_size(operator, size);
     world.cloud.most = 60;
-    world.run(5_000);
+    world.run_for(5_000);
     for team in 0..controllers as u32 {
         world.accepted(0, &job(team, team, "standing", 2));
         world.accepted(0, &job(100 + team, team, "sweep", 6));
@@ -43,7 +43,7 @@
 
 /// Ends all network faults and asserts that all services run again and all arrays are done within 150 s.
 fn assert_recovers(world: &mut World, controllers: usize) {
-    world.calm();
+    world.clear_fault_injector();
     let recovered = |w: &World| {
         (0..controllers)
             .all(|team| w.running(&format!("job-{team:06}")) == 2 && is_done(w, &format!("job-{:06}", 100 + team)))
@@ -85,8 +85,8 @@
 fn a_crashed_controller_is_suspected_then_confirmed_and_its_successor_prepares() {
     let mut world = start_with_work(3, &with_failure_detection());
     let owner = world.owner_of_team(1);
-    world.crash(owner);
-    world.run(20_000);
+    world.crash_controller(owner);
+    world.run_for(20_000);
     let crashed = time_of_trace_line(&world, &format!("berth-{owner} crashes"));
     let suspected = time_of_trace_line(&world, &format!("suspects berth-{owner}"));
     let prepared = time_of_trace_line(&world, "prepared to take over");
@@ -109,15 +109,15 @@
         world.uneven = true;
         let owner = world.owner_of_team(1);
         world.accepted(owner, &job(201, 1, "sweep", 40));
-        world.run(6_000);
+        world.run_for(6_000);
         // The other controllers suspect the owner and read its records ahead of a takeover. The owner continues its
         // work, stores more done tasks and then crashes.
         let peers: Vec<usize> = (0..3).filter(|controller| *controller != owner).collect();
-        world.meddle(faults::partition_controllers(&peers, StateServiceSide::AllControllers));
-        world.run(10_000);
-        world.crash(owner);
-        world.run(500);
-        world.calm();
+        world.set_fault_injector(faults::partition_controllers(&peers, StateServiceSide::AllControllers));
+        world.run_for(10_000);
+        world.crash_controller(owner);
+        world.run_for(500);
+        world.clear_fault_injector();
         assert!(
             world.run_until(150_000, |w| is_done(w, "job-000201")),
             "{}",
@@ -158,10 +158,10 @@
             for _ in 0..pauses {
                 // The leader also owns a partition.
                 let leader = world.leader().expect("there is a leader");
-                world.freeze(leader);
-                world.run(pause_ms);
-                world.thaw(leader);
-                world.run(4_000);
+                world.pause(leader);
+                world.run_for(pause_ms);
+                world.resume(leader);
+                world.run_for(4_000);
             }
             assert_recovers(&mut world, 3);
             assert!(count_trace_lines(&world, "suspects berth-") > 0, "{}", world.trace());
@@ -176,18 +176,18 @@
         let mut world = start_with_work(4, &with_failure_detection());
         let leader = world.leader().expect("there is a leader");
         let owner = (leader + 1) % 4;
-        world.freeze(leader);
-        world.run(500);
-        world.freeze(owner);
-        world.run(pause_ms);
+        world.pause(leader);
+        world.run_for(500);
+        world.pause(owner);
+        world.run_for(pause_ms);
         // By now the other two are in the middle of a takeover, or have finished it.
-        world.thaw(owner);
-        world.run(200);
+        world.resume(owner);
+        world.run_for(200);
         let next = world.leader().unwrap_or(leader);
-        world.freeze(next);
-        world.run(2_000);
-        world.thaw(next);
-        world.thaw(leader);
+        world.pause(next);
+        world.run_for(2_000);
+        world.resume(next);
+        world.resume(leader);
         assert_recovers(&mut world, 4);
     }
 }
@@ -197,14 +197,14 @@
 fn a_leader_that_pauses_beyond_its_lease_acts_on_no_earlier_request() {
     let mut world = start_with_work(3, &with_failure_detection());
     let leader = world.leader().expect("there is a leader");
-    world.freeze(leader);
-    world.run(LEASE_MS + 300);
+    world.pause(leader);
+    world.run_for(LEASE_MS + 300);
     // Requests that arrive during the pause and are read when the leader resumes.
     world.submit(leader, &job(301, 0, "sweep", 2));
     world.withdraw(leader, "job-000100");
-    world.run(2_000);
-    world.thaw(leader);
-    world.run(20_000);
+    world.run_for(2_000);
+    world.resume(leader);
+    world.run_for(20_000);
     assert_no_breaches(&world);
     assert_trace(&world, "suspected_while_paused_beyond_its_lease");
 }
@@ -215,10 +215,10 @@
         limit: 20.0,
         ..Size::default()
     };
-    let mut world = World::sized(&with_failure_detection(), size);
+    let mut world = World::with_size(&with_failure_detection(), size);
     world.cloud.most = 4;
     world.run_ms = 60_000;
-    world.run(3_000);
+    world.run_for(3_000);
     world.accepted(0, &job(101, 1, "sweep", 8));
     let is_full = |w: &World| w.running("job-000101") == 8;
     assert!(world.run_until(30_000, is_full), "{}", world.trace());
@@ -235,11 +235,11 @@
     for pause_after_ms in (200..3_600).step_by(200) {
         let mut world = world_without_free_machines();
         world.accepted(0, &job(1, 0, "standing", 4));
-        world.run(pause_after_ms);
+        world.run_for(pause_after_ms);
         let owner = world.owner_of_team(1);
-        world.freeze(owner);
-        world.run(LEASE_MS + 300);
-        world.thaw(owner);
+        world.pause(owner);
+        world.run_for(LEASE_MS + 300);
+        world.resume(owner);
         let recovered = |w: &World| w.running("job-000001") == 4 && is_done(w, "job-000101");
         assert!(world.run_until(240_000, recovered), "{}", world.trace());
         assert_no_breaches(&world);
@@ -261,10 +261,10 @@
     let mut world = start_with_work(4, &with_failure_detection());
     let epoch = world.epoch();
     for _ in 0..60 {
-        world.freeze(3);
-        world.run(900);
-        world.thaw(3);
-        world.run(100);
+        world.pause(3);
+        world.run_for(900);
+        world.resume(3);
+        world.run_for(100);
     }
     assert_eq!(world.epoch(), epoch, "{}", world.trace());
     assert_eq!(count_trace_lines(&world, "is confirmed as gone"), 0);
@@ -279,13 +279,13 @@
     let run = |operator: &Operator| {
         let mut world = start_with_work(3, operator);
         for controller in [0, 1, 2] {
-            world.freeze(controller);
+            world.pause(controller);
             // The pause is shorter than the lease, because the last extension may have been a quarter of the lease ago.
-            world.run(LEASE_MS * 2 / 3);
-            world.thaw(controller);
-            world.run(10_000);
+            world.run_for(LEASE_MS * 2 / 3);
+            world.resume(controller);
+            world.run_for(10_000);
         }
-        world.run(30_000);
+        world.run_for(30_000);
         assert_no_breaches(&world);
         world
     };
@@ -314,8 +314,8 @@
             let mut world = start_with_work(controllers, &with_failure_detection());
             let epoch = world.epoch();
             world.note(&format!("split, state service: {state:?}"));
-            world.meddle(faults::partition_controllers(&first_half, state));
-            world.run(3 * LEASE_MS);
+            world.set_fault_injector(faults::partition_controllers(&first_half, state));
+            world.run_for(3 * LEASE_MS);
             match state {
                 // A suspicion takes nothing over, even if a majority of the controllers has it.
                 StateServiceSide::AllControllers | StateServiceSide::NoController => {
@@ -348,12 +348,12 @@
     // The times reach from before the first suspicion until the new owners act.
     for healed_after_ms in (1_000..=11_000).step_by(1_000) {
         let mut world = start_with_work(4, &with_failure_detection());
-        world.meddle(faults::partition_controllers(
+        world.set_fault_injector(faults::partition_controllers(
             &[0, 1],
             StateServiceSide::NamedControllers,
         ));
-        world.run(healed_after_ms);
-        world.calm();
+        world.run_for(healed_after_ms);
+        world.clear_fault_injector();
         assert_recovers(&mut world, 4);
     }
 }
@@ -362,8 +362,8 @@
 #[test]
 fn a_controller_that_one_peer_does_not_hear_is_not_suspected() {
     let mut world = start_with_work(4, &with_failure_detection());
-    world.meddle(faults::cut_direction(3, 0));
-    world.run(60_000);
+    world.set_fault_injector(faults::cut_direction(3, 0));
+    world.run_for(60_000);
     assert_eq!(count_trace_lines(&world, "suspects berth-"), 0, "{}", world.trace());
     assert_trace(&world, "not_heard_by_one_sibling");
     assert_recovers(&mut world, 4);
@@ -376,8 +376,8 @@
     for seed in 1..=5 {
         let mut world = start_with_work(4, &with_failure_detection());
         let epoch = world.epoch();
-        world.meddle(faults::unreliable_peer_network(seed));
-        world.run(120_000);
+        world.set_fault_injector(faults::unreliable_peer_network(seed));
+        world.run_for(120_000);
         assert_eq!(
             count_trace_lines(&world, "is confirmed as gone"),
             0,
@@ -395,17 +395,17 @@
 fn controllers_with_and_without_failure_detection_work_together() {
     let mut world = start_with_work(3, &Operator::default());
     for controller in [0, 2] {
-        world.operator(controller, &with_failure_detection());
-        world.crash(controller);
-        world.run(1_000);
-        world.start(controller);
-        world.run(10_000);
+        world.set_operator(controller, &with_failure_detection());
+        world.crash_controller(controller);
+        world.run_for(1_000);
+        world.start_controller(controller);
+        world.run_for(10_000);
     }
     // Only two controllers send liveness data. The detectors receive none of the third one and must not suspect it.
     assert_eq!(count_trace_lines(&world, "suspects berth-1"), 0, "{}", world.trace());
-    world.crash(2);
-    world.run(15_000);
+    world.crash_controller(2);
+    world.run_for(15_000);
     assert_eq!(count_trace_lines(&world, "suspects berth-2"), 1, "{}", world.trace());
-    world.start(2);
+    world.start_controller(2);
     assert_recovers(&mut world, 3);
 }
--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -28,7 +28,7 @@
         "",
         ("up".into(), "health"),
     );
-    world.run(10);
+    world.run_for(10);
     world.status(request) == 200
 }
 
@@ -36,7 +36,7 @@
 fn cancel(world: &mut World, id: &str) -> String {
     for i in 0..40 {
         let request = world.withdraw(i % 3, id);
-        world.run(1500);
+        world.run_for(1500);
         if world.status(request) == 200 {
             return world.said(request);
         }
@@ -155,9 +155,9 @@
 /// team 0 crashes in between.
 fn run_with_faults(seed: u64) -> World {
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.keep_reports();
-    world.meddle(faults::limit_to(
+    world.set_fault_injector(faults::limit_to(
         0..80_000,
         faults::combine(vec![
             faults::delay_transactions(seed, 0.05),
@@ -168,15 +168,15 @@
     world.accepted(0, &job(1, 0, "standing", 1));
     world.accepted(1, &job(2, 1, "sweep", 4));
     world.accepted(2, &job(3, 2, "sweep", 4));
-    world.run(8000);
+    world.run_for(8000);
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(300);
-    world.start(owner);
-    world.run(10_000);
+    world.crash_controller(owner);
+    world.run_for(300);
+    world.start_controller(owner);
+    world.run_for(10_000);
     let said = cancel(&mut world, "job-000003");
     assert!(said == "withdrawn" || said == "done", "{said}");
-    world.run(80_000);
+    world.run_for(80_000);
     world
 }
 
@@ -206,9 +206,9 @@
     let before = world.epoch();
     let name = format!("berth-{owner}");
     world.note(&format!("the state service refuses {name} alone"));
-    world.meddle(faults::refuse_state_requests(owner));
+    world.set_fault_injector(faults::refuse_state_requests(owner));
     // The state service still answers the others, which go on without the refused controller.
-    world.run(25_000);
+    world.run_for(25_000);
     assert!(world.epoch() > before, "{}", world.trace());
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
     assert!(!is_healthy(&mut world, owner), "{}", world.trace());
@@ -217,8 +217,8 @@
     let is_finished = world.run_until(60_000, |w| is_done(w, "job-000002"));
     assert!(is_finished, "{}", world.trace());
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
-    world.calm();
-    world.run(20_000);
+    world.clear_fault_injector();
+    world.run_for(20_000);
     assert!(is_healthy(&mut world, owner), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -227,19 +227,19 @@
 fn a_refused_write_is_not_carried_out() {
     // Guards against a fault injector that answers a write with a refusal and carries it out nevertheless.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     let team = (0..3).find(|t| world.owner_of_team(*t) == 2).expect("it owns a team");
     // Submissions that are passed on are lost, so that no peer stores the job either.
     let mut refused = faults::refuse_state_requests(2);
-    world.meddle(move |m| match m.what {
+    world.set_fault_injector(move |m| match m.what {
         "submit" => Delivery::Lost,
         _ => refused(m),
     });
     let request = world.submit(2, &job(1, team as u32, "sweep", 1));
-    world.run(400);
+    world.run_for(400);
     assert_eq!(world.store.get("t/j/job-000001"), None, "{}", world.trace());
     assert_ne!(world.status(request), 201, "{}", world.trace());
-    world.calm();
+    world.clear_fault_injector();
     world.accepted(2, &job(1, team as u32, "sweep", 1));
     assert!(world.store.get("t/j/job-000001").is_some(), "{}", world.trace());
     assert_no_breaches(&world);
@@ -253,10 +253,10 @@
     // that receives a change ends, and is opened again.
     let count_opened_watches = |refused: bool| {
         let mut world = World::new();
-        world.run(3000);
+        world.run_for(3000);
         let count = Rc::new(Cell::new(0));
         let counter = count.clone();
-        world.meddle(move |l| {
+        world.set_fault_injector(move |l| {
             if l.from == "berth-2" && l.what.starts_with("GET /changes") {
                 counter.set(counter.get() + 1);
             }
@@ -269,7 +269,7 @@
             }
         });
         // Within this time the controller has sent a request that was refused.
-        world.run(2500);
+        world.run_for(2500);
         let before = count.get();
         for i in 0..3 {
             for team in 0..3 {
@@ -280,7 +280,7 @@
                     );
                 }
             }
-            world.run(1000);
+            world.run_for(1000);
         }
         assert_no_breaches(&world);
         count.get() - before
@@ -301,7 +301,7 @@
         .cloned()
         .expect("the job runs on a machine");
     world.note(&format!("nothing reaches {machine} any more; its reports arrive"));
-    world.meddle(faults::lose_messages_to_machine(&machine));
+    world.set_fault_injector(faults::lose_messages_to_machine(&machine));
     let has_moved = |w: &World| w.running("job-000001") == 2 && !w.machines_of("job-000001").contains(&machine);
     assert!(world.run_until(110_000, has_moved), "{}", world.trace());
     assert_no_breaches(&world);
@@ -317,10 +317,10 @@
         .cloned()
         .expect("the job runs on a machine");
     world.note(&format!("reports of {machine} reach nobody any more"));
-    world.meddle(faults::lose_reports_of_machine(&machine));
-    world.run(1000);
+    world.set_fault_injector(faults::lose_reports_of_machine(&machine));
+    world.run_for(1000);
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
-    world.run(60_000);
+    world.run_for(60_000);
     let gone = world.gone_after_confirmation("job-000001");
     assert!(gone.is_some_and(|ms| ms <= 38_000), "{gone:?}\n{}", world.trace());
     assert_eq!(world.started_after("job-000001"), 0, "{}", world.trace());
@@ -334,20 +334,20 @@
     let mut world = with_service(0);
     world.keep_reports();
     world.accepted(0, &job(2, 0, "sweep", 4));
-    world.run(8000);
+    world.run_for(8000);
     let before = world.epoch();
     let owner = world.owner_of_team(0);
-    world.crash(owner);
+    world.crash_controller(owner);
     assert!(
         world.run_until(40_000, |w| w.epoch() > before && w.trace().contains("come again")),
         "{}",
         world.trace()
     );
     assert!(!world.trace().contains(" 0 reports of before"), "{}", world.trace());
-    world.start(owner);
+    world.start_controller(owner);
     let is_finished = world.run_until(60_000, |w| is_done(w, "job-000002") && w.running("job-000001") == 2);
     assert!(is_finished, "{}", world.trace());
-    world.run(40_000);
+    world.run_for(40_000);
     assert_no_breaches(&world);
 }
 
@@ -358,13 +358,13 @@
     for after in [0, 1, 2, 3, 5, 10, 50, 500] {
         for controller in 0..3 {
             let mut world = World::new();
-            world.run(3000);
+            world.run_for(3000);
             world.accepted(0, &job(1, 0, "sweep", 2));
             world.cancel_at_end(controller, "job-000001", after);
             let cancelled = world.run_until(60_000, |w| w.cancelled_at_end.contains_key("job-000001"));
             assert!(cancelled, "{after}\n{}", world.trace());
             let request = world.cancelled_at_end["job-000001"];
-            world.run(3000);
+            world.run_for(3000);
             let first = match world.status(request) {
                 200 => world.said(request),
                 _ => cancel(&mut world, "job-000001"),
@@ -372,10 +372,10 @@
             assert!(first == "done" || first == "withdrawn", "{first}\n{}", world.trace());
             for controller in 0..3 {
                 let poll = world.poll(controller, "job-000001");
-                world.run(1500);
+                world.run_for(1500);
                 assert_eq!(world.said(poll), first, "{after}\n{}", world.trace());
             }
-            world.run(40_000);
+            world.run_for(40_000);
             assert_eq!(world.started_after("job-000001"), 0, "{after}\n{}", world.trace());
             assert_no_breaches(&world);
         }
@@ -389,12 +389,12 @@
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     world.note(&format!("berth-{owner} is cut from the state service and its peers"));
-    world.meddle(faults::isolate_controller(owner));
-    world.run(25_000);
+    world.set_fault_injector(faults::isolate_controller(owner));
+    world.run_for(25_000);
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
     assert!(!is_healthy(&mut world, owner), "{}", world.trace());
-    world.calm();
-    world.run(20_000);
+    world.clear_fault_injector();
+    world.run_for(20_000);
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -412,7 +412,7 @@
     let mut second = world.workers[&on].clone();
     second.name = "n-900000".to_owned();
     world.workers.insert("n-900000".to_owned(), second);
-    world.run(0);
+    world.run_for(0);
     assert!(
         world.broken.iter().any(|b| b.starts_with("ran_twice: job-000001/")),
         "{:?}",
@@ -428,7 +428,7 @@
     assert_eq!(world.gone_after_confirmation("job-000001"), None);
     // A cancellation stops tasks at once by direct commands. Without these the tasks end with the answers to the
     // next reports.
-    world.meddle(|l| {
+    world.set_fault_injector(|l| {
         if l.what == "POST /commands" {
             Delivery::Lost
         } else {
@@ -457,7 +457,7 @@
     let ended = Rc::new(Cell::new(0));
     let seen = ended.clone();
     let machine = cut.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         // The worker sends the first report of its next session when its lease has ended.
         if l.from == machine && l.body.contains("\"shift\":2,") && seen.get() == 0 {
             seen.set(l.at);
@@ -470,7 +470,7 @@
     });
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
     world.cloud.down = true;
-    world.run(60_000);
+    world.run_for(60_000);
     let confirmations = world.answers.values().filter(|(_, a)| a.body.contains("withdrawn"));
     let confirmed_at = confirmations
         .map(|(at, _)| *at)
@@ -486,7 +486,7 @@
 fn the_simulation_tells_the_checker_of_orders_to_start() {
     // Guards against orders to start a task that the checker does not count.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     assert_eq!(world.checker().start_orders(), 0);
     // Orders go out with the answers to reports, and directly to a machine that has room.
     world.accepted(0, &job(1, 0, "standing", 1));
@@ -501,7 +501,7 @@
     assert!(world.sent.commands > direct, "{}", world.trace());
     assert!(world.checker().start_orders() > with_answers, "{}", world.trace());
     assert_eq!(cancel(&mut world, "job-000002"), "withdrawn");
-    world.run(40_000);
+    world.run_for(40_000);
     assert_eq!(world.checker().ordered_after("job-000002"), 0, "{}", world.trace());
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/gangs.rs
+++ b/crates/tidelatch-standin/tests/gangs.rs
@@ -17,8 +17,8 @@
         limit: 16.0,
         ..Size::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
-    world.run(3000);
+    let mut world = World::with_size(&Operator::default(), size);
+    world.run_for(3000);
     let mut service = job(9, 0, "standing", 8);
     service["spread"] = serde_json::json!(true);
     world.accepted(0, &service);
@@ -36,7 +36,7 @@
     world.run_ms = 60_000;
     world.accepted(1, &gang(1, 0, 4));
     assert!(world.run_until(30_000, |w| w.running(GANG) == 4), "{}", world.trace());
-    world.run(1000);
+    world.run_for(1000);
     world
 }
 
@@ -56,7 +56,7 @@
 /// Loses all messages from and to a machine.
 fn cut_off(world: &mut World, machine: &str) {
     let machine = machine.to_owned();
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         let is_cut = message.from == machine || message.to == machine;
         if is_cut { Delivery::Lost } else { Delivery::Pass }
     });
@@ -80,11 +80,11 @@
     world.accepted(1, &gang(1, 0, 4));
     assert!(world.run_until(10_000, |w| w.running(GANG) == 4), "{}", world.trace());
     let poll = world.poll(2, GANG);
-    world.run(300);
+    world.run_for(300);
     assert_eq!(world.said(poll), "running");
     assert!(is_done_within(&mut world, 30_000), "{}", world.trace());
     let poll = world.poll(0, GANG);
-    world.run(300);
+    world.run_for(300);
     assert_eq!(world.said(poll), "done");
     assert_trace(&world, "gang_quiet_day");
 }
@@ -100,10 +100,10 @@
     if let Some(w) = world.workers.get_mut(&machine) {
         w.hanging = true;
     }
-    world.run(3000);
+    world.run_for(3000);
     assert_eq!(world.running(GANG), 0);
     let poll = world.poll(0, GANG);
-    world.run(300);
+    world.run_for(300);
     assert_eq!(world.said(poll), "queued", "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -122,7 +122,7 @@
         world.trace()
     );
     let mut is_start_delayed = false;
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         // The first start of a task gets no answer and arrives 30 s late.
         let is_start = message.what.starts_with("POST /commands") && message.body.contains("job-000001/1");
         if is_start && !is_start_delayed {
@@ -135,7 +135,7 @@
     pair["vcpus"] = serde_json::json!(8.0);
     pair["yard"] = serde_json::json!("a");
     world.accepted(1, &pair);
-    world.run(1500);
+    world.run_for(1500);
     let attempt = attempts_of(&world, "job-000001/0")
         .first()
         .map(|(_, n, _)| *n)
@@ -155,7 +155,7 @@
     let attempts = attempts_of(&world, "job-000001/1");
     assert_eq!(attempts.first().map(|(_, n, _)| *n), Some(attempt), "{}", world.trace());
     assert!(is_done_within(&mut world, 60_000), "{}", world.trace());
-    world.run(30_000);
+    world.run_for(30_000);
     assert_trace(&world, "gang_replacement");
 }
 
@@ -164,14 +164,14 @@
 #[test]
 fn an_incomplete_gang_is_restarted_with_a_new_attempt() {
     let mut world = start_with_service();
-    world.meddle(|message| {
+    world.set_fault_injector(|message| {
         // All direct commands that start one of the tasks are lost on the way.
         let is_start = message.body.contains("job-000001/2") && message.what.starts_with("POST /commands");
         if is_start { Delivery::Lost } else { Delivery::Pass }
     });
     world.accepted(1, &gang(1, 0, 4));
-    world.run(2500);
-    world.calm();
+    world.run_for(2500);
+    world.clear_fault_injector();
     assert!(is_done_within(&mut world, 90_000), "{}", world.trace());
     assert_trace(&world, "gang_incomplete");
 }
@@ -188,7 +188,7 @@
         "{}",
         world.trace()
     );
-    world.calm();
+    world.clear_fault_injector();
     assert!(world.run_until(20_000, |w| w.running(GANG) == 4), "{}", world.trace());
     world.run_ms = 1000;
     assert!(is_done_within(&mut world, 30_000), "{}", world.trace());
@@ -204,7 +204,7 @@
     if let Some(w) = world.workers.get_mut(&machine) {
         w.hanging = true;
     }
-    world.run(30_000);
+    world.run_for(30_000);
     assert!(world.cloud.deleted.contains(&machine), "{}", world.trace());
     assert_eq!(world.running(GANG), 4, "{}", world.trace());
     assert!(
@@ -222,7 +222,7 @@
     let machine = world.machines_of(GANG).first().cloned().expect("it runs");
     let unanswered = machine.clone();
     // The worker's reports arrive; answers and commands do not reach it.
-    world.meddle(move |message| match () {
+    world.set_fault_injector(move |message| match () {
         () if message.to == unanswered => Delivery::Lost,
         () if message.from == unanswered => Delivery::AnswerLost,
         () => Delivery::Pass,
@@ -233,9 +233,9 @@
         "{}",
         world.trace()
     );
-    world.run(20_000);
-    world.calm();
-    world.run(20_000);
+    world.run_for(20_000);
+    world.clear_fault_injector();
+    world.run_for(20_000);
     assert_eq!(world.running(GANG), 4, "{}", world.trace());
     assert_trace(&world, "gang_lease_ends");
 }
@@ -276,13 +276,13 @@
     let mut world = start_with_gang();
     world.cloud.most = world.cloud.machines.len();
     let unresponsive = world.machines_of(GANG).last().cloned().expect("it runs");
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         let is_stop = message.to == unresponsive && message.body.contains("kill");
         if is_stop { Delivery::Lost } else { Delivery::Pass }
     });
     submit_competing_services(&mut world);
-    world.run(15_000);
-    world.calm();
+    world.run_for(15_000);
+    world.clear_fault_injector();
     world.cloud.most = 20;
     world.run_ms = 15_000;
     assert!(is_done_within(&mut world, 120_000), "{}", world.trace());
@@ -296,14 +296,14 @@
     let mut world = start_with_gang();
     let machine = world.machines_of(GANG).first().cloned().expect("it runs");
     let unresponsive = machine.clone();
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         let is_cut = message.from == unresponsive || message.to == unresponsive;
         if is_cut { Delivery::Lost } else { Delivery::Pass }
     });
     world.run_ms = 2000;
     assert!(is_done_within(&mut world, 4000), "{}", world.trace());
-    world.calm();
-    world.run(20_000);
+    world.clear_fault_injector();
+    world.run_for(20_000);
     assert!(!world.trace().contains("went_back"));
     assert_trace(&world, "gang_done_of_one");
 }
@@ -317,11 +317,11 @@
     if let Some(w) = world.workers.get_mut(&machine) {
         w.hanging = true;
     }
-    world.run(1000);
+    world.run_for(1000);
     let cancellation = world.withdraw(2, GANG);
-    world.run(2000);
+    world.run_for(2000);
     assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
-    world.run(40_000);
+    world.run_for(40_000);
     assert!(world.machines_of(GANG).is_empty(), "{}", world.trace());
     assert_trace(&world, "gang_cancelled_while_gathering");
 }
@@ -344,13 +344,13 @@
         .filter(|w| w.zone == zone)
         .map(|w| w.name.clone())
         .collect();
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         let is_cut = cut.iter().any(|m| m == message.from || m == message.to);
         if is_cut { Delivery::Lost } else { Delivery::Pass }
     });
     world.cloud.most_in_zone.insert(zone, 0);
-    world.run(60_000);
-    world.calm();
+    world.run_for(60_000);
+    world.clear_fault_injector();
     world.run_ms = 1000;
     assert!(is_done_within(&mut world, 60_000), "{}", world.trace());
     assert_trace(&world, "gang_zone_rule");
@@ -362,11 +362,11 @@
     let mut world = start_with_service();
     world.run_ms = 8000;
     world.accepted(1, &gang(1, 0, 4));
-    world.run(crash_after_ms);
+    world.run_for(crash_after_ms);
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(down_ms);
-    world.start(owner);
+    world.crash_controller(owner);
+    world.run_for(down_ms);
+    world.start_controller(owner);
     assert!(
         is_done_within(&mut world, 120_000),
         "crash after {crash_after_ms} ms, down for {down_ms} ms\n{}",
@@ -410,10 +410,10 @@
         world.trace()
     );
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(300);
-    world.start(owner);
-    world.run(20_000);
+    world.crash_controller(owner);
+    world.run_for(300);
+    world.start_controller(owner);
+    world.run_for(20_000);
     world.cloud.most = 20;
     world.run_ms = 15_000;
     assert!(is_done_within(&mut world, 120_000), "{}", world.trace());
@@ -461,7 +461,7 @@
     let mut world = start_with_service();
     world.run_ms = 8000;
     let mut count = 0u64;
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         count += 1;
         let is_duplicated = message.what == "POST /agent/beat" || message.what.starts_with("POST /commands");
         if is_duplicated && count.is_multiple_of(2) {
@@ -471,14 +471,14 @@
     });
     for i in 1..4 {
         world.accepted(i as usize % 3, &gang(i, 0, 3));
-        world.run(4000);
+        world.run_for(4000);
     }
     for i in 1..4 {
         let key = format!("t/j/job-{i:06}");
         let is_done = |w: &World| w.store.get(&key).is_some_and(|j| j["st"] == "done");
         assert!(world.run_until(120_000, is_done), "{i}\n{}", world.trace());
     }
-    world.run(60_000);
+    world.run_for(60_000);
     assert_no_breaches(&world);
 }
 
@@ -495,13 +495,13 @@
     oversized["vcpus"] = serde_json::json!(25.0);
     for body in [too_large, contradictory, oversized] {
         let request = world.submit(0, &body);
-        world.run(500);
+        world.run_for(500);
         assert_eq!(world.status(request), 422, "{body}\n{}", world.trace());
     }
     let mut unknown_shape = gang(4, 0, 2);
     unknown_shape["shape"] = serde_json::json!("crowd");
     let request = world.submit(0, &unknown_shape);
-    world.run(500);
+    world.run_for(500);
     assert_eq!(world.status(request), 400);
 }
 
@@ -521,7 +521,7 @@
     }
     // Tasks of different lengths, so that those of a machine do not end at the same time.
     world.uneven = true;
-    world.run(20_000);
+    world.run_for(20_000);
     let mut large = gang(1, 0, 2);
     large["vcpus"] = serde_json::json!(8.0);
     world.submit(1, &large);
@@ -592,11 +592,11 @@
     let mut world = start_with_gang();
     let machines = world.machines_of(GANG);
     let owner = world.owner_of_team(0);
-    world.crash(owner);
+    world.crash_controller(owner);
     world.stop_on(&machines[0], 5.0);
-    world.run(300);
-    world.start(owner);
-    world.run(5000);
+    world.run_for(300);
+    world.start_controller(owner);
+    world.run_for(5000);
     assert!(world.trace().contains("is saved at"), "{}", world.trace());
     world.run_ms = 6000;
     assert!(is_done_within(&mut world, 60_000), "{}", world.trace());
@@ -610,12 +610,12 @@
     let machines = world.machines_of(GANG);
     let owner = world.owner_of_team(0);
     cut_off(&mut world, &machines[1]);
-    world.crash(owner);
-    world.run(300);
-    world.start(owner);
-    world.run(1000);
-    world.calm();
-    world.run(3000);
+    world.crash_controller(owner);
+    world.run_for(300);
+    world.start_controller(owner);
+    world.run_for(1000);
+    world.clear_fault_injector();
+    world.run_for(3000);
     assert_eq!(world.running(GANG), 4, "{}", world.trace());
     let starts = world.trace().matches("starts job-000001/").count();
     assert_eq!(starts, 4, "{}", world.trace());
--- a/crates/tidelatch-standin/tests/guests.rs
+++ b/crates/tidelatch-standin/tests/guests.rs
@@ -29,9 +29,9 @@
         value_kb: 4.0,
         ..Size::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     world.run_ms = 4000;
-    world.run(3000);
+    world.run_for(3000);
     world
 }
 
@@ -74,10 +74,10 @@
 fn submit_until_accepted(world: &mut World, controller: usize, body: &Value) {
     for _ in 0..8 {
         let request = world.submit(controller, body);
-        world.run(50);
+        world.run_for(50);
         match world.status(request) {
             201 | 200 => return,
-            503 => world.run(1000),
+            503 => world.run_for(1000),
             status => panic!("{}: {status}", body["uid"]),
         }
     }
@@ -100,7 +100,7 @@
     for (i, id) in (100..120).enumerate() {
         let accepted_ms = accepted_after(&mut world, i % 3, &tiny_array(id, 1));
         assert!(accepted_ms < 500, "{id}: accepted after {accepted_ms} ms");
-        world.run(500);
+        world.run_for(500);
     }
     let writes_per_s = (world.sent.changes - changes) as f64 * 1000.0 / (world.now - from) as f64;
     assert!(
@@ -133,7 +133,7 @@
     let mut world = start();
     for id in 1..=240 {
         submit_until_accepted(&mut world, (id % 3) as usize, &tiny_array(id, 1));
-        world.run(250);
+        world.run_for(250);
         if id == 120 {
             assert!(accepted_after(&mut world, 0, &service(TEAM_WITHOUT_GUARANTEE, 2)) < 500);
         }
@@ -143,7 +143,7 @@
         running, 2,
         "{running} replicas run half a minute after they were submitted"
     );
-    world.run(20_000);
+    world.run_for(20_000);
     let unfinished: Vec<u32> = (1..=240).filter(|id| !is_done(&world, *id)).collect();
     assert!(unfinished.is_empty(), "{unfinished:?}\n{}", world.trace());
     assert_no_breaches(&world);
--- a/crates/tidelatch-standin/tests/late_machines.rs
+++ b/crates/tidelatch-standin/tests/late_machines.rs
@@ -19,7 +19,7 @@
 #[test]
 fn a_machine_that_never_comes_up_is_replaced_before_it_is_deleted() {
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.cloud.next_boots = [None].into();
     world.accepted(0, &job(1, 0, "standing", 1));
     assert!(world.run_until(12_000, |w| count_rented(w) == 2), "{}", world.trace());
@@ -42,12 +42,12 @@
 #[test]
 fn slow_boots_cause_few_extra_rentals_and_no_deletion() {
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.cloud.boot_ms = 5 * Cloud::BOOT_MS;
     for team in 0..3 {
         world.accepted(team as usize, &job(1 + team, team, "sweep", 4));
     }
-    world.run(5 * Cloud::BOOT_MS);
+    world.run_for(5 * Cloud::BOOT_MS);
     let needed = 6;
     assert!(count_rented(&world) <= needed + 3, "{}", world.trace());
     assert!(world.cloud.deleted.is_empty(), "{}", world.trace());
@@ -63,7 +63,7 @@
 #[test]
 fn a_machine_that_comes_up_late_is_used() {
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.cloud.most = 1;
     world.cloud.next_boots = [Some(5 * Cloud::BOOT_MS)].into();
     world.accepted(0, &job(1, 0, "standing", 1));
--- a/crates/tidelatch-standin/tests/on_call.rs
+++ b/crates/tidelatch-standin/tests/on_call.rs
@@ -24,8 +24,8 @@
         limit: 16.0,
         ..Size::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
-    world.run(3000);
+    let mut world = World::with_size(&Operator::default(), size);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "standing", replicas));
     let up = world.run_until(60_000, |w| w.running(SERVICE) == replicas as usize);
     assert!(up, "{}", world.trace());
@@ -82,10 +82,10 @@
 fn the_log_names_a_pause_as_the_cause_of_a_lost_lease() {
     let mut world = with_service(2);
     let owner = world.owner_of_team(0);
-    world.freeze(owner);
-    world.run(9000);
-    world.thaw(owner);
-    world.run(5000);
+    world.pause(owner);
+    world.run_for(9000);
+    world.resume(owner);
+    world.run_for(5000);
     let pause_line = log_line(&world, owner, "this process was paused");
     assert!(!pause_line.is_empty(), "{}", world.trace());
     let lost_line = log_line(&world, owner, "lease lost");
@@ -107,8 +107,8 @@
         .filter(|n| *n != owner)
         .map(|n| format!("berth-{n} is entitled"))
         .collect();
-    world.meddle(faults::refuse_state_requests(owner));
-    world.run(12_000);
+    world.set_fault_injector(faults::refuse_state_requests(owner));
+    world.run_for(12_000);
     let first_line = log_line(&world, owner, "lease not extended: the state service refuses (503)");
     assert!(
         others.iter().all(|other| first_line.contains(other)),
@@ -121,8 +121,8 @@
         "{expiry_line}\n{}",
         world.trace()
     );
-    world.calm();
-    world.run(5000);
+    world.clear_fault_injector();
+    world.run_for(5000);
     let lost_line = log_line(&world, owner, "lease lost");
     assert!(
         lost_line.contains("0 unanswered, 0 not connected, paused for 0 ms"),
@@ -137,8 +137,8 @@
 fn the_log_names_a_network_cut_as_the_cause_of_a_lost_lease() {
     let mut world = with_service(2);
     let owner = world.owner_of_team(0);
-    world.meddle(faults::isolate_controller(owner));
-    world.run(12_000);
+    world.set_fault_injector(faults::isolate_controller(owner));
+    world.run_for(12_000);
     let expiry_line = log_line(&world, owner, "not entitled to act");
     for other in (0..3).filter(|n| *n != owner) {
         assert!(
@@ -166,7 +166,7 @@
                 statuses.push(status);
             }
         }
-        world.run(250);
+        world.run_for(250);
     }
     seen
 }
@@ -190,16 +190,16 @@
                 .and_then(|n| n.parse().ok())
                 .unwrap_or(0);
             if is_pause {
-                world.freeze(controller);
+                world.pause(controller);
             } else {
-                world.meddle(faults::refuse_state_requests(controller));
+                world.set_fault_injector(faults::refuse_state_requests(controller));
             }
-            world.run(fault_ms);
+            world.run_for(fault_ms);
             let leader_during = leader(&world);
             if is_pause {
-                world.thaw(controller);
+                world.resume(controller);
             } else {
-                world.calm();
+                world.clear_fault_injector();
             }
             for _ in 0..20 {
                 for polled in 0..3 {
@@ -235,9 +235,9 @@
 fn concurrent_polls_of_an_unknown_job_share_reads() {
     let mut world = with_service(2);
     let (reads, injector) = count_state_requests(JOB_READ_PREFIX, deliver_all());
-    world.meddle(injector);
+    world.set_fault_injector(injector);
     let polls: Vec<u64> = (0..50).map(|_| world.poll(1, "job-000404")).collect();
-    world.run(200);
+    world.run_for(200);
     assert!(polls.iter().all(|r| world.status(*r) == 404), "{}", world.trace());
     assert_eq!(
         reads.get(),
@@ -255,7 +255,7 @@
     let polled = 1;
     let slow = Rc::new(Cell::new(true));
     let is_slow = slow.clone();
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         let is_of_polled = message.from == "berth-1" && message.to == "state";
         if is_of_polled && message.what.starts_with("GET /changes") {
             // The controller's watch gets no answer, so that it does not learn of the job.
@@ -267,15 +267,15 @@
         }
     });
     // Lets the open watch end. The next ones get no answer.
-    world.run(20_000);
+    world.run_for(20_000);
     // The checker goes by the time of the answer and would report this 404, although the poll is sent before the job is
     // accepted. So it is sent as a health check, whose answers the checker ignores.
     let path = "/submissions/job-000009";
     let first = world.user(polled, Method::Get, path, "", ("job-000009".into(), "health"));
-    world.run(100);
+    world.run_for(100);
     world.accepted(0, &job(9, 0, "sweep", 2));
     let second = world.poll(polled, "job-000009");
-    world.run(1000);
+    world.run_for(1000);
     assert_eq!(world.status(first), 404, "{}", world.trace());
     assert_eq!(world.status(second), 200, "{}", world.trace());
     assert_no_breaches(&world);
@@ -287,7 +287,7 @@
 fn polls_beyond_the_read_capacity_are_rejected_at_once() {
     let mut world = with_service(2);
     let (reads, injector) = count_state_requests(JOB_READ_PREFIX, lose_state_requests(JOB_READ_PREFIX));
-    world.meddle(injector);
+    world.set_fault_injector(injector);
     let polls: Vec<u64> = (0..300)
         .map(|i| world.poll(1, &format!("job-{:06}", 1000 + i)))
         .collect();
@@ -296,7 +296,7 @@
     assert_eq!(refused + reads.get(), 300, "{}", world.trace());
     let refusals = polls.iter().filter_map(|r| world.answers.get(r));
     assert!(refusals.map(|(_, a)| a.retry_after_s).all(|s| s == Some(1)));
-    world.run(2000);
+    world.run_for(2000);
     assert!(polls.iter().all(|r| world.status(*r) == 503), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -309,11 +309,11 @@
         for i in 0..40 {
             world.poll(0, &format!("job-{:06}", 1000 + 40 * round + i));
         }
-        world.run(20);
+        world.run_for(20);
     }
     let submitted = world.submit(0, &job(5, 0, "sweep", 2));
     let cancelled = world.withdraw(0, SERVICE);
-    world.run(1500);
+    world.run_for(1500);
     assert_eq!(world.status(submitted), 201, "{}", world.trace());
     assert_eq!(world.said(cancelled), "withdrawn", "{}", world.trace());
     assert_no_breaches(&world);
@@ -323,13 +323,13 @@
 #[test]
 fn a_poll_of_a_known_job_causes_no_write_and_no_read() {
     let mut world = with_service(2);
-    world.run(10_000);
+    world.run_for(10_000);
     let (reads, injector) = count_state_requests(JOB_READ_PREFIX, deliver_all());
-    world.meddle(injector);
+    world.set_fault_injector(injector);
     let changes = world.sent.changes;
     for _ in 0..100 {
         let polls: Vec<u64> = (0..3).map(|n| world.poll(n, SERVICE)).collect();
-        world.run(50);
+        world.run_for(50);
         assert!(polls.iter().all(|r| world.said(*r) == "running"), "{}", world.trace());
     }
     assert_eq!(reads.get(), 0);
--- a/crates/tidelatch-standin/tests/operator_log.rs
+++ b/crates/tidelatch-standin/tests/operator_log.rs
@@ -7,12 +7,12 @@
 #[test]
 fn a_paused_controller_logs_the_pause_once() {
     let mut world = World::new();
-    world.run(3000);
-    world.freeze(1);
-    world.run(10_000);
+    world.run_for(3000);
+    world.pause(1);
+    world.run_for(10_000);
     assert!(!world.trace().contains("this process was paused"));
-    world.thaw(1);
-    world.run(1000);
+    world.resume(1);
+    world.run_for(1000);
     let pause_lines = world
         .trace()
         .lines()
--- a/crates/tidelatch-standin/tests/partial_failures.rs
+++ b/crates/tidelatch-standin/tests/partial_failures.rs
@@ -12,7 +12,7 @@
 /// Loses every answer and command to a machine. Its reports still arrive, and it still tells its state.
 fn lose_messages_to(world: &mut World, machine: &str) {
     world.note(&format!("nothing reaches {machine} any more; its reports arrive"));
-    world.meddle(faults::lose_messages_to_machine(machine));
+    world.set_fault_injector(faults::lose_messages_to_machine(machine));
 }
 
 #[test]
@@ -52,7 +52,7 @@
     // one. Such a machine is deleted. Until then older tasks may be on it, and wait. No controller is in its zone, and
     // no other machine of the zone is heard from, so nothing says that the machine has died.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     let mut service = job(1, 0, "standing", 2);
     service["yard"] = "b".into();
     world.accepted(0, &service);
@@ -69,9 +69,9 @@
         .cloned()
         .expect("the job runs on a machine");
     lose_messages_to(&mut world, &without_answers);
-    world.crash(owner);
-    world.run(300);
-    world.start(owner);
+    world.crash_controller(owner);
+    world.run_for(300);
+    world.start_controller(owner);
     let done = |w: &World| w.store.get("t/j/job-000002").is_some_and(|j| j["st"] == "done");
     assert!(world.run_until(100_000, done), "{}", world.trace());
     assert!(world.cloud.deleted.contains(&without_answers), "{}", world.trace());
@@ -85,9 +85,9 @@
     // recognised by session and sequence number and by token, and what a direct command started is not forgotten while
     // a copy of the command may still come.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     let n = Rc::new(Cell::new(0u64));
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         n.set(n.get() + 1);
         // Copies come after a few seconds, after about a lease, and after well over a lease.
         let late = [3_000, 17_000, 26_000, 44_000][n.get() as usize % 4] + 7 * (n.get() % 100);
@@ -101,20 +101,20 @@
     world.accepted(0, &job(1, 0, "standing", 2));
     for i in 0..6 {
         world.accepted(i as usize % 3, &job(10 + i, i % 3, "sweep", 3));
-        world.run(4000);
+        world.run_for(4000);
         if i == 2 {
             let owner = world.owner_of_team(1);
-            world.crash(owner);
-            world.run(250);
-            world.start(owner);
+            world.crash_controller(owner);
+            world.run_for(250);
+            world.start_controller(owner);
         }
         if i == 4 {
             world.accepted(0, &job(20, 0, "standing", 1));
-            world.run(5000);
+            world.run_for(5000);
             let mut cancellation = 0;
             for _ in 0..10 {
                 cancellation = world.withdraw(0, "job-000020");
-                world.run(1500);
+                world.run_for(1500);
                 if world.status(cancellation) == 200 {
                     break;
                 }
@@ -122,17 +122,17 @@
             assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
         }
     }
-    world.run(60_000);
+    world.run_for(60_000);
     let jobs = ["job-000001", "job-000010", "job-000013", "job-000015", "job-000020"];
     assert!(world.unanswered(75_000, &jobs).is_empty(), "{}", world.trace());
     for j in [10, 11, 12, 13, 14, 15] {
         let poll = world.poll(0, &format!("job-{j:06}"));
-        world.run(1500);
+        world.run_for(1500);
         assert_eq!(world.said(poll), "done", "job {j}\n{}", world.trace());
     }
     // Late copies of their reports do not bring back machines that are gone.
     world.withdraw(0, "job-000001");
-    world.run(60_000);
+    world.run_for(60_000);
     assert!(world.roster().is_empty(), "{:?}\n{}", world.roster(), world.trace());
     assert_no_breaches(&world);
 }
@@ -142,7 +142,7 @@
     // Guards against a late copy of a direct command that starts a task again, long after its user's cancellation. An
     // attempt that a direct command started is not forgotten for three leases after the command.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "standing", 1));
     assert!(
         world.run_until(30_000, |w| w.running("job-000001") == 1),
@@ -151,7 +151,7 @@
     );
     let copied = Rc::new(Cell::new(0));
     let count = copied.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.what == "POST /commands" && l.body.contains("\"start\"") {
             count.set(count.get() + 1);
             return Delivery::Copied(46_000);
@@ -167,9 +167,9 @@
     );
     assert_eq!(copied.get(), 1, "one direct start\n{}", world.trace());
     let cancellation = world.withdraw(0, "job-000002");
-    world.run(1000);
+    world.run_for(1000);
     assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!(world.running("job-000001"), 1);
     assert_eq!(
         world.trace().matches("starts job-000002/0").count(),
@@ -186,10 +186,10 @@
     // all been restarted remember no deletion. A machine in no roster is therefore taken in only if it is alive: if it
     // has accepted the present token with an answer.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "sweep", 2));
     let n = Rc::new(Cell::new(0u64));
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         n.set(n.get() + 1);
         let is_report = l.what == "POST /agent/beat";
         if is_report {
@@ -203,16 +203,16 @@
         "{}",
         world.trace()
     );
-    world.run(4000);
+    world.run_for(4000);
     assert!(world.roster().is_empty(), "{}", world.trace());
     for controller in 0..3 {
-        world.crash(controller);
+        world.crash_controller(controller);
     }
-    world.run(300);
+    world.run_for(300);
     for controller in 0..3 {
-        world.start(controller);
+        world.start_controller(controller);
     }
-    world.run(80_000);
+    world.run_for(80_000);
     assert!(!world.trace().contains("taking it in"), "{}", world.trace());
     assert!(world.roster().is_empty(), "{}", world.trace());
     assert_trace(&world, "late_reports_of_a_deleted_machine");
@@ -223,10 +223,10 @@
     // Guards against a machine that is paid for and forgotten, because its rental is carried out late, after a crash
     // of all controllers. Unlike the deleted machine in the test above it is alive, and so it is taken in.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     let held = Rc::new(Cell::new(false));
     let once = held.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.what == "POST /hosts" && !once.get() {
             once.set(true);
             return Delivery::Late(9000);
@@ -237,21 +237,21 @@
     let owner = world.owner_of_team(0);
     let request = world.submit(owner, &job(1, 0, "standing", 1));
     assert!(world.run_until(8000, |_| held.get()), "{}", world.trace());
-    world.run(200);
+    world.run_for(200);
     assert_eq!(world.status(request), 201);
     for controller in 0..3 {
-        world.crash(controller);
+        world.crash_controller(controller);
     }
-    world.run(300);
+    world.run_for(300);
     for controller in 0..3 {
-        world.start(controller);
+        world.start_controller(controller);
     }
     assert!(
         world.run_until(60_000, |w| w.running("job-000001") == 1),
         "{}",
         world.trace()
     );
-    world.run(60_000);
+    world.run_for(60_000);
     // The machine is in use or has been returned. No machine is paid for and forgotten.
     let mut roster = world.roster();
     roster.sort();
@@ -271,16 +271,16 @@
     world.note(&format!(
         "{name} loses the state service and its peers, but not its workers"
     ));
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         let cut = l.from == name && !l.to.starts_with("n-");
         let peers = l.to == name && l.from.starts_with("berth-");
         if cut || peers { Delivery::Lost } else { Delivery::Pass }
     });
-    world.run(16_000);
+    world.run_for(16_000);
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
     let up = world.user(owner, Method::Get, "/up", "", ("up".into(), "health"));
     let other = world.user((owner + 1) % 3, Method::Get, "/up", "", ("up".into(), "health"));
-    world.run(10);
+    world.run_for(10);
     assert_eq!((world.status(up), world.status(other)), (503, 200), "{}", world.trace());
     world.accepted((owner + 1) % 3, &job(2, 0, "sweep", 2));
     assert!(
@@ -294,11 +294,11 @@
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     // The others lose the state service as well, and reach it again before this controller does.
     world.store.down = true;
-    world.run(15_000);
+    world.run_for(15_000);
     world.store.down = false;
-    world.run(10_000);
-    world.calm();
-    world.run(20_000);
+    world.run_for(10_000);
+    world.clear_fault_injector();
+    world.run_for(20_000);
     assert!(
         world.unanswered(75_000, &["job-000001", "job-000002"]).is_empty(),
         "{}",
@@ -314,7 +314,7 @@
     // nothing has started for long come first within their priority.
     let mut world = World::new();
     world.cloud.most = 2;
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "sweep", 40));
     let has_started = |w: &World| w.trace().contains("starts job-000001/");
     let mut started_at = None;
@@ -322,7 +322,7 @@
         let mut small_array = job(100 + i, 0, "sweep", 4);
         small_array["dueS"] = serde_json::json!(12.0);
         world.submit(0, &small_array);
-        world.run(3000);
+        world.run_for(3000);
         if has_started(&world) {
             started_at = Some(world.now);
             break;
@@ -340,7 +340,7 @@
 fn replicas_move_to_make_room_for_replicas_bound_to_a_full_zone() {
     // Guards against a replica that never starts: spreading leaves the last replica one zone, which is full of
     // services that could run elsewhere. Zone b has room for two, and a first service takes it.
-    let mut world = World::sized(
+    let mut world = World::with_size(
         &Operator::default(),
         Size {
             limit: 16.0,
@@ -350,7 +350,7 @@
     );
     world.cloud.most_in_zone.insert("a".into(), 0);
     world.cloud.most_in_zone.insert("b".into(), 1);
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "standing", 2));
     assert!(
         world.run_until(60_000, |w| w.running("job-000001") == 2),
@@ -375,7 +375,7 @@
     // end being stored, a request that was passed on, bitmaps being read. This must not depend on how the requests of
     // others fare.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     for i in 0..6 {
         let shape = if i % 3 == 0 { "standing" } else { "sweep" };
         world.accepted(i as usize % 3, &job(i, i % 3, shape, 1 + i % 2));
@@ -383,13 +383,13 @@
     for i in 6..9 {
         world.accepted(i as usize % 3, &gang(i, i % 3, 2 + i % 2));
     }
-    world.run(8000);
+    world.run_for(8000);
     let cancellation = world.withdraw(0, "job-000003");
-    world.run(2);
+    world.run_for(2);
     // All at once: one controller does not reach the state service, messages between peers are lost, one controller
     // crashes in the middle of an election, and one stands still.
     let n = Rc::new(Cell::new(0u64));
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         n.set(n.get() + 1);
         let peers = l.from.starts_with("berth-") && l.to.starts_with("berth-");
         let refused = l.to == "state" && l.from == "berth-1";
@@ -399,19 +399,19 @@
             () => Delivery::Pass,
         }
     });
-    world.freeze(2);
-    world.run(5000);
-    world.crash(0);
-    world.run(200);
-    world.start(0);
-    world.run(900);
-    world.crash(0);
-    world.run(300);
-    world.start(0);
-    world.run(20_000);
-    world.thaw(2);
-    world.run(3000);
-    world.calm();
+    world.pause(2);
+    world.run_for(5000);
+    world.crash_controller(0);
+    world.run_for(200);
+    world.start_controller(0);
+    world.run_for(900);
+    world.crash_controller(0);
+    world.run_for(300);
+    world.start_controller(0);
+    world.run_for(20_000);
+    world.resume(2);
+    world.run_for(3000);
+    world.clear_fault_injector();
     let jobs = [
         "job-000000",
         "job-000001",
@@ -431,7 +431,7 @@
     assert!(is_cancelled || world.running("job-000003") <= 1, "{}", world.trace());
     for j in jobs.iter().skip(1).filter(|j| **j != "job-000003") {
         let poll = world.poll(0, j);
-        world.run(1500);
+        world.run_for(1500);
         assert_eq!(world.said(poll), "done", "{j}\n{}", world.trace());
     }
     assert_no_breaches(&world);
--- a/crates/tidelatch-standin/tests/preemption.rs
+++ b/crates/tidelatch-standin/tests/preemption.rs
@@ -54,7 +54,7 @@
 ) -> RecordedStops {
     let stops: RecordedStops = Rc::default();
     let recorded = stops.clone();
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         let orders: Value = match is_command(message) {
             true => serde_json::from_str(message.body).unwrap_or_default(),
             false => Value::Null,
@@ -82,10 +82,10 @@
 fn start_with_array_at_limit(array: &Value) -> World {
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, array);
     assert_runs(&mut world, ARRAY, 4, 40_000);
-    world.run(3000);
+    world.run_for(3000);
     world
 }
 
@@ -96,7 +96,7 @@
     let stops = record_stops(&mut world, |_| Delivery::Pass);
     world.accepted(0, &job(SERVICE, 0, "standing", 2));
     assert_runs(&mut world, SERVICE, 2, PLACEMENT_MS);
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!(
         count_stopped_tasks(&stops),
         2,
@@ -134,13 +134,13 @@
     // The second array starts 30 s later, so its task has less work to lose.
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(ARRAY, 0, "sweep", 3));
     assert_runs(&mut world, ARRAY, 3, 40_000);
-    world.run(30_000);
+    world.run_for(30_000);
     world.accepted(0, &job(3, 0, "sweep", 1));
     assert_runs(&mut world, 3, 1, 40_000);
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(SERVICE, 0, "standing", 1));
     assert_runs(&mut world, SERVICE, 1, PLACEMENT_MS);
     assert_eq!(world.running(&job_id(ARRAY)), 3, "{}", world.trace());
@@ -154,7 +154,7 @@
     // The service cannot run on the array's machines, so that only the limit could be a reason to preempt tasks.
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
+    world.run_for(3000);
     let mut array = job(ARRAY, 0, "sweep", 2);
     array["yard"] = "a".into();
     world.accepted(0, &array);
@@ -164,7 +164,7 @@
     service["yard"] = "b".into();
     world.accepted(0, &service);
     assert_runs(&mut world, SERVICE, 2, 20_000);
-    world.run(20_000);
+    world.run_for(20_000);
     assert_eq!(
         count_stopped_tasks(&stops),
         0,
@@ -184,7 +184,7 @@
     let mut world = start_with_array_at_limit(&array);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
     world.accepted(0, &job(SERVICE, 0, "standing", 1));
-    world.run(30_000);
+    world.run_for(30_000);
     assert_eq!(
         count_stopped_tasks(&stops),
         0,
@@ -207,7 +207,7 @@
     let mut service = job(SERVICE, 0, "standing", 1);
     service["yard"] = "b".into();
     world.accepted(0, &service);
-    world.run(30_000);
+    world.run_for(30_000);
     assert_eq!(
         count_stopped_tasks(&stops),
         0,
@@ -219,7 +219,7 @@
     // As soon as the cloud has a machine, it is rented and one task is preempted.
     world.cloud.most_in_zone.clear();
     assert_runs(&mut world, SERVICE, 1, 40_000);
-    world.run(30_000);
+    world.run_for(30_000);
     assert_eq!(
         count_stopped_tasks(&stops),
         1,
@@ -238,13 +238,13 @@
         limit: f64::from(2 + array_tasks),
         ..Size::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
+    world.run_for(3000);
     if array_tasks > 0 {
         world.accepted(0, &job(ARRAY, 0, "sweep", array_tasks));
         assert_runs(&mut world, ARRAY, array_tasks as usize, 40_000);
-        world.run(array_lead_ms);
+        world.run_for(array_lead_ms);
     }
     let mut body = gang(GANG, 0, 2);
     body["accelerators"] = json!(1.0);
@@ -254,7 +254,7 @@
     }
     world.accepted(0, &body);
     assert_runs(&mut world, GANG, 2, 40_000);
-    world.run(4000);
+    world.run_for(4000);
     world
 }
 
@@ -265,7 +265,7 @@
     let stops = record_stops(&mut world, |_| Delivery::Pass);
     world.accepted(0, &job(SERVICE, 0, "standing", 1));
     assert_runs(&mut world, SERVICE, 1, 15_000);
-    world.run(10_000);
+    world.run_for(10_000);
     assert_eq!(world.running(&job_id(GANG)), 0, "{}", world.trace());
     assert_eq!(
         count_stopped_tasks(&stops),
@@ -309,7 +309,7 @@
         });
         world.accepted(0, &job(SERVICE, 0, "standing", 2));
         assert_runs(&mut world, SERVICE, 2, 30_000);
-        world.run(20_000);
+        world.run_for(20_000);
         assert_eq!(
             count_stopped_tasks(&stops),
             2,
@@ -348,7 +348,7 @@
     if let Some(w) = world.workers.get_mut(&machine) {
         w.hanging = false;
     }
-    world.run(20_000);
+    world.run_for(20_000);
     assert_eq!(world.running(&job_id(SERVICE)), 1, "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -361,7 +361,7 @@
     // limit: here the team uses three of its four accelerators.
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(ARRAY, 0, "sweep", 3));
     assert_runs(&mut world, ARRAY, 3, 40_000);
     let task_count = |w: &tidelatch_standin::Worker| w.tasks.len();
@@ -370,11 +370,11 @@
     let owner = world.owner_of_team(0);
     let successor = (owner + 1) % 3;
     let stops = record_stops(&mut world, faults::lose_messages_to_machine(&half_full));
-    world.crash(owner);
+    world.crash_controller(owner);
     let epoch = world.epoch();
     assert!(world.run_until(20_000, |w| w.epoch() > epoch), "{}", world.trace());
     world.accepted(successor, &job(SERVICE, 0, "standing", 1));
-    world.run(8000);
+    world.run_for(8000);
     assert_eq!(
         count_stopped_tasks(&stops),
         0,
@@ -382,8 +382,8 @@
         stops.borrow(),
         world.trace()
     );
-    world.calm();
-    world.start(owner);
+    world.clear_fault_injector();
+    world.start_controller(owner);
     assert_runs(&mut world, SERVICE, 1, 60_000);
     assert_no_breaches(&world);
 }
@@ -398,13 +398,13 @@
         array["stowS"] = json!(1.5);
         let mut world = start_with_array_at_limit(&array);
         world.accepted(0, &job(SERVICE, 0, "standing", 3));
-        world.run(crash_after_ms);
+        world.run_for(crash_after_ms);
         let owner = world.owner_of_team(0);
-        world.crash(owner);
-        world.run(6000);
-        world.start(owner);
+        world.crash_controller(owner);
+        world.run_for(6000);
+        world.start_controller(owner);
         assert_runs(&mut world, SERVICE, 3, 60_000);
-        world.run(10_000);
+        world.run_for(10_000);
         assert_eq!(
             world.running(&job_id(SERVICE)),
             3,
@@ -424,9 +424,9 @@
         start_within_s: 2.0,
         ..Size::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
+    world.run_for(3000);
     let mut service = job(SERVICE, 0, "standing", 1);
     service["stock"] = json!("camera");
     service["sizeGb"] = json!(gigabytes);
--- a/crates/tidelatch-standin/tests/production_data.rs
+++ b/crates/tidelatch-standin/tests/production_data.rs
@@ -64,7 +64,7 @@
             value_kb: self.value_kb,
             ..Size::default()
         };
-        let mut world = World::sized(&Operator::default(), size);
+        let mut world = World::with_size(&Operator::default(), size);
         world.cloud.most = 200;
         let is_leased = |key: &str| key == "t/c/leader" || key.starts_with("t/c/member/");
         for (key, value) in self.values.iter().filter(|(key, _)| !is_leased(key)) {
@@ -90,7 +90,7 @@
 fn poll_job(world: &mut World, id: &str) -> Value {
     let path = format!("/submissions/{id}");
     let polled = world.user(0, Method::Get, &path, "", (id.to_owned(), "health"));
-    world.run(500);
+    world.run_for(500);
     let answer = world.answers.get(&polled);
     let body = answer.and_then(|(_, answer)| serde_json::from_str(&answer.body).ok());
     body.unwrap_or_else(|| panic!("{id}: no answer\n{}", world.trace()))
@@ -188,7 +188,7 @@
     // Guards against jobs or machines that a takeover by this version overlooks in the records of production.
     for (name, fixture) in fixtures() {
         let mut world = fixture.restart();
-        world.run(9000);
+        world.run_for(9000);
         let before = fixture.values["t/c/epoch"]["n"].as_u64();
         assert!(Some(world.epoch()) > before, "{name}");
         for partition in 0..3 {
@@ -216,7 +216,7 @@
     // Guards against users who are told another state after the upgrade than production stored.
     for (name, fixture) in fixtures() {
         let mut world = fixture.restart();
-        world.run(9000);
+        world.run_for(9000);
         for (id, record) in fixture.with_prefix("t/j/") {
             let said = poll_job(&mut world, id);
             let stored = record["st"].as_str().expect("a state");
@@ -242,7 +242,7 @@
         "the second chunk has tasks that are done"
     );
     let mut world = fixture.restart();
-    world.run(9000);
+    world.run_for(9000);
     let said = poll_job(&mut world, "job-000002");
     assert_eq!(said["done"].as_u64(), Some(done.len() as u64), "{}", world.trace());
     assert!(
@@ -267,8 +267,8 @@
     let fixture = Fixture::load("production.json");
     let mut world = fixture.restart();
     world.cloud.down = true;
-    world.run(9000);
+    world.run_for(9000);
     let request = world.submit(0, &job(50, 0, "sweep", 1));
-    world.run(500);
+    world.run_for(500);
     assert_eq!(world.status(request), 201, "{}", world.trace());
 }
--- a/crates/tidelatch-standin/tests/queues_and_capacity.rs
+++ b/crates/tidelatch-standin/tests/queues_and_capacity.rs
@@ -14,7 +14,7 @@
     let mut world = World::new();
     world.cloud.most = 2;
     world.run_ms = 90_000;
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 1, "sweep", 4));
     assert!(
         world.run_until(30_000, |w| w.running("job-000001") == 4),
@@ -27,7 +27,7 @@
         "{}",
         world.trace()
     );
-    world.run(30_000);
+    world.run_for(30_000);
     assert_eq!(
         world.running("job-000001"),
         3,
@@ -40,11 +40,11 @@
 /// Guards against users who wait for an answer, or do not learn when to retry, while the queue of their team is full.
 #[test]
 fn a_submission_to_a_full_queue_is_rejected_at_once_with_a_retry_time() {
-    let mut world = World::with(&Operator {
+    let mut world = World::with_operator(&Operator {
         queue_jobs_per_team: Some(2),
         ..Operator::default()
     });
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "sweep", 1));
     world.accepted(0, &job(2, 0, "sweep", 1));
     let refused = world.submit(0, &job(3, 0, "sweep", 1));
@@ -73,13 +73,13 @@
 /// is used up, jobs that found no machine are not searched again at once, and the others get their turn.
 #[test]
 fn jobs_behind_many_unplaceable_ones_run() {
-    let mut world = World::with(&Operator {
+    let mut world = World::with_operator(&Operator {
         search_budget_s: 0.001,
         ..Operator::default()
     });
     world.cloud.most = 1;
     world.run_ms = 500;
-    world.run(3000);
+    world.run_for(3000);
     // The only machine of the cloud is in zone a, and a replica keeps it rented.
     world.accepted(0, &in_zone(job(100, 0, "standing", 1), "a"));
     assert!(
@@ -95,7 +95,7 @@
             in_zone(job(id + 1, 0, "sweep", 2), "a")
         };
         let request = world.submit(0, &body);
-        world.run(100);
+        world.run_for(100);
         assert_eq!(world.status(request), 201, "{}", world.trace());
     }
     let all_done = |w: &World| {
@@ -113,14 +113,14 @@
 #[test]
 fn idle_machines_are_returned() {
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "sweep", 4));
     assert!(
         world.run_until(90_000, |w| !w.cloud.deleted.is_empty() && w.cloud.machines.is_empty()),
         "{}",
         world.trace()
     );
-    world.run(2000);
+    world.run_for(2000);
     assert!(world.store.keys("t/m/").is_empty(), "the roster should be empty");
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
--- a/crates/tidelatch-standin/tests/restarts.rs
+++ b/crates/tidelatch-standin/tests/restarts.rs
@@ -12,7 +12,7 @@
 fn run_with_quick_restarts(crash_at_ms: u64, away_ms: u64) {
     let mut world = World::new();
     let n = Rc::new(Cell::new(0u64));
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         n.set(n.get() + 1);
         let is_copied = matches!(
             l.what,
@@ -25,28 +25,28 @@
         }
     });
     // With the smallest values of `crash_at_ms`, the first crash is in the middle of the first election.
-    world.run(crash_at_ms.min(60));
+    world.run_for(crash_at_ms.min(60));
     if crash_at_ms <= 60 {
-        world.crash(crash_at_ms as usize % 3);
-        world.run(away_ms);
-        world.start(crash_at_ms as usize % 3);
+        world.crash_controller(crash_at_ms as usize % 3);
+        world.run_for(away_ms);
+        world.start_controller(crash_at_ms as usize % 3);
     }
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "standing", 2));
     world.accepted(1, &job(2, 1, "sweep", 3));
     let owner = world.owner_of_team(0);
     let pending = world.submit((owner + 1) % 3, &job(3, 0, "sweep", 2));
-    world.run(crash_at_ms);
-    world.crash(owner);
-    world.run(away_ms);
-    world.start(owner);
-    world.run(crash_at_ms / 2);
+    world.run_for(crash_at_ms);
+    world.crash_controller(owner);
+    world.run_for(away_ms);
+    world.start_controller(owner);
+    world.run_for(crash_at_ms / 2);
     let repetition = world.submit(owner, &job(3, 0, "sweep", 2));
-    world.crash((owner + 1) % 3);
-    world.run(away_ms);
-    world.start((owner + 1) % 3);
-    world.run(40_000);
-    world.calm();
+    world.crash_controller((owner + 1) % 3);
+    world.run_for(away_ms);
+    world.start_controller((owner + 1) % 3);
+    world.run_for(40_000);
+    world.clear_fault_injector();
     let mut jobs = vec!["job-000001", "job-000002"];
     if [pending, repetition]
         .iter()
@@ -67,7 +67,7 @@
     );
     for j in jobs.iter().skip(1) {
         let poll = world.poll(2, j);
-        world.run(2000);
+        world.run_for(2000);
         assert_eq!(
             world.said(poll),
             "done",
@@ -105,24 +105,24 @@
     let name = format!("berth-{owner}");
     let copies = Rc::new(Cell::new(0));
     let count = copies.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.from == name && l.what == "POST /txn" && l.body.contains("t/c/member/") && count.get() < 1 {
             count.set(1);
             return Delivery::Copied(2500);
         }
         Delivery::Pass
     });
-    world.crash(owner);
-    world.run(100);
-    world.start(owner);
+    world.crash_controller(owner);
+    world.run_for(100);
+    world.start_controller(owner);
     assert!(world.run_until(1000, |_| copies.get() == 1), "{}", world.trace());
     // The next incarnation starts while the lease of the first one has not ended.
-    world.crash(owner);
-    world.run(100);
-    world.start(owner);
-    world.run(1500);
+    world.crash_controller(owner);
+    world.run_for(100);
+    world.start_controller(owner);
+    world.run_for(1500);
     let epoch = world.epoch();
-    world.run(30_000);
+    world.run_for(30_000);
     assert_eq!(world.epoch(), epoch, "{}", world.trace());
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert_no_breaches(&world);
@@ -135,7 +135,7 @@
     // ticks) is handled by a controller that may no longer act.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
-    world.freeze(owner);
+    world.pause(owner);
     // A submission and a cancellation wait in its buffers when it resumes.
     let submission = world.submit(owner, &job(7, 0, "sweep", 2));
     let cancellation = world.user(
@@ -145,12 +145,12 @@
         "",
         ("job-000001".into(), "withdraw"),
     );
-    world.run(33_000);
+    world.run_for(33_000);
     let next_owner = world.owner_of_team(0);
     assert_ne!(next_owner, owner, "{}", world.trace());
     world.accepted(next_owner, &job(8, 0, "sweep", 2));
     let before = world.sent;
-    world.thaw(owner);
+    world.resume(owner);
     let after = world.sent;
     // It sends no command to a worker, no change to the state service and no call to the cloud. It may only ask for a
     // new lease.
--- a/crates/tidelatch-standin/tests/rules.rs
+++ b/crates/tidelatch-standin/tests/rules.rs
@@ -22,10 +22,10 @@
         world.trace()
     );
     let poll = world.poll(2, "job-000002");
-    world.run(300);
+    world.run_for(300);
     assert_eq!(world.said(poll), "done");
     let unknown = world.poll(0, "job-999999");
-    world.run(300);
+    world.run_for(300);
     assert_eq!(world.status(unknown), 404);
     assert_trace(&world, "quiet_day");
 }
@@ -35,17 +35,17 @@
     // Guards against a submission that is lost or stored twice because the answer to the storing transaction was lost.
     // The controller reads the unknown outcome from the state service and does not guess it.
     let mut world = World::new();
-    world.run(3000);
-    world.meddle(|l| match l.what {
+    world.run_for(3000);
+    world.set_fault_injector(|l| match l.what {
         "POST /txn" if l.body.contains("t/j/") => Delivery::AnswerLost,
         _ => Delivery::Pass,
     });
     let first = world.submit(0, &job(1, 0, "sweep", 1));
-    world.run(3000);
+    world.run_for(3000);
     assert_eq!(world.status(first), 200, "{}", world.trace());
-    world.calm();
+    world.clear_fault_injector();
     let again = world.submit(2, &job(1, 0, "sweep", 1));
-    world.run(500);
+    world.run_for(500);
     assert_eq!(world.status(again), 200, "{}", world.trace());
     assert_eq!(world.store.keys("t/j/").len(), 1);
     assert_trace(&world, "lost_answer_to_an_acceptance");
@@ -56,18 +56,18 @@
     // Guards against a 400 or 422 for a job that another controller has accepted. The watch of this controller is cut,
     // so it may not have heard of the job: it has to read the state service before such an answer.
     let mut world = World::new();
-    world.run(3000);
-    world.meddle(|l| {
+    world.run_for(3000);
+    world.set_fault_injector(|l| {
         let without_watch = l.from == "berth-1" && l.what.starts_with("GET /changes");
         if without_watch { Delivery::Lost } else { Delivery::Pass }
     });
-    world.run(10_000);
+    world.run_for(10_000);
     world.accepted(0, &job(1, 0, "sweep", 1));
-    world.run(200);
+    world.run_for(200);
     let mut invalid = job(1, 0, "sweep", 1);
     invalid["wagons"] = serde_json::json!(0);
     let request = world.submit(1, &invalid);
-    world.run(500);
+    world.run_for(500);
     assert_eq!(world.status(request), 200, "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
@@ -82,21 +82,21 @@
     let unresponsive = machines.first().cloned().expect("a machine runs the service");
     // The machine is cut off and keeps running its tasks. Then its controller crashes and is not restarted.
     let cut_off = unresponsive.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.from == cut_off || l.to == cut_off {
             Delivery::Lost
         } else {
             Delivery::Pass
         }
     });
-    world.crash(owner);
-    world.run(12_000);
+    world.crash_controller(owner);
+    world.run_for(12_000);
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
     assert!(
         world.workers.contains_key(&unresponsive),
         "the machine has not been given up yet"
     );
-    world.run(40_000);
+    world.run_for(40_000);
     assert!(world.cloud.deleted.contains(&unresponsive), "{}", world.trace());
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "take_over_with_a_silent_machine");
@@ -111,16 +111,16 @@
     let name = format!("berth-{owner}");
     let cut_off = name.clone();
     // Only the owner is cut off from the state service. Its workers still reach it.
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.from == cut_off && l.to == "state" {
             Delivery::Lost
         } else {
             Delivery::Pass
         }
     });
-    world.run(4000);
+    world.run_for(4000);
     let submit = world.submit((owner + 1) % 3, &job(2, 0, "sweep", 2));
-    world.run(30_000);
+    world.run_for(30_000);
     assert!(matches!(world.status(submit), 200 | 201), "{}", world.trace());
     assert_ne!(world.owner_of_team(0), owner);
     assert!(
@@ -128,8 +128,8 @@
         "{}",
         world.trace()
     );
-    world.calm();
-    world.run(10_000);
+    world.clear_fault_injector();
+    world.run_for(10_000);
     assert_eq!(
         world.owner_of_team(0),
         owner,
@@ -144,7 +144,7 @@
     // Guards against a task that is started twice because a late report, sent before the task started, does not list
     // it. A report with an older session or sequence number is no evidence of anything.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "standing", 1));
     assert!(
         world.run_until(25_000, |w| w.running("job-000001") == 1),
@@ -155,14 +155,14 @@
     // there.
     let delayed = Rc::new(Cell::new(0));
     let count = delayed.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.what == "POST /agent/beat" && l.from == "n-000001" && count.get() < 1 {
             count.set(1);
             return Delivery::Late(32_700);
         }
         Delivery::Pass
     });
-    world.run(6000);
+    world.run_for(6000);
     world.accepted(0, &job(2, 0, "standing", 1));
     assert!(
         world.run_until(25_000, |w| w.running("job-000002") == 1),
@@ -176,7 +176,7 @@
         "{}",
         world.trace()
     );
-    world.run(30_000);
+    world.run_for(30_000);
     assert_eq!(delayed.get(), 1, "{}", world.trace());
     assert_eq!(world.running("job-000002"), 1, "{}", world.trace());
     assert_trace(&world, "late_beat");
@@ -190,8 +190,8 @@
     // knows.
     let mut world = with_service(0);
     let home_controller = world.owner_of_team(0);
-    world.crash(home_controller);
-    world.run(12_000);
+    world.crash_controller(home_controller);
+    world.run_for(12_000);
     let last_owner = world.owner_of_team(0);
     assert_ne!(last_owner, home_controller);
     world.run_ms = 12_000;
@@ -202,26 +202,26 @@
         world.trace()
     );
     let without_watch = format!("berth-{last_owner}");
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.from == without_watch && l.what.starts_with("GET /changes") {
             Delivery::Lost
         } else {
             Delivery::Pass
         }
     });
-    world.run(4000);
-    world.start(home_controller);
+    world.run_for(4000);
+    world.start_controller(home_controller);
     for _ in 0..12 {
-        world.run(2000);
+        world.run_for(2000);
         world.poll(home_controller, "job-000002");
-        world.run(300);
+        world.run_for(300);
         world.poll(last_owner, "job-000002");
-        world.run(300);
+        world.run_for(300);
     }
-    world.calm();
-    world.run(20_000);
+    world.clear_fault_injector();
+    world.run_for(20_000);
     let poll = world.poll(last_owner, "job-000002");
-    world.run(500);
+    world.run_for(500);
     assert_eq!(world.said(poll), "done", "{}", world.trace());
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     let attempts = world.trace().matches("raising the epoch to 3").count();
@@ -237,10 +237,10 @@
     // Guards against a task that never starts, or starts twice, after the answer to a report was lost together with
     // the start that it carried. The start counts as lost only if a later report comes without the task.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     let lost = Rc::new(Cell::new(0));
     let count = lost.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.what == "POST /agent/beat" && l.at > 5000 && count.get() < 4 {
             count.set(count.get() + 1);
             return Delivery::AnswerLost;
@@ -253,7 +253,7 @@
         "{}",
         world.trace()
     );
-    world.run(20_000);
+    world.run_for(20_000);
     assert_eq!(world.running("job-000001"), 3);
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
@@ -267,17 +267,17 @@
     let mut confirmed = 0;
     for _ in 0..5 {
         let request = world.withdraw(1, "job-000002");
-        world.run(1500);
+        world.run_for(1500);
         if world.status(request) == 200 {
             confirmed = request;
             break;
         }
     }
     assert_eq!(world.said(confirmed), "withdrawn", "{}", world.trace());
-    world.run(45_000);
+    world.run_for(45_000);
     assert!(world.machines_of("job-000002").is_empty(), "{}", world.trace());
     let poll = world.poll(2, "job-000002");
-    world.run(500);
+    world.run_for(500);
     assert_eq!(world.said(poll), "withdrawn");
     // Now with a machine that has room, and cancellations shortly before and after the start.
     world.accepted(0, &job(3, 0, "standing", 1));
@@ -289,15 +289,15 @@
     let owner = world.owner_of_team(0);
     for (id, wait) in [(4, 100), (5, 190), (6, 202), (7, 206), (8, 1000)] {
         let request = world.submit(owner, &job(id, 0, "standing", 1));
-        world.run(wait);
+        world.run_for(wait);
         assert_eq!(world.status(request), 201, "{}", world.trace());
         let name = format!("job-{id:06}");
         let request = world.withdraw(owner, &name);
-        world.run(20);
+        world.run_for(20);
         assert_eq!(world.said(request), "withdrawn", "{}", world.trace());
         let starts = |w: &World| w.trace().matches(&format!("starts {name}/")).count();
         let starts_before = starts(&world);
-        world.run(6000);
+        world.run_for(6000);
         assert_eq!(starts(&world), starts_before, "{}", world.trace());
         assert!(world.machines_of(&name).is_empty(), "{}", world.trace());
     }
@@ -318,17 +318,17 @@
     );
     // For a while, transactions that store the end of a job are carried out, but their answers are lost.
     let until = world.now + 12_000;
-    world.meddle(move |l| match l.what {
+    world.set_fault_injector(move |l| match l.what {
         "POST /txn" if l.at < until && l.body.contains("\"st\":") => Delivery::AnswerLost,
         _ => Delivery::Pass,
     });
-    world.run(5200);
+    world.run_for(5200);
     let owner = world.owner_of_team(0);
     let request = world.withdraw(owner, "job-000002");
-    world.run(20_000);
+    world.run_for(20_000);
     let again = world.withdraw((owner + 1) % 3, "job-000002");
     let poll = world.poll(owner, "job-000002");
-    world.run(1000);
+    world.run_for(1000);
     assert!(matches!(world.status(request), 200 | 503));
     assert_eq!(world.status(again), 200, "{}", world.trace());
     assert_eq!(world.said(again), world.said(poll));
@@ -342,13 +342,13 @@
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let epoch = world.epoch();
-    world.crash(owner);
-    world.run(200);
-    world.start(owner);
-    world.run(5000);
+    world.crash_controller(owner);
+    world.run_for(200);
+    world.start_controller(owner);
+    world.run_for(5000);
     assert!(world.epoch() > epoch, "{}", world.trace());
     assert_eq!(world.owner_of_team(0), owner);
-    world.run(20_000);
+    world.run_for(20_000);
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "restart_within_the_lease");
 }
@@ -358,7 +358,7 @@
     // Guards against a team that exceeds its limit because tasks on an unreachable machine are taken for ended. Tasks
     // count against the limit until they are proven gone.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "standing", 4));
     assert!(
         world.run_until(30_000, |w| w.running("job-000001") == 4),
@@ -366,7 +366,7 @@
         world.trace()
     );
     let cut_off = world.machines_of("job-000001").first().cloned().expect("a machine");
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.from == cut_off || l.to == cut_off {
             Delivery::Lost
         } else {
@@ -374,9 +374,9 @@
         }
     });
     world.accepted(1, &job(2, 0, "sweep", 2));
-    world.run(60_000);
-    world.calm();
-    world.run(20_000);
+    world.run_for(60_000);
+    world.clear_fault_injector();
+    world.run_for(20_000);
     assert_eq!(world.running("job-000001"), 4, "{}", world.trace());
     assert_trace(&world, "full_team_with_a_machine_out_of_reach");
 }
@@ -386,20 +386,20 @@
     // Guards against tasks that are lost when all controllers crash and are back before the workers' leases end.
     let mut world = with_service(2);
     for i in 0..3 {
-        world.crash(i);
+        world.crash_controller(i);
     }
-    world.run(3000);
+    world.run_for(3000);
     for i in 0..3 {
-        world.start(i);
+        world.start_controller(i);
     }
-    world.run(15_000);
+    world.run_for(15_000);
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert!(
         world.workers.values().all(|w| w.session == 1),
         "every worker is still in its first session"
     );
     let poll = world.poll(1, "job-000001");
-    world.run(500);
+    world.run_for(500);
     assert_eq!(world.said(poll), "running", "{}", world.trace());
     assert_trace(&world, "all_controllers_crash");
 }
@@ -412,19 +412,19 @@
     let owner = format!("berth-{}", world.owner_of_team(0));
     let machines = world.machines_of("job-000001");
     let cut_off = machines.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         let between = (cut_off.iter().any(|m| m == l.from) && l.to == owner)
             || (cut_off.iter().any(|m| m == l.to) && l.from == owner);
         if between { Delivery::Lost } else { Delivery::Pass }
     });
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!(world.machines_of("job-000001"), machines, "{}", world.trace());
     assert!(
         world.workers.values().all(|w| w.session == 1),
         "every worker is still in its first session"
     );
     let request = world.withdraw(1, "job-000001");
-    world.run(35_000);
+    world.run_for(35_000);
     assert_eq!(world.said(request), "withdrawn", "{}", world.trace());
     assert!(world.machines_of("job-000001").is_empty(), "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
@@ -436,14 +436,14 @@
     // pinned to its machine: it is neither started elsewhere, nor forgotten once it has ended, until a newer token or
     // session fences the command that is still in flight.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "standing", 1));
     assert!(
         world.run_until(30_000, |w| w.running("job-000001") == 1),
         "{}",
         world.trace()
     );
-    world.run(6000);
+    world.run_for(6000);
     // A second machine gets room. Then the first direct command to start a task is held back.
     world.accepted(0, &job(2, 0, "standing", 2));
     assert!(
@@ -453,7 +453,7 @@
     );
     let sent = Rc::new(Cell::new(0));
     let count = sent.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.what == "POST /commands" && l.body.contains("\"start\"") && count.get() < 1 {
             count.set(1);
             return Delivery::Late(25_000);
@@ -461,7 +461,7 @@
         Delivery::Pass
     });
     world.accepted(0, &job(3, 0, "sweep", 1));
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!(sent.get(), 1, "{}", world.trace());
     assert!(
         world.store.get("t/j/job-000003").is_some_and(|j| j["st"] == "done"),
@@ -487,19 +487,19 @@
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.from == name && l.to == "state" {
             Delivery::Lost
         } else {
             Delivery::Pass
         }
     });
-    world.run(18_500);
+    world.run_for(18_500);
     assert_ne!(world.owner_of_team(0), owner);
-    world.calm();
+    world.clear_fault_injector();
     let epoch = world.epoch();
     assert!(world.run_until(8000, |w| w.epoch() > epoch), "{}", world.trace());
-    world.run(1500);
+    world.run_for(1500);
     let takeover_line = format!("berth-{owner}: epoch {}: taking over partition 0", world.epoch());
     assert!(world.trace().contains(&takeover_line), "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
--- a/crates/tidelatch-standin/tests/scale.rs
+++ b/crates/tidelatch-standin/tests/scale.rs
@@ -11,7 +11,7 @@
 /// Starts a deployment of six teams and up to 300 machines, with services and arrays of thousands of tasks that are
 /// submitted at about the same time.
 fn start_large_workload() -> World {
-    let mut world = World::sized(
+    let mut world = World::with_size(
         &Operator::default(),
         Size {
             teams: 6,
@@ -24,7 +24,7 @@
     );
     world.cloud.most = 300;
     world.run_ms = 20_000;
-    world.run(3000);
+    world.run_for(3000);
     let mut rejected = Vec::new();
     for i in 0..40 {
         let service = i % 4 == 0;
@@ -34,7 +34,7 @@
         body["runtimeS"] = if service { 0.0 } else { 20.0 }.into();
         // The jobs arrive faster than the state service accepts writes. Rejected ones are submitted again.
         let request = world.submit(i as usize % 3, &body);
-        world.run(40);
+        world.run_for(40);
         if world.status(request) != 201 {
             rejected.push((i as usize % 3, body));
         }
@@ -98,7 +98,7 @@
         sent.commands
     );
     // Machines without room for any waiting task are not evaluated.
-    let evaluations_per_task = world.evaluations() / tasks;
+    let evaluations_per_task = world.machine_evaluations() / tasks;
     assert!(
         evaluations_per_task < 4 * machines,
         "{evaluations_per_task} evaluations of machines for each task"
@@ -120,11 +120,11 @@
     let mut world = start_large_workload();
     assert!(world.run_until(45_000, |w| w.workers.len() >= 200), "{}", world.trace());
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(12_000);
+    world.crash_controller(owner);
+    world.run_for(12_000);
     let lines = world.trace().matches("every machine is accounted for").count();
     assert!(lines >= 4, "{}", world.trace());
-    world.start(owner);
+    world.start_controller(owner);
     assert!(world.run_until(240_000, all_done), "{}", world.trace());
     let services: usize = (0..40).step_by(4).map(|i| world.running(&format!("job-{i:06}"))).sum();
     assert_eq!(services, 80);
@@ -134,7 +134,7 @@
 /// Returns the evaluations within 20 s, for each waiting service and each machine, in a deployment full of replicas.
 /// Moving any of them could make room in its zone, but none finds room in the other zone.
 fn evaluations_of_waiting_replicas(machines: u32) -> f64 {
-    let mut world = World::sized(
+    let mut world = World::with_size(
         &Operator::default(),
         Size {
             teams: 3,
@@ -146,24 +146,24 @@
         },
     );
     world.cloud.most = machines as usize;
-    world.run(3000);
+    world.run_for(3000);
     let (running_jobs, waiting_jobs) = (machines / 4, machines / 16);
     for i in 0..running_jobs {
         world.accepted(i as usize % 3, &job(i, i % 3, "standing", 8));
     }
     // Replicas are moved only after they have run for longer than a worker's lease.
-    world.run(60_000);
+    world.run_for(60_000);
     for i in running_jobs..running_jobs + waiting_jobs {
         let mut body = job(i, i % 3, "standing", 8);
         body["spread"] = true.into();
         world.accepted(i as usize % 3, &body);
     }
-    let before = world.evaluations();
-    world.run(20_000);
+    let before = world.machine_evaluations();
+    world.run_for(20_000);
     let incomplete = (running_jobs..running_jobs + waiting_jobs).filter(|i| world.running(&format!("job-{i:06}")) < 8);
     assert!(incomplete.count() as u32 * 2 > waiting_jobs, "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
-    (world.evaluations() - before) as f64 / f64::from(waiting_jobs * machines)
+    (world.machine_evaluations() - before) as f64 / f64::from(waiting_jobs * machines)
 }
 
 /// Guards against a search that takes longer than a lease: a controller of 700 machines once evaluated, for each
@@ -191,24 +191,24 @@
         limit: 1000.0,
         ..Size::default()
     };
-    let mut world = World::sized(&operator, size);
+    let mut world = World::with_size(&operator, size);
     let machines = 24;
     world.cloud.most = machines;
     world.run_ms = 600_000;
-    world.run(3000);
+    world.run_for(3000);
     // The arrays fill all machines.
     for i in 0..4 {
         world.accepted(0, &job(i, 0, "sweep", 40));
     }
-    world.run(60_000);
-    let before = world.censuses();
+    world.run_for(60_000);
+    let before = world.budget_counts();
     let replicas = 8;
     world.accepted(0, &job(10, 0, "standing", replicas));
     let all_run = world.run_until(30_000, |w| w.running("job-000010") == replicas as usize);
     assert!(all_run, "{}", world.trace());
     assert!(world.trace().contains("to make room"), "{}", world.trace());
-    let censuses = world.censuses() - before;
-    assert!(censuses < machines as u64, "{censuses} counts for {replicas} replicas");
+    let counts = world.budget_counts() - before;
+    assert!(counts < machines as u64, "{counts} counts for {replicas} replicas");
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
@@ -227,7 +227,7 @@
 /// Lets time pass in steps of 500 ms until a condition is met, because each check looks at all machines.
 fn run_until_in_half_seconds(world: &mut World, seconds: u32, condition: impl Fn(&World) -> bool) -> bool {
     (0..seconds * 2).any(|_| {
-        world.run(500);
+        world.run_for(500);
         condition(world)
     })
 }
@@ -238,7 +238,7 @@
     const REPLICAS_PER_JOB: u32 = 100;
     // The cloud has as many machines again as replacements of lost or drained ones.
     world.cloud.most = 2 * machines as usize;
-    world.run(3000);
+    world.run_for(3000);
     let jobs = machines * 2 / REPLICAS_PER_JOB;
     for i in 0..jobs {
         let body = job(i, i % 6, "standing", REPLICAS_PER_JOB);
@@ -256,7 +256,7 @@
 
 /// Rents a fleet for services that fill it, crashes the owner of a partition, and then loses a third of the machines.
 fn measure_fleet(machines: u32) -> FleetCosts {
-    let mut world = World::sized(
+    let mut world = World::with_size(
         &Operator::default(),
         Size {
             teams: 6,
@@ -273,7 +273,7 @@
 
     // A takeover while the partition's machines are in use.
     let before = world.trace().matches("every machine is accounted for").count();
-    world.crash(world.owner_of_team(0));
+    world.crash_controller(world.owner_of_team(0));
     let is_accounted_for = |w: &World| w.trace().matches("every machine is accounted for").count() > before;
     assert!(
         run_until_in_half_seconds(&mut world, 20, is_accounted_for),
@@ -281,13 +281,13 @@
     );
 
     // A third of the machines is lost at once.
-    let (changes, evaluations) = (world.sent.changes, world.evaluations());
+    let (changes, evaluations) = (world.sent.changes, world.machine_evaluations());
     let lost: Vec<String> = world.workers.keys().step_by(3).cloned().collect();
     for name in &lost {
         world.workers.remove(name);
         world.cloud.machines.remove(name);
     }
-    world.run(1);
+    world.run_for(1);
     assert!(
         run_until_in_half_seconds(&mut world, 600, all_run),
         "replicas are missing"
@@ -299,7 +299,9 @@
         changes_to_rent,
         cloud_calls_to_rent,
         changes_to_recover: (world.sent.changes - changes) as f64 / lost.len() as f64,
-        evaluations_to_recover: (world.evaluations() - evaluations) as f64 / lost.len() as f64 / f64::from(machines),
+        evaluations_to_recover: (world.machine_evaluations() - evaluations) as f64
+            / lost.len() as f64
+            / f64::from(machines),
         relays_per_report: world.sent.relays as f64 / world.sent.beats as f64,
         largest_value: sizes.map(|value| value.to_string().len()).max().unwrap_or(0),
     }
@@ -345,13 +347,13 @@
         value_kb: 2.0,
         ..Size::default()
     };
-    let mut world = World::sized(&operator, size);
+    let mut world = World::with_size(&operator, size);
     let all_run = rent_fleet(&mut world, machines, 95);
     let before: BTreeSet<String> = world.roster().into_iter().collect();
-    world.run(100_000 - world.now);
+    world.run_for(100_000 - world.now);
     assert!(all_run(&world), "replicas are missing before the drain");
-    let (changes, evaluations) = (world.sent.changes, world.evaluations());
-    world.run(40_000);
+    let (changes, evaluations) = (world.sent.changes, world.machine_evaluations());
+    world.run_for(40_000);
     let after: BTreeSet<String> = world.roster().into_iter().collect();
     let drained = before.difference(&after).count();
     assert!(world.broken.is_empty(), "{:?}", world.broken);
@@ -363,7 +365,7 @@
     DrainCosts {
         drained,
         changes: (world.sent.changes - changes) as f64 / drained as f64,
-        evaluations: (world.evaluations() - evaluations) as f64 / drained as f64 / f64::from(machines),
+        evaluations: (world.machine_evaluations() - evaluations) as f64 / drained as f64 / f64::from(machines),
         stored_bytes: sizes.iter().sum(),
         largest_value: sizes.into_iter().max().unwrap_or(0),
     }
