--- a/crates/tidelatch-standin/tests/shared_machines.rs
+++ b/crates/tidelatch-standin/tests/shared_machines.rs
@@ -34,7 +34,7 @@
 fn with_two_machines(mut world: World, shape: &str, run_ms: u64) -> World {
     world.run_ms = run_ms;
     world.cloud.most = 2;
-    world.run(3000);
+    world.run_for(3000);
     for (team, id) in (0..).zip(FIRST_JOBS) {
         world.accepted(0, &job(team + 1, team, shape, 1));
         let runs = world.run_until(30_000, |w| w.running(id) == 1);
@@ -81,10 +81,10 @@
     for controller in 0..3 {
         for down_ms in [300, 25_000] {
             let (mut world, shared) = with_shared_machine("standing", 600_000);
-            world.crash(controller);
-            world.run(down_ms);
-            world.start(controller);
-            world.run(40_000);
+            world.crash_controller(controller);
+            world.run_for(down_ms);
+            world.start_controller(controller);
+            world.run_for(40_000);
             let case = (controller, down_ms);
             assert_no_breaches(&world, case);
             for id in [shared.earlier_job, LATER_JOB] {
@@ -112,10 +112,10 @@
 fn tasks_on_a_shared_machine_keep_running_when_any_controller_pauses_beyond_its_lease() {
     for controller in 0..3 {
         let (mut world, shared) = with_shared_machine("standing", 600_000);
-        world.freeze(controller);
-        world.run(33_000);
-        world.thaw(controller);
-        world.run(40_000);
+        world.pause(controller);
+        world.run_for(33_000);
+        world.resume(controller);
+        world.run_for(40_000);
         assert_no_breaches(&world, controller);
         let trace = world.trace();
         assert!(!trace.contains("is on a second machine"), "{controller}\n{trace}");
@@ -139,10 +139,10 @@
 #[test]
 fn tasks_on_a_shared_machine_keep_running_when_all_controllers_crash() {
     let (mut world, shared) = with_shared_machine("standing", 600_000);
-    (0..3).for_each(|controller| world.crash(controller));
-    world.run(2000);
-    (0..3).for_each(|controller| world.start(controller));
-    world.run(40_000);
+    (0..3).for_each(|controller| world.crash_controller(controller));
+    world.run_for(2000);
+    (0..3).for_each(|controller| world.start_controller(controller));
+    world.run_for(40_000);
     assert_no_breaches(&world, "all controllers crash");
     for id in [shared.earlier_job, LATER_JOB] {
         assert_eq!(count_starts(&world, &shared.machine, id), 1, "{id}\n{}", world.trace());
@@ -158,17 +158,17 @@
         if let Some(down_ms) = owner_crash {
             // The owner crashes while the task runs, and the next owner learns which tasks have ended in the meantime.
             let owner = world.owner_of_team(shared.earlier_team);
-            world.run(5000);
-            world.crash(owner);
-            world.run(down_ms);
-            world.start(owner);
+            world.run_for(5000);
+            world.crash_controller(owner);
+            world.run_for(down_ms);
+            world.start_controller(owner);
         }
         let done = |w: &World| w.machines_of(shared.earlier_job).is_empty() && w.machines_of(LATER_JOB).is_empty();
         assert!(world.run_until(120_000, done), "{owner_crash:?}\n{}", world.trace());
-        world.run(10_000);
+        world.run_for(10_000);
         for id in [shared.earlier_job, LATER_JOB] {
             let request = world.poll(0, id);
-            world.run(2000);
+            world.run_for(2000);
             assert_eq!(world.said(request), "done", "{owner_crash:?} {id}\n{}", world.trace());
             assert_eq!(
                 count_starts(&world, &shared.machine, id),
@@ -195,15 +195,15 @@
                 (LATER_JOB, 2)
             };
             let request = world.withdraw(0, id);
-            world.run(1000);
+            world.run_for(1000);
             assert_eq!(world.said(request), "withdrawn", "{case:?}\n{}", world.trace());
             if crash {
                 let owner = world.owner_of_team(team);
-                world.crash(owner);
-                world.run(300);
-                world.start(owner);
+                world.crash_controller(owner);
+                world.run_for(300);
+                world.start_controller(owner);
             }
-            world.run(CANCEL_MS);
+            world.run_for(CANCEL_MS);
             assert!(world.machines_of(id).is_empty(), "{case:?}\n{}", world.trace());
             world.accepted(0, &job(4, 2, "standing", 1));
             let used = world.run_until(90_000, |w| w.running("job-000004") == 1);
@@ -227,7 +227,7 @@
             let case = (delivery, crash);
             let mut world = with_two_machines(World::new(), "standing", 600_000);
             let until = world.now + 30_000;
-            world.meddle(move |message| {
+            world.set_fault_injector(move |message| {
                 let is_transfer = message.what == "POST /txn" && message.body.contains("\"also\"");
                 if is_transfer && message.at < until {
                     delivery
@@ -236,16 +236,16 @@
                 }
             });
             world.accepted(0, &job(3, 2, "standing", 1));
-            world.run(26_000);
+            world.run_for(26_000);
             if crash {
                 let owner = world.owner_of_team(1);
-                world.crash(owner);
-                world.run(300);
-                world.start(owner);
+                world.crash_controller(owner);
+                world.run_for(300);
+                world.start_controller(owner);
             }
             let runs = world.run_until(90_000, |w| w.running(LATER_JOB) == 1);
             assert!(runs, "{case:?}\n{}", world.trace());
-            world.run(30_000);
+            world.run_for(30_000);
             for id in FIRST_JOBS {
                 assert_eq!(world.running(id), 1, "{case:?} {id}\n{}", world.trace());
             }
@@ -276,15 +276,15 @@
             let case = (name, crash);
             let (mut world, shared) = with_shared_machine("standing", 600_000);
             world.cloud.most = 3;
-            world.meddle(fault(&shared.machine));
-            world.run(4000);
+            world.set_fault_injector(fault(&shared.machine));
+            world.run_for(4000);
             if let Some(controller) = crash {
-                world.crash(controller);
-                world.run(300);
-                world.start(controller);
+                world.crash_controller(controller);
+                world.run_for(300);
+                world.start_controller(controller);
             }
-            world.run(60_000);
-            world.calm();
+            world.run_for(60_000);
+            world.clear_fault_injector();
             let all_run = |w: &World| [shared.earlier_job, LATER_JOB].iter().all(|id| w.running(id) == 1);
             assert!(world.run_until(90_000, all_run), "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
@@ -299,7 +299,7 @@
     world.cloud.most = 3;
     let owner = format!("berth-{}", world.owner_of_team(shared.earlier_team));
     let machine = shared.machine.clone();
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         let is_between_them =
             (message.from == owner && message.to == machine) || (message.from == machine && message.to == owner);
         if is_between_them {
@@ -308,7 +308,7 @@
             Delivery::Pass
         }
     });
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!(
         world.machines_of(shared.earlier_job),
         std::slice::from_ref(&shared.machine),
@@ -337,13 +337,13 @@
         if let Some(ms) = down_ms {
             let owner = world.owner_of_team(shared.earlier_team);
             world.accepted((owner + 1) % 3, &more);
-            world.crash(owner);
-            world.run(ms);
-            world.start(owner);
+            world.crash_controller(owner);
+            world.run_for(ms);
+            world.start_controller(owner);
         } else {
             world.accepted(0, &more);
         }
-        world.run(60_000);
+        world.run_for(60_000);
         assert_eq!(world.running("job-000004"), 3, "{down_ms:?}\n{}", world.trace());
         assert_no_breaches(&world, down_ms);
     }
@@ -357,10 +357,10 @@
     world.cloud.most = 8;
     let controller = world.owner_of_team(shared.earlier_team);
     let (owner, machine) = (format!("berth-{controller}"), shared.machine.clone());
-    world.crash(controller);
-    world.run(300);
-    world.start(controller);
-    world.meddle(move |message| {
+    world.crash_controller(controller);
+    world.run_for(300);
+    world.start_controller(controller);
+    world.set_fault_injector(move |message| {
         let is_between_them =
             (message.from == owner && message.to == machine) || (message.from == machine && message.to == owner);
         if is_between_them {
@@ -369,12 +369,12 @@
             Delivery::Pass
         }
     });
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(controller, &job(4, shared.earlier_team as u32, "sweep", 6));
-    world.run(30_000);
+    world.run_for(30_000);
     assert_eq!(world.running("job-000004"), 2, "{}", world.trace());
-    world.calm();
-    world.run(10_000);
+    world.clear_fault_injector();
+    world.run_for(10_000);
     assert_eq!(world.running("job-000004"), 3, "{}", world.trace());
     assert_no_breaches(&world, "machine not polled yet");
 }
@@ -385,9 +385,9 @@
 fn a_machine_with_tasks_of_one_other_partition_only_is_transferred_to_it() {
     let (mut world, shared) = with_shared_machine("standing", 600_000);
     let request = world.withdraw(0, LATER_JOB);
-    world.run(1000);
+    world.run_for(1000);
     assert_eq!(world.said(request), "withdrawn");
-    world.run(60_000);
+    world.run_for(60_000);
     let back = format!(
         "{} goes to partition {}, whose tasks alone are on it",
         shared.machine, shared.earlier_team
@@ -424,12 +424,12 @@
         ..Features::default()
     };
     let mut world = World::new();
-    world.crash(1);
-    world.version(1, before);
-    world.start(1);
+    world.crash_controller(1);
+    world.set_features(1, before);
+    world.start_controller(1);
     let mut world = with_two_machines(world, "standing", 600_000);
     world.accepted(0, &job(3, 2, "standing", 1));
-    world.run(60_000);
+    world.run_for(60_000);
     assert!(!world.trace().contains("goes to partition"), "{}", world.trace());
     assert!(
         !world.trace().contains(&format!("starts {LATER_JOB}")),
@@ -438,9 +438,9 @@
     );
     assert_no_breaches(&world, "with a controller without shared machines");
     // After the upgrade of that controller the free room is used.
-    world.crash(1);
-    world.version(1, Features::default());
-    world.start(1);
+    world.crash_controller(1);
+    world.set_features(1, Features::default());
+    world.start_controller(1);
     let runs = world.run_until(90_000, |w| w.running(LATER_JOB) == 1);
     assert!(runs, "{}", world.trace());
     assert_no_breaches(&world, "after the upgrade");
@@ -457,18 +457,18 @@
         world.accepted(0, &job(4, shared.earlier_team as u32, "standing", 1));
         let runs = world.run_until(30_000, |w| w.running("job-000004") == 1);
         assert!(runs, "{controller}\n{}", world.trace());
-        world.crash(controller);
+        world.crash_controller(controller);
         let before = Features {
             shared_machines: false,
             ..Features::default()
         };
-        world.version(controller, before);
-        world.run(300);
-        world.start(controller);
-        world.run(5000);
+        world.set_features(controller, before);
+        world.run_for(300);
+        world.start_controller(controller);
+        world.run_for(5000);
         let done = |w: &World| w.roster().is_empty() || w.machines_of(shared.earlier_job).is_empty();
         assert!(world.run_until(120_000, done), "{controller}\n{}", world.trace());
-        world.run(30_000);
+        world.run_for(30_000);
         assert_no_breaches(&world, controller);
     }
 }
--- a/crates/tidelatch-standin/tests/state_service_outages.rs
+++ b/crates/tidelatch-standin/tests/state_service_outages.rs
@@ -13,9 +13,9 @@
     let epoch = world.epoch();
     world.note("the state service goes down");
     world.store.down = true;
-    world.run(12_000);
+    world.run_for(12_000);
     let refused = world.submit(0, &job(2, 0, "sweep", 1));
-    world.run(500);
+    world.run_for(500);
     assert_eq!(
         world.status(refused),
         503,
@@ -29,7 +29,7 @@
     );
     world.store.down = false;
     world.note("the state service is back");
-    world.run(10_000);
+    world.run_for(10_000);
     assert_eq!(world.epoch(), epoch);
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert!(
@@ -53,10 +53,10 @@
     let epoch = world.epoch();
     world.note("the state service goes down");
     world.store.down = true;
-    world.run(60_000);
+    world.run_for(60_000);
     world.store.down = false;
     world.note("the state service is back");
-    world.run(10_000);
+    world.run_for(10_000);
     assert_eq!(world.epoch(), epoch, "{}", world.trace());
     assert!(
         world.workers.values().all(|w| w.session == 1),
@@ -73,14 +73,14 @@
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     world.store.down = true;
-    world.run(12_000);
-    world.crash((owner + 1) % 3);
-    world.run(5000);
-    world.start((owner + 1) % 3);
-    world.run(25_000);
+    world.run_for(12_000);
+    world.crash_controller((owner + 1) % 3);
+    world.run_for(5000);
+    world.start_controller((owner + 1) % 3);
+    world.run_for(25_000);
     assert!(world.workers.values().all(|w| w.session == 1), "{}", world.trace());
     world.store.down = false;
-    world.run(20_000);
+    world.run_for(20_000);
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
@@ -92,32 +92,32 @@
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
     world.note("every controller is refused by the state service, each by itself");
-    world.meddle(|l| {
+    world.set_fault_injector(|l| {
         if l.to == "state" {
             Delivery::Lost
         } else {
             Delivery::Pass
         }
     });
-    world.run(20_000);
+    world.run_for(20_000);
     if restart_others {
         for other in (0..3).filter(|i| *i != owner) {
-            world.crash(other);
-            world.start(other);
+            world.crash_controller(other);
+            world.start_controller(other);
         }
     }
     world.note("all but the owner are served again, and the owner is cut off from them");
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         if l.from == name || l.to == name {
             Delivery::Lost
         } else {
             Delivery::Pass
         }
     });
-    world.run(30_000);
+    world.run_for(30_000);
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
-    world.calm();
-    world.run(30_000);
+    world.clear_fault_injector();
+    world.run_for(30_000);
     assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
     world
 }
@@ -147,7 +147,7 @@
         format!("berth-{}", (owner + 2) % 3),
     );
     let name = format!("berth-{owner}");
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         let is_refused = l.to == "state" && (l.from == name || l.from == refused);
         let is_cut_off = (l.from == name && l.to == served) || (l.from == served && l.to == name);
         if is_refused || is_cut_off {
@@ -156,7 +156,7 @@
             Delivery::Pass
         }
     });
-    world.run(30_000);
+    world.run_for(30_000);
     assert_eq!(world.owner_of_team(0), (owner + 2) % 3, "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
@@ -166,19 +166,19 @@
     // Guards against changes that a controller never learns of because its watch was interrupted for too long. A 410
     // means that changes were missed: all keys are read again, deleted ones are forgotten and new ones are added.
     let mut world = with_service(0);
-    world.meddle(|l| {
+    world.set_fault_injector(|l| {
         let is_watch = l.from == "berth-1" && l.what.starts_with("GET /changes");
         if is_watch { Delivery::Lost } else { Delivery::Pass }
     });
-    world.run(10_000);
+    world.run_for(10_000);
     world.accepted(0, &job(2, 1, "sweep", 1));
     let request = world.withdraw(0, "job-000001");
-    world.run(1000);
+    world.run_for(1000);
     assert_eq!(world.said(request), "withdrawn", "{}", world.trace());
-    world.run(15_000);
+    world.run_for(15_000);
     let machines = world.store.keys("t/m/").len();
     world.store.kept_from = world.store.revision();
-    world.calm();
+    world.clear_fault_injector();
     assert!(
         world.run_until(40_000, |w| w
             .store
@@ -188,7 +188,7 @@
         world.trace()
     );
     let poll = world.poll(1, "job-000001");
-    world.run(300);
+    world.run_for(300);
     assert_eq!(world.said(poll), "withdrawn");
     assert!(machines <= 1, "the machine of the cancelled service has been returned");
     assert!(world.broken.is_empty(), "{:?}", world.broken);
@@ -199,12 +199,12 @@
     // Guards against a controller that learns of no change because no answer to its watch arrives. The answer has no
     // size limit, so it may be too long for a controller every time.
     let mut world = World::new();
-    world.run(3000);
-    world.meddle(|l| {
+    world.run_for(3000);
+    world.set_fault_injector(|l| {
         let is_watch = l.from == "berth-1" && l.what.starts_with("GET /changes");
         if is_watch { Delivery::AnswerLost } else { Delivery::Pass }
     });
-    world.run(10_000);
+    world.run_for(10_000);
     world.accepted(0, &job(1, 1, "sweep", 1));
     assert!(
         world.run_until(120_000, |w| w
--- a/crates/tidelatch-standin/tests/upgrade.rs
+++ b/crates/tidelatch-standin/tests/upgrade.rs
@@ -13,13 +13,13 @@
 
 /// Starts three controllers of the last version without gangs, and a service that runs.
 fn start_last_version(size: Size) -> World {
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     for controller in 0..3 {
-        world.crash(controller);
-        world.version(controller, Features::before_gangs());
-        world.start(controller);
+        world.crash_controller(controller);
+        world.set_features(controller, Features::before_gangs());
+        world.start_controller(controller);
     }
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(9, 0, "standing", 2));
     assert!(
         world.run_until(30_000, |w| w.running("job-000009") == 2),
@@ -31,10 +31,10 @@
 
 /// Crashes a controller and restarts it with the features of another version after `down_ms`.
 fn replace_controller(world: &mut World, controller: usize, features: Features, down_ms: u64) {
-    world.crash(controller);
-    world.version(controller, features);
-    world.run(down_ms);
-    world.start(controller);
+    world.crash_controller(controller);
+    world.set_features(controller, features);
+    world.run_for(down_ms);
+    world.start_controller(controller);
 }
 
 /// Submits a job to one controller after another until it is accepted or `ms` have passed. Returns the statuses of the
@@ -44,7 +44,7 @@
     let mut statuses = Vec::new();
     for controller in (0..3).cycle() {
         let request = world.submit(controller, body);
-        world.run(500);
+        world.run_for(500);
         let status = world.status(request);
         if matches!(status, 200 | 201) || world.now >= until {
             return statuses;
@@ -68,7 +68,7 @@
         next: Some((18.0, 2.0, 4)),
         ..Size::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     world.cloud.most = 200;
     let values = recorded["values"].as_object().expect("a field `values`");
     for (key, value) in values
@@ -77,7 +77,7 @@
     {
         world.store.put(key, value.clone());
     }
-    world.run(9000);
+    world.run_for(9000);
     assert!(world.epoch() > recorded["values"]["t/c/epoch"]["n"].as_u64().unwrap_or(0));
     let groups = recorded["values"]
         .as_object()
@@ -109,7 +109,7 @@
             "",
             (id.into(), "health"),
         );
-        world.run(500);
+        world.run_for(500);
         assert_eq!(world.said(poll), status, "{id}\n{}", world.trace());
     }
     let poll = world.user(
@@ -119,7 +119,7 @@
         "",
         ("job-000005".into(), "health"),
     );
-    world.run(500);
+    world.run_for(500);
     let body: Value = world
         .answers
         .get(&poll)
@@ -128,7 +128,7 @@
     assert_eq!(body["done"].as_u64(), Some(done_tasks), "{body}\n{}", world.trace());
     // All later writes fit the announced limits, which are in force from here on.
     world.store.limits = Some((2048, 4));
-    world.run(60_000);
+    world.run_for(60_000);
     assert!(world.store.refused.is_empty(), "{:?}", world.store.refused);
 }
 
@@ -143,7 +143,7 @@
     let mut world = start_last_version(size);
     for controller in [1, 2] {
         replace_controller(&mut world, controller, Features::default(), 6000);
-        world.run(9000);
+        world.run_for(9000);
     }
     for i in 1..4 {
         world.accepted(
@@ -151,7 +151,7 @@
             &job(i, i % 3, if i == 1 { "standing" } else { "sweep" }, 12),
         );
     }
-    world.run(20_000);
+    world.run_for(20_000);
     let keys = world.store.keys("");
     assert!(keys.iter().any(|k| k.starts_with("t/u/")), "{keys:?}");
     for key in keys {
@@ -184,24 +184,24 @@
             let mut world = start_last_version(Size::default());
             for (position, controller) in order.into_iter().enumerate() {
                 let request = world.submit(controller, &gang(1, 1, 2));
-                world.run(500);
+                world.run_for(500);
                 assert!(
                     matches!(world.status(request), 400 | 503),
                     "{order:?} {position}\n{}",
                     world.trace()
                 );
                 replace_controller(&mut world, controller, Features::default(), down_ms);
-                world.run(5000);
+                world.run_for(5000);
                 if position == 1 {
                     // The last controller of the old version crashes before its upgrade and restarts with the old
                     // version.
                     let last_old = order[2];
-                    world.crash(last_old);
-                    world.run(300);
-                    world.start(last_old);
-                    world.run(5000);
+                    world.crash_controller(last_old);
+                    world.run_for(300);
+                    world.start_controller(last_old);
+                    world.run_for(5000);
                     let request = world.submit(order[0], &gang(1, 1, 2));
-                    world.run(500);
+                    world.run_for(500);
                     assert_eq!(world.status(request), 503, "{order:?}\n{}", world.trace());
                 }
             }
@@ -225,27 +225,27 @@
     let mut world = start_last_version(Size::default());
     world.accepted(1, &job(3, 1, "sweep", 6));
     replace_controller(&mut world, 0, Features::default(), 6000);
-    world.run(3000);
+    world.run_for(3000);
     // The leader is now berth-1, of the old version. It is disconnected from the state service.
-    world.meddle(|message| {
+    world.set_fault_injector(|message| {
         if message.from == "berth-1" && message.to == "state" {
             Delivery::Lost
         } else {
             Delivery::Pass
         }
     });
-    world.run(9000);
-    world.calm();
+    world.run_for(9000);
+    world.clear_fault_injector();
     replace_controller(&mut world, 1, Features::default(), 200);
-    world.run(700);
-    world.crash(0);
-    world.run(300);
-    world.start(0);
-    world.run(500);
-    world.crash(2);
-    world.run(6000);
-    world.start(2);
-    world.run(9000);
+    world.run_for(700);
+    world.crash_controller(0);
+    world.run_for(300);
+    world.start_controller(0);
+    world.run_for(500);
+    world.crash_controller(2);
+    world.run_for(6000);
+    world.start_controller(2);
+    world.run_for(9000);
     replace_controller(&mut world, 2, Features::default(), 6000);
     submit_until_accepted(&mut world, &gang(2, 2, 3), 30_000);
     assert!(
@@ -269,9 +269,9 @@
     let mut world = start_last_version(Size::default());
     for controller in [0, 1] {
         replace_controller(&mut world, controller, Features::default(), 1000);
-        world.run(9000);
+        world.run_for(9000);
     }
-    world.crash(2);
+    world.crash_controller(2);
     let crashed_at = world.now;
     submit_until_accepted(&mut world, &gang(1, 0, 2), 20_000);
     assert!(world.store.get("t/j/job-000001").is_some(), "{}", world.trace());
@@ -290,7 +290,7 @@
     let mut world = start_last_version(Size::default());
     for controller in 0..3 {
         replace_controller(&mut world, controller, Features::default(), 1000);
-        world.run(3000);
+        world.run_for(3000);
     }
     world.run_ms = 30_000;
     submit_until_accepted(&mut world, &gang(1, 1, 2), 20_000);
@@ -301,14 +301,14 @@
     );
     let owner = world.owner_of_team(1);
     replace_controller(&mut world, owner, Features::before_gangs(), 500);
-    world.run(15_000);
+    world.run_for(15_000);
     for controller in 0..3 {
         let poll = world.poll(controller, "job-000001");
-        world.run(2000);
+        world.run_for(2000);
         assert!(matches!(world.status(poll), 200 | 503), "{}", world.trace());
     }
     let request = world.submit((owner + 1) % 3, &gang(2, 1, 2));
-    world.run(500);
+    world.run_for(500);
     assert_eq!(world.status(request), 503, "{}", world.trace());
     replace_controller(&mut world, owner, Features::default(), 500);
     world.run_ms = 3000;
@@ -328,7 +328,7 @@
     let record = json!({ "epoch": 1, "at": 0, "st": "queued", "n": 2, "team": "team-0", "size": [1.0, 0.0, 1.0],
         "spec": { "shape": "swarm" } });
     world.store.put("t/j/job-000777", record);
-    world.run(3000);
+    world.run_for(3000);
     let poll = world.user(
         0,
         tidelatch_core::Method::Get,
@@ -336,7 +336,7 @@
         "",
         ("job-000777".into(), "health"),
     );
-    world.run(500);
+    world.run_for(500);
     assert_eq!(
         (world.status(poll), world.said(poll)),
         (200, "queued".to_owned()),
@@ -370,11 +370,11 @@
 /// nothing larger is ever sent.
 #[test]
 fn values_fit_two_kib_and_transactions_four_changes() {
-    let mut world = World::sized(&Operator::default(), smallest_limits());
+    let mut world = World::with_size(&Operator::default(), smallest_limits());
     world.cloud.most = 150;
     world.cloud.prefix = format!("n-{}-", "long-name-".repeat(5));
     world.store.limits = Some((2048, 4));
-    world.run(3000);
+    world.run_for(3000);
     for i in 0..16u32 {
         let body = match i % 4 {
             0 => job(i + 1, 0, "standing", 6),
@@ -384,22 +384,22 @@
         let body = with_team(&world, body, i as usize);
         world.accepted(i as usize % 3, &body);
     }
-    world.run(40_000);
+    world.run_for(40_000);
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(8000);
-    world.start(owner);
+    world.crash_controller(owner);
+    world.run_for(8000);
+    world.start_controller(owner);
     let all_done = |w: &World| {
         (0..16)
             .filter(|i| i % 4 != 0)
             .all(|i| is_done(w, &format!("job-{:06}", i + 1)))
     };
     assert!(world.run_until(240_000, all_done), "{}", world.trace());
-    world.run(9000);
+    world.run_for(9000);
     for i in [1, 5, 9, 13] {
         world.withdraw(0, &format!("job-{i:06}"));
     }
-    world.run(120_000);
+    world.run_for(120_000);
     assert!(world.store.refused.is_empty(), "{:?}", world.store.refused.first());
     let (bytes, changes) = world.store.largest;
     assert!(bytes > 500 && changes > 1, "{bytes} bytes, {changes} changes");
@@ -415,13 +415,13 @@
 /// Guards against an accepted job whose description does not fit a value under the announced limits.
 #[test]
 fn a_description_too_long_to_be_stored_is_rejected_at_once() {
-    let mut world = World::sized(&Operator::default(), smallest_limits());
-    world.run(3000);
+    let mut world = World::with_size(&Operator::default(), smallest_limits());
+    world.run_for(3000);
     let mut long_body = with_team(&world, job(1, 0, "sweep", 1), 0);
     long_body["models"] = json!(vec!["m2".to_owned() + &"x".repeat(60); 40]);
     long_body["models"][0] = json!("m2");
     let request = world.submit(0, &long_body);
-    world.run(500);
+    world.run_for(500);
     assert_eq!(world.status(request), 422, "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -455,10 +455,10 @@
     assert!(largest > Some(5000), "{largest:?}");
     for controller in 0..3 {
         replace_controller(&mut world, controller, Features::default(), 500);
-        world.run(2000);
+        world.run_for(2000);
     }
     world.store.limits = Some((2048, 4));
-    world.run(15_000);
+    world.run_for(15_000);
     assert_eq!(world.running("job-000001"), 180, "{}", world.trace());
     let machines = world.roster().len();
     // A single machine fails.
@@ -492,10 +492,10 @@
     );
     // A takeover of the partly split groups finds all machines. They are returned once the job is cancelled.
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(9000);
-    world.start(owner);
-    world.run(9000);
+    world.crash_controller(owner);
+    world.run_for(9000);
+    world.start_controller(owner);
+    world.run_for(9000);
     assert_eq!(world.running("job-000001"), 180, "{}", world.trace());
     world.withdraw(0, "job-000001");
     assert!(
@@ -517,10 +517,10 @@
         limit: 200.0,
         ..Size::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     world.cloud.most = 120;
     world.store.limits = Some((400, 2));
-    world.run(3000);
+    world.run_for(3000);
     world.accepted(0, &job(1, 0, "standing", 120));
     assert!(
         world.run_until(90_000, |w| w.running("job-000001") == 120),
@@ -546,10 +546,10 @@
         next: Some((12.0, 2.0, 4)),
         ..Size::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     world.cloud.most = 150;
     world.store.rate = Some(12.0);
-    world.run(3000);
+    world.run_for(3000);
     for i in 1..40u32 {
         let body = if i % 3 == 0 {
             gang(i, i % 3, 3)
--- a/crates/tidelatch/tests/drain_loopback.rs
+++ b/crates/tidelatch/tests/drain_loopback.rs
@@ -205,7 +205,7 @@
     // The owner of a team is frozen for longer than its lease and then resumed.
     let epoch = deployment.services.epoch();
     let owner = deployment.services.owner_of_team(1).expect("it has an owner");
-    deployment.controllers.processes[owner].freeze().expect("it runs");
+    deployment.controllers.processes[owner].pause().expect("it runs");
     deployment.wait_for("a takeover", |d| d.services.epoch() > epoch);
     deployment.submit_arrays();
     deployment.controllers.processes[owner].resume().expect("it runs");
--- a/crates/tidelatch/tests/loopback.rs
+++ b/crates/tidelatch/tests/loopback.rs
@@ -108,7 +108,7 @@
     // actions that were pending in it takes effect after it resumes.
     deployment.submit_arrays();
     let epoch = deployment.services.epoch();
-    deployment.controllers.processes[1].freeze().expect("it runs");
+    deployment.controllers.processes[1].pause().expect("it runs");
     deployment.wait_for("a takeover", |d| d.services.epoch() > epoch);
     deployment.wait_for("the confirmation that berth-1 is gone", |d| {
         d.count_in_log(0, "berth-1 is confirmed as gone") > 0
