--- a/crates/tidelatch-standin/examples/take_over.rs
+++ b/crates/tidelatch-standin/examples/take_over.rs
@@ -56,7 +56,7 @@
         for array in 0..ARRAYS_PER_TEAM {
             let mut body = job(team * 100 + array, team, "sweep", 600);
             body["precedence"] = "low".into();
-            world.accepted(0, &body);
+            world.submit_until_accepted(0, &body);
         }
     }
     world.run_for(60_000);
@@ -88,7 +88,7 @@
             polls.push(world.poll(controller, &polled_job));
             answered = polls
                 .iter()
-                .find(|poll| world.status(**poll) == 200)
+                .find(|poll| world.http_status(**poll) == 200)
                 .map(|_| world.now - crashed_ms);
         }
     }
--- a/crates/tidelatch-standin/src/bin/playground.rs
+++ b/crates/tidelatch-standin/src/bin/playground.rs
@@ -138,7 +138,7 @@
     fn status_line(&self) -> String {
         let running = |team: usize| -> usize {
             let of_team = self.jobs.iter().filter(|(t, _)| *t == team);
-            of_team.map(|(_, job)| self.services.running(job)).sum()
+            of_team.map(|(_, job)| self.services.running_tasks(job)).sum()
         };
         let teams: Vec<String> = (0..CONTROLLERS)
             .map(|team| format!("team-{team} {}", running(team)))
--- a/crates/tidelatch-standin/src/faults.rs
+++ b/crates/tidelatch-standin/src/faults.rs
@@ -1,5 +1,5 @@
-//! Fault injectors for [`World::set_fault_injector`](crate::World::set_fault_injector): network faults and failing services. They can be
-//! combined. The random ones are deterministic for a given seed.
+//! Fault injectors for [`World::set_fault_injector`](crate::World::set_fault_injector): network faults and failing
+//! services. They can be combined. The random ones are deterministic for a given seed.
 
 use crate::world::{Delivery, Message};
 use std::ops::Range;
--- a/crates/tidelatch-standin/src/loopback/services.rs
+++ b/crates/tidelatch-standin/src/loopback/services.rs
@@ -115,7 +115,7 @@
     }
 
     /// Returns the number of a job's tasks that run.
-    pub fn running(&self, job: &str) -> usize {
+    pub fn running_tasks(&self, job: &str) -> usize {
         self.fleet.running(job)
     }
 
--- a/crates/tidelatch-standin/src/support.rs
+++ b/crates/tidelatch-standin/src/support.rs
@@ -42,9 +42,9 @@
 pub fn with_service(team: u32) -> World {
     let mut world = World::new();
     world.run_for(3000);
-    world.accepted(0, &job(1, team, "standing", 2));
+    world.submit_until_accepted(0, &job(1, team, "standing", 2));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 2),
         "{}",
         world.trace()
     );
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -71,13 +71,13 @@
         let id = Incarnation((controller as u64 + 1) * 1_000_000 + process.incarnation * 1000);
         process.core = Some(Controller::new(process.settings.clone(), id, now));
         let incarnation = process.incarnation;
-        self.note(&format!("berth-{controller} starts"));
+        self.write_trace(&format!("berth-{controller} starts"));
         self.schedule(1, Event::Tick(controller, incarnation));
     }
 
     /// Pauses a controller. Its clocks run on, and its inputs are buffered.
     pub fn pause(&mut self, controller: usize) {
-        self.note(&format!("berth-{controller} is paused"));
+        self.write_trace(&format!("berth-{controller} is paused"));
         if let Some(process) = self.controllers.get_mut(controller) {
             process.paused_inputs = Some(Vec::new());
         }
@@ -85,7 +85,7 @@
 
     /// Resumes a paused controller, which first receives the buffered inputs.
     pub fn resume(&mut self, controller: usize) {
-        self.note(&format!("berth-{controller} resumes"));
+        self.write_trace(&format!("berth-{controller} resumes"));
         let inputs = self
             .controllers
             .get_mut(controller)
@@ -102,7 +102,7 @@
             process.core = None;
             process.incarnation += 1;
         }
-        self.note(&format!("berth-{controller} crashes"));
+        self.write_trace(&format!("berth-{controller} crashes"));
     }
 
     /// Fires a controller's timer and schedules the next tick.
@@ -158,7 +158,7 @@
             Output::Log {
                 level: Level::Debug, ..
             } => {}
-            Output::Log { text, .. } => self.note(&format!("berth-{controller}: {text}")),
+            Output::Log { text, .. } => self.write_trace(&format!("berth-{controller}: {text}")),
             Output::Answer { id, answer } => self.deliver_answer(controller, id, answer),
             Output::PeerReply { id, reply } => self.reply_to_peer(id, reply),
             Output::Call {
--- a/crates/tidelatch-standin/src/world/gangs.rs
+++ b/crates/tidelatch-standin/src/world/gangs.rs
@@ -30,7 +30,7 @@
             self.record_completion(&task);
         }
         for text in std::mem::take(&mut self.gangs.trace_lines) {
-            self.note(&text);
+            self.write_trace(&text);
         }
         self.report_changed_gangs();
         self.schedule(GANG_STEP_INTERVAL_MS, Event::StepGangs);
--- a/crates/tidelatch-standin/src/world/mod.rs
+++ b/crates/tidelatch-standin/src/world/mod.rs
@@ -94,7 +94,7 @@
     /// Number of the checker's breaches that are already in `broken`.
     recorded_breaches: usize,
     /// Jobs whose users cancel them after the last task has ended: the controller, and the delay in milliseconds.
-    cancel_at_end: BTreeMap<String, (usize, u64)>,
+    cancel_after_last_task: BTreeMap<String, (usize, u64)>,
     /// Numbers of the cancellation requests that users sent after a job's last task had ended, by job.
     pub cancelled_at_end: BTreeMap<String, u64>,
     /// Copies of reports that are delivered again in the next epoch; `None`: none are kept.
@@ -147,7 +147,7 @@
             request_subjects: BTreeMap::new(),
             checker: Checker::new(CANCEL_MS),
             recorded_breaches: 0,
-            cancel_at_end: BTreeMap::new(),
+            cancel_after_last_task: BTreeMap::new(),
             cancelled_at_end: BTreeMap::new(),
             kept_reports: None,
             kept_epoch: 0,
--- a/crates/tidelatch-standin/src/world/network.rs
+++ b/crates/tidelatch-standin/src/world/network.rs
@@ -89,7 +89,7 @@
         let delivery = (self.injector)(&message);
         if !matches!(delivery, Delivery::Pass | Delivery::Copied(_) | Delivery::Slow(_)) && !what.starts_with("hello") {
             let path: String = what.chars().take(60).collect();
-            self.note(&format!("({from} to {to}, {path}: {delivery:?})"));
+            self.write_trace(&format!("({from} to {to}, {path}: {delivery:?})"));
         }
         delivery
     }
--- a/crates/tidelatch-standin/src/world/reports.rs
+++ b/crates/tidelatch-standin/src/world/reports.rs
@@ -122,7 +122,7 @@
 
     /// From now on keeps copies of the last reports. Whenever a new epoch begins, all controllers receive the copies
     /// kept during the previous one again, and new copies are kept.
-    pub fn keep_reports(&mut self) {
+    pub fn replay_reports_in_next_epoch(&mut self) {
         self.kept_reports = Some(VecDeque::new());
         self.kept_epoch = self.epoch();
     }
@@ -148,7 +148,7 @@
         }
         self.kept_epoch = epoch;
         let bodies = self.kept_reports.replace(VecDeque::new()).unwrap_or_default();
-        self.note(&format!("epoch {epoch}: {} reports of before come again", bodies.len()));
+        self.write_trace(&format!("epoch {epoch}: {} reports of before come again", bodies.len()));
         for body in bodies {
             for controller in 0..self.controllers.len() {
                 let report = Report {
--- a/crates/tidelatch-standin/src/world/rules.rs
+++ b/crates/tidelatch-standin/src/world/rules.rs
@@ -56,9 +56,9 @@
     pub(super) fn record_completion(&mut self, task: &str) {
         self.checker.task_done(task);
         let job = task.split('/').next().unwrap_or_default().to_owned();
-        if self.cancel_at_end.contains_key(&job)
+        if self.cancel_after_last_task.contains_key(&job)
             && self.checker.all_done(&job)
-            && let Some((controller, after)) = self.cancel_at_end.remove(&job)
+            && let Some((controller, after)) = self.cancel_after_last_task.remove(&job)
         {
             self.schedule(after, Event::CancelEndedJob { controller, job });
         }
@@ -121,7 +121,7 @@
 
     /// Records a breach of a rule and writes it to the trace.
     pub(super) fn record_breach(&mut self, text: String) {
-        self.note(&format!("RULE BROKEN: {text}"));
+        self.write_trace(&format!("RULE BROKEN: {text}"));
         self.broken.push(text);
     }
 }
--- a/crates/tidelatch-standin/src/world/trace.rs
+++ b/crates/tidelatch-standin/src/world/trace.rs
@@ -5,7 +5,7 @@
 
 impl World {
     /// Appends a line to the trace.
-    pub fn note(&mut self, text: &str) {
+    pub fn write_trace(&mut self, text: &str) {
         let (s, ms) = (self.now / 1000, self.now % 1000);
         let _ = writeln!(self.trace, "{s:4}.{ms:03}  {text}");
     }
--- a/crates/tidelatch-standin/src/world/users.rs
+++ b/crates/tidelatch-standin/src/world/users.rs
@@ -14,12 +14,12 @@
         let id = body["uid"].as_str().unwrap_or_default().to_owned();
         self.jobs.insert(id.clone(), body.clone());
         self.checker.submitted(body);
-        self.note(&format!("a user submits {id} to berth-{controller}"));
+        self.write_trace(&format!("a user submits {id} to berth-{controller}"));
         if body["shape"] == "group" && !self.gangs_scheduled {
             self.gangs_scheduled = true;
             self.schedule(GANG_STEP_INTERVAL_MS, Event::StepGangs);
         }
-        self.user(
+        self.send_user_request(
             controller,
             Method::Post,
             "/submissions",
@@ -30,7 +30,7 @@
 
     /// Queries the status of a job at a controller. Returns the request number.
     pub fn poll(&mut self, controller: usize, id: &str) -> u64 {
-        self.user(
+        self.send_user_request(
             controller,
             Method::Get,
             &format!("/submissions/{id}"),
@@ -40,15 +40,15 @@
     }
 
     /// Sends a cancellation request for a job to a controller. Returns the request number.
-    pub fn withdraw(&mut self, controller: usize, id: &str) -> u64 {
-        self.note(&format!("a user cancels {id} at berth-{controller}"));
+    pub fn cancel(&mut self, controller: usize, id: &str) -> u64 {
+        self.write_trace(&format!("a user cancels {id} at berth-{controller}"));
         let path = format!("/submissions/{id}/withdraw");
-        self.user(controller, Method::Post, &path, "", (id.to_owned(), "withdraw"))
+        self.send_user_request(controller, Method::Post, &path, "", (id.to_owned(), "withdraw"))
     }
 
     /// Sends any user request to a controller. `about` is the job and the kind of request, for the trace and the
     /// checker. Returns the request number.
-    pub fn user(
+    pub fn send_user_request(
         &mut self,
         controller: usize,
         method: Method,
@@ -89,12 +89,12 @@
     }
 
     /// Returns the HTTP status of the answer to a request; 0: there is no answer yet.
-    pub fn status(&self, request: u64) -> u16 {
+    pub fn http_status(&self, request: u64) -> u16 {
         self.answers.get(&request).map_or(0, |(_, a)| a.status)
     }
 
     /// Returns the `status` field of the answer to a request, or an empty string.
-    pub fn said(&self, request: u64) -> String {
+    pub fn job_status(&self, request: u64) -> String {
         self.answers
             .get(&request)
             .and_then(|(_, a)| serde_json::from_str::<Value>(&a.body).ok())
@@ -107,11 +107,11 @@
     /// # Panics
     ///
     /// If 20 submissions were not accepted.
-    pub fn accepted(&mut self, controller: usize, body: &Value) {
+    pub fn submit_until_accepted(&mut self, controller: usize, body: &Value) {
         for _ in 0..20 {
             let request = self.submit(controller, body);
             self.run_for(500);
-            if matches!(self.status(request), 200 | 201) {
+            if matches!(self.http_status(request), 200 | 201) {
                 return;
             }
             self.run_for(500);
@@ -121,7 +121,7 @@
 
     /// Runs the simulation for `ms` milliseconds while users poll the jobs at one controller after the other. Returns
     /// the jobs for which no poll was answered with 200.
-    pub fn unanswered(&mut self, ms: u64, jobs: &[&str]) -> Vec<String> {
+    pub fn poll_unanswered(&mut self, ms: u64, jobs: &[&str]) -> Vec<String> {
         let until = self.now + ms;
         let mut polls_by_job: BTreeMap<String, Vec<u64>> = jobs.iter().map(|j| ((*j).to_owned(), Vec::new())).collect();
         let mut controller = 0;
@@ -133,7 +133,7 @@
             }
             self.run_for(3000);
         }
-        let answered = |r: &u64| self.status(*r) == 200;
+        let answered = |r: &u64| self.http_status(*r) == 200;
         polls_by_job
             .into_iter()
             .filter(|(_, polls)| !polls.iter().any(answered))
@@ -143,13 +143,13 @@
 
     /// Makes a user cancel a job at a controller, this many milliseconds after the job's last task has ended. The
     /// request number is then in [`World::cancelled_at_end`].
-    pub fn cancel_at_end(&mut self, controller: usize, job: &str, after: u64) {
-        self.cancel_at_end.insert(job.to_owned(), (controller, after));
+    pub fn cancel_after_last_task(&mut self, controller: usize, job: &str, after: u64) {
+        self.cancel_after_last_task.insert(job.to_owned(), (controller, after));
     }
 
     /// Sends the cancellation of a job whose last task has ended.
     pub(super) fn cancel_ended_job(&mut self, controller: usize, job: String) {
-        let request = self.withdraw(controller, &job);
+        let request = self.cancel(controller, &job);
         self.cancelled_at_end.insert(job, request);
     }
 
@@ -162,7 +162,7 @@
             .ok()
             .and_then(|v| v["status"].as_str().map(str::to_owned))
             .unwrap_or_default();
-        self.note(&format!(
+        self.write_trace(&format!(
             "berth-{controller} answers {kind} {job}: {} {status_word}",
             answer.status
         ));
@@ -174,7 +174,7 @@
     }
 
     /// Returns the name of a team.
-    pub fn team(&self, at: usize) -> String {
+    pub fn team_name(&self, at: usize) -> String {
         super::deployment::team_name(at as u32, &self.size)
     }
 }
--- a/crates/tidelatch-standin/src/world/workers.rs
+++ b/crates/tidelatch-standin/src/world/workers.rs
@@ -84,7 +84,7 @@
 
     /// Gives a machine stop orders for all its tasks, with a grace in seconds, as if a controller had sent them and
     /// crashed afterwards.
-    pub fn stop_on(&mut self, machine: &str, grace_s: f64) {
+    pub fn send_stop_orders(&mut self, machine: &str, grace_s: f64) {
         let now = self.now;
         let (gangs, jobs) = (&mut self.gangs, &self.jobs);
         let mut begin_save =
@@ -95,20 +95,20 @@
                 w.execute_order(&order, now, &mut begin_save);
             }
         }
-        self.note(&format!("{machine} gets stop orders for all its tasks"));
+        self.write_trace(&format!("{machine} gets stop orders for all its tasks"));
         self.observe_machine(machine, &[]);
     }
 
     /// Records the starts of tasks on a machine in the trace and reports them to the checker.
     pub(super) fn record_starts(&mut self, machine: &str, started: &[(String, u64)]) {
         for (task, _) in started {
-            self.note(&format!("{machine} starts {task}"));
+            self.write_trace(&format!("{machine} starts {task}"));
         }
         self.observe_machine(machine, started);
     }
 
     /// Returns the number of a job's tasks that run.
-    pub fn running(&self, id: &str) -> usize {
+    pub fn running_tasks(&self, id: &str) -> usize {
         let prefix = format!("{id}/");
         self.workers
             .values()
@@ -118,7 +118,7 @@
     }
 
     /// Returns all tasks that run, each with its machine.
-    pub fn running_units(&self) -> BTreeMap<String, String> {
+    pub fn machines_by_running_task(&self) -> BTreeMap<String, String> {
         let mut units = BTreeMap::new();
         for worker in self.workers.values() {
             let running = worker.tasks.iter().filter(|(_, attempt)| attempt.state == "running");
--- a/crates/tidelatch-standin/tests/acceptance.rs
+++ b/crates/tidelatch-standin/tests/acceptance.rs
@@ -188,7 +188,7 @@
     for n in 0..150 {
         let request = world.submit(n % 3, &job(n as u32, 0, "sweep", 1));
         world.run_for(300);
-        statuses.push(world.status(request));
+        statuses.push(world.http_status(request));
     }
     let accepted = statuses.iter().filter(|s| **s == 201).count();
     assert!((40..=75).contains(&accepted), "{accepted} accepted");
@@ -197,7 +197,7 @@
         for n in 0..10 {
             let request = world.submit(0, &job(200 + 10 * team + n, team, "sweep", 1));
             world.run_for(300);
-            assert_eq!(world.status(request), 201, "{}", world.trace());
+            assert_eq!(world.http_status(request), 201, "{}", world.trace());
         }
     }
     assert_no_breaches(&world);
@@ -312,7 +312,13 @@
         .as_str()
         .unwrap_or_default()
         .to_owned();
-    let array_tasks = |world: &World| world.running_units().keys().filter(|t| **t < first_other).count();
+    let array_tasks = |world: &World| {
+        world
+            .machines_by_running_task()
+            .keys()
+            .filter(|t| **t < first_other)
+            .count()
+    };
     // The other teams submit at the controller that writes the arrays' done bits.
     let busy = world.owner_of_team(0);
     let changes_before = world.sent.changes;
@@ -391,7 +397,7 @@
     });
     let request = world.submit(0, &job(1, 0, "sweep", 1));
     world.run_for(500);
-    assert_eq!(world.status(request), 503, "{}", world.trace());
+    assert_eq!(world.http_status(request), 503, "{}", world.trace());
     assert_eq!(passed_on.get(), 1);
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -57,15 +57,15 @@
     world.run_ms = 300_000;
     world.run_for(3000);
     for team in 0..3 {
-        world.accepted(0, &job(team + 1, team, "sweep", 3));
+        world.submit_until_accepted(0, &job(team + 1, team, "sweep", 3));
     }
-    let all_run = |w: &World| (1..=3).all(|j| w.running(&format!("job-00000{j}")) == 3);
+    let all_run = |w: &World| (1..=3).all(|j| w.running_tasks(&format!("job-00000{j}")) == 3);
     assert!(world.run_until(40_000, all_run), "{}", world.trace());
     let refused = world.owner_of_team(0);
     let confirming = world.owner_of_team(1);
     assert_ne!(refused, confirming);
     let name = format!("berth-{refused}");
-    world.note(&format!("the state service refuses {name}"));
+    world.write_trace(&format!("the state service refuses {name}"));
     for w in world.workers.values_mut() {
         w.node = refused;
     }
@@ -93,13 +93,13 @@
     world.run_for(scenario.refused_ms.saturating_sub(scenario.cancelled_ms));
     loses_hellos.set(true);
     let owner = world.owner_of_team(0);
-    world.withdraw(confirming, "job-000002");
+    world.cancel(confirming, "job-000002");
     if owner != refused {
         // By then another controller owns the team of the refused one.
-        world.withdraw(owner, "job-000001");
+        world.cancel(owner, "job-000001");
     }
     world.run_for(scenario.cancelled_ms);
-    world.note("the state service is down");
+    world.write_trace("the state service is down");
     world.store.down = true;
     world.run_for(20);
     loses_hellos.set(scenario.hello_loss == HelloLoss::LostToRefused && scenario.confirmer == ConfirmerFate::Survives);
@@ -120,7 +120,7 @@
         }
     }
     world.run_for(scenario.outage_ms);
-    world.note("the state service is back");
+    world.write_trace("the state service is back");
     world.store.down = false;
     world.clear_fault_injector();
     if scenario.confirmer == ConfirmerFate::Freezes {
@@ -131,7 +131,7 @@
     }
     world.run_for(CANCEL_MS);
     for controller in 0..3 {
-        world.withdraw(controller, "job-000002");
+        world.cancel(controller, "job-000002");
         world.poll(controller, "job-000002");
         world.poll(controller, "job-000001");
     }
@@ -234,9 +234,9 @@
         world.run_ms = 300_000;
         world.run_for(3000);
         for team in 0..3 {
-            world.accepted(0, &job(team + 1, team, "sweep", 3));
+            world.submit_until_accepted(0, &job(team + 1, team, "sweep", 3));
         }
-        let all_run = |w: &World| (1..=3).all(|j| w.running(&format!("job-00000{j}")) == 3);
+        let all_run = |w: &World| (1..=3).all(|j| w.running_tasks(&format!("job-00000{j}")) == 3);
         assert!(world.run_until(40_000, all_run), "{}", world.trace());
         let (refused, writer) = (world.owner_of_team(0), world.owner_of_team(1));
         let reader = 3 - refused - writer;
@@ -258,11 +258,11 @@
                 Delivery::Pass
             }
         });
-        world.withdraw(writer, "job-000002");
+        world.cancel(writer, "job-000002");
         world.run_for(10);
         let poll = world.poll(reader, "job-000002");
         world.run_for(30);
-        world.note("the state service is down");
+        world.write_trace("the state service is down");
         world.store.down = true;
         let crashed = if reader_crashes { reader } else { writer };
         world.crash_controller(crashed);
@@ -272,7 +272,7 @@
         world.store.down = false;
         world.clear_fault_injector();
         world.run_for(10_000);
-        assert_eq!(world.said(poll), "withdrawn", "{}", world.trace());
+        assert_eq!(world.job_status(poll), "withdrawn", "{}", world.trace());
         assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
     }
 }
@@ -295,9 +295,9 @@
         let mut world = World::new();
         world.run_ms = 300_000;
         world.run_for(3000);
-        world.accepted(0, &job(1, 0, "sweep", 4));
+        world.submit_until_accepted(0, &job(1, 0, "sweep", 4));
         assert!(
-            world.run_until(30_000, |w| w.running("job-000001") == 4),
+            world.run_until(30_000, |w| w.running_tasks("job-000001") == 4),
             "{}",
             world.trace()
         );
@@ -305,12 +305,12 @@
         let machines = world.machines_of("job-000001");
         assert_eq!(machines.len(), 2);
         for m in machines.iter().take(hanging) {
-            world.note(&format!("{m} hangs"));
+            world.write_trace(&format!("{m} hangs"));
             world.workers.get_mut(m).expect("a worker").hanging = true;
         }
-        let cancellation = world.withdraw(owner, "job-000001");
+        let cancellation = world.cancel(owner, "job-000001");
         world.run_for(20);
-        assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
+        assert_eq!(world.job_status(cancellation), "withdrawn", "{}", world.trace());
         if let Some(ms) = crash_ms {
             world.run_for(ms);
             world.crash_controller(owner);
@@ -337,8 +337,8 @@
     let mut world = World::new();
     world.run_ms = 300_000;
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "sweep", 1));
-    let runs = world.run_until(30_000, |w| w.running("job-000001") == 1);
+    world.submit_until_accepted(0, &job(1, 0, "sweep", 1));
+    let runs = world.run_until(30_000, |w| w.running_tasks("job-000001") == 1);
     assert!(runs, "{}", world.trace());
     let owner = world.owner_of_team(0);
     let elsewhere = (owner + 1) % 3;
@@ -365,9 +365,9 @@
         }
         Delivery::Pass
     });
-    let cancellation = world.withdraw(owner, "job-000001");
+    let cancellation = world.cancel(owner, "job-000001");
     world.run_for(20);
-    assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
+    assert_eq!(world.job_status(cancellation), "withdrawn", "{}", world.trace());
     while answered.get() == 0 {
         world.run_for(1);
     }
--- a/crates/tidelatch-standin/tests/compound_fault_regressions.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_regressions.rs
@@ -24,10 +24,10 @@
 /// Cancels a job, at one controller after the other, until its user is told its final state. Returns that state.
 fn cancel(world: &mut World, from: usize, id: &str) -> String {
     for i in 0..60 {
-        let request = world.withdraw((from + i) % 3, id);
+        let request = world.cancel((from + i) % 3, id);
         world.run_for(1000);
-        if world.status(request) == 200 {
-            return world.said(request);
+        if world.http_status(request) == 200 {
+            return world.job_status(request);
         }
     }
     panic!(
@@ -101,7 +101,7 @@
         world.run_for(3000);
         let bodies: Vec<serde_json::Value> = (1..=12).map(|n| job(n, n % 3, "sweep", 1 + n % 2)).collect();
         let mut follow_ups = FollowUps::new();
-        world.accepted(0, &job(90, 0, "sweep", 1));
+        world.submit_until_accepted(0, &job(90, 0, "sweep", 1));
         follow_ups.run(&mut world, 9000, &bodies);
         let injectors: Vec<FaultInjector> = vec![
             faults::lose_transaction_answers(seed, 0.3),
@@ -120,8 +120,8 @@
             if n % 3 == 0 {
                 // The job is cancelled at two controllers at the same time.
                 let id = body["uid"].as_str().expect("an id");
-                world.withdraw(n % 3, id);
-                world.withdraw((n + 1) % 3, id);
+                world.cancel(n % 3, id);
+                world.cancel((n + 1) % 3, id);
             }
         }
         follow_ups.run(&mut world, 25_000, &bodies);
@@ -152,9 +152,9 @@
     let mut world = World::new();
     world.run_ms = 300_000;
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "sweep", 4));
+    world.submit_until_accepted(0, &job(1, 0, "sweep", 4));
     assert!(
-        world.run_until(20_000, |w| w.running("job-000001") >= 2),
+        world.run_until(20_000, |w| w.running_tasks("job-000001") >= 2),
         "{}",
         world.trace()
     );
@@ -171,7 +171,7 @@
         }
     });
     world.run_for(6000);
-    world.withdraw(owner, "job-000001");
+    world.cancel(owner, "job-000001");
     world.run_for(10);
     for _ in 0..20 {
         for controller in 0..3 {
@@ -200,13 +200,13 @@
         world.run_ms = 300_000;
         world.run_for(3000);
         for team in 0..3 {
-            world.accepted(0, &job(team + 1, team, "sweep", 4));
+            world.submit_until_accepted(0, &job(team + 1, team, "sweep", 4));
         }
-        let are_at_limit = |w: &World| (1..=3).all(|n| w.running(&id(n)) == 4);
+        let are_at_limit = |w: &World| (1..=3).all(|n| w.running_tasks(&id(n)) == 4);
         assert!(world.run_until(40_000, are_at_limit), "{}", world.trace());
         for team in 0..3 {
             // These jobs wait for the capacity that the others use.
-            world.accepted(0, &job(team + 11, team, "sweep", 4));
+            world.submit_until_accepted(0, &job(team + 11, team, "sweep", 4));
         }
         let leader = world.owner_of_team(0);
         let mut hanging = Vec::new();
@@ -216,12 +216,12 @@
                 .first()
                 .cloned()
                 .expect("the job runs on a machine");
-            world.note(&format!("{machine} hangs"));
+            world.write_trace(&format!("{machine} hangs"));
             world.workers.get_mut(&machine).expect("a worker").hanging = true;
             hanging.push(machine);
         }
         for n in 1..=3 {
-            world.withdraw(1, &id(n));
+            world.cancel(1, &id(n));
         }
         world.run_for(crash_ms);
         world.crash_controller(leader);
@@ -235,7 +235,7 @@
         for machine in &hanging {
             assert!(world.cloud.deleted.contains(machine), "{machine}\n{}", world.trace());
         }
-        let are_at_limit = |w: &World| (11..=13).all(|n| w.running(&id(n)) == 4);
+        let are_at_limit = |w: &World| (11..=13).all(|n| w.running_tasks(&id(n)) == 4);
         assert!(world.run_until(30_000, are_at_limit), "{}", world.trace());
         assert_no_breaches(&world);
     }
@@ -250,9 +250,9 @@
         let mut world = World::new();
         world.run_ms = 300_000;
         world.run_for(3000);
-        world.accepted(0, &job(1, 0, "sweep", 2));
+        world.submit_until_accepted(0, &job(1, 0, "sweep", 2));
         assert!(
-            world.run_until(30_000, |w| w.running("job-000001") == 2),
+            world.run_until(30_000, |w| w.running_tasks("job-000001") == 2),
             "{}",
             world.trace()
         );
@@ -267,12 +267,12 @@
                 Delivery::Pass
             }
         });
-        world.accepted(0, &job(2, 0, "sweep", 2));
+        world.submit_until_accepted(0, &job(2, 0, "sweep", 2));
         world.run_for(300);
         world.crash_controller(owner);
         world.run_for(away_ms.min(cancel_after_ms));
-        let first = world.withdraw((owner + 1) % 3, "job-000001");
-        world.withdraw((owner + 2) % 3, "job-000002");
+        let first = world.cancel((owner + 1) % 3, "job-000001");
+        world.cancel((owner + 2) % 3, "job-000002");
         world.run_for(away_ms - away_ms.min(cancel_after_ms));
         world.start_controller(owner);
         let _ = first;
@@ -326,7 +326,7 @@
         }
         world.clear_fault_injector();
         for n in 1..=4 {
-            world.accepted(1, &job(n, n % 3, "sweep", 3));
+            world.submit_until_accepted(1, &job(n, n % 3, "sweep", 3));
         }
         let are_over = |w: &World| (1..=4).all(|n| is_over(w, &id(n)));
         assert!(world.run_until(90_000, are_over), "seed {seed}\n{}", world.trace());
@@ -343,11 +343,11 @@
         let mut world = World::new();
         world.run_ms = 300_000;
         world.run_for(3000);
-        world.keep_reports();
+        world.replay_reports_in_next_epoch();
         for team in 0..3 {
-            world.accepted(0, &job(team + 1, team, "sweep", 4));
+            world.submit_until_accepted(0, &job(team + 1, team, "sweep", 4));
         }
-        let are_at_limit = |w: &World| (1..=3).all(|n| w.running(&id(n)) == 4);
+        let are_at_limit = |w: &World| (1..=3).all(|n| w.running_tasks(&id(n)) == 4);
         assert!(world.run_until(40_000, are_at_limit), "{}", world.trace());
         world.run_for(5000);
         let dead = world
@@ -355,7 +355,7 @@
             .first()
             .cloned()
             .expect("the job runs on a machine");
-        world.note(&format!("{dead} dies"));
+        world.write_trace(&format!("{dead} dies"));
         world.workers.get_mut(&dead).expect("a worker").hanging = true;
         let owner = world.owner_of_team(0);
         // Copies of earlier reports go on arriving.
@@ -403,8 +403,8 @@
     world.cloud.most = 120;
     world.run_ms = 6000;
     world.run_for(3000);
-    world.accepted(0, &job(9001, 1, "standing", 4));
-    world.accepted(0, &job(9002, 2, "sweep", 40));
+    world.submit_until_accepted(0, &job(9001, 1, "standing", 4));
+    world.submit_until_accepted(0, &job(9002, 2, "sweep", 40));
     let sent = world.sent;
     let from = world.now;
     let mut not_accepted = Vec::new();
@@ -414,10 +414,10 @@
         let body = job(n, n % 6, "sweep", 1);
         let request = world.submit(controller, &body);
         world.run_for(250);
-        if world.status(request) != 201 {
+        if world.http_status(request) != 201 {
             not_accepted.push(body);
         } else if n % 4 == 0 {
-            cancellations.push((n, world.withdraw((controller + 1) % 3, &id(n))));
+            cancellations.push((n, world.cancel((controller + 1) % 3, &id(n))));
         }
         if n % 8 == 0 {
             world.poll(controller, &id(n / 2));
@@ -430,7 +430,7 @@
         not_accepted.len()
     );
     for body in not_accepted {
-        world.accepted(0, &body);
+        world.submit_until_accepted(0, &body);
     }
     let changes = (world.sent.changes - sent.changes) as f64 / seconds as f64;
     assert!(changes < 20.0, "{changes} changes a second");
@@ -438,9 +438,9 @@
     assert!(requests < 80.0, "{requests} requests a second");
     let are_over = |w: &World| (1..=360).all(|n| is_over(w, &id(n))) && is_over(w, "job-009002");
     assert!(world.run_until(120_000, are_over), "{}", world.trace());
-    assert_eq!(world.running("job-009001"), 4, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-009001"), 4, "{}", world.trace());
     for (n, request) in cancellations {
-        let said = world.said(request);
+        let said = world.job_status(request);
         assert!(said == "withdrawn" || said == "done", "{n}: {said}");
     }
     assert_no_breaches(&world);
@@ -454,22 +454,22 @@
     world.run_for(3000);
     let mut array = job(1, 0, "sweep", 400);
     array["yard"] = "a".into();
-    world.accepted(0, &array);
+    world.submit_until_accepted(0, &array);
     assert!(
-        world.run_until(40_000, |w| w.running("job-000001") == 4),
+        world.run_until(40_000, |w| w.running_tasks("job-000001") == 4),
         "{}",
         world.trace()
     );
     let mut service = job(2, 0, "standing", 2);
     service["yard"] = "b".into();
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &service);
     assert!(
-        world.run_until(40_000, |w| w.running("job-000002") == 2),
+        world.run_until(40_000, |w| w.running_tasks("job-000002") == 2),
         "{}",
         world.trace()
     );
     assert!(!is_over(&world, "job-000001"), "{}", world.trace());
     world.run_for(20_000);
-    assert_eq!(world.running("job-000002"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000002"), 2, "{}", world.trace());
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
@@ -23,7 +23,7 @@
     world.run_ms = run_ms;
     world.run_for(3000);
     for (i, body) in jobs.iter().enumerate() {
-        world.accepted(i % 3, body);
+        world.submit_until_accepted(i % 3, body);
     }
     let are_running = world.run_until(60_000, |w| jobs.iter().all(|j| all_tasks_run(w, j)));
     assert!(are_running, "{}", world.trace());
@@ -37,7 +37,7 @@
 
 /// Whether all tasks of a job run at present.
 pub fn all_tasks_run(world: &World, body: &Value) -> bool {
-    body["wagons"] == world.running(job_id(body))
+    body["wagons"] == world.running_tasks(job_id(body))
 }
 
 /// A job's state in its stored record, or an empty string if there is no record.
@@ -55,10 +55,10 @@
 /// Cancels a job at these controllers, one after the other, until one answers with a final state. Returns that state.
 pub fn cancel(world: &mut World, controllers: &[usize], id: &str) -> String {
     for i in 0..60 {
-        let request = world.withdraw(controllers[i % controllers.len()], id);
+        let request = world.cancel(controllers[i % controllers.len()], id);
         world.run_for(1000);
-        if world.status(request) == 200 {
-            return world.said(request);
+        if world.http_status(request) == 200 {
+            return world.job_status(request);
         }
     }
     panic!(
@@ -75,8 +75,8 @@
         for _ in 0..20 {
             let request = world.poll(controller, id);
             world.run_for(1500);
-            if world.status(request) == 200 {
-                states.push(world.said(request));
+            if world.http_status(request) == 200 {
+                states.push(world.job_status(request));
                 break;
             }
         }
--- a/crates/tidelatch-standin/tests/compound_faults_answers.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_answers.rs
@@ -30,7 +30,7 @@
             for again in 0..30 {
                 let asked = world.submit((i + again) % 3, body);
                 world.run_for(700);
-                if matches!(world.status(asked), 200 | 201) {
+                if matches!(world.http_status(asked), 200 | 201) {
                     break;
                 }
             }
@@ -41,15 +41,19 @@
                 world.start_controller(owner);
             }
             if i == 5 {
-                world.withdraw(i % 3, "job-000003");
+                world.cancel(i % 3, "job-000003");
             }
-            world.withdraw(i % 3, "job-000005");
+            world.cancel(i % 3, "job-000005");
             world.run_for(2500);
         }
         world.run_for(70_000);
         cancel(&mut world, &[0, 1, 2], "job-000005");
         let ids: Vec<&str> = jobs.iter().map(job_id).collect();
-        assert!(world.unanswered(75_000, &ids).is_empty(), "{seed}\n{}", world.trace());
+        assert!(
+            world.poll_unanswered(75_000, &ids).is_empty(),
+            "{seed}\n{}",
+            world.trace()
+        );
         for id in &ids[1..] {
             let state = stored_state(&world, id);
             assert!(
@@ -63,7 +67,7 @@
                 "{seed} {id}"
             );
         }
-        assert_eq!(world.running("job-000001"), 2, "{seed}\n{}", world.trace());
+        assert_eq!(world.running_tasks("job-000001"), 2, "{seed}\n{}", world.trace());
         // Every rented machine is in a machine group, and every machine in a machine group is rented.
         let mut roster = world.roster();
         roster.sort();
@@ -104,7 +108,7 @@
                 let mut i = 0;
                 while world.now < until {
                     world.poll(i % 3, "job-000001");
-                    world.withdraw((i + 1) % 3, "job-000001");
+                    world.cancel((i + 1) % 3, "job-000001");
                     world.poll((i + 2) % 3, "job-000002");
                     world.submit(i % 3, &jobs[2]);
                     world.run_for(170);
@@ -113,9 +117,9 @@
             };
             world.run_for(2950);
             send_requests(&mut world, 50 + refused_ms);
-            world.note("the state service is down");
+            world.write_trace("the state service is down");
             world.store.down = true;
-            world.withdraw(refused, "job-000002");
+            world.cancel(refused, "job-000002");
             send_requests(&mut world, 300);
             world.run_for(CANCEL_MS + 7000);
             world.store.down = false;
@@ -129,7 +133,7 @@
                 ["withdrawn"; 3],
                 "{case:?}"
             );
-            assert_eq!(world.running("job-000003"), 4, "{case:?}\n{}", world.trace());
+            assert_eq!(world.running_tasks("job-000003"), 4, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
         }
     }
@@ -155,18 +159,18 @@
             let body = job(1, 0, "sweep", 1);
             match question {
                 "poll" => world.poll(controller, "job-000001"),
-                "withdraw" => world.withdraw(controller, "job-000001"),
+                "withdraw" => world.cancel(controller, "job-000001"),
                 _ => {
                     let invalid = json!({ "uid": "job-000001" }).to_string();
                     let about = ("job-000001".to_owned(), "submit");
-                    world.user(controller, Method::Post, "/submissions", &invalid, about)
+                    world.send_user_request(controller, Method::Post, "/submissions", &invalid, about)
                 }
             };
             // The same user's submission, or its repetition, arrives on another connection.
             world.run_for(3);
             let accepted = world.submit(controller, &body);
             world.run_for(1500);
-            assert_eq!(world.status(accepted), 201, "{case:?}\n{}", world.trace());
+            assert_eq!(world.http_status(accepted), 201, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
         }
     }
@@ -208,13 +212,17 @@
                         world.poll(asked_controller, "job-000001")
                     };
                     if !task_ends {
-                        world.withdraw(asked_controller, "job-000001");
+                        world.cancel(asked_controller, "job-000001");
                     }
                     for _ in 0..60 {
                         world.poll(asked_controller, "job-000001");
                         world.run_for(10);
                     }
-                    assert!(matches!(world.status(first), 200 | 503), "{case:?}\n{}", world.trace());
+                    assert!(
+                        matches!(world.http_status(first), 200 | 503),
+                        "{case:?}\n{}",
+                        world.trace()
+                    );
                     assert_no_breaches(&world, case);
                 }
             }
@@ -244,9 +252,14 @@
                 // The request has been passed on. Its answer arrives while the controller is paused.
                 world.pause(asked_controller);
                 world.run_for(20);
-                let cancellation = world.withdraw(owner, "job-000001");
+                let cancellation = world.cancel(owner, "job-000001");
                 world.run_for(50);
-                assert_eq!(world.said(cancellation), "withdrawn", "{case:?}\n{}", world.trace());
+                assert_eq!(
+                    world.job_status(cancellation),
+                    "withdrawn",
+                    "{case:?}\n{}",
+                    world.trace()
+                );
                 world.run_for(paused_ms);
                 world.resume(asked_controller);
                 world.run_for(2000);
--- a/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
@@ -23,7 +23,7 @@
             let cut_off = leader(&world).expect("a leader");
             let others = [(cut_off + 1) % 3, (cut_off + 2) % 3];
             let name = format!("berth-{cut_off}");
-            world.note(&format!("{name} is cut from the state service and its peers"));
+            world.write_trace(&format!("{name} is cut from the state service and its peers"));
             world.workers.values_mut().for_each(|w| w.node = cut_off);
             let mut cut_off_fault = faults::isolate_controller(cut_off);
             world.set_fault_injector(move |l| {
@@ -43,7 +43,7 @@
                 world.poll(cut_off, id);
                 assert_eq!(cancel(&mut world, &others, id), "withdrawn", "{case:?}");
                 world.poll(cut_off, id);
-                world.withdraw(cut_off, id);
+                world.cancel(cut_off, id);
             }
             world.run_for(CANCEL_MS + 2000);
             assert_no_breaches(&world, case);
@@ -52,7 +52,7 @@
             }
             world.clear_fault_injector();
             world.run_for(40_000);
-            assert_eq!(world.running("job-000003"), 2, "{case:?}\n{}", world.trace());
+            assert_eq!(world.running_tasks("job-000003"), 2, "{case:?}\n{}", world.trace());
             assert_eq!(
                 states_at_all_controllers(&mut world, "job-000001"),
                 ["withdrawn"; 3],
@@ -75,8 +75,8 @@
                 let body = job(1, 0, "sweep", tasks);
                 let mut world = World::new();
                 world.run_for(3000);
-                world.accepted(0, &body);
-                world.cancel_at_end(controller, "job-000001", after_ms);
+                world.submit_until_accepted(0, &body);
+                world.cancel_after_last_task(controller, "job-000001", after_ms);
                 assert!(
                     world.run_until(60_000, |w| w.checker().all_done("job-000001")),
                     "{case:?}"
@@ -89,8 +89,8 @@
                 }
                 world.run_for(3000);
                 let request = world.cancelled_at_end["job-000001"];
-                let first = world.said(request);
-                assert_eq!(world.status(request), 200, "{case:?}\n{}", world.trace());
+                let first = world.job_status(request);
+                assert_eq!(world.http_status(request), 200, "{case:?}\n{}", world.trace());
                 assert_eq!(
                     states_at_all_controllers(&mut world, "job-000001"),
                     [first.as_str(); 3],
@@ -129,22 +129,22 @@
             });
             let machine = world.machines_of("job-000001")[0].clone();
             if hang_ms > 0 {
-                world.note(&format!("{machine} hangs"));
+                world.write_trace(&format!("{machine} hangs"));
                 world.workers.get_mut(&machine).expect("a worker").hanging = true;
             }
             // That machine has room, so the start is sent there directly.
-            world.accepted(0, &job(2, 0, "sweep", 1));
+            world.submit_until_accepted(0, &job(2, 0, "sweep", 1));
             world.run_for(cancel_after_ms);
             assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000002"), "withdrawn", "{case:?}");
             world.run_for(hang_ms);
             if let Some(w) = world.workers.get_mut(&machine) {
                 w.hanging = false;
             }
-            world.note(&format!("{machine} goes on"));
+            world.write_trace(&format!("{machine} goes on"));
             world.run_for(60_000);
             assert_no_breaches(&world, case);
             assert_gone_in_time(&world, "job-000002", case);
-            assert_eq!(world.running("job-000001"), 1, "{case:?}\n{}", world.trace());
+            assert_eq!(world.running_tasks("job-000001"), 1, "{case:?}\n{}", world.trace());
         }
     }
 }
@@ -161,13 +161,13 @@
                 let case = (fault, machine_count, cancel_at_ms);
                 let (first, second) = (job(1, 0, "sweep", 4), job(2, 0, "sweep", 6));
                 let mut world = with_running_jobs(90_000, &[first, job(3, 1, "sweep", 2), job(4, 2, "sweep", 2)]);
-                world.accepted(1, &second);
+                world.submit_until_accepted(1, &second);
                 let machines: Vec<String> = world
                     .machines_of("job-000001")
                     .into_iter()
                     .take(machine_count)
                     .collect();
-                world.note(&format!("{fault}: {machines:?}"));
+                world.write_trace(&format!("{fault}: {machines:?}"));
                 match fault {
                     "cut" => world.set_fault_injector(cut_off_machines(&machines)),
                     "deaf" => world.set_fault_injector(for_each_machine(&machines, faults::lose_messages_to_machine)),
@@ -177,7 +177,7 @@
                 }
                 let owner = world.owner_of_team(0);
                 if cancel_at_ms < 0 {
-                    world.withdraw(owner, "job-000001");
+                    world.cancel(owner, "job-000001");
                     world.run_for(-cancel_at_ms as u64);
                 }
                 let crashed: Vec<usize> = leader(&world).into_iter().chain([owner]).collect();
@@ -194,7 +194,7 @@
                         w.hanging = false;
                     }
                 }
-                let has_recovered = |w: &World| w.running("job-000002") == 4;
+                let has_recovered = |w: &World| w.running_tasks("job-000002") == 4;
                 assert!(world.run_until(60_000, has_recovered), "{case:?}\n{}", world.trace());
                 assert_no_breaches(&world, case);
             }
@@ -215,7 +215,7 @@
             if all {
                 machines = world.workers.keys().cloned().collect();
             }
-            world.note(&format!("reports of {machines:?} reach nobody any more"));
+            world.write_trace(&format!("reports of {machines:?} reach nobody any more"));
             world.set_fault_injector(for_each_machine(&machines, faults::lose_reports_of_machine));
             world.run_for(mute_ms);
             let before = world.machines_of("job-000001");
@@ -229,8 +229,8 @@
             assert!(!must_end_at_once || gone <= 5000, "{case:?}: {gone}\n{}", world.trace());
             world.clear_fault_injector();
             world.run_for(40_000);
-            assert_eq!(world.running("job-000002"), 2, "{case:?}\n{}", world.trace());
-            assert_eq!(world.running("job-000003"), 4, "{case:?}\n{}", world.trace());
+            assert_eq!(world.running_tasks("job-000002"), 2, "{case:?}\n{}", world.trace());
+            assert_eq!(world.running_tasks("job-000003"), 4, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
         }
     }
@@ -262,7 +262,7 @@
                 .chain([format!("berth-{inside}")])
                 .collect();
             assert!(zone.len() > 4, "{zone:?}");
-            world.note(&format!("cut off: {zone:?}"));
+            world.write_trace(&format!("cut off: {zone:?}"));
             world.cloud.most_in_zone.insert("b".into(), 0);
             world.set_fault_injector(move |l| {
                 let is_inside = |who: &str| zone.iter().any(|z| z == who);
@@ -280,7 +280,8 @@
             world.cloud.most_in_zone.clear();
             world.run_for(CANCEL_MS + 2000);
             assert_gone_in_time(&world, "job-000001", case);
-            let has_recovered = |w: &World| stored_state(w, "job-000003") == "done" && w.running("job-000002") == 4;
+            let has_recovered =
+                |w: &World| stored_state(w, "job-000003") == "done" && w.running_tasks("job-000002") == 4;
             assert!(world.run_until(150_000, has_recovered), "{case:?}\n{}", world.trace());
             assert_eq!(
                 states_at_all_controllers(&mut world, "job-000001"),
@@ -302,9 +303,9 @@
             let case = (down_ms, told_ms);
             let jobs = [job(1, 0, "standing", 4), job(2, 1, "sweep", 4), job(3, 2, "sweep", 4)];
             let mut world = with_running_jobs(40_000, &jobs);
-            let request = world.withdraw(world.owner_of_team(1), "job-000002");
+            let request = world.cancel(world.owner_of_team(1), "job-000002");
             world.run_for(told_ms);
-            let is_confirmed = world.said(request) == "withdrawn";
+            let is_confirmed = world.job_status(request) == "withdrawn";
             (0..3).for_each(|n| world.crash_controller(n));
             world.run_for(down_ms);
             (0..3).for_each(|n| world.start_controller(n));
@@ -314,7 +315,8 @@
             cancel(&mut world, &[0, 1, 2], "job-000002");
             world.run_for(CANCEL_MS);
             assert_gone_in_time(&world, "job-000002", case);
-            let has_recovered = |w: &World| stored_state(w, "job-000003") == "done" && w.running("job-000001") == 4;
+            let has_recovered =
+                |w: &World| stored_state(w, "job-000003") == "done" && w.running_tasks("job-000001") == 4;
             assert!(world.run_until(120_000, has_recovered), "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
         }
--- a/crates/tidelatch-standin/tests/compound_faults_placement.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_placement.rs
@@ -32,9 +32,9 @@
                     let here = zone_of(&world, team + 1);
                     let mut other = job(team + 4, team, "standing", 1);
                     other["yard"] = json!(if here == "a" { "b" } else { "a" });
-                    world.accepted(0, &other);
+                    world.submit_until_accepted(0, &other);
                 }
-                let others_run = |w: &World| (4..7).all(|j| w.running(&format!("job-00000{j}")) == 1);
+                let others_run = |w: &World| (4..7).all(|j| w.running_tasks(&format!("job-00000{j}")) == 1);
                 assert!(world.run_until(30_000, others_run), "{case:?}\n{}", world.trace());
                 let lost: Vec<String> = (1..=3)
                     .flat_map(|j| {
@@ -49,7 +49,7 @@
                     let zone = world.workers[&lost[0]].zone.clone();
                     world.cloud.most_in_zone.insert(zone, 0);
                 }
-                world.note(&format!("{fault}: {lost:?}"));
+                world.write_trace(&format!("{fault}: {lost:?}"));
                 for name in &lost {
                     match fault {
                         "hang" => world.workers.get_mut(name).expect("a worker").hanging = true,
@@ -82,7 +82,7 @@
                         .iter()
                         .all(|id| stored_state(w, id) == "done")
                 };
-                let has_recovered = |w: &World| are_done(w) && w.running("job-000003") == 3;
+                let has_recovered = |w: &World| are_done(w) && w.running_tasks("job-000003") == 3;
                 assert!(world.run_until(200_000, has_recovered), "{case:?}\n{}", world.trace());
                 assert_no_breaches(&world, case);
             }
@@ -107,7 +107,7 @@
         world.cloud.most = 8;
         world.run_for(3000);
         for (i, body) in jobs.iter().enumerate() {
-            world.accepted(i % 3, body);
+            world.submit_until_accepted(i % 3, body);
         }
         world.run_for(6000);
         let machines: Vec<String> = world.workers.keys().cloned().collect();
@@ -172,7 +172,7 @@
         }
         for (i, requests) in polls.iter().enumerate() {
             let mut last = requests[0].0;
-            for (polled_at, _) in requests.iter().filter(|(_, r)| world.status(*r) == 200) {
+            for (polled_at, _) in requests.iter().filter(|(_, r)| world.http_status(*r) == 200) {
                 assert!(
                     polled_at - last < 75_000,
                     "{seed}: {}\n{}",
@@ -216,11 +216,11 @@
             world.run_ms = 600_000;
             world.cloud.most = 2;
             world.run_for(3000);
-            world.accepted(0, &job(1, 0, shape, 1));
-            let first_runs = world.run_until(30_000, |w| w.running("job-000001") == 1);
+            world.submit_until_accepted(0, &job(1, 0, shape, 1));
+            let first_runs = world.run_until(30_000, |w| w.running_tasks("job-000001") == 1);
             assert!(first_runs, "{case:?}\n{}", world.trace());
-            world.accepted(0, &job(2, 1, shape, 1));
-            let second_runs = world.run_until(30_000, |w| w.running("job-000002") == 1);
+            world.submit_until_accepted(0, &job(2, 1, shape, 1));
+            let second_runs = world.run_until(30_000, |w| w.running_tasks("job-000002") == 1);
             assert!(second_runs, "{case:?}\n{}", world.trace());
             if restarts_owner {
                 let owner = world.owner_of_team(2);
@@ -228,8 +228,8 @@
                 world.run_for(300);
                 world.start_controller(owner);
             }
-            world.accepted(0, &job(3, 2, shape, 1));
-            let third_runs = world.run_until(90_000, |w| w.running("job-000003") == 1);
+            world.submit_until_accepted(0, &job(3, 2, shape, 1));
+            let third_runs = world.run_until(90_000, |w| w.running_tasks("job-000003") == 1);
             assert!(third_runs, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
         }
--- a/crates/tidelatch-standin/tests/compound_faults_requests.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_requests.rs
@@ -70,7 +70,7 @@
 
 /// Sends a body unchanged as a submission, and returns the status of the answer, or 0 without an answer.
 fn send(world: &mut World, controller: usize, body: &str, id: &str) -> u16 {
-    let request = world.user(
+    let request = world.send_user_request(
         controller,
         Method::Post,
         "/submissions",
@@ -78,7 +78,7 @@
         (id.to_owned(), "submit"),
     );
     world.run_for(30);
-    world.status(request)
+    world.http_status(request)
 }
 
 #[test]
@@ -89,8 +89,8 @@
     world.run_for(4000);
     let accepted = job(1, 0, "sweep", 2);
     let service = job(2, 1, "standing", 1);
-    world.accepted(0, &accepted);
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &accepted);
+    world.submit_until_accepted(0, &service);
     let invalid_of_accepted = invalid_bodies(1);
     for (i, body) in invalid_bodies(900).iter().enumerate() {
         for controller in [0, 1, 2, i % 3] {
@@ -105,10 +105,10 @@
     for i in 0..6 {
         let body = job(10 + i, i % 3, "sweep", 1);
         let acceptance = world.submit(i as usize % 3, &body);
-        while world.status(acceptance) == 0 {
+        while world.http_status(acceptance) == 0 {
             world.run_for(1);
         }
-        assert_eq!(world.status(acceptance), 201, "{}", world.trace());
+        assert_eq!(world.http_status(acceptance), 201, "{}", world.trace());
         for (wait_ms, controller) in [(1, (i + 1) % 3), (5, (i + 2) % 3)] {
             let mut invalid = body.clone();
             invalid["wagons"] = json!(0);
@@ -142,23 +142,26 @@
     world.run_for(20_000);
     for controller in 0..3 {
         let of_ended_job = [
-            world.withdraw(controller, "job-000001"),
+            world.cancel(controller, "job-000001"),
             world.poll(controller, "job-000001"),
         ];
         let of_unknown_job = [
-            world.withdraw(controller, "job-000900"),
+            world.cancel(controller, "job-000900"),
             world.poll(controller, "job-000900"),
         ];
         world.run_for(200);
         for request in of_ended_job {
-            assert_eq!((world.status(request), world.said(request).as_str()), (200, "done"));
+            assert_eq!(
+                (world.http_status(request), world.job_status(request).as_str()),
+                (200, "done")
+            );
         }
         for request in of_unknown_job {
-            assert_eq!(world.status(request), 404, "{}", world.trace());
+            assert_eq!(world.http_status(request), 404, "{}", world.trace());
         }
     }
     assert!(
-        world.run_until(30_000, |w| w.running("job-000002") == 1),
+        world.run_until(30_000, |w| w.running_tasks("job-000002") == 1),
         "{}",
         world.trace()
     );
@@ -171,7 +174,7 @@
     // whatever is malformed is refused.
     let mut world = World::new();
     world.run_for(4000);
-    world.accepted(0, &job(1, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
     let mut too_long = job(900, 0, "sweep", 1);
     too_long["consist"] = json!("x".repeat(70_000));
     let bodies = [
@@ -215,9 +218,10 @@
             assert!(matches!(status, 400 | 422), "{status} to {body:.80}");
         }
         for (body, is_well_formed) in bodies.iter().map(|b| (b.as_str(), false)).chain(reports) {
-            let request = world.user(controller, Method::Post, "/agent/beat", body, ("beat".into(), "health"));
+            let request =
+                world.send_user_request(controller, Method::Post, "/agent/beat", body, ("beat".into(), "health"));
             world.run_for(30);
-            let status = world.status(request);
+            let status = world.http_status(request);
             assert!(is_well_formed || status != 200, "{status} to {body:.80}");
         }
         for path in [
@@ -229,19 +233,19 @@
             "/store/x",
         ] {
             for method in [Method::Get, Method::Post, Method::Delete] {
-                let request = world.user(controller, method, path, "", ("odd".into(), "health"));
+                let request = world.send_user_request(controller, method, path, "", ("odd".into(), "health"));
                 world.run_for(30);
-                let status = world.status(request);
+                let status = world.http_status(request);
                 assert!((400..500).contains(&status), "{status} to {path}");
             }
         }
     }
     world.run_for(10_000);
     assert!(
-        world.unanswered(20_000, &["job-000001"]).is_empty(),
+        world.poll_unanswered(20_000, &["job-000001"]).is_empty(),
         "{}",
         world.trace()
     );
-    assert_eq!(world.running("job-000001"), 1, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 1, "{}", world.trace());
     assert_no_breaches(&world, "");
 }
--- a/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
@@ -22,7 +22,7 @@
             let mut world = with_running_jobs(150_000, &jobs);
             for i in 0..10 {
                 if outage && i == 3 {
-                    world.note("the state service is down");
+                    world.write_trace("the state service is down");
                     world.store.down = true;
                 }
                 if i == 6 {
@@ -34,17 +34,17 @@
                 world.run_for(away_ms);
                 world.start_controller(crashed);
                 world.run_for(12_000 - away_ms);
-                world.withdraw(i % 3, "job-000003");
+                world.cancel(i % 3, "job-000003");
                 world.poll((i + 1) % 3, "job-000002");
             }
             assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000003"), "withdrawn", "{case:?}");
             world.run_for(CANCEL_MS + 2000);
             assert_gone_in_time(&world, "job-000003", case);
             assert!(
-                world.unanswered(75_000, &["job-000001", "job-000002"]).is_empty(),
+                world.poll_unanswered(75_000, &["job-000001", "job-000002"]).is_empty(),
                 "{case:?}"
             );
-            assert_eq!(world.running("job-000001"), 2, "{case:?}\n{}", world.trace());
+            assert_eq!(world.running_tasks("job-000001"), 2, "{case:?}\n{}", world.trace());
             let is_done = world.run_until(200_000, |w| stored_state(w, "job-000002") == "done");
             assert!(is_done, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
@@ -73,7 +73,7 @@
                 } else {
                     for_each_machine(&machines, faults::lose_messages_to_machine)
                 };
-                world.note(&format!("{fault}: {machines:?}"));
+                world.write_trace(&format!("{fault}: {machines:?}"));
                 world.set_fault_injector(injector);
                 let crashed = leader(&world).expect("a leader");
                 world.crash_controller(crashed);
@@ -87,7 +87,8 @@
                 }
                 world.run_for(unreachable_ms);
                 world.clear_fault_injector();
-                let has_recovered = |w: &World| stored_state(w, "job-000001") == "done" && w.running("job-000002") == 2;
+                let has_recovered =
+                    |w: &World| stored_state(w, "job-000001") == "done" && w.running_tasks("job-000002") == 2;
                 assert!(world.run_until(260_000, has_recovered), "{case:?}\n{}", world.trace());
                 assert_no_breaches(&world, case);
             }
@@ -123,19 +124,19 @@
                 });
                 world.run_for(2600);
                 let further = [job(4, 0, "sweep", 1), job(5, 1, "sweep", 1), job(6, 2, "sweep", 1)];
-                further.iter().for_each(|j| world.accepted(next_owner, j));
+                further.iter().for_each(|j| world.submit_until_accepted(next_owner, j));
                 let are_running = world.run_until(8000, |w| further.iter().all(|j| all_tasks_run(w, j)));
                 assert!(are_running, "{case:?}\n{}", world.trace());
                 world.run_for(crash_after_ms);
                 let crashed = [owner, leader(&world).unwrap_or(owner)];
                 crashed.iter().for_each(|n| world.crash_controller(*n));
-                world.withdraw(next_owner, "job-000002");
+                world.cancel(next_owner, "job-000002");
                 world.run_for(300);
                 crashed.iter().for_each(|n| world.start_controller(*n));
                 cancel(&mut world, &[0, 1, 2], "job-000002");
                 let has_recovered = |w: &World| {
                     let are_done = further.iter().all(|j| stored_state(w, job_id(j)) == "done");
-                    are_done && w.running("job-000001") == 1 && w.running("job-000003") == 3
+                    are_done && w.running_tasks("job-000001") == 1 && w.running_tasks("job-000003") == 3
                 };
                 assert!(world.run_until(120_000, has_recovered), "{case:?}\n{}", world.trace());
                 world.run_for(30_000);
@@ -164,11 +165,11 @@
                 let mut world = World::with_size(&Operator::default(), one_task_at_a_time);
                 world.run_ms = 12_000;
                 world.run_for(3000);
-                world.accepted(0, &job(1, 0, "sweep", tasks));
-                world.accepted(1, &job(2, 1, "sweep", tasks));
-                let has_started = |w: &World| w.running("job-000001") == 1;
+                world.submit_until_accepted(0, &job(1, 0, "sweep", tasks));
+                world.submit_until_accepted(1, &job(2, 1, "sweep", tasks));
+                let has_started = |w: &World| w.running_tasks("job-000001") == 1;
                 assert!(world.run_until(30_000, has_started), "{case:?}\n{}", world.trace());
-                while world.running("job-000001") == 1 {
+                while world.running_tasks("job-000001") == 1 {
                     world.run_for(1);
                 }
                 world.run_for(crash_after_ms);
@@ -224,7 +225,7 @@
                     world.start_controller(controller);
                     world.run_for(away_ms);
                 }
-                world.withdraw(first, "job-000003");
+                world.cancel(first, "job-000003");
                 world.submit((first + 1) % 3, &job(4, 0, "sweep", 2));
                 world.run_for(4);
                 (0..3).for_each(|n| world.crash_controller(n));
@@ -234,17 +235,18 @@
                 if others_after_ms > 20_000 {
                     let polls = ["job-000001", "job-000002", "job-000003"].map(|id| world.poll(first, id));
                     world.run_for(2000);
-                    let are_answered = polls.iter().all(|p| world.status(*p) == 200);
+                    let are_answered = polls.iter().all(|p| world.http_status(*p) == 200);
                     assert!(are_answered, "{case:?}\n{}", world.trace());
                 }
                 (0..3).filter(|n| *n != first).for_each(|n| world.start_controller(n));
                 cancel(&mut world, &[0, 1, 2], "job-000003");
                 world.run_for(CANCEL_MS + 2000);
                 assert_gone_in_time(&world, "job-000003", case);
-                let has_recovered = |w: &World| stored_state(w, "job-000002") == "done" && w.running("job-000001") == 2;
+                let has_recovered =
+                    |w: &World| stored_state(w, "job-000002") == "done" && w.running_tasks("job-000001") == 2;
                 assert!(world.run_until(150_000, has_recovered), "{case:?}\n{}", world.trace());
                 let ids = ["job-000001", "job-000002", "job-000003"];
-                assert!(world.unanswered(75_000, &ids).is_empty(), "{case:?}");
+                assert!(world.poll_unanswered(75_000, &ids).is_empty(), "{case:?}");
                 assert_no_breaches(&world, case);
             }
         }
--- a/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
+++ b/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
@@ -31,10 +31,10 @@
     for i in 0..3 {
         let mut service = job(i, i, "standing", 12);
         service["spread"] = true.into();
-        world.accepted(i as usize, &service);
-        world.accepted(i as usize, &job(10 + i, i, "sweep", 50));
+        world.submit_until_accepted(i as usize, &service);
+        world.submit_until_accepted(i as usize, &job(10 + i, i, "sweep", 50));
     }
-    let all_run = |w: &World| (0..3).all(|i| w.running(&format!("job-{i:06}")) == 12);
+    let all_run = |w: &World| (0..3).all(|i| w.running_tasks(&format!("job-{i:06}")) == 12);
     assert!(world.run_until(60_000, all_run), "{}", world.trace());
     let messages = Rc::new(Cell::new(0u64));
     world.set_fault_injector(move |message| {
@@ -54,20 +54,20 @@
             }
         }
     };
-    world.note("a third of the machines hang");
+    world.write_trace("a third of the machines hang");
     hang(&mut world, 0, true);
     world.run_for(4000);
-    world.note("another third hangs");
+    world.write_trace("another third hangs");
     hang(&mut world, 1, true);
     let owner = world.owner_of_team(1);
     world.crash_controller(owner);
     world.run_for(300);
     world.start_controller(owner);
     world.run_for(6000);
-    world.note("the second third resumes within its lease");
+    world.write_trace("the second third resumes within its lease");
     hang(&mut world, 1, false);
     world.run_for(17_000);
-    world.note("the first third resumes after its lease");
+    world.write_trace("the first third resumes after its lease");
     hang(&mut world, 0, false);
     let done = |w: &World| {
         let is_done = |i: u32| {
@@ -100,16 +100,16 @@
     for i in 0..3 {
         let mut service = job(i, i, "standing", 8);
         service["spread"] = true.into();
-        world.accepted(i as usize, &service);
+        world.submit_until_accepted(i as usize, &service);
     }
-    let all_run = |w: &World| (0..3).all(|i| w.running(&format!("job-{i:06}")) == 8);
+    let all_run = |w: &World| (0..3).all(|i| w.running_tasks(&format!("job-{i:06}")) == 8);
     assert!(world.run_until(40_000, all_run), "{}", world.trace());
     world.run_for(5000);
     let failed_machine = world.machines_of("job-000000").first().cloned().expect("it runs");
     if let Some(w) = world.workers.get_mut(&failed_machine) {
         w.hanging = true;
     }
-    world.note(&format!("{failed_machine} fails"));
+    world.write_trace(&format!("{failed_machine} fails"));
     let owner = world.owner_of_team(0);
     world.crash_controller(owner);
     world.run_for(300);
@@ -143,9 +143,9 @@
     service_in_b["yard"] = "b".into();
     let mut service_in_a = job(2, 0, "standing", 2);
     service_in_a["yard"] = "a".into();
-    world.accepted(0, &service_in_b);
-    world.accepted(0, &service_in_a);
-    let all_run = |w: &World| w.running("job-000001") == 4 && w.running("job-000002") == 2;
+    world.submit_until_accepted(0, &service_in_b);
+    world.submit_until_accepted(0, &service_in_a);
+    let all_run = |w: &World| w.running_tasks("job-000001") == 4 && w.running_tasks("job-000002") == 2;
     assert!(world.run_until(40_000, all_run), "{}", world.trace());
     world.run_for(3000);
     let failed_machine = world.machines_of("job-000002").first().cloned().expect("it runs");
@@ -171,9 +171,9 @@
     world.run_ms = 3_000;
     let mut array = job(1, 0, "sweep", 4);
     array["standby"] = true.into();
-    world.accepted(0, &array);
+    world.submit_until_accepted(0, &array);
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 4),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 4),
         "{}",
         world.trace()
     );
--- a/crates/tidelatch-standin/tests/drain_support/mod.rs
+++ b/crates/tidelatch-standin/tests/drain_support/mod.rs
@@ -81,7 +81,8 @@
 
     /// Submits a service of a team and returns its id.
     fn submit_service(&mut self, id: u32, team: u32) -> String {
-        self.world.accepted(0, &job(id, team, "standing", REPLICAS as u32));
+        self.world
+            .submit_until_accepted(0, &job(id, team, "standing", REPLICAS as u32));
         let name = format!("job-{id:06}");
         self.services.push(name.clone());
         name
@@ -89,7 +90,7 @@
 
     /// Submits an array of a team.
     pub fn submit_array(&mut self, id: u32, team: u32, tasks: u32) {
-        self.world.accepted(0, &job(id, team, "sweep", tasks));
+        self.world.submit_until_accepted(0, &job(id, team, "sweep", tasks));
         // Accepting the job took simulated time, in which replicas may have stopped.
         self.sample();
         self.arrays.push(format!("job-{id:06}"));
@@ -114,20 +115,22 @@
 
     /// Whether every service has all its replicas running.
     pub fn all_replicas_run(&self) -> bool {
-        self.services.iter().all(|job| self.world.running(job) == REPLICAS)
+        self.services
+            .iter()
+            .all(|job| self.world.running_tasks(job) == REPLICAS)
     }
 
     /// Removes a machine and its worker, and tells the recorder that this was a loss.
     pub fn lose_machine(&mut self, machine: &str) {
         self.recorder.machine_lost(machine);
-        self.world.note(&format!("the test loses {machine}"));
+        self.world.write_trace(&format!("the test loses {machine}"));
         self.world.cloud.machines.remove(machine);
         self.world.workers.remove(machine);
     }
 
     /// Tells the recorder which replicas run and which machines were lost.
     fn sample(&mut self) {
-        let mut running = self.world.running_units();
+        let mut running = self.world.machines_by_running_task();
         running.retain(|unit, _| self.services.iter().any(|job| unit.starts_with(job.as_str())));
         self.record_losses();
         self.recorder.sample(self.world.now, running);
--- a/crates/tidelatch-standin/tests/drains.rs
+++ b/crates/tidelatch-standin/tests/drains.rs
@@ -104,7 +104,7 @@
     let mut deployment = Deployment::start(3);
     deployment.world.run_ms = 60_000;
     deployment.submit_array(501, 1, 6);
-    let runs = |d: &Deployment| d.world.running("job-000501") == 6;
+    let runs = |d: &Deployment| d.world.running_tasks("job-000501") == 6;
     assert!(deployment.run_until(60_000, runs), "{}", deployment.trace());
     let drain = json!({ "name": "all", "surge": 1, "max_machines": 30, "patience_s": 600.0 });
     deployment.restart_all(&with_drain(&drain));
@@ -124,7 +124,7 @@
     let mut deployment = Deployment::start(3);
     deployment.world.run_ms = 90_000;
     deployment.submit_array(501, 1, 4);
-    let runs = |d: &Deployment| d.world.running("job-000501") == 4;
+    let runs = |d: &Deployment| d.world.running_tasks("job-000501") == 4;
     assert!(deployment.run_until(60_000, runs), "{}", deployment.trace());
     let drain = json!({ "name": "all", "surge": 1, "max_machines": 30, "patience_s": 20.0 });
     deployment.restart_all(&with_drain(&drain));
@@ -292,7 +292,7 @@
     assert!(deployment.run_until(60_000, permit_used), "{}", deployment.trace());
     let service = deployment.services.remove(0);
     let owner = deployment.world.owner_of_team(0);
-    deployment.world.withdraw(owner, &service);
+    deployment.world.cancel(owner, &service);
     deployment.recorder.job_over(&service);
     // The machines of the team's other service are still drained.
     deployment.assert_drain_ends("all", "cancelled");
@@ -516,7 +516,7 @@
     // the array.
     let service = deployment.services[2].clone();
     let owner = deployment.world.owner_of_team(1);
-    deployment.world.withdraw(owner, &service);
+    deployment.world.cancel(owner, &service);
     deployment.recorder.job_over(&service);
     deployment.services.remove(2);
     deployment.run(20_000);
--- a/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
+++ b/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
@@ -32,8 +32,12 @@
     world.cloud.most = 2;
     world.run_for(3_000);
     for (team, id) in (0..).zip(SERVICES) {
-        world.accepted(0, &job(team + 1, team, "standing", 1));
-        assert!(world.run_until(90_000, |w| w.running(id) == 1), "{}", world.trace());
+        world.submit_until_accepted(0, &job(team + 1, team, "standing", 1));
+        assert!(
+            world.run_until(90_000, |w| w.running_tasks(id) == 1),
+            "{}",
+            world.trace()
+        );
     }
     let machine = world.machines_of(SERVICES[2]).pop().expect("a machine");
     let is_on_machine = |id: &&str| world.machines_of(id).contains(&machine);
@@ -59,7 +63,8 @@
         let until = self.world.now + ms;
         while self.world.now < until {
             self.world.run_for(20);
-            self.recorder.sample(self.world.now, self.world.running_units());
+            self.recorder
+                .sample(self.world.now, self.world.machines_by_running_task());
         }
     }
 
@@ -86,7 +91,7 @@
     /// Asserts that the drain ends, that all services run, that no budget was exceeded and that the machine is gone.
     fn assert_drain_ends(&mut self, case: &str) {
         let until = self.world.now + DRAIN_MS;
-        let all_run = |w: &World| SERVICES.iter().all(|id| w.running(id) >= 1);
+        let all_run = |w: &World| SERVICES.iter().all(|id| w.running_tasks(id) >= 1);
         while self.world.now < until && !(self.is_done() && all_run(&self.world)) {
             self.run(500);
         }
@@ -252,10 +257,10 @@
         (sized(2, 1, 1, 20.0), 1),
         (sized(3, 2, 1, 8.0), 1),
     ] {
-        world.accepted(0, &service);
+        world.submit_until_accepted(0, &service);
         let id = service["uid"].as_str().expect("an id");
         assert!(
-            world.run_until(90_000, |w| w.running(id) == replicas),
+            world.run_until(90_000, |w| w.running_tasks(id) == replicas),
             "{}",
             world.trace()
         );
@@ -314,7 +319,7 @@
     }
     assert!(has_permit(&shared), "{}", shared.world.trace());
     assert_eq!(
-        shared.world.running("job-000001"),
+        shared.world.running_tasks("job-000001"),
         2,
         "the stop should not have arrived yet"
     );
--- a/crates/tidelatch-standin/tests/failing_jobs.rs
+++ b/crates/tidelatch-standin/tests/failing_jobs.rs
@@ -61,15 +61,15 @@
     // As many machines as the team may fill: without the faulty one some of its work would have to wait.
     world.cloud.most = 12;
     for id in [2, 3] {
-        world.accepted(0, &job(id, 0, "sweep", 60));
+        world.submit_until_accepted(0, &job(id, 0, "sweep", 60));
     }
-    let running = |w: &World| w.running("job-000002") + w.running("job-000003") >= 12;
+    let running = |w: &World| w.running_tasks("job-000002") + w.running_tasks("job-000003") >= 12;
     assert!(world.run_until(30_000, running), "{}", world.trace());
     let faulty_machine = world.machines_of("job-000002").first().cloned().expect("it runs");
     if let Some(w) = world.workers.get_mut(&faulty_machine) {
         w.sick = true;
     }
-    world.accepted(1, &failing_array(1, 60));
+    world.submit_until_accepted(1, &failing_array(1, 60));
     let done = |w: &World| is_done(w, "job-000002") && is_done(w, "job-000003");
     assert!(world.run_until(120_000, done), "{}", world.trace());
     assert!(
@@ -81,10 +81,10 @@
     world.run_for(30_000);
     let trace_start = world.trace().len();
     for id in 4..8 {
-        world.accepted(2, &job(id, 0, "sweep", 6));
+        world.submit_until_accepted(2, &job(id, 0, "sweep", 6));
         let key = format!("job-{id:06}");
         assert!(world.run_until(40_000, |w| is_done(w, &key)), "{}", world.trace());
-        assert!(world.running(FAILING_JOB) <= 1, "{}", world.trace());
+        assert!(world.running_tasks(FAILING_JOB) <= 1, "{}", world.trace());
     }
     let observed_s = 30;
     world.run_for(observed_s * 1000);
@@ -105,13 +105,13 @@
     let request = world.poll(0, FAILING_JOB);
     world.run_for(1000);
     assert!(
-        matches!(world.said(request).as_str(), "queued" | "running"),
+        matches!(world.job_status(request).as_str(), "queued" | "running"),
         "{}",
         world.trace()
     );
-    let request = world.withdraw(1, FAILING_JOB);
+    let request = world.cancel(1, FAILING_JOB);
     world.run_for(3000);
-    assert_eq!(world.said(request), "withdrawn", "{}", world.trace());
+    assert_eq!(world.job_status(request), "withdrawn", "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -120,18 +120,18 @@
 #[test]
 fn two_failing_jobs_that_share_each_machine_make_none_faulty() {
     let mut world = start();
-    world.accepted(0, &job(3, 0, "sweep", 12));
+    world.submit_until_accepted(0, &job(3, 0, "sweep", 12));
     assert!(
         world.run_until(40_000, |w| is_done(w, "job-000003")),
         "{}",
         world.trace()
     );
     for id in [1, 2] {
-        world.accepted(0, &failing_array(id, 1));
+        world.submit_until_accepted(0, &failing_array(id, 1));
     }
     world.run_for(60_000);
     assert!(!world.trace().contains(FAULTY_LOG_TEXT), "{}", world.trace());
-    world.accepted(0, &job(4, 0, "sweep", 12));
+    world.submit_until_accepted(0, &job(4, 0, "sweep", 12));
     assert!(
         world.run_until(40_000, |w| is_done(w, "job-000004")),
         "{}",
@@ -145,10 +145,10 @@
 #[test]
 fn two_failing_arrays_make_no_shared_machine_faulty() {
     let mut world = start();
-    world.accepted(0, &failing_array(1, 30));
-    world.accepted(0, &failing_array(2, 30));
+    world.submit_until_accepted(0, &failing_array(1, 30));
+    world.submit_until_accepted(0, &failing_array(2, 30));
     world.run_for(40_000);
-    world.accepted(0, &job(3, 0, "sweep", 12));
+    world.submit_until_accepted(0, &job(3, 0, "sweep", 12));
     assert!(
         world.run_until(40_000, |w| is_done(w, "job-000003")),
         "{}",
@@ -163,9 +163,9 @@
 #[test]
 fn an_array_that_fails_on_many_faulty_machines_is_not_slowed_down() {
     let mut world = start();
-    world.accepted(0, &job(2, 0, "sweep", 60));
+    world.submit_until_accepted(0, &job(2, 0, "sweep", 60));
     assert!(
-        world.run_until(40_000, |w| w.running("job-000002") >= 16),
+        world.run_until(40_000, |w| w.running_tasks("job-000002") >= 16),
         "{}",
         world.trace()
     );
@@ -196,7 +196,7 @@
 fn a_one_task_job_that_fails_on_faulty_machines_is_retried_on_others() {
     let mut world = start();
     world.cloud.most = 8;
-    world.accepted(0, &job(2, 0, "sweep", 16));
+    world.submit_until_accepted(0, &job(2, 0, "sweep", 16));
     let machines = |w: &World| w.machines_of("job-000002");
     assert!(world.run_until(40_000, |w| machines(w).len() == 8), "{}", world.trace());
     let all = machines(&world);
@@ -213,7 +213,7 @@
             }
         }
         let id = 10 + faulty_positions[0] * 10 + faulty_positions[1];
-        world.accepted(0, &job(id as u32, 0, "sweep", 1));
+        world.submit_until_accepted(0, &job(id as u32, 0, "sweep", 1));
         let key = format!("job-{id:06}");
         assert!(
             world.run_until(60_000, |w| is_done(w, &key)),
--- a/crates/tidelatch-standin/tests/failure_detection.rs
+++ b/crates/tidelatch-standin/tests/failure_detection.rs
@@ -33,10 +33,10 @@
     world.cloud.most = 60;
     world.run_for(5_000);
     for team in 0..controllers as u32 {
-        world.accepted(0, &job(team, team, "standing", 2));
-        world.accepted(0, &job(100 + team, team, "sweep", 6));
+        world.submit_until_accepted(0, &job(team, team, "standing", 2));
+        world.submit_until_accepted(0, &job(100 + team, team, "sweep", 6));
     }
-    let services_run = |w: &World| (0..controllers).all(|team| w.running(&format!("job-{team:06}")) == 2);
+    let services_run = |w: &World| (0..controllers).all(|team| w.running_tasks(&format!("job-{team:06}")) == 2);
     assert!(world.run_until(60_000, services_run), "{}", world.trace());
     world
 }
@@ -45,8 +45,9 @@
 fn assert_recovers(world: &mut World, controllers: usize) {
     world.clear_fault_injector();
     let recovered = |w: &World| {
-        (0..controllers)
-            .all(|team| w.running(&format!("job-{team:06}")) == 2 && is_done(w, &format!("job-{:06}", 100 + team)))
+        (0..controllers).all(|team| {
+            w.running_tasks(&format!("job-{team:06}")) == 2 && is_done(w, &format!("job-{:06}", 100 + team))
+        })
     };
     assert!(world.run_until(150_000, recovered), "{}", world.trace());
     assert_no_breaches(world);
@@ -108,7 +109,7 @@
         let mut world = start_with_work(3, operator);
         world.uneven = true;
         let owner = world.owner_of_team(1);
-        world.accepted(owner, &job(201, 1, "sweep", 40));
+        world.submit_until_accepted(owner, &job(201, 1, "sweep", 40));
         world.run_for(6_000);
         // The other controllers suspect the owner and read its records ahead of a takeover. The owner continues its
         // work, stores more done tasks and then crashes.
@@ -201,7 +202,7 @@
     world.run_for(LEASE_MS + 300);
     // Requests that arrive during the pause and are read when the leader resumes.
     world.submit(leader, &job(301, 0, "sweep", 2));
-    world.withdraw(leader, "job-000100");
+    world.cancel(leader, "job-000100");
     world.run_for(2_000);
     world.resume(leader);
     world.run_for(20_000);
@@ -219,8 +220,8 @@
     world.cloud.most = 4;
     world.run_ms = 60_000;
     world.run_for(3_000);
-    world.accepted(0, &job(101, 1, "sweep", 8));
-    let is_full = |w: &World| w.running("job-000101") == 8;
+    world.submit_until_accepted(0, &job(101, 1, "sweep", 8));
+    let is_full = |w: &World| w.running_tasks("job-000101") == 8;
     assert!(world.run_until(30_000, is_full), "{}", world.trace());
     world
 }
@@ -234,13 +235,13 @@
     let mut transfers = 0;
     for pause_after_ms in (200..3_600).step_by(200) {
         let mut world = world_without_free_machines();
-        world.accepted(0, &job(1, 0, "standing", 4));
+        world.submit_until_accepted(0, &job(1, 0, "standing", 4));
         world.run_for(pause_after_ms);
         let owner = world.owner_of_team(1);
         world.pause(owner);
         world.run_for(LEASE_MS + 300);
         world.resume(owner);
-        let recovered = |w: &World| w.running("job-000001") == 4 && is_done(w, "job-000101");
+        let recovered = |w: &World| w.running_tasks("job-000001") == 4 && is_done(w, "job-000101");
         assert!(world.run_until(240_000, recovered), "{}", world.trace());
         assert_no_breaches(&world);
         let mut roster = world.roster();
@@ -313,7 +314,7 @@
         ] {
             let mut world = start_with_work(controllers, &with_failure_detection());
             let epoch = world.epoch();
-            world.note(&format!("split, state service: {state:?}"));
+            world.write_trace(&format!("split, state service: {state:?}"));
             world.set_fault_injector(faults::partition_controllers(&first_half, state));
             world.run_for(3 * LEASE_MS);
             match state {
--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -21,7 +21,7 @@
 
 /// Whether a controller answers the load balancer's health check with 200.
 fn is_healthy(world: &mut World, controller: usize) -> bool {
-    let request = world.user(
+    let request = world.send_user_request(
         controller,
         tidelatch_core::Method::Get,
         "/up",
@@ -29,16 +29,16 @@
         ("up".into(), "health"),
     );
     world.run_for(10);
-    world.status(request) == 200
+    world.http_status(request) == 200
 }
 
 /// Cancels a job, at one controller after the other, until the user is told a final state.
 fn cancel(world: &mut World, id: &str) -> String {
     for i in 0..40 {
-        let request = world.withdraw(i % 3, id);
+        let request = world.cancel(i % 3, id);
         world.run_for(1500);
-        if world.status(request) == 200 {
-            return world.said(request);
+        if world.http_status(request) == 200 {
+            return world.job_status(request);
         }
     }
     panic!(
@@ -156,7 +156,7 @@
 fn run_with_faults(seed: u64) -> World {
     let mut world = World::new();
     world.run_for(3000);
-    world.keep_reports();
+    world.replay_reports_in_next_epoch();
     world.set_fault_injector(faults::limit_to(
         0..80_000,
         faults::combine(vec![
@@ -165,9 +165,9 @@
             faults::duplicate_reports(seed + 2, 0.2),
         ]),
     ));
-    world.accepted(0, &job(1, 0, "standing", 1));
-    world.accepted(1, &job(2, 1, "sweep", 4));
-    world.accepted(2, &job(3, 2, "sweep", 4));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
+    world.submit_until_accepted(1, &job(2, 1, "sweep", 4));
+    world.submit_until_accepted(2, &job(3, 2, "sweep", 4));
     world.run_for(8000);
     let owner = world.owner_of_team(0);
     world.crash_controller(owner);
@@ -189,10 +189,10 @@
         assert_no_breaches(&world);
         assert_eq!(world.trace(), run_with_faults(seed).trace(), "seed {seed}");
         let jobs = ["job-000001", "job-000002", "job-000003"];
-        let unanswered = world.unanswered(75_000, &jobs);
+        let unanswered = world.poll_unanswered(75_000, &jobs);
         assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}\n{}", world.trace());
         assert!(is_done(&world, "job-000002"), "seed {seed}\n{}", world.trace());
-        assert_eq!(world.running("job-000001"), 1, "seed {seed}\n{}", world.trace());
+        assert_eq!(world.running_tasks("job-000001"), 1, "seed {seed}\n{}", world.trace());
         assert_no_breaches(&world);
     }
 }
@@ -205,7 +205,7 @@
     let owner = world.owner_of_team(0);
     let before = world.epoch();
     let name = format!("berth-{owner}");
-    world.note(&format!("the state service refuses {name} alone"));
+    world.write_trace(&format!("the state service refuses {name} alone"));
     world.set_fault_injector(faults::refuse_state_requests(owner));
     // The state service still answers the others, which go on without the refused controller.
     world.run_for(25_000);
@@ -213,10 +213,10 @@
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
     assert!(!is_healthy(&mut world, owner), "{}", world.trace());
     assert!(is_healthy(&mut world, (owner + 1) % 3), "{}", world.trace());
-    world.accepted((owner + 1) % 3, &job(2, 0, "sweep", 2));
+    world.submit_until_accepted((owner + 1) % 3, &job(2, 0, "sweep", 2));
     let is_finished = world.run_until(60_000, |w| is_done(w, "job-000002"));
     assert!(is_finished, "{}", world.trace());
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     world.clear_fault_injector();
     world.run_for(20_000);
     assert!(is_healthy(&mut world, owner), "{}", world.trace());
@@ -238,9 +238,9 @@
     let request = world.submit(2, &job(1, team as u32, "sweep", 1));
     world.run_for(400);
     assert_eq!(world.store.get("t/j/job-000001"), None, "{}", world.trace());
-    assert_ne!(world.status(request), 201, "{}", world.trace());
+    assert_ne!(world.http_status(request), 201, "{}", world.trace());
     world.clear_fault_injector();
-    world.accepted(2, &job(1, team as u32, "sweep", 1));
+    world.submit_until_accepted(2, &job(1, team as u32, "sweep", 1));
     assert!(world.store.get("t/j/job-000001").is_some(), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -300,9 +300,9 @@
         .first()
         .cloned()
         .expect("the job runs on a machine");
-    world.note(&format!("nothing reaches {machine} any more; its reports arrive"));
+    world.write_trace(&format!("nothing reaches {machine} any more; its reports arrive"));
     world.set_fault_injector(faults::lose_messages_to_machine(&machine));
-    let has_moved = |w: &World| w.running("job-000001") == 2 && !w.machines_of("job-000001").contains(&machine);
+    let has_moved = |w: &World| w.running_tasks("job-000001") == 2 && !w.machines_of("job-000001").contains(&machine);
     assert!(world.run_until(110_000, has_moved), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -316,7 +316,7 @@
         .first()
         .cloned()
         .expect("the job runs on a machine");
-    world.note(&format!("reports of {machine} reach nobody any more"));
+    world.write_trace(&format!("reports of {machine} reach nobody any more"));
     world.set_fault_injector(faults::lose_reports_of_machine(&machine));
     world.run_for(1000);
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
@@ -332,8 +332,8 @@
     // Guards against a simulation that repeats no earlier reports when an epoch begins, and against controllers that
     // take such copies for the present state.
     let mut world = with_service(0);
-    world.keep_reports();
-    world.accepted(0, &job(2, 0, "sweep", 4));
+    world.replay_reports_in_next_epoch();
+    world.submit_until_accepted(0, &job(2, 0, "sweep", 4));
     world.run_for(8000);
     let before = world.epoch();
     let owner = world.owner_of_team(0);
@@ -345,7 +345,9 @@
     );
     assert!(!world.trace().contains(" 0 reports of before"), "{}", world.trace());
     world.start_controller(owner);
-    let is_finished = world.run_until(60_000, |w| is_done(w, "job-000002") && w.running("job-000001") == 2);
+    let is_finished = world.run_until(60_000, |w| {
+        is_done(w, "job-000002") && w.running_tasks("job-000001") == 2
+    });
     assert!(is_finished, "{}", world.trace());
     world.run_for(40_000);
     assert_no_breaches(&world);
@@ -359,21 +361,21 @@
         for controller in 0..3 {
             let mut world = World::new();
             world.run_for(3000);
-            world.accepted(0, &job(1, 0, "sweep", 2));
-            world.cancel_at_end(controller, "job-000001", after);
+            world.submit_until_accepted(0, &job(1, 0, "sweep", 2));
+            world.cancel_after_last_task(controller, "job-000001", after);
             let cancelled = world.run_until(60_000, |w| w.cancelled_at_end.contains_key("job-000001"));
             assert!(cancelled, "{after}\n{}", world.trace());
             let request = world.cancelled_at_end["job-000001"];
             world.run_for(3000);
-            let first = match world.status(request) {
-                200 => world.said(request),
+            let first = match world.http_status(request) {
+                200 => world.job_status(request),
                 _ => cancel(&mut world, "job-000001"),
             };
             assert!(first == "done" || first == "withdrawn", "{first}\n{}", world.trace());
             for controller in 0..3 {
                 let poll = world.poll(controller, "job-000001");
                 world.run_for(1500);
-                assert_eq!(world.said(poll), first, "{after}\n{}", world.trace());
+                assert_eq!(world.job_status(poll), first, "{after}\n{}", world.trace());
             }
             world.run_for(40_000);
             assert_eq!(world.started_after("job-000001"), 0, "{after}\n{}", world.trace());
@@ -388,14 +390,14 @@
     // neither the state service nor its peers.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
-    world.note(&format!("berth-{owner} is cut from the state service and its peers"));
+    world.write_trace(&format!("berth-{owner} is cut from the state service and its peers"));
     world.set_fault_injector(faults::isolate_controller(owner));
     world.run_for(25_000);
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
     assert!(!is_healthy(&mut world, owner), "{}", world.trace());
     world.clear_fault_injector();
     world.run_for(20_000);
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -453,7 +455,7 @@
         .first()
         .cloned()
         .expect("the job runs on a machine");
-    world.note(&format!("nothing comes from {cut}, and nothing reaches it"));
+    world.write_trace(&format!("nothing comes from {cut}, and nothing reaches it"));
     let ended = Rc::new(Cell::new(0));
     let seen = ended.clone();
     let machine = cut.clone();
@@ -489,14 +491,14 @@
     world.run_for(3000);
     assert_eq!(world.checker().start_orders(), 0);
     // Orders go out with the answers to reports, and directly to a machine that has room.
-    world.accepted(0, &job(1, 0, "standing", 1));
-    let up = world.run_until(30_000, |w| w.running("job-000001") == 1);
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
+    let up = world.run_until(30_000, |w| w.running_tasks("job-000001") == 1);
     assert!(up, "{}", world.trace());
     let with_answers = world.checker().start_orders();
     assert!(with_answers > 0, "{}", world.trace());
     let direct = world.sent.commands;
-    world.accepted(0, &job(2, 0, "standing", 1));
-    let up = world.run_until(4000, |w| w.running("job-000002") == 1);
+    world.submit_until_accepted(0, &job(2, 0, "standing", 1));
+    let up = world.run_until(4000, |w| w.running_tasks("job-000002") == 1);
     assert!(up, "{}", world.trace());
     assert!(world.sent.commands > direct, "{}", world.trace());
     assert!(world.checker().start_orders() > with_answers, "{}", world.trace());
--- a/crates/tidelatch-standin/tests/gangs.rs
+++ b/crates/tidelatch-standin/tests/gangs.rs
@@ -21,9 +21,9 @@
     world.run_for(3000);
     let mut service = job(9, 0, "standing", 8);
     service["spread"] = serde_json::json!(true);
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &service);
     assert!(
-        world.run_until(30_000, |w| w.running("job-000009") == 8),
+        world.run_until(30_000, |w| w.running_tasks("job-000009") == 8),
         "{}",
         world.trace()
     );
@@ -34,15 +34,19 @@
 fn start_with_gang() -> World {
     let mut world = start_with_service();
     world.run_ms = 60_000;
-    world.accepted(1, &gang(1, 0, 4));
-    assert!(world.run_until(30_000, |w| w.running(GANG) == 4), "{}", world.trace());
+    world.submit_until_accepted(1, &gang(1, 0, 4));
+    assert!(
+        world.run_until(30_000, |w| w.running_tasks(GANG) == 4),
+        "{}",
+        world.trace()
+    );
     world.run_for(1000);
     world
 }
 
 /// Submits a gang of four, waits until all its tasks are placed and gather, and returns their machines.
 fn submit_until_gathering(world: &mut World) -> Vec<String> {
-    world.accepted(1, &gang(1, 0, 4));
+    world.submit_until_accepted(1, &gang(1, 0, 4));
     let placed = |w: &World| (0..4).all(|i| !attempts_of(w, &format!("{GANG}/{i}")).is_empty());
     assert!(world.run_until(3000, placed), "{}", world.trace());
     world.machines_of(GANG)
@@ -77,15 +81,19 @@
 #[test]
 fn a_gang_starts_together_and_is_done_together() {
     let mut world = start_with_service();
-    world.accepted(1, &gang(1, 0, 4));
-    assert!(world.run_until(10_000, |w| w.running(GANG) == 4), "{}", world.trace());
+    world.submit_until_accepted(1, &gang(1, 0, 4));
+    assert!(
+        world.run_until(10_000, |w| w.running_tasks(GANG) == 4),
+        "{}",
+        world.trace()
+    );
     let poll = world.poll(2, GANG);
     world.run_for(300);
-    assert_eq!(world.said(poll), "running");
+    assert_eq!(world.job_status(poll), "running");
     assert!(is_done_within(&mut world, 30_000), "{}", world.trace());
     let poll = world.poll(0, GANG);
     world.run_for(300);
-    assert_eq!(world.said(poll), "done");
+    assert_eq!(world.job_status(poll), "done");
     assert_trace(&world, "gang_quiet_day");
 }
 
@@ -101,10 +109,10 @@
         w.hanging = true;
     }
     world.run_for(3000);
-    assert_eq!(world.running(GANG), 0);
+    assert_eq!(world.running_tasks(GANG), 0);
     let poll = world.poll(0, GANG);
     world.run_for(300);
-    assert_eq!(world.said(poll), "queued", "{}", world.trace());
+    assert_eq!(world.job_status(poll), "queued", "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -115,9 +123,9 @@
     let mut world = start_with_service();
     let mut third_service = job(8, 0, "standing", 2);
     third_service["yard"] = serde_json::json!("a");
-    world.accepted(0, &third_service);
+    world.submit_until_accepted(0, &third_service);
     assert!(
-        world.run_until(30_000, |w| w.running("job-000008") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000008") == 2),
         "{}",
         world.trace()
     );
@@ -134,7 +142,7 @@
     let mut pair = gang(1, 0, 2);
     pair["vcpus"] = serde_json::json!(8.0);
     pair["yard"] = serde_json::json!("a");
-    world.accepted(1, &pair);
+    world.submit_until_accepted(1, &pair);
     world.run_for(1500);
     let attempt = attempts_of(&world, "job-000001/0")
         .first()
@@ -150,7 +158,11 @@
     if let Some(w) = world.workers.get_mut(&machine) {
         w.hanging = true;
     }
-    assert!(world.run_until(40_000, |w| w.running(GANG) == 2), "{}", world.trace());
+    assert!(
+        world.run_until(40_000, |w| w.running_tasks(GANG) == 2),
+        "{}",
+        world.trace()
+    );
     assert!(world.cloud.deleted.contains(&machine), "{}", world.trace());
     let attempts = attempts_of(&world, "job-000001/1");
     assert_eq!(attempts.first().map(|(_, n, _)| *n), Some(attempt), "{}", world.trace());
@@ -169,7 +181,7 @@
         let is_start = message.body.contains("job-000001/2") && message.what.starts_with("POST /commands");
         if is_start { Delivery::Lost } else { Delivery::Pass }
     });
-    world.accepted(1, &gang(1, 0, 4));
+    world.submit_until_accepted(1, &gang(1, 0, 4));
     world.run_for(2500);
     world.clear_fault_injector();
     assert!(is_done_within(&mut world, 90_000), "{}", world.trace());
@@ -189,7 +201,11 @@
         world.trace()
     );
     world.clear_fault_injector();
-    assert!(world.run_until(20_000, |w| w.running(GANG) == 4), "{}", world.trace());
+    assert!(
+        world.run_until(20_000, |w| w.running_tasks(GANG) == 4),
+        "{}",
+        world.trace()
+    );
     world.run_ms = 1000;
     assert!(is_done_within(&mut world, 30_000), "{}", world.trace());
     assert_trace(&world, "gang_loss_while_running");
@@ -206,7 +222,7 @@
     }
     world.run_for(30_000);
     assert!(world.cloud.deleted.contains(&machine), "{}", world.trace());
-    assert_eq!(world.running(GANG), 4, "{}", world.trace());
+    assert_eq!(world.running_tasks(GANG), 4, "{}", world.trace());
     assert!(
         world.gangs.saved_ms.contains_key(GANG),
         "the gang should have saved a checkpoint"
@@ -236,7 +252,7 @@
     world.run_for(20_000);
     world.clear_fault_injector();
     world.run_for(20_000);
-    assert_eq!(world.running(GANG), 4, "{}", world.trace());
+    assert_eq!(world.running_tasks(GANG), 4, "{}", world.trace());
     assert_trace(&world, "gang_lease_ends");
 }
 
@@ -246,7 +262,7 @@
         let mut service = job(20 + i, 0, "standing", 1);
         service["accelerators"] = serde_json::json!(0.0);
         service["vcpus"] = serde_json::json!(6.0);
-        world.accepted(0, &service);
+        world.submit_until_accepted(0, &service);
     }
 }
 
@@ -318,9 +334,9 @@
         w.hanging = true;
     }
     world.run_for(1000);
-    let cancellation = world.withdraw(2, GANG);
+    let cancellation = world.cancel(2, GANG);
     world.run_for(2000);
-    assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
+    assert_eq!(world.job_status(cancellation), "withdrawn", "{}", world.trace());
     world.run_for(40_000);
     assert!(world.machines_of(GANG).is_empty(), "{}", world.trace());
     assert_trace(&world, "gang_cancelled_while_gathering");
@@ -361,7 +377,7 @@
 fn run_with_takeover(crash_after_ms: u64, down_ms: u64) -> World {
     let mut world = start_with_service();
     world.run_ms = 8000;
-    world.accepted(1, &gang(1, 0, 4));
+    world.submit_until_accepted(1, &gang(1, 0, 4));
     world.run_for(crash_after_ms);
     let owner = world.owner_of_team(0);
     world.crash_controller(owner);
@@ -470,7 +486,7 @@
         Delivery::Pass
     });
     for i in 1..4 {
-        world.accepted(i as usize % 3, &gang(i, 0, 3));
+        world.submit_until_accepted(i as usize % 3, &gang(i, 0, 3));
         world.run_for(4000);
     }
     for i in 1..4 {
@@ -496,13 +512,13 @@
     for body in [too_large, contradictory, oversized] {
         let request = world.submit(0, &body);
         world.run_for(500);
-        assert_eq!(world.status(request), 422, "{body}\n{}", world.trace());
+        assert_eq!(world.http_status(request), 422, "{body}\n{}", world.trace());
     }
     let mut unknown_shape = gang(4, 0, 2);
     unknown_shape["shape"] = serde_json::json!("crowd");
     let request = world.submit(0, &unknown_shape);
     world.run_for(500);
-    assert_eq!(world.status(request), 400);
+    assert_eq!(world.http_status(request), 400);
 }
 
 /// Guards against a large gang that never starts because small jobs take free room task by task: what becomes free is
@@ -517,7 +533,7 @@
         small["accelerators"] = serde_json::json!(0.0);
         small["vcpus"] = serde_json::json!(1.0);
         small["ramGb"] = serde_json::json!(2.0);
-        world.accepted(0, &small);
+        world.submit_until_accepted(0, &small);
     }
     // Tasks of different lengths, so that those of a machine do not end at the same time.
     world.uneven = true;
@@ -526,7 +542,11 @@
     large["vcpus"] = serde_json::json!(8.0);
     world.submit(1, &large);
     let submitted_at = world.now;
-    assert!(world.run_until(240_000, |w| w.running(GANG) == 2), "{}", world.trace());
+    assert!(
+        world.run_until(240_000, |w| w.running_tasks(GANG) == 2),
+        "{}",
+        world.trace()
+    );
     assert!(
         world.now - submitted_at > 50_000,
         "the gang should have to wait: {} ms",
@@ -554,16 +574,20 @@
     world.run_ms = 60_000;
     let mut third_service = job(8, 0, "standing", 2);
     third_service["yard"] = serde_json::json!("a");
-    world.accepted(0, &third_service);
+    world.submit_until_accepted(0, &third_service);
     assert!(
-        world.run_until(30_000, |w| w.running("job-000008") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000008") == 2),
         "{}",
         world.trace()
     );
     let mut body = gang(1, 0, 4);
     body["yard"] = serde_json::json!("a");
-    world.accepted(1, &body);
-    assert!(world.run_until(30_000, |w| w.running(GANG) == 4), "{}", world.trace());
+    world.submit_until_accepted(1, &body);
+    assert!(
+        world.run_until(30_000, |w| w.running_tasks(GANG) == 4),
+        "{}",
+        world.trace()
+    );
     let machines = world.machines_of(GANG);
     assert_eq!(machines.len(), 2, "{machines:?}");
     for (index, machine) in machines.iter().enumerate() {
@@ -593,7 +617,7 @@
     let machines = world.machines_of(GANG);
     let owner = world.owner_of_team(0);
     world.crash_controller(owner);
-    world.stop_on(&machines[0], 5.0);
+    world.send_stop_orders(&machines[0], 5.0);
     world.run_for(300);
     world.start_controller(owner);
     world.run_for(5000);
@@ -616,7 +640,7 @@
     world.run_for(1000);
     world.clear_fault_injector();
     world.run_for(3000);
-    assert_eq!(world.running(GANG), 4, "{}", world.trace());
+    assert_eq!(world.running_tasks(GANG), 4, "{}", world.trace());
     let starts = world.trace().matches("starts job-000001/").count();
     assert_eq!(starts, 4, "{}", world.trace());
     assert_no_breaches(&world);
--- a/crates/tidelatch-standin/tests/guests.rs
+++ b/crates/tidelatch-standin/tests/guests.rs
@@ -64,8 +64,8 @@
 fn accepted_after(world: &mut World, controller: usize, body: &Value) -> u64 {
     let from = world.now;
     let request = world.submit(controller, body);
-    let answered = world.run_until(5000, |w| w.status(request) == 201);
-    assert!(answered, "{}: {}", body["uid"], world.status(request));
+    let answered = world.run_until(5000, |w| w.http_status(request) == 201);
+    assert!(answered, "{}: {}", body["uid"], world.http_status(request));
     world.now - from
 }
 
@@ -75,7 +75,7 @@
     for _ in 0..8 {
         let request = world.submit(controller, body);
         world.run_for(50);
-        match world.status(request) {
+        match world.http_status(request) {
             201 | 200 => return,
             503 => world.run_for(1000),
             status => panic!("{}: {status}", body["uid"]),
@@ -91,9 +91,9 @@
     let mut world = start();
     accepted_after(&mut world, 0, &tiny_array(1, 20_000));
     assert!(
-        world.run_until(60_000, |w| w.running(&job_id(1)) > 100),
+        world.run_until(60_000, |w| w.running_tasks(&job_id(1)) > 100),
         "{}",
-        world.running(&job_id(1))
+        world.running_tasks(&job_id(1))
     );
     // While the array runs, submissions are answered and a service starts as quickly as without it.
     let (changes, from) = (world.sent.changes, world.now);
@@ -111,8 +111,8 @@
         accepted_after(&mut world, 0, &service(TEAM_WITHOUT_GUARANTEE, 2)) / 500,
         0
     );
-    let is_up = world.run_until(10_000, |w| w.running(&job_id(SERVICE)) == 2);
-    assert!(is_up, "{} replicas", world.running(&job_id(SERVICE)));
+    let is_up = world.run_until(10_000, |w| w.running_tasks(&job_id(SERVICE)) == 2);
+    assert!(is_up, "{} replicas", world.running_tasks(&job_id(SERVICE)));
     assert!(
         !is_done(&world, 1),
         "the array ended before the measurement was complete"
@@ -120,7 +120,7 @@
     assert!(
         world.run_until(600_000, |w| is_done(w, 1)),
         "{} run",
-        world.running(&job_id(1))
+        world.running_tasks(&job_id(1))
     );
     assert!((100..120).all(|id| is_done(&world, id)));
     assert_no_breaches(&world);
@@ -138,7 +138,7 @@
             assert!(accepted_after(&mut world, 0, &service(TEAM_WITHOUT_GUARANTEE, 2)) < 500);
         }
     }
-    let running = world.running(&job_id(SERVICE));
+    let running = world.running_tasks(&job_id(SERVICE));
     assert_eq!(
         running, 2,
         "{running} replicas run half a minute after they were submitted"
@@ -160,17 +160,17 @@
     other["vcpus"] = json!(4.0);
     accepted_after(&mut world, 0, &other);
     assert!(
-        world.run_until(60_000, |w| w.running(&job_id(1)) >= 6),
+        world.run_until(60_000, |w| w.running_tasks(&job_id(1)) >= 6),
         "{}",
-        world.running(&job_id(1))
+        world.running_tasks(&job_id(1))
     );
     let mut largest = tiny_array(2, 300);
     largest["vcpus"] = json!(8.0);
     accepted_after(&mut world, 0, &largest);
     assert!(
-        world.run_until(240_000, |w| w.running(&job_id(2)) > 0),
+        world.run_until(240_000, |w| w.running_tasks(&job_id(2)) > 0),
         "{}",
-        world.running(&job_id(2))
+        world.running_tasks(&job_id(2))
     );
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/late_machines.rs
+++ b/crates/tidelatch-standin/tests/late_machines.rs
@@ -21,10 +21,10 @@
     let mut world = World::new();
     world.run_for(3000);
     world.cloud.next_boots = [None].into();
-    world.accepted(0, &job(1, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
     assert!(world.run_until(12_000, |w| count_rented(w) == 2), "{}", world.trace());
     assert!(world.cloud.deleted.is_empty(), "{}", world.trace());
-    let runs = |w: &World| w.running("job-000001") == 1;
+    let runs = |w: &World| w.running_tasks("job-000001") == 1;
     assert!(world.run_until(12_000, runs), "{}", world.trace());
     assert_eq!(count_rented(&world), 2, "{}", world.trace());
     // The machine is deleted once another one that was rented later has come up.
@@ -45,7 +45,7 @@
     world.run_for(3000);
     world.cloud.boot_ms = 5 * Cloud::BOOT_MS;
     for team in 0..3 {
-        world.accepted(team as usize, &job(1 + team, team, "sweep", 4));
+        world.submit_until_accepted(team as usize, &job(1 + team, team, "sweep", 4));
     }
     world.run_for(5 * Cloud::BOOT_MS);
     let needed = 6;
@@ -66,8 +66,8 @@
     world.run_for(3000);
     world.cloud.most = 1;
     world.cloud.next_boots = [Some(5 * Cloud::BOOT_MS)].into();
-    world.accepted(0, &job(1, 0, "standing", 1));
-    let runs = |w: &World| w.running("job-000001") == 1;
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
+    let runs = |w: &World| w.running_tasks("job-000001") == 1;
     assert!(world.run_until(30_000, runs), "{}", world.trace());
     assert_eq!(count_rented(&world), 1, "{}", world.trace());
     assert_no_breaches(&world);
--- a/crates/tidelatch-standin/tests/on_call.rs
+++ b/crates/tidelatch-standin/tests/on_call.rs
@@ -26,8 +26,8 @@
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "standing", replicas));
-    let up = world.run_until(60_000, |w| w.running(SERVICE) == replicas as usize);
+    world.submit_until_accepted(0, &job(1, 0, "standing", replicas));
+    let up = world.run_until(60_000, |w| w.running_tasks(SERVICE) == replicas as usize);
     assert!(up, "{}", world.trace());
     world
 }
@@ -160,8 +160,8 @@
     let until = world.now + ms;
     while world.now < until {
         for (controller, statuses) in seen.iter_mut().enumerate() {
-            let request = world.user(controller, Method::Get, "/up", "", ("up".into(), "health"));
-            let status = world.status(request);
+            let request = world.send_user_request(controller, Method::Get, "/up", "", ("up".into(), "health"));
+            let status = world.http_status(request);
             if status != 0 && statuses.last() != Some(&status) {
                 statuses.push(status);
             }
@@ -238,7 +238,7 @@
     world.set_fault_injector(injector);
     let polls: Vec<u64> = (0..50).map(|_| world.poll(1, "job-000404")).collect();
     world.run_for(200);
-    assert!(polls.iter().all(|r| world.status(*r) == 404), "{}", world.trace());
+    assert!(polls.iter().all(|r| world.http_status(*r) == 404), "{}", world.trace());
     assert_eq!(
         reads.get(),
         2,
@@ -271,13 +271,13 @@
     // The checker goes by the time of the answer and would report this 404, although the poll is sent before the job is
     // accepted. So it is sent as a health check, whose answers the checker ignores.
     let path = "/submissions/job-000009";
-    let first = world.user(polled, Method::Get, path, "", ("job-000009".into(), "health"));
+    let first = world.send_user_request(polled, Method::Get, path, "", ("job-000009".into(), "health"));
     world.run_for(100);
-    world.accepted(0, &job(9, 0, "sweep", 2));
+    world.submit_until_accepted(0, &job(9, 0, "sweep", 2));
     let second = world.poll(polled, "job-000009");
     world.run_for(1000);
-    assert_eq!(world.status(first), 404, "{}", world.trace());
-    assert_eq!(world.status(second), 200, "{}", world.trace());
+    assert_eq!(world.http_status(first), 404, "{}", world.trace());
+    assert_eq!(world.http_status(second), 200, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -291,13 +291,13 @@
     let polls: Vec<u64> = (0..300)
         .map(|i| world.poll(1, &format!("job-{:06}", 1000 + i)))
         .collect();
-    let refused = polls.iter().filter(|r| world.status(**r) == 503).count();
+    let refused = polls.iter().filter(|r| world.http_status(**r) == 503).count();
     assert!(reads.get() <= 25, "{} reads", reads.get());
     assert_eq!(refused + reads.get(), 300, "{}", world.trace());
     let refusals = polls.iter().filter_map(|r| world.answers.get(r));
     assert!(refusals.map(|(_, a)| a.retry_after_s).all(|s| s == Some(1)));
     world.run_for(2000);
-    assert!(polls.iter().all(|r| world.status(*r) == 503), "{}", world.trace());
+    assert!(polls.iter().all(|r| world.http_status(*r) == 503), "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -312,10 +312,10 @@
         world.run_for(20);
     }
     let submitted = world.submit(0, &job(5, 0, "sweep", 2));
-    let cancelled = world.withdraw(0, SERVICE);
+    let cancelled = world.cancel(0, SERVICE);
     world.run_for(1500);
-    assert_eq!(world.status(submitted), 201, "{}", world.trace());
-    assert_eq!(world.said(cancelled), "withdrawn", "{}", world.trace());
+    assert_eq!(world.http_status(submitted), 201, "{}", world.trace());
+    assert_eq!(world.job_status(cancelled), "withdrawn", "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -330,7 +330,11 @@
     for _ in 0..100 {
         let polls: Vec<u64> = (0..3).map(|n| world.poll(n, SERVICE)).collect();
         world.run_for(50);
-        assert!(polls.iter().all(|r| world.said(*r) == "running"), "{}", world.trace());
+        assert!(
+            polls.iter().all(|r| world.job_status(*r) == "running"),
+            "{}",
+            world.trace()
+        );
     }
     assert_eq!(reads.get(), 0);
     assert_eq!(world.sent.changes, changes);
--- a/crates/tidelatch-standin/tests/partial_failures.rs
+++ b/crates/tidelatch-standin/tests/partial_failures.rs
@@ -11,7 +11,7 @@
 
 /// Loses every answer and command to a machine. Its reports still arrive, and it still tells its state.
 fn lose_messages_to(world: &mut World, machine: &str) {
-    world.note(&format!("nothing reaches {machine} any more; its reports arrive"));
+    world.write_trace(&format!("nothing reaches {machine} any more; its reports arrive"));
     world.set_fault_injector(faults::lose_messages_to_machine(machine));
 }
 
@@ -30,16 +30,16 @@
     world.cloud.most = 1;
     lose_messages_to(&mut world, &without_answers);
     let has_moved = |w: &World| {
-        w.running("job-000001") == 2
+        w.running_tasks("job-000001") == 2
             && !w.machines_of("job-000001").contains(&without_answers)
             && w.cloud.deleted.contains(&without_answers)
     };
     assert!(world.run_until(110_000, has_moved), "{}", world.trace());
     // The deleted machine does not count against the team's limit: two more tasks use up what is left of it.
     world.cloud.most = 20;
-    world.accepted(1, &job(2, 0, "standing", 2));
+    world.submit_until_accepted(1, &job(2, 0, "standing", 2));
     assert!(
-        world.run_until(40_000, |w| w.running("job-000002") == 2),
+        world.run_until(40_000, |w| w.running_tasks("job-000002") == 2),
         "{}",
         world.trace()
     );
@@ -55,13 +55,13 @@
     world.run_for(3000);
     let mut service = job(1, 0, "standing", 2);
     service["yard"] = "b".into();
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &service);
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 2),
         "{}",
         world.trace()
     );
-    world.accepted(0, &job(2, 0, "sweep", 8));
+    world.submit_until_accepted(0, &job(2, 0, "sweep", 8));
     let owner = world.owner_of_team(0);
     let without_answers = world
         .machines_of("job-000001")
@@ -75,7 +75,7 @@
     let done = |w: &World| w.store.get("t/j/job-000002").is_some_and(|j| j["st"] == "done");
     assert!(world.run_until(100_000, done), "{}", world.trace());
     assert!(world.cloud.deleted.contains(&without_answers), "{}", world.trace());
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "machine_that_takes_no_token");
 }
 
@@ -98,9 +98,9 @@
             Delivery::Pass
         }
     });
-    world.accepted(0, &job(1, 0, "standing", 2));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 2));
     for i in 0..6 {
-        world.accepted(i as usize % 3, &job(10 + i, i % 3, "sweep", 3));
+        world.submit_until_accepted(i as usize % 3, &job(10 + i, i % 3, "sweep", 3));
         world.run_for(4000);
         if i == 2 {
             let owner = world.owner_of_team(1);
@@ -109,29 +109,29 @@
             world.start_controller(owner);
         }
         if i == 4 {
-            world.accepted(0, &job(20, 0, "standing", 1));
+            world.submit_until_accepted(0, &job(20, 0, "standing", 1));
             world.run_for(5000);
             let mut cancellation = 0;
             for _ in 0..10 {
-                cancellation = world.withdraw(0, "job-000020");
+                cancellation = world.cancel(0, "job-000020");
                 world.run_for(1500);
-                if world.status(cancellation) == 200 {
+                if world.http_status(cancellation) == 200 {
                     break;
                 }
             }
-            assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
+            assert_eq!(world.job_status(cancellation), "withdrawn", "{}", world.trace());
         }
     }
     world.run_for(60_000);
     let jobs = ["job-000001", "job-000010", "job-000013", "job-000015", "job-000020"];
-    assert!(world.unanswered(75_000, &jobs).is_empty(), "{}", world.trace());
+    assert!(world.poll_unanswered(75_000, &jobs).is_empty(), "{}", world.trace());
     for j in [10, 11, 12, 13, 14, 15] {
         let poll = world.poll(0, &format!("job-{j:06}"));
         world.run_for(1500);
-        assert_eq!(world.said(poll), "done", "job {j}\n{}", world.trace());
+        assert_eq!(world.job_status(poll), "done", "job {j}\n{}", world.trace());
     }
     // Late copies of their reports do not bring back machines that are gone.
-    world.withdraw(0, "job-000001");
+    world.cancel(0, "job-000001");
     world.run_for(60_000);
     assert!(world.roster().is_empty(), "{:?}\n{}", world.roster(), world.trace());
     assert_no_breaches(&world);
@@ -143,9 +143,9 @@
     // attempt that a direct command started is not forgotten for three leases after the command.
     let mut world = World::new();
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 1),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 1),
         "{}",
         world.trace()
     );
@@ -159,18 +159,18 @@
         Delivery::Pass
     });
     // The task goes to the same machine, which has room, by a direct command.
-    world.accepted(0, &job(2, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(2, 0, "standing", 1));
     assert!(
-        world.run_until(4000, |w| w.running("job-000002") == 1),
+        world.run_until(4000, |w| w.running_tasks("job-000002") == 1),
         "{}",
         world.trace()
     );
     assert_eq!(copied.get(), 1, "one direct start\n{}", world.trace());
-    let cancellation = world.withdraw(0, "job-000002");
+    let cancellation = world.cancel(0, "job-000002");
     world.run_for(1000);
-    assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
+    assert_eq!(world.job_status(cancellation), "withdrawn", "{}", world.trace());
     world.run_for(60_000);
-    assert_eq!(world.running("job-000001"), 1);
+    assert_eq!(world.running_tasks("job-000001"), 1);
     assert_eq!(
         world.trace().matches("starts job-000002/0").count(),
         1,
@@ -187,7 +187,7 @@
     // has accepted the present token with an answer.
     let mut world = World::new();
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "sweep", 2));
+    world.submit_until_accepted(0, &job(1, 0, "sweep", 2));
     let n = Rc::new(Cell::new(0u64));
     world.set_fault_injector(move |l| {
         n.set(n.get() + 1);
@@ -238,7 +238,7 @@
     let request = world.submit(owner, &job(1, 0, "standing", 1));
     assert!(world.run_until(8000, |_| held.get()), "{}", world.trace());
     world.run_for(200);
-    assert_eq!(world.status(request), 201);
+    assert_eq!(world.http_status(request), 201);
     for controller in 0..3 {
         world.crash_controller(controller);
     }
@@ -247,7 +247,7 @@
         world.start_controller(controller);
     }
     assert!(
-        world.run_until(60_000, |w| w.running("job-000001") == 1),
+        world.run_until(60_000, |w| w.running_tasks("job-000001") == 1),
         "{}",
         world.trace()
     );
@@ -268,7 +268,7 @@
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
-    world.note(&format!(
+    world.write_trace(&format!(
         "{name} loses the state service and its peers, but not its workers"
     ));
     world.set_fault_injector(move |l| {
@@ -278,11 +278,16 @@
     });
     world.run_for(16_000);
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
-    let up = world.user(owner, Method::Get, "/up", "", ("up".into(), "health"));
-    let other = world.user((owner + 1) % 3, Method::Get, "/up", "", ("up".into(), "health"));
+    let up = world.send_user_request(owner, Method::Get, "/up", "", ("up".into(), "health"));
+    let other = world.send_user_request((owner + 1) % 3, Method::Get, "/up", "", ("up".into(), "health"));
     world.run_for(10);
-    assert_eq!((world.status(up), world.status(other)), (503, 200), "{}", world.trace());
-    world.accepted((owner + 1) % 3, &job(2, 0, "sweep", 2));
+    assert_eq!(
+        (world.http_status(up), world.http_status(other)),
+        (503, 200),
+        "{}",
+        world.trace()
+    );
+    world.submit_until_accepted((owner + 1) % 3, &job(2, 0, "sweep", 2));
     assert!(
         world.run_until(60_000, |w| w
             .store
@@ -291,7 +296,7 @@
         "{}",
         world.trace()
     );
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     // The others lose the state service as well, and reach it again before this controller does.
     world.store.down = true;
     world.run_for(15_000);
@@ -300,11 +305,11 @@
     world.clear_fault_injector();
     world.run_for(20_000);
     assert!(
-        world.unanswered(75_000, &["job-000001", "job-000002"]).is_empty(),
+        world.poll_unanswered(75_000, &["job-000001", "job-000002"]).is_empty(),
         "{}",
         world.trace()
     );
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "only_its_workers_left");
 }
 
@@ -315,7 +320,7 @@
     let mut world = World::new();
     world.cloud.most = 2;
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "sweep", 40));
+    world.submit_until_accepted(0, &job(1, 0, "sweep", 40));
     let has_started = |w: &World| w.trace().contains("starts job-000001/");
     let mut started_at = None;
     for i in 0..80 {
@@ -351,18 +356,19 @@
     world.cloud.most_in_zone.insert("a".into(), 0);
     world.cloud.most_in_zone.insert("b".into(), 1);
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "standing", 2));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 2));
     assert!(
-        world.run_until(60_000, |w| w.running("job-000001") == 2),
+        world.run_until(60_000, |w| w.running_tasks("job-000001") == 2),
         "{}",
         world.trace()
     );
     world.cloud.most_in_zone.remove("a");
     let mut spread = job(2, 0, "standing", 2);
     spread["spread"] = true.into();
-    world.accepted(0, &spread);
+    world.submit_until_accepted(0, &spread);
     assert!(
-        world.run_until(90_000, |w| w.running("job-000001") == 2 && w.running("job-000002") == 2),
+        world.run_until(90_000, |w| w.running_tasks("job-000001") == 2
+            && w.running_tasks("job-000002") == 2),
         "{}",
         world.trace()
     );
@@ -378,13 +384,13 @@
     world.run_for(3000);
     for i in 0..6 {
         let shape = if i % 3 == 0 { "standing" } else { "sweep" };
-        world.accepted(i as usize % 3, &job(i, i % 3, shape, 1 + i % 2));
+        world.submit_until_accepted(i as usize % 3, &job(i, i % 3, shape, 1 + i % 2));
     }
     for i in 6..9 {
-        world.accepted(i as usize % 3, &gang(i, i % 3, 2 + i % 2));
+        world.submit_until_accepted(i as usize % 3, &gang(i, i % 3, 2 + i % 2));
     }
     world.run_for(8000);
-    let cancellation = world.withdraw(0, "job-000003");
+    let cancellation = world.cancel(0, "job-000003");
     world.run_for(2);
     // All at once: one controller does not reach the state service, messages between peers are lost, one controller
     // crashes in the middle of an election, and one stands still.
@@ -423,16 +429,20 @@
         "job-000007",
         "job-000008",
     ];
-    let unanswered = world.unanswered(75_000, &jobs);
+    let unanswered = world.poll_unanswered(75_000, &jobs);
     assert!(unanswered.is_empty(), "{unanswered:?}\n{}", world.trace());
     // A job that was accepted and not cancelled runs, or it is done.
-    let is_cancelled = world.said(cancellation) == "withdrawn";
-    assert_eq!(world.running("job-000000"), 1, "{}", world.trace());
-    assert!(is_cancelled || world.running("job-000003") <= 1, "{}", world.trace());
+    let is_cancelled = world.job_status(cancellation) == "withdrawn";
+    assert_eq!(world.running_tasks("job-000000"), 1, "{}", world.trace());
+    assert!(
+        is_cancelled || world.running_tasks("job-000003") <= 1,
+        "{}",
+        world.trace()
+    );
     for j in jobs.iter().skip(1).filter(|j| **j != "job-000003") {
         let poll = world.poll(0, j);
         world.run_for(1500);
-        assert_eq!(world.said(poll), "done", "{j}\n{}", world.trace());
+        assert_eq!(world.job_status(poll), "done", "{j}\n{}", world.trace());
     }
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/preemption.rs
+++ b/crates/tidelatch-standin/tests/preemption.rs
@@ -30,12 +30,12 @@
 
 /// Asserts that exactly `tasks` tasks of a job run within `within_ms`.
 fn assert_runs(world: &mut World, id: u32, tasks: usize, within_ms: u64) {
-    let up = world.run_until(within_ms, |w| w.running(&job_id(id)) == tasks);
+    let up = world.run_until(within_ms, |w| w.running_tasks(&job_id(id)) == tasks);
     assert!(
         up,
         "{} runs {} tasks\n{}",
         job_id(id),
-        world.running(&job_id(id)),
+        world.running_tasks(&job_id(id)),
         world.trace()
     );
 }
@@ -83,7 +83,7 @@
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
     world.run_for(3000);
-    world.accepted(0, array);
+    world.submit_until_accepted(0, array);
     assert_runs(&mut world, ARRAY, 4, 40_000);
     world.run_for(3000);
     world
@@ -94,7 +94,7 @@
 fn production_work_of_a_team_at_its_limit_preempts_only_as_many_tasks_as_needed() {
     let mut world = start_with_array_at_limit(&job(ARRAY, 0, "sweep", 40));
     let stops = record_stops(&mut world, |_| Delivery::Pass);
-    world.accepted(0, &job(SERVICE, 0, "standing", 2));
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 2));
     assert_runs(&mut world, SERVICE, 2, PLACEMENT_MS);
     world.run_for(60_000);
     assert_eq!(
@@ -104,8 +104,8 @@
         stops.borrow(),
         world.trace()
     );
-    assert_eq!(world.running(&job_id(SERVICE)), 2, "{}", world.trace());
-    assert_eq!(world.running(&job_id(ARRAY)), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(SERVICE)), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 2, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -117,7 +117,7 @@
     array["stowS"] = json!(1.5);
     let mut world = start_with_array_at_limit(&array);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
     assert_runs(&mut world, SERVICE, 1, PLACEMENT_MS);
     assert_eq!(count_stopped_tasks(&stops), 1, "{}", world.trace());
     assert!(
@@ -135,16 +135,16 @@
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
     world.run_for(3000);
-    world.accepted(0, &job(ARRAY, 0, "sweep", 3));
+    world.submit_until_accepted(0, &job(ARRAY, 0, "sweep", 3));
     assert_runs(&mut world, ARRAY, 3, 40_000);
     world.run_for(30_000);
-    world.accepted(0, &job(3, 0, "sweep", 1));
+    world.submit_until_accepted(0, &job(3, 0, "sweep", 1));
     assert_runs(&mut world, 3, 1, 40_000);
     world.run_for(3000);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
     assert_runs(&mut world, SERVICE, 1, PLACEMENT_MS);
-    assert_eq!(world.running(&job_id(ARRAY)), 3, "{}", world.trace());
-    assert_eq!(world.running(&job_id(3)), 0, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 3, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(3)), 0, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -157,12 +157,12 @@
     world.run_for(3000);
     let mut array = job(ARRAY, 0, "sweep", 2);
     array["yard"] = "a".into();
-    world.accepted(0, &array);
+    world.submit_until_accepted(0, &array);
     assert_runs(&mut world, ARRAY, 2, 40_000);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
     let mut service = job(SERVICE, 0, "standing", 2);
     service["yard"] = "b".into();
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &service);
     assert_runs(&mut world, SERVICE, 2, 20_000);
     world.run_for(20_000);
     assert_eq!(
@@ -172,7 +172,7 @@
         stops.borrow(),
         world.trace()
     );
-    assert_eq!(world.running(&job_id(ARRAY)), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 2, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -183,7 +183,7 @@
     array["precedence"] = "prod".into();
     let mut world = start_with_array_at_limit(&array);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
     world.run_for(30_000);
     assert_eq!(
         count_stopped_tasks(&stops),
@@ -206,7 +206,7 @@
     let stops = record_stops(&mut world, |_| Delivery::Pass);
     let mut service = job(SERVICE, 0, "standing", 1);
     service["yard"] = "b".into();
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &service);
     world.run_for(30_000);
     assert_eq!(
         count_stopped_tasks(&stops),
@@ -215,7 +215,7 @@
         stops.borrow(),
         world.trace()
     );
-    assert_eq!(world.running(&job_id(ARRAY)), 4, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 4, "{}", world.trace());
     // As soon as the cloud has a machine, it is rented and one task is preempted.
     world.cloud.most_in_zone.clear();
     assert_runs(&mut world, SERVICE, 1, 40_000);
@@ -227,7 +227,7 @@
         stops.borrow(),
         world.trace()
     );
-    assert_eq!(world.running(&job_id(ARRAY)), 3, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 3, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -242,7 +242,7 @@
     world.run_ms = ARRAY_TASK_MS;
     world.run_for(3000);
     if array_tasks > 0 {
-        world.accepted(0, &job(ARRAY, 0, "sweep", array_tasks));
+        world.submit_until_accepted(0, &job(ARRAY, 0, "sweep", array_tasks));
         assert_runs(&mut world, ARRAY, array_tasks as usize, 40_000);
         world.run_for(array_lead_ms);
     }
@@ -252,7 +252,7 @@
         body["waypointS"] = json!(0.0);
         body["stowS"] = json!(0.0);
     }
-    world.accepted(0, &body);
+    world.submit_until_accepted(0, &body);
     assert_runs(&mut world, GANG, 2, 40_000);
     world.run_for(4000);
     world
@@ -263,10 +263,10 @@
 fn a_gang_is_preempted_as_a_whole() {
     let mut world = start_with_gang_and_array(0, 0, true);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
     assert_runs(&mut world, SERVICE, 1, 15_000);
     world.run_for(10_000);
-    assert_eq!(world.running(&job_id(GANG)), 0, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(GANG)), 0, "{}", world.trace());
     assert_eq!(
         count_stopped_tasks(&stops),
         2,
@@ -285,10 +285,10 @@
 #[test]
 fn a_single_task_that_loses_less_is_preempted_before_a_gang() {
     let mut world = start_with_gang_and_array(1, 0, false);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
     assert_runs(&mut world, SERVICE, 1, 15_000);
-    assert_eq!(world.running(&job_id(GANG)), 2, "{}", world.trace());
-    assert_eq!(world.running(&job_id(ARRAY)), 0, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(GANG)), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 0, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -307,7 +307,7 @@
                 Delivery::Pass
             }
         });
-        world.accepted(0, &job(SERVICE, 0, "standing", 2));
+        world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 2));
         assert_runs(&mut world, SERVICE, 2, 30_000);
         world.run_for(20_000);
         assert_eq!(
@@ -329,15 +329,15 @@
     // meantime.
     let mut world = start_with_gang_and_array(2, 60_000, true);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
-    let is_stopping = world.run_until(PLACEMENT_MS, |w| w.running(&job_id(GANG)) < 2);
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
+    let is_stopping = world.run_until(PLACEMENT_MS, |w| w.running_tasks(&job_id(GANG)) < 2);
     assert!(is_stopping, "{}", world.trace());
     let machine = world.machines_of(&job_id(GANG)).first().cloned().unwrap_or_default();
     if let Some(w) = world.workers.get_mut(&machine) {
         w.hanging = true;
     }
     assert_runs(&mut world, SERVICE, 1, 14_000);
-    assert_eq!(world.running(&job_id(ARRAY)), 1, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 1, "{}", world.trace());
     assert_eq!(
         count_stopped_tasks(&stops),
         3,
@@ -349,7 +349,7 @@
         w.hanging = false;
     }
     world.run_for(20_000);
-    assert_eq!(world.running(&job_id(SERVICE)), 1, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(SERVICE)), 1, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -362,7 +362,7 @@
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
     world.run_for(3000);
-    world.accepted(0, &job(ARRAY, 0, "sweep", 3));
+    world.submit_until_accepted(0, &job(ARRAY, 0, "sweep", 3));
     assert_runs(&mut world, ARRAY, 3, 40_000);
     let task_count = |w: &tidelatch_standin::Worker| w.tasks.len();
     let half_full = world.workers.values().find(|w| task_count(w) == 1);
@@ -373,7 +373,7 @@
     world.crash_controller(owner);
     let epoch = world.epoch();
     assert!(world.run_until(20_000, |w| w.epoch() > epoch), "{}", world.trace());
-    world.accepted(successor, &job(SERVICE, 0, "standing", 1));
+    world.submit_until_accepted(successor, &job(SERVICE, 0, "standing", 1));
     world.run_for(8000);
     assert_eq!(
         count_stopped_tasks(&stops),
@@ -397,7 +397,7 @@
         array["waypointS"] = json!(2.0);
         array["stowS"] = json!(1.5);
         let mut world = start_with_array_at_limit(&array);
-        world.accepted(0, &job(SERVICE, 0, "standing", 3));
+        world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 3));
         world.run_for(crash_after_ms);
         let owner = world.owner_of_team(0);
         world.crash_controller(owner);
@@ -406,7 +406,7 @@
         assert_runs(&mut world, SERVICE, 3, 60_000);
         world.run_for(10_000);
         assert_eq!(
-            world.running(&job_id(SERVICE)),
+            world.running_tasks(&job_id(SERVICE)),
             3,
             "{crash_after_ms}\n{}",
             world.trace()
@@ -430,11 +430,11 @@
     let mut service = job(SERVICE, 0, "standing", 1);
     service["stock"] = json!("camera");
     service["sizeGb"] = json!(gigabytes);
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &service);
     assert_runs(&mut world, SERVICE, 1, 40_000);
     let mut array = job(ARRAY, 0, "sweep", 2);
     array["consist"] = json!("audit");
-    world.accepted(0, &array);
+    world.submit_until_accepted(0, &array);
     assert_runs(&mut world, ARRAY, 2, 40_000);
     let with_image = world.machines_of(&job_id(SERVICE));
     assert!(
@@ -444,7 +444,7 @@
     );
     let stops = record_stops(&mut world, |_| Delivery::Pass);
     service["uid"] = json!(job_id(GANG));
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &service);
     assert_runs(&mut world, GANG, 1, PLACEMENT_MS);
     assert_runs(&mut world, ARRAY, 2, PLACEMENT_MS);
     assert_no_breaches(&world);
--- a/crates/tidelatch-standin/tests/production_data.rs
+++ b/crates/tidelatch-standin/tests/production_data.rs
@@ -89,7 +89,7 @@
 /// The body of a controller's answer to a poll of a job.
 fn poll_job(world: &mut World, id: &str) -> Value {
     let path = format!("/submissions/{id}");
-    let polled = world.user(0, Method::Get, &path, "", (id.to_owned(), "health"));
+    let polled = world.send_user_request(0, Method::Get, &path, "", (id.to_owned(), "health"));
     world.run_for(500);
     let answer = world.answers.get(&polled);
     let body = answer.and_then(|(_, answer)| serde_json::from_str(&answer.body).ok());
@@ -270,5 +270,5 @@
     world.run_for(9000);
     let request = world.submit(0, &job(50, 0, "sweep", 1));
     world.run_for(500);
-    assert_eq!(world.status(request), 201, "{}", world.trace());
+    assert_eq!(world.http_status(request), 201, "{}", world.trace());
 }
--- a/crates/tidelatch-standin/tests/queues_and_capacity.rs
+++ b/crates/tidelatch-standin/tests/queues_and_capacity.rs
@@ -15,21 +15,21 @@
     world.cloud.most = 2;
     world.run_ms = 90_000;
     world.run_for(3000);
-    world.accepted(0, &job(1, 1, "sweep", 4));
+    world.submit_until_accepted(0, &job(1, 1, "sweep", 4));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 4),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 4),
         "{}",
         world.trace()
     );
-    world.accepted(0, &job(2, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(2, 0, "standing", 1));
     assert!(
-        world.run_until(12_000, |w| w.running("job-000002") == 1),
+        world.run_until(12_000, |w| w.running_tasks("job-000002") == 1),
         "{}",
         world.trace()
     );
     world.run_for(30_000);
     assert_eq!(
-        world.running("job-000001"),
+        world.running_tasks("job-000001"),
         3,
         "three tasks of the array should run, one of them beside the replica: {}",
         world.trace()
@@ -45,8 +45,8 @@
         ..Operator::default()
     });
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "sweep", 1));
-    world.accepted(0, &job(2, 0, "sweep", 1));
+    world.submit_until_accepted(0, &job(1, 0, "sweep", 1));
+    world.submit_until_accepted(0, &job(2, 0, "sweep", 1));
     let refused = world.submit(0, &job(3, 0, "sweep", 1));
     let (answered_at, answer) = world
         .answers
@@ -57,11 +57,11 @@
     assert!(answer.retry_after_s.is_some());
     let known = world.submit(0, &job(2, 0, "sweep", 1));
     assert_eq!(
-        world.status(known),
+        world.http_status(known),
         200,
         "a job that is already known should not be rejected"
     );
-    world.accepted(0, &job(4, 1, "sweep", 1));
+    world.submit_until_accepted(0, &job(4, 1, "sweep", 1));
 }
 
 fn in_zone(mut job: serde_json::Value, zone: &str) -> serde_json::Value {
@@ -81,9 +81,9 @@
     world.run_ms = 500;
     world.run_for(3000);
     // The only machine of the cloud is in zone a, and a replica keeps it rented.
-    world.accepted(0, &in_zone(job(100, 0, "standing", 1), "a"));
+    world.submit_until_accepted(0, &in_zone(job(100, 0, "standing", 1), "a"));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000100") > 0),
+        world.run_until(30_000, |w| w.running_tasks("job-000100") > 0),
         "{}",
         world.trace()
     );
@@ -96,7 +96,7 @@
         };
         let request = world.submit(0, &body);
         world.run_for(100);
-        assert_eq!(world.status(request), 201, "{}", world.trace());
+        assert_eq!(world.http_status(request), 201, "{}", world.trace());
     }
     let all_done = |w: &World| {
         (81..96).all(|id| {
@@ -114,7 +114,7 @@
 fn idle_machines_are_returned() {
     let mut world = World::new();
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "sweep", 4));
+    world.submit_until_accepted(0, &job(1, 0, "sweep", 4));
     assert!(
         world.run_until(90_000, |w| !w.cloud.deleted.is_empty() && w.cloud.machines.is_empty()),
         "{}",
--- a/crates/tidelatch-standin/tests/restarts.rs
+++ b/crates/tidelatch-standin/tests/restarts.rs
@@ -32,8 +32,8 @@
         world.start_controller(crash_at_ms as usize % 3);
     }
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "standing", 2));
-    world.accepted(1, &job(2, 1, "sweep", 3));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 2));
+    world.submit_until_accepted(1, &job(2, 1, "sweep", 3));
     let owner = world.owner_of_team(0);
     let pending = world.submit((owner + 1) % 3, &job(3, 0, "sweep", 2));
     world.run_for(crash_at_ms);
@@ -50,17 +50,17 @@
     let mut jobs = vec!["job-000001", "job-000002"];
     if [pending, repetition]
         .iter()
-        .any(|r| matches!(world.status(*r), 200 | 201))
+        .any(|r| matches!(world.http_status(*r), 200 | 201))
     {
         jobs.push("job-000003");
     }
     assert!(
-        world.unanswered(75_000, &jobs).is_empty(),
+        world.poll_unanswered(75_000, &jobs).is_empty(),
         "{crash_at_ms} {away_ms}\n{}",
         world.trace()
     );
     assert_eq!(
-        world.running("job-000001"),
+        world.running_tasks("job-000001"),
         2,
         "{crash_at_ms} {away_ms}\n{}",
         world.trace()
@@ -69,7 +69,7 @@
         let poll = world.poll(2, j);
         world.run_for(2000);
         assert_eq!(
-            world.said(poll),
+            world.job_status(poll),
             "done",
             "{j} {crash_at_ms} {away_ms}\n{}",
             world.trace()
@@ -124,7 +124,7 @@
     let epoch = world.epoch();
     world.run_for(30_000);
     assert_eq!(world.epoch(), epoch, "{}", world.trace());
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -138,7 +138,7 @@
     world.pause(owner);
     // A submission and a cancellation wait in its buffers when it resumes.
     let submission = world.submit(owner, &job(7, 0, "sweep", 2));
-    let cancellation = world.user(
+    let cancellation = world.send_user_request(
         owner,
         Method::Post,
         "/submissions/job-000001/withdraw",
@@ -148,7 +148,7 @@
     world.run_for(33_000);
     let next_owner = world.owner_of_team(0);
     assert_ne!(next_owner, owner, "{}", world.trace());
-    world.accepted(next_owner, &job(8, 0, "sweep", 2));
+    world.submit_until_accepted(next_owner, &job(8, 0, "sweep", 2));
     let before = world.sent;
     world.resume(owner);
     let after = world.sent;
@@ -157,10 +157,10 @@
     assert_eq!(after.commands, before.commands, "{}", world.trace());
     assert_eq!(after.changes, before.changes, "{}", world.trace());
     assert_eq!(after.cloud_calls, before.cloud_calls, "{}", world.trace());
-    assert!(!matches!(world.status(submission), 200 | 201), "{}", world.trace());
-    assert_ne!(world.said(cancellation), "withdrawn", "{}", world.trace());
+    assert!(!matches!(world.http_status(submission), 200 | 201), "{}", world.trace());
+    assert_ne!(world.job_status(cancellation), "withdrawn", "{}", world.trace());
     let is_done = |w: &World| w.store.get("t/j/job-000008").is_some_and(|j| j["st"] == "done");
     assert!(world.run_until(60_000, is_done), "{}", world.trace());
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "stood_still_beyond_its_lease");
 }
--- a/crates/tidelatch-standin/tests/rules.rs
+++ b/crates/tidelatch-standin/tests/rules.rs
@@ -12,7 +12,7 @@
     // The baseline without faults: a service and an array run, a user is told that the array is done, and a question
     // about an unknown job is answered with 404.
     let mut world = with_service(0);
-    world.accepted(1, &job(2, 1, "sweep", 3));
+    world.submit_until_accepted(1, &job(2, 1, "sweep", 3));
     assert!(
         world.run_until(60_000, |w| w
             .store
@@ -23,10 +23,10 @@
     );
     let poll = world.poll(2, "job-000002");
     world.run_for(300);
-    assert_eq!(world.said(poll), "done");
+    assert_eq!(world.job_status(poll), "done");
     let unknown = world.poll(0, "job-999999");
     world.run_for(300);
-    assert_eq!(world.status(unknown), 404);
+    assert_eq!(world.http_status(unknown), 404);
     assert_trace(&world, "quiet_day");
 }
 
@@ -42,11 +42,11 @@
     });
     let first = world.submit(0, &job(1, 0, "sweep", 1));
     world.run_for(3000);
-    assert_eq!(world.status(first), 200, "{}", world.trace());
+    assert_eq!(world.http_status(first), 200, "{}", world.trace());
     world.clear_fault_injector();
     let again = world.submit(2, &job(1, 0, "sweep", 1));
     world.run_for(500);
-    assert_eq!(world.status(again), 200, "{}", world.trace());
+    assert_eq!(world.http_status(again), 200, "{}", world.trace());
     assert_eq!(world.store.keys("t/j/").len(), 1);
     assert_trace(&world, "lost_answer_to_an_acceptance");
 }
@@ -62,13 +62,13 @@
         if without_watch { Delivery::Lost } else { Delivery::Pass }
     });
     world.run_for(10_000);
-    world.accepted(0, &job(1, 0, "sweep", 1));
+    world.submit_until_accepted(0, &job(1, 0, "sweep", 1));
     world.run_for(200);
     let mut invalid = job(1, 0, "sweep", 1);
     invalid["wagons"] = serde_json::json!(0);
     let request = world.submit(1, &invalid);
     world.run_for(500);
-    assert_eq!(world.status(request), 200, "{}", world.trace());
+    assert_eq!(world.http_status(request), 200, "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
@@ -98,7 +98,7 @@
     );
     world.run_for(40_000);
     assert!(world.cloud.deleted.contains(&unresponsive), "{}", world.trace());
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "take_over_with_a_silent_machine");
 }
 
@@ -121,7 +121,7 @@
     world.run_for(4000);
     let submit = world.submit((owner + 1) % 3, &job(2, 0, "sweep", 2));
     world.run_for(30_000);
-    assert!(matches!(world.status(submit), 200 | 201), "{}", world.trace());
+    assert!(matches!(world.http_status(submit), 200 | 201), "{}", world.trace());
     assert_ne!(world.owner_of_team(0), owner);
     assert!(
         world.store.get("t/j/job-000002").is_some_and(|j| j["st"] == "done"),
@@ -135,7 +135,7 @@
         owner,
         "the partition returns to its home controller once that has recovered"
     );
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "deposed_controller");
 }
 
@@ -145,9 +145,9 @@
     // it. A report with an older session or sequence number is no evidence of anything.
     let mut world = World::new();
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
     assert!(
-        world.run_until(25_000, |w| w.running("job-000001") == 1),
+        world.run_until(25_000, |w| w.running_tasks("job-000001") == 1),
         "{}",
         world.trace()
     );
@@ -163,22 +163,22 @@
         Delivery::Pass
     });
     world.run_for(6000);
-    world.accepted(0, &job(2, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(2, 0, "standing", 1));
     assert!(
-        world.run_until(25_000, |w| w.running("job-000002") == 1),
+        world.run_until(25_000, |w| w.running_tasks("job-000002") == 1),
         "{}",
         world.trace()
     );
     // A second machine with room, on which a task that is believed lost would be started again.
-    world.accepted(0, &job(3, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(3, 0, "standing", 1));
     assert!(
-        world.run_until(15_000, |w| w.running("job-000003") == 1),
+        world.run_until(15_000, |w| w.running_tasks("job-000003") == 1),
         "{}",
         world.trace()
     );
     world.run_for(30_000);
     assert_eq!(delayed.get(), 1, "{}", world.trace());
-    assert_eq!(world.running("job-000002"), 1, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000002"), 1, "{}", world.trace());
     assert_trace(&world, "late_beat");
 }
 
@@ -195,9 +195,9 @@
     let last_owner = world.owner_of_team(0);
     assert_ne!(last_owner, home_controller);
     world.run_ms = 12_000;
-    world.accepted(last_owner, &job(2, 0, "sweep", 1));
+    world.submit_until_accepted(last_owner, &job(2, 0, "sweep", 1));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000002") == 1),
+        world.run_until(30_000, |w| w.running_tasks("job-000002") == 1),
         "{}",
         world.trace()
     );
@@ -222,8 +222,8 @@
     world.run_for(20_000);
     let poll = world.poll(last_owner, "job-000002");
     world.run_for(500);
-    assert_eq!(world.said(poll), "done", "{}", world.trace());
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.job_status(poll), "done", "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     let attempts = world.trace().matches("raising the epoch to 3").count();
     assert!(
         attempts <= 12,
@@ -247,14 +247,14 @@
         }
         Delivery::Pass
     });
-    world.accepted(0, &job(1, 0, "standing", 3));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 3));
     assert!(
-        world.run_until(60_000, |w| w.running("job-000001") == 3),
+        world.run_until(60_000, |w| w.running_tasks("job-000001") == 3),
         "{}",
         world.trace()
     );
     world.run_for(20_000);
-    assert_eq!(world.running("job-000001"), 3);
+    assert_eq!(world.running_tasks("job-000001"), 3);
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
@@ -263,26 +263,26 @@
     // Guards against a task that starts after its user was told that the job is cancelled. Nothing starts once the
     // cancellation is being stored, and what has started is stopped.
     let mut world = with_service(0);
-    world.accepted(0, &job(2, 0, "standing", 2));
+    world.submit_until_accepted(0, &job(2, 0, "standing", 2));
     let mut confirmed = 0;
     for _ in 0..5 {
-        let request = world.withdraw(1, "job-000002");
+        let request = world.cancel(1, "job-000002");
         world.run_for(1500);
-        if world.status(request) == 200 {
+        if world.http_status(request) == 200 {
             confirmed = request;
             break;
         }
     }
-    assert_eq!(world.said(confirmed), "withdrawn", "{}", world.trace());
+    assert_eq!(world.job_status(confirmed), "withdrawn", "{}", world.trace());
     world.run_for(45_000);
     assert!(world.machines_of("job-000002").is_empty(), "{}", world.trace());
     let poll = world.poll(2, "job-000002");
     world.run_for(500);
-    assert_eq!(world.said(poll), "withdrawn");
+    assert_eq!(world.job_status(poll), "withdrawn");
     // Now with a machine that has room, and cancellations shortly before and after the start.
-    world.accepted(0, &job(3, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(3, 0, "standing", 1));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000003") == 1),
+        world.run_until(30_000, |w| w.running_tasks("job-000003") == 1),
         "{}",
         world.trace()
     );
@@ -290,11 +290,11 @@
     for (id, wait) in [(4, 100), (5, 190), (6, 202), (7, 206), (8, 1000)] {
         let request = world.submit(owner, &job(id, 0, "standing", 1));
         world.run_for(wait);
-        assert_eq!(world.status(request), 201, "{}", world.trace());
+        assert_eq!(world.http_status(request), 201, "{}", world.trace());
         let name = format!("job-{id:06}");
-        let request = world.withdraw(owner, &name);
+        let request = world.cancel(owner, &name);
         world.run_for(20);
-        assert_eq!(world.said(request), "withdrawn", "{}", world.trace());
+        assert_eq!(world.job_status(request), "withdrawn", "{}", world.trace());
         let starts = |w: &World| w.trace().matches(&format!("starts {name}/")).count();
         let starts_before = starts(&world);
         world.run_for(6000);
@@ -310,9 +310,9 @@
     // to the writes are lost. The end of a job is one conditional write, and every user is told the end that it
     // stored.
     let mut world = with_service(0);
-    world.accepted(0, &job(2, 0, "sweep", 1));
+    world.submit_until_accepted(0, &job(2, 0, "sweep", 1));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000002") == 1),
+        world.run_until(30_000, |w| w.running_tasks("job-000002") == 1),
         "{}",
         world.trace()
     );
@@ -324,14 +324,14 @@
     });
     world.run_for(5200);
     let owner = world.owner_of_team(0);
-    let request = world.withdraw(owner, "job-000002");
+    let request = world.cancel(owner, "job-000002");
     world.run_for(20_000);
-    let again = world.withdraw((owner + 1) % 3, "job-000002");
+    let again = world.cancel((owner + 1) % 3, "job-000002");
     let poll = world.poll(owner, "job-000002");
     world.run_for(1000);
-    assert!(matches!(world.status(request), 200 | 503));
-    assert_eq!(world.status(again), 200, "{}", world.trace());
-    assert_eq!(world.said(again), world.said(poll));
+    assert!(matches!(world.http_status(request), 200 | 503));
+    assert_eq!(world.http_status(again), 200, "{}", world.trace());
+    assert_eq!(world.job_status(again), world.job_status(poll));
     assert_trace(&world, "withdrawal_races_the_last_completion");
 }
 
@@ -349,7 +349,7 @@
     assert!(world.epoch() > epoch, "{}", world.trace());
     assert_eq!(world.owner_of_team(0), owner);
     world.run_for(20_000);
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert_trace(&world, "restart_within_the_lease");
 }
 
@@ -359,9 +359,9 @@
     // count against the limit until they are proven gone.
     let mut world = World::new();
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "standing", 4));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 4));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 4),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 4),
         "{}",
         world.trace()
     );
@@ -373,11 +373,11 @@
             Delivery::Pass
         }
     });
-    world.accepted(1, &job(2, 0, "sweep", 2));
+    world.submit_until_accepted(1, &job(2, 0, "sweep", 2));
     world.run_for(60_000);
     world.clear_fault_injector();
     world.run_for(20_000);
-    assert_eq!(world.running("job-000001"), 4, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 4, "{}", world.trace());
     assert_trace(&world, "full_team_with_a_machine_out_of_reach");
 }
 
@@ -393,14 +393,14 @@
         world.start_controller(i);
     }
     world.run_for(15_000);
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert!(
         world.workers.values().all(|w| w.session == 1),
         "every worker is still in its first session"
     );
     let poll = world.poll(1, "job-000001");
     world.run_for(500);
-    assert_eq!(world.said(poll), "running", "{}", world.trace());
+    assert_eq!(world.job_status(poll), "running", "{}", world.trace());
     assert_trace(&world, "all_controllers_crash");
 }
 
@@ -423,9 +423,9 @@
         world.workers.values().all(|w| w.session == 1),
         "every worker is still in its first session"
     );
-    let request = world.withdraw(1, "job-000001");
+    let request = world.cancel(1, "job-000001");
     world.run_for(35_000);
-    assert_eq!(world.said(request), "withdrawn", "{}", world.trace());
+    assert_eq!(world.job_status(request), "withdrawn", "{}", world.trace());
     assert!(world.machines_of("job-000001").is_empty(), "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
@@ -437,17 +437,17 @@
     // session fences the command that is still in flight.
     let mut world = World::new();
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 1),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 1),
         "{}",
         world.trace()
     );
     world.run_for(6000);
     // A second machine gets room. Then the first direct command to start a task is held back.
-    world.accepted(0, &job(2, 0, "standing", 2));
+    world.submit_until_accepted(0, &job(2, 0, "standing", 2));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000002") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000002") == 2),
         "{}",
         world.trace()
     );
@@ -460,7 +460,7 @@
         }
         Delivery::Pass
     });
-    world.accepted(0, &job(3, 0, "sweep", 1));
+    world.submit_until_accepted(0, &job(3, 0, "sweep", 1));
     world.run_for(60_000);
     assert_eq!(sent.get(), 1, "{}", world.trace());
     assert!(
--- a/crates/tidelatch-standin/tests/scale.rs
+++ b/crates/tidelatch-standin/tests/scale.rs
@@ -35,12 +35,12 @@
         // The jobs arrive faster than the state service accepts writes. Rejected ones are submitted again.
         let request = world.submit(i as usize % 3, &body);
         world.run_for(40);
-        if world.status(request) != 201 {
+        if world.http_status(request) != 201 {
             rejected.push((i as usize % 3, body));
         }
     }
     for (controller, body) in rejected {
-        world.accepted(controller, &body);
+        world.submit_until_accepted(controller, &body);
     }
     world
 }
@@ -126,7 +126,10 @@
     assert!(lines >= 4, "{}", world.trace());
     world.start_controller(owner);
     assert!(world.run_until(240_000, all_done), "{}", world.trace());
-    let services: usize = (0..40).step_by(4).map(|i| world.running(&format!("job-{i:06}"))).sum();
+    let services: usize = (0..40)
+        .step_by(4)
+        .map(|i| world.running_tasks(&format!("job-{i:06}")))
+        .sum();
     assert_eq!(services, 80);
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
@@ -149,18 +152,19 @@
     world.run_for(3000);
     let (running_jobs, waiting_jobs) = (machines / 4, machines / 16);
     for i in 0..running_jobs {
-        world.accepted(i as usize % 3, &job(i, i % 3, "standing", 8));
+        world.submit_until_accepted(i as usize % 3, &job(i, i % 3, "standing", 8));
     }
     // Replicas are moved only after they have run for longer than a worker's lease.
     world.run_for(60_000);
     for i in running_jobs..running_jobs + waiting_jobs {
         let mut body = job(i, i % 3, "standing", 8);
         body["spread"] = true.into();
-        world.accepted(i as usize % 3, &body);
+        world.submit_until_accepted(i as usize % 3, &body);
     }
     let before = world.machine_evaluations();
     world.run_for(20_000);
-    let incomplete = (running_jobs..running_jobs + waiting_jobs).filter(|i| world.running(&format!("job-{i:06}")) < 8);
+    let incomplete =
+        (running_jobs..running_jobs + waiting_jobs).filter(|i| world.running_tasks(&format!("job-{i:06}")) < 8);
     assert!(incomplete.count() as u32 * 2 > waiting_jobs, "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
     (world.machine_evaluations() - before) as f64 / f64::from(waiting_jobs * machines)
@@ -198,13 +202,13 @@
     world.run_for(3000);
     // The arrays fill all machines.
     for i in 0..4 {
-        world.accepted(0, &job(i, 0, "sweep", 40));
+        world.submit_until_accepted(0, &job(i, 0, "sweep", 40));
     }
     world.run_for(60_000);
     let before = world.budget_counts();
     let replicas = 8;
-    world.accepted(0, &job(10, 0, "standing", replicas));
-    let all_run = world.run_until(30_000, |w| w.running("job-000010") == replicas as usize);
+    world.submit_until_accepted(0, &job(10, 0, "standing", replicas));
+    let all_run = world.run_until(30_000, |w| w.running_tasks("job-000010") == replicas as usize);
     assert!(all_run, "{}", world.trace());
     assert!(world.trace().contains("to make room"), "{}", world.trace());
     let counts = world.budget_counts() - before;
@@ -242,10 +246,15 @@
     let jobs = machines * 2 / REPLICAS_PER_JOB;
     for i in 0..jobs {
         let body = job(i, i % 6, "standing", REPLICAS_PER_JOB);
-        world.accepted(i as usize % 3, &body);
+        world.submit_until_accepted(i as usize % 3, &body);
     }
     let replicas = (jobs * REPLICAS_PER_JOB) as usize;
-    let all_run = move |w: &World| (0..jobs).map(|i| w.running(&format!("job-{i:06}"))).sum::<usize>() == replicas;
+    let all_run = move |w: &World| {
+        (0..jobs)
+            .map(|i| w.running_tasks(&format!("job-{i:06}")))
+            .sum::<usize>()
+            == replicas
+    };
     assert!(
         run_until_in_half_seconds(world, seconds, all_run),
         "{} machines up",
--- a/crates/tidelatch-standin/tests/shared_machines.rs
+++ b/crates/tidelatch-standin/tests/shared_machines.rs
@@ -36,8 +36,8 @@
     world.cloud.most = 2;
     world.run_for(3000);
     for (team, id) in (0..).zip(FIRST_JOBS) {
-        world.accepted(0, &job(team + 1, team, shape, 1));
-        let runs = world.run_until(30_000, |w| w.running(id) == 1);
+        world.submit_until_accepted(0, &job(team + 1, team, shape, 1));
+        let runs = world.run_until(30_000, |w| w.running_tasks(id) == 1);
         assert!(runs, "{}", world.trace());
     }
     world
@@ -46,8 +46,8 @@
 /// Starts a deployment in which a task of a third team shares one of the two machines.
 fn with_shared_machine(shape: &str, run_ms: u64) -> (World, SharedMachine) {
     let mut world = with_two_machines(World::new(), shape, run_ms);
-    world.accepted(0, &job(3, 2, shape, 1));
-    let runs = world.run_until(90_000, |w| w.running(LATER_JOB) == 1);
+    world.submit_until_accepted(0, &job(3, 2, shape, 1));
+    let runs = world.run_until(90_000, |w| w.running_tasks(LATER_JOB) == 1);
     assert!(runs, "{}", world.trace());
     let shared = shared_machine(&world);
     (world, shared)
@@ -169,7 +169,12 @@
         for id in [shared.earlier_job, LATER_JOB] {
             let request = world.poll(0, id);
             world.run_for(2000);
-            assert_eq!(world.said(request), "done", "{owner_crash:?} {id}\n{}", world.trace());
+            assert_eq!(
+                world.job_status(request),
+                "done",
+                "{owner_crash:?} {id}\n{}",
+                world.trace()
+            );
             assert_eq!(
                 count_starts(&world, &shared.machine, id),
                 1,
@@ -194,9 +199,9 @@
             } else {
                 (LATER_JOB, 2)
             };
-            let request = world.withdraw(0, id);
+            let request = world.cancel(0, id);
             world.run_for(1000);
-            assert_eq!(world.said(request), "withdrawn", "{case:?}\n{}", world.trace());
+            assert_eq!(world.job_status(request), "withdrawn", "{case:?}\n{}", world.trace());
             if crash {
                 let owner = world.owner_of_team(team);
                 world.crash_controller(owner);
@@ -205,8 +210,8 @@
             }
             world.run_for(CANCEL_MS);
             assert!(world.machines_of(id).is_empty(), "{case:?}\n{}", world.trace());
-            world.accepted(0, &job(4, 2, "standing", 1));
-            let used = world.run_until(90_000, |w| w.running("job-000004") == 1);
+            world.submit_until_accepted(0, &job(4, 2, "standing", 1));
+            let used = world.run_until(90_000, |w| w.running_tasks("job-000004") == 1);
             assert!(used, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
         }
@@ -235,7 +240,7 @@
                     Delivery::Pass
                 }
             });
-            world.accepted(0, &job(3, 2, "standing", 1));
+            world.submit_until_accepted(0, &job(3, 2, "standing", 1));
             world.run_for(26_000);
             if crash {
                 let owner = world.owner_of_team(1);
@@ -243,11 +248,11 @@
                 world.run_for(300);
                 world.start_controller(owner);
             }
-            let runs = world.run_until(90_000, |w| w.running(LATER_JOB) == 1);
+            let runs = world.run_until(90_000, |w| w.running_tasks(LATER_JOB) == 1);
             assert!(runs, "{case:?}\n{}", world.trace());
             world.run_for(30_000);
             for id in FIRST_JOBS {
-                assert_eq!(world.running(id), 1, "{case:?} {id}\n{}", world.trace());
+                assert_eq!(world.running_tasks(id), 1, "{case:?} {id}\n{}", world.trace());
             }
             assert_no_breaches(&world, case);
         }
@@ -285,7 +290,11 @@
             }
             world.run_for(60_000);
             world.clear_fault_injector();
-            let all_run = |w: &World| [shared.earlier_job, LATER_JOB].iter().all(|id| w.running(id) == 1);
+            let all_run = |w: &World| {
+                [shared.earlier_job, LATER_JOB]
+                    .iter()
+                    .all(|id| w.running_tasks(id) == 1)
+            };
             assert!(world.run_until(90_000, all_run), "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
         }
@@ -336,15 +345,15 @@
         more["precedence"] = json!("low");
         if let Some(ms) = down_ms {
             let owner = world.owner_of_team(shared.earlier_team);
-            world.accepted((owner + 1) % 3, &more);
+            world.submit_until_accepted((owner + 1) % 3, &more);
             world.crash_controller(owner);
             world.run_for(ms);
             world.start_controller(owner);
         } else {
-            world.accepted(0, &more);
+            world.submit_until_accepted(0, &more);
         }
         world.run_for(60_000);
-        assert_eq!(world.running("job-000004"), 3, "{down_ms:?}\n{}", world.trace());
+        assert_eq!(world.running_tasks("job-000004"), 3, "{down_ms:?}\n{}", world.trace());
         assert_no_breaches(&world, down_ms);
     }
 }
@@ -370,12 +379,12 @@
         }
     });
     world.run_for(3000);
-    world.accepted(controller, &job(4, shared.earlier_team as u32, "sweep", 6));
+    world.submit_until_accepted(controller, &job(4, shared.earlier_team as u32, "sweep", 6));
     world.run_for(30_000);
-    assert_eq!(world.running("job-000004"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000004"), 2, "{}", world.trace());
     world.clear_fault_injector();
     world.run_for(10_000);
-    assert_eq!(world.running("job-000004"), 3, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000004"), 3, "{}", world.trace());
     assert_no_breaches(&world, "machine not polled yet");
 }
 
@@ -384,9 +393,9 @@
 #[test]
 fn a_machine_with_tasks_of_one_other_partition_only_is_transferred_to_it() {
     let (mut world, shared) = with_shared_machine("standing", 600_000);
-    let request = world.withdraw(0, LATER_JOB);
+    let request = world.cancel(0, LATER_JOB);
     world.run_for(1000);
-    assert_eq!(world.said(request), "withdrawn");
+    assert_eq!(world.job_status(request), "withdrawn");
     world.run_for(60_000);
     let back = format!(
         "{} goes to partition {}, whose tasks alone are on it",
@@ -428,7 +437,7 @@
     world.set_features(1, before);
     world.start_controller(1);
     let mut world = with_two_machines(world, "standing", 600_000);
-    world.accepted(0, &job(3, 2, "standing", 1));
+    world.submit_until_accepted(0, &job(3, 2, "standing", 1));
     world.run_for(60_000);
     assert!(!world.trace().contains("goes to partition"), "{}", world.trace());
     assert!(
@@ -441,7 +450,7 @@
     world.crash_controller(1);
     world.set_features(1, Features::default());
     world.start_controller(1);
-    let runs = world.run_until(90_000, |w| w.running(LATER_JOB) == 1);
+    let runs = world.run_until(90_000, |w| w.running_tasks(LATER_JOB) == 1);
     assert!(runs, "{}", world.trace());
     assert_no_breaches(&world, "after the upgrade");
 }
@@ -454,8 +463,8 @@
         let (mut world, shared) = with_shared_machine("sweep", 90_000);
         // The partition has free room on another machine, on which the controller could start the task at once.
         world.cloud.most = 4;
-        world.accepted(0, &job(4, shared.earlier_team as u32, "standing", 1));
-        let runs = world.run_until(30_000, |w| w.running("job-000004") == 1);
+        world.submit_until_accepted(0, &job(4, shared.earlier_team as u32, "standing", 1));
+        let runs = world.run_until(30_000, |w| w.running_tasks("job-000004") == 1);
         assert!(runs, "{controller}\n{}", world.trace());
         world.crash_controller(controller);
         let before = Features {
--- a/crates/tidelatch-standin/tests/state_service_outages.rs
+++ b/crates/tidelatch-standin/tests/state_service_outages.rs
@@ -11,13 +11,13 @@
     // outage, so that the same incarnation goes on.
     let mut world = with_service(0);
     let epoch = world.epoch();
-    world.note("the state service goes down");
+    world.write_trace("the state service goes down");
     world.store.down = true;
     world.run_for(12_000);
     let refused = world.submit(0, &job(2, 0, "sweep", 1));
     world.run_for(500);
     assert_eq!(
-        world.status(refused),
+        world.http_status(refused),
         503,
         "a submission in the outage is refused at once"
     );
@@ -28,10 +28,10 @@
             .is_some_and(|(_, a)| a.retry_after_s.is_some())
     );
     world.store.down = false;
-    world.note("the state service is back");
+    world.write_trace("the state service is back");
     world.run_for(10_000);
     assert_eq!(world.epoch(), epoch);
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert!(
         world.workers.values().all(|w| w.session == 1),
         "every worker is still in its first session"
@@ -44,25 +44,25 @@
     // Guards against workers whose leases end in an outage that is longer than a controller's lease. With the grants
     // of all its peers a controller goes on answering reports, and there is no gap between its lease and the grants.
     let mut world = with_service(0);
-    world.accepted(1, &job(2, 1, "standing", 2));
+    world.submit_until_accepted(1, &job(2, 1, "standing", 2));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000002") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000002") == 2),
         "{}",
         world.trace()
     );
     let epoch = world.epoch();
-    world.note("the state service goes down");
+    world.write_trace("the state service goes down");
     world.store.down = true;
     world.run_for(60_000);
     world.store.down = false;
-    world.note("the state service is back");
+    world.write_trace("the state service is back");
     world.run_for(10_000);
     assert_eq!(world.epoch(), epoch, "{}", world.trace());
     assert!(
         world.workers.values().all(|w| w.session == 1),
         "every worker is still in its first session"
     );
-    assert_eq!(world.running("job-000001") + world.running("job-000002"), 4);
+    assert_eq!(world.running_tasks("job-000001") + world.running_tasks("job-000002"), 4);
     assert_trace(&world, "long_state_outage");
 }
 
@@ -81,7 +81,7 @@
     assert!(world.workers.values().all(|w| w.session == 1), "{}", world.trace());
     world.store.down = false;
     world.run_for(20_000);
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
@@ -91,7 +91,7 @@
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
-    world.note("every controller is refused by the state service, each by itself");
+    world.write_trace("every controller is refused by the state service, each by itself");
     world.set_fault_injector(|l| {
         if l.to == "state" {
             Delivery::Lost
@@ -106,7 +106,7 @@
             world.start_controller(other);
         }
     }
-    world.note("all but the owner are served again, and the owner is cut off from them");
+    world.write_trace("all but the owner are served again, and the owner is cut off from them");
     world.set_fault_injector(move |l| {
         if l.from == name || l.to == name {
             Delivery::Lost
@@ -118,7 +118,7 @@
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
     world.clear_fault_injector();
     world.run_for(30_000);
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     world
 }
 
@@ -171,10 +171,10 @@
         if is_watch { Delivery::Lost } else { Delivery::Pass }
     });
     world.run_for(10_000);
-    world.accepted(0, &job(2, 1, "sweep", 1));
-    let request = world.withdraw(0, "job-000001");
+    world.submit_until_accepted(0, &job(2, 1, "sweep", 1));
+    let request = world.cancel(0, "job-000001");
     world.run_for(1000);
-    assert_eq!(world.said(request), "withdrawn", "{}", world.trace());
+    assert_eq!(world.job_status(request), "withdrawn", "{}", world.trace());
     world.run_for(15_000);
     let machines = world.store.keys("t/m/").len();
     world.store.kept_from = world.store.revision();
@@ -189,7 +189,7 @@
     );
     let poll = world.poll(1, "job-000001");
     world.run_for(300);
-    assert_eq!(world.said(poll), "withdrawn");
+    assert_eq!(world.job_status(poll), "withdrawn");
     assert!(machines <= 1, "the machine of the cancelled service has been returned");
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
@@ -205,7 +205,7 @@
         if is_watch { Delivery::AnswerLost } else { Delivery::Pass }
     });
     world.run_for(10_000);
-    world.accepted(0, &job(1, 1, "sweep", 1));
+    world.submit_until_accepted(0, &job(1, 1, "sweep", 1));
     assert!(
         world.run_until(120_000, |w| w
             .store
--- a/crates/tidelatch-standin/tests/upgrade.rs
+++ b/crates/tidelatch-standin/tests/upgrade.rs
@@ -20,9 +20,9 @@
         world.start_controller(controller);
     }
     world.run_for(3000);
-    world.accepted(0, &job(9, 0, "standing", 2));
+    world.submit_until_accepted(0, &job(9, 0, "standing", 2));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000009") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000009") == 2),
         "{}",
         world.trace()
     );
@@ -45,7 +45,7 @@
     for controller in (0..3).cycle() {
         let request = world.submit(controller, body);
         world.run_for(500);
-        let status = world.status(request);
+        let status = world.http_status(request);
         if matches!(status, 200 | 201) || world.now >= until {
             return statuses;
         }
@@ -102,7 +102,7 @@
         ("job-000003", "done"),
         ("job-000004", "withdrawn"),
     ] {
-        let poll = world.user(
+        let poll = world.send_user_request(
             0,
             tidelatch_core::Method::Get,
             &format!("/submissions/{id}"),
@@ -110,9 +110,9 @@
             (id.into(), "health"),
         );
         world.run_for(500);
-        assert_eq!(world.said(poll), status, "{id}\n{}", world.trace());
+        assert_eq!(world.job_status(poll), status, "{id}\n{}", world.trace());
     }
-    let poll = world.user(
+    let poll = world.send_user_request(
         1,
         tidelatch_core::Method::Get,
         "/submissions/job-000005",
@@ -146,7 +146,7 @@
         world.run_for(9000);
     }
     for i in 1..4 {
-        world.accepted(
+        world.submit_until_accepted(
             i as usize % 3,
             &job(i, i % 3, if i == 1 { "standing" } else { "sweep" }, 12),
         );
@@ -186,7 +186,7 @@
                 let request = world.submit(controller, &gang(1, 1, 2));
                 world.run_for(500);
                 assert!(
-                    matches!(world.status(request), 400 | 503),
+                    matches!(world.http_status(request), 400 | 503),
                     "{order:?} {position}\n{}",
                     world.trace()
                 );
@@ -202,7 +202,7 @@
                     world.run_for(5000);
                     let request = world.submit(order[0], &gang(1, 1, 2));
                     world.run_for(500);
-                    assert_eq!(world.status(request), 503, "{order:?}\n{}", world.trace());
+                    assert_eq!(world.http_status(request), 503, "{order:?}\n{}", world.trace());
                 }
             }
             submit_until_accepted(&mut world, &gang(2, 1, 2), 20_000);
@@ -223,7 +223,7 @@
 #[test]
 fn an_upgrade_with_a_crash_and_a_network_cut_loses_no_job() {
     let mut world = start_last_version(Size::default());
-    world.accepted(1, &job(3, 1, "sweep", 6));
+    world.submit_until_accepted(1, &job(3, 1, "sweep", 6));
     replace_controller(&mut world, 0, Features::default(), 6000);
     world.run_for(3000);
     // The leader is now berth-1, of the old version. It is disconnected from the state service.
@@ -258,7 +258,7 @@
         "{}",
         world.trace()
     );
-    assert_eq!(world.running("job-000009"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000009"), 2, "{}", world.trace());
     assert_trace(&world, "upgrade_with_a_crash_and_a_cut");
 }
 
@@ -295,7 +295,7 @@
     world.run_ms = 30_000;
     submit_until_accepted(&mut world, &gang(1, 1, 2), 20_000);
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 2),
         "{}",
         world.trace()
     );
@@ -305,11 +305,11 @@
     for controller in 0..3 {
         let poll = world.poll(controller, "job-000001");
         world.run_for(2000);
-        assert!(matches!(world.status(poll), 200 | 503), "{}", world.trace());
+        assert!(matches!(world.http_status(poll), 200 | 503), "{}", world.trace());
     }
     let request = world.submit((owner + 1) % 3, &gang(2, 1, 2));
     world.run_for(500);
-    assert_eq!(world.status(request), 503, "{}", world.trace());
+    assert_eq!(world.http_status(request), 503, "{}", world.trace());
     replace_controller(&mut world, owner, Features::default(), 500);
     world.run_ms = 3000;
     assert!(
@@ -329,7 +329,7 @@
         "spec": { "shape": "swarm" } });
     world.store.put("t/j/job-000777", record);
     world.run_for(3000);
-    let poll = world.user(
+    let poll = world.send_user_request(
         0,
         tidelatch_core::Method::Get,
         "/submissions/job-000777",
@@ -338,7 +338,7 @@
     );
     world.run_for(500);
     assert_eq!(
-        (world.status(poll), world.said(poll)),
+        (world.http_status(poll), world.job_status(poll)),
         (200, "queued".to_owned()),
         "{}",
         world.trace()
@@ -362,7 +362,7 @@
 /// Replaces the team of a job by the team with this index.
 fn with_team(world: &World, body: Value, index: usize) -> Value {
     let mut body = body;
-    body["crew"] = json!(world.team(index));
+    body["crew"] = json!(world.team_name(index));
     body
 }
 
@@ -382,7 +382,7 @@
             _ => job(i + 1, 0, "sweep", 30),
         };
         let body = with_team(&world, body, i as usize);
-        world.accepted(i as usize % 3, &body);
+        world.submit_until_accepted(i as usize % 3, &body);
     }
     world.run_for(40_000);
     let owner = world.owner_of_team(0);
@@ -397,7 +397,7 @@
     assert!(world.run_until(240_000, all_done), "{}", world.trace());
     world.run_for(9000);
     for i in [1, 5, 9, 13] {
-        world.withdraw(0, &format!("job-{i:06}"));
+        world.cancel(0, &format!("job-{i:06}"));
     }
     world.run_for(120_000);
     assert!(world.store.refused.is_empty(), "{:?}", world.store.refused.first());
@@ -422,7 +422,7 @@
     long_body["models"][0] = json!("m2");
     let request = world.submit(0, &long_body);
     world.run_for(500);
-    assert_eq!(world.status(request), 422, "{}", world.trace());
+    assert_eq!(world.http_status(request), 422, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -439,9 +439,9 @@
     let mut world = start_last_version(size);
     world.cloud.most = 120;
     world.cloud.prefix = format!("n-{}-", "long-name-".repeat(12));
-    world.accepted(0, &job(1, 0, "standing", 180));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 180));
     assert!(
-        world.run_until(60_000, |w| w.running("job-000001") == 180),
+        world.run_until(60_000, |w| w.running_tasks("job-000001") == 180),
         "{}",
         world.trace()
     );
@@ -459,7 +459,7 @@
     }
     world.store.limits = Some((2048, 4));
     world.run_for(15_000);
-    assert_eq!(world.running("job-000001"), 180, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 180, "{}", world.trace());
     let machines = world.roster().len();
     // A single machine fails.
     let failed_machine = world.machines_of("job-000001").into_iter().nth(7).expect("it runs");
@@ -473,7 +473,7 @@
         "only the failed machine should leave the roster"
     );
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 180),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 180),
         "{}",
         world.trace()
     );
@@ -496,8 +496,8 @@
     world.run_for(9000);
     world.start_controller(owner);
     world.run_for(9000);
-    assert_eq!(world.running("job-000001"), 180, "{}", world.trace());
-    world.withdraw(0, "job-000001");
+    assert_eq!(world.running_tasks("job-000001"), 180, "{}", world.trace());
+    world.cancel(0, "job-000001");
     assert!(
         world.run_until(120_000, |w| w.roster().len() <= 2),
         "{}\n{}",
@@ -521,13 +521,13 @@
     world.cloud.most = 120;
     world.store.limits = Some((400, 2));
     world.run_for(3000);
-    world.accepted(0, &job(1, 0, "standing", 120));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 120));
     assert!(
-        world.run_until(90_000, |w| w.running("job-000001") == 120),
+        world.run_until(90_000, |w| w.running_tasks("job-000001") == 120),
         "{}",
         world.trace()
     );
-    world.withdraw(0, "job-000001");
+    world.cancel(0, "job-000001");
     assert!(world.run_until(120_000, |w| w.roster().is_empty()), "{}", world.trace());
     let refused = world.store.refused.len();
     assert!((1..20).contains(&refused), "{refused}");
--- a/crates/tidelatch/tests/drain_loopback.rs
+++ b/crates/tidelatch/tests/drain_loopback.rs
@@ -112,7 +112,7 @@
 
     /// Whether every service has all its replicas running.
     fn all_replicas_run(&self) -> bool {
-        let runs = |(_, job): &(usize, String)| self.services.running(job) == REPLICAS as usize;
+        let runs = |(_, job): &(usize, String)| self.services.running_tasks(job) == REPLICAS as usize;
         self.replicas.iter().all(runs)
     }
 
--- a/crates/tidelatch/tests/loopback.rs
+++ b/crates/tidelatch/tests/loopback.rs
@@ -101,7 +101,7 @@
         .map(|team| deployment.submit(team, "standing", 2))
         .collect();
     deployment.wait_for("all replicas to run", |d| {
-        replicas.iter().all(|job| d.services.running(job) == 2)
+        replicas.iter().all(|job| d.services.running_tasks(job) == 2)
     });
 
     // Controller 1 is frozen for longer than its lease and any grant: its partition is taken over, and none of the
@@ -161,7 +161,7 @@
         d.arrays.iter().all(|job| d.users.is_done(job))
     });
     deployment.wait_for("all replicas to run again", |d| {
-        replicas.iter().all(|job| d.services.running(job) == 2)
+        replicas.iter().all(|job| d.services.running_tasks(job) == 2)
     });
     let recorder = deployment.services.recorder();
     let recorder = recorder.lock().expect("no thread has failed");
