--- a/crates/tidelatch-standin/src/checker.rs
+++ b/crates/tidelatch-standin/src/checker.rs
@@ -8,13 +8,13 @@
 
 /// A job counts as forgotten if no request about it was answered for this long although its users kept asking, and more
 /// than half of the requests about other jobs were answered in that time.
-pub const SILENCE_MS: u64 = 75_000;
+pub const UNANSWERED_LIMIT_MS: u64 = 75_000;
 /// Longest time between two requests about a job that still belong to one series of repeated requests.
-pub const MAX_QUESTION_GAP_MS: u64 = 20_000;
+pub const MAX_REQUEST_GAP_MS: u64 = 20_000;
 
 /// The properties of a machine that a job's placement constraints refer to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct MachineProperties {
     /// The machine type.
     pub model: String,
     /// The zone that the machine is in.
@@ -25,13 +25,13 @@
 
 /// A kind of user request about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Question {
+pub enum UserRequest {
     /// A submission, or a retry of one.
     Submit,
     /// A status query.
-    Poll,
+    Query,
     /// A cancellation request.
-    Withdraw,
+    Cancel,
 }
 
 /// What happened after a user received the confirmation that a job is cancelled.
@@ -49,13 +49,13 @@
 
 /// A series of requests about one job that no controller answered.
 #[derive(Debug, Clone, Copy)]
-struct UnansweredQuestions {
+struct UnansweredRequests {
     first: u64,
     last: u64,
     /// Requests about this job in the series.
     of_this_job: u64,
     /// Requests and answers about all jobs before the series began.
-    questions_before: u64,
+    requests_before: u64,
     answers_before: u64,
     reported: bool,
 }
@@ -74,12 +74,12 @@
     last_status: BTreeMap<String, String>,
     cancel_requested: BTreeSet<String>,
     confirmations: BTreeMap<String, CancelConfirmation>,
-    unanswered: BTreeMap<String, UnansweredQuestions>,
-    questions: u64,
+    unanswered: BTreeMap<String, UnansweredRequests>,
+    requests: u64,
     answers: u64,
     start_orders: u64,
     done: BTreeSet<String>,
-    machine_places: BTreeMap<String, Place>,
+    machine_properties: BTreeMap<String, MachineProperties>,
     /// The attempts on each machine, and whether each has fetched its image.
     attempts_by_machine: BTreeMap<String, BTreeMap<AttemptKey, bool>>,
     /// The machines and attempts of each job.
@@ -109,39 +109,39 @@
 
     /// Counts the starts of a job's tasks after its cancellation was confirmed. A command that was in flight at that
     /// time may still be carried out, so such a start is counted and is not a breach.
-    pub fn started_after(&self, job: &str) -> u64 {
+    pub fn starts_after_cancellation(&self, job: &str) -> u64 {
         self.confirmations.get(job).map_or(0, |c| c.starts)
     }
 
     /// Counts the start orders that controllers sent for a job after its cancellation was confirmed.
-    pub fn ordered_after(&self, job: &str) -> u64 {
+    pub fn start_orders_after_cancellation(&self, job: &str) -> u64 {
         self.confirmations.get(job).map_or(0, |c| c.ordered_starts)
     }
 
     /// Counts the start orders that controllers have sent for all jobs.
-    pub fn start_orders(&self) -> u64 {
+    pub fn start_order_count(&self) -> u64 {
         self.start_orders
     }
 
     /// Returns the milliseconds from the confirmation of a cancellation until the job's last task was gone. Returns
     /// `None` while a task is on a machine, and for a job whose cancellation was not confirmed.
-    pub fn gone_after_confirmation(&self, job: &str) -> Option<u64> {
+    pub fn cancellation_duration_ms(&self, job: &str) -> Option<u64> {
         let c = self.confirmations.get(job)?;
         Some(c.gone_ms?.saturating_sub(c.confirmed_ms))
     }
 
     /// Returns all jobs whose cancellation was confirmed to their users.
-    pub fn confirmed(&self) -> impl Iterator<Item = &str> {
+    pub fn confirmed_cancellations(&self) -> impl Iterator<Item = &str> {
         self.confirmations.keys().map(String::as_str)
     }
 
     /// Sets the maximum number of accelerators that a team may use at a time.
-    pub fn limit(&mut self, team: &str, accelerators: f64) {
+    pub fn set_team_limit(&mut self, team: &str, accelerators: f64) {
         self.team_limits.insert(team.to_owned(), accelerators);
     }
 
     /// Advances the time to `now` and checks the rules that have deadlines.
-    pub fn passes(&mut self, now: u64) {
+    pub fn advance_time(&mut self, now: u64) {
         self.now = now;
         let overdue: Vec<String> = self
             .confirmations
@@ -155,9 +155,9 @@
         let ignored: Vec<String> = self
             .unanswered
             .iter()
-            .filter(|(_, s)| !s.reported && now >= s.first + SILENCE_MS && now <= s.last + MAX_QUESTION_GAP_MS)
+            .filter(|(_, s)| !s.reported && now >= s.first + UNANSWERED_LIMIT_MS && now <= s.last + MAX_REQUEST_GAP_MS)
             .filter(|(_, s)| {
-                let others = (self.questions - s.questions_before).saturating_sub(s.of_this_job);
+                let others = (self.requests - s.requests_before).saturating_sub(s.of_this_job);
                 let answered = self.answers - s.answers_before;
                 others > 0 && 2 * answered > others
             })
@@ -173,7 +173,7 @@
 
     /// Records that a user submits a job. The last submission before the acceptance defines the job; later ones
     /// do not change it.
-    pub fn submitted(&mut self, body: &Value) {
+    pub fn record_submission(&mut self, body: &Value) {
         let job = body["uid"].as_str().unwrap_or_default();
         if !self.last_status.contains_key(job) {
             self.jobs.insert(job.to_owned(), body.clone());
@@ -181,35 +181,35 @@
     }
 
     /// Records that a user sends a request about a job.
-    pub fn asked(&mut self, now: u64, job: &str, question: Question) {
-        self.passes(now);
-        if question == Question::Withdraw {
+    pub fn record_request(&mut self, now: u64, job: &str, request: UserRequest) {
+        self.advance_time(now);
+        if request == UserRequest::Cancel {
             self.cancel_requested.insert(job.to_owned());
         }
         if !self.last_status.contains_key(job) {
             return;
         }
-        let new = UnansweredQuestions {
+        let new = UnansweredRequests {
             first: now,
             last: now,
             of_this_job: 0,
-            questions_before: self.questions,
+            requests_before: self.requests,
             answers_before: self.answers,
             reported: false,
         };
         let s = self.unanswered.entry(job.to_owned()).or_insert(new);
-        if now > s.last + MAX_QUESTION_GAP_MS {
+        if now > s.last + MAX_REQUEST_GAP_MS {
             *s = new;
         }
         s.last = now;
         s.of_this_job += 1;
-        self.questions += 1;
+        self.requests += 1;
     }
 
     /// Records the answer to a user's request about a job: the HTTP status, and the job's status word or an empty
     /// string.
-    pub fn answered(&mut self, now: u64, job: &str, status: u16, job_status: &str) {
-        self.passes(now);
+    pub fn record_answer(&mut self, now: u64, job: &str, status: u16, job_status: &str) {
+        self.advance_time(now);
         let previous = self.last_status.get(job).cloned();
         let accepted = previous.is_some();
         let previous = previous.unwrap_or_default();
@@ -230,7 +230,7 @@
                 if job_status == "withdrawn" && !self.cancel_requested.contains(job) {
                     self.breach(format!("went_back: {job} is withdrawn, its user never cancelled it"));
                 }
-                if job_status == "done" && !self.all_done(job) {
+                if job_status == "done" && !self.is_job_done(job) {
                     self.breach(format!("not_done: {job}"));
                 }
                 if job_status == "withdrawn" {
@@ -253,24 +253,24 @@
     }
 
     /// Returns whether all tasks of a job have completed.
-    pub fn all_done(&self, job: &str) -> bool {
+    pub fn is_job_done(&self, job: &str) -> bool {
         let tasks = self.jobs.get(job).and_then(|j| j["wagons"].as_u64()).unwrap_or(0);
         (0..tasks).all(|i| self.done.contains(&format!("{job}/{i}")))
     }
 
     /// Records that a task has completed.
-    pub fn task_done(&mut self, task: &str) {
+    pub fn record_completion(&mut self, task: &str) {
         self.done.insert(task.to_owned());
     }
 
     /// Records that a machine is up, and its properties.
-    pub fn machine(&mut self, name: &str, place: Place) {
-        self.machine_places.insert(name.to_owned(), place);
+    pub fn record_machine(&mut self, name: &str, properties: MachineProperties) {
+        self.machine_properties.insert(name.to_owned(), properties);
     }
 
     /// Records that a controller sends an order to start a task.
-    pub fn ordered(&mut self, now: u64, task: &str) {
-        self.passes(now);
+    pub fn record_start_order(&mut self, now: u64, task: &str) {
+        self.advance_time(now);
         self.start_orders += 1;
         if let Some(c) = self.confirmations.get_mut(job_of(task)) {
             c.ordered_starts += 1;
@@ -278,8 +278,8 @@
     }
 
     /// Records that a machine has accepted a task, and fetches the image if it does not have it.
-    pub fn started(&mut self, now: u64, machine: &str, task: &str, attempt: u64) {
-        self.passes(now);
+    pub fn record_start(&mut self, now: u64, machine: &str, task: &str, attempt: u64) {
+        self.advance_time(now);
         let job = job_of(task).to_owned();
         let key = (task.to_owned(), attempt);
         let tasks = self.attempts_by_machine.entry(machine.to_owned()).or_default();
@@ -299,7 +299,7 @@
     }
 
     /// Records that a machine has fetched the image of a task. The task runs, or waits for the other tasks of its gang.
-    pub fn has_image(&mut self, now: u64, machine: &str, task: &str, attempt: u64) {
+    pub fn record_image_fetched(&mut self, now: u64, machine: &str, task: &str, attempt: u64) {
         let key = (task.to_owned(), attempt);
         let had_image = self
             .attempts_by_machine
@@ -309,9 +309,9 @@
         match had_image {
             Some(true) => return,
             // The start itself was not observed.
-            None => self.started(now, machine, task, attempt),
+            None => self.record_start(now, machine, task, attempt),
             Some(false) => {
-                self.passes(now);
+                self.advance_time(now);
                 self.check_start(machine, task, job_of(task));
             }
         }
@@ -322,18 +322,18 @@
     }
 
     /// Records that a task has ended on a machine, or was killed or forgotten there.
-    pub fn ended(&mut self, now: u64, machine: &str, task: &str, attempt: u64) {
-        self.passes(now);
+    pub fn record_end(&mut self, now: u64, machine: &str, task: &str, attempt: u64) {
+        self.advance_time(now);
         self.remove_attempt(machine, &(task.to_owned(), attempt));
     }
 
     /// Records that a machine is gone, with all tasks on it.
-    pub fn machine_gone(&mut self, now: u64, machine: &str) {
-        self.passes(now);
+    pub fn record_machine_removed(&mut self, now: u64, machine: &str) {
+        self.advance_time(now);
         for key in self.attempts_by_machine.remove(machine).unwrap_or_default().into_keys() {
             self.remove_attempt(machine, &key);
         }
-        self.machine_places.remove(machine);
+        self.machine_properties.remove(machine);
     }
 
     /// Returns the attempts on a machine: task, attempt number, and whether the image was fetched.
@@ -378,8 +378,8 @@
             return;
         };
         let mut violations = Vec::new();
-        if let Some(place) = self.machine_places.get(machine) {
-            let Place { model, zone, spot } = place;
+        if let Some(properties) = self.machine_properties.get(machine) {
+            let MachineProperties { model, zone, spot } = properties;
             if submission["models"]
                 .as_array()
                 .is_some_and(|models| !models.iter().any(|m| m == model.as_str()))
@@ -392,7 +392,7 @@
             if *spot && submission["standby"] != true {
                 violations.push(format!("wrong_place: {task} starts on a spot machine"));
             }
-            let zone_of = |m: &str| self.machine_places.get(m).map(|p| p.zone.as_str());
+            let zone_of = |m: &str| self.machine_properties.get(m).map(|p| p.zone.as_str());
             if submission["together"] == true && job_attempts.iter().any(|(m, _)| zone_of(m).is_some_and(|z| z != zone))
             {
                 violations.push(format!(
--- a/crates/tidelatch-standin/src/world/mod.rs
+++ b/crates/tidelatch-standin/src/world/mod.rs
@@ -156,7 +156,9 @@
             sent: Sent::default(),
         };
         for i in 0..size.teams {
-            world.checker.limit(&deployment::team_name(i, &size), size.limit);
+            world
+                .checker
+                .set_team_limit(&deployment::team_name(i, &size), size.limit);
         }
         for i in 0..size.controllers {
             world
@@ -191,13 +193,13 @@
             self.expire_leases();
             self.handle_event(event);
             self.check_partition_owners();
-            self.checker.passes(self.now);
+            self.checker.advance_time(self.now);
             self.record_breaches();
             self.deliver_kept_reports();
         }
         self.now = until;
         self.expire_leases();
-        self.checker.passes(self.now);
+        self.checker.advance_time(self.now);
         self.record_breaches();
     }
 
--- a/crates/tidelatch-standin/src/world/rules.rs
+++ b/crates/tidelatch-standin/src/world/rules.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use super::event::Event;
-use crate::checker::{Checker, Place};
+use crate::checker::{Checker, MachineProperties};
 use crate::worker::Worker;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,14 +14,14 @@
     }
 
     /// Returns the milliseconds from the confirmation of a cancellation until the job's last task was gone; see
-    /// [`Checker::gone_after_confirmation`].
-    pub fn gone_after_confirmation(&self, job: &str) -> Option<u64> {
-        self.checker.gone_after_confirmation(job)
+    /// [`Checker::cancellation_duration_ms`].
+    pub fn cancellation_duration_ms(&self, job: &str) -> Option<u64> {
+        self.checker.cancellation_duration_ms(job)
     }
 
     /// Counts the starts of a job's tasks after its cancellation was confirmed to its user.
-    pub fn started_after(&self, job: &str) -> u64 {
-        self.checker.started_after(job)
+    pub fn starts_after_cancellation(&self, job: &str) -> u64 {
+        self.checker.starts_after_cancellation(job)
     }
 
     /// Records the breaches that the checker has found since the last call.
@@ -47,17 +47,17 @@
         let orders = body["orders"].as_array().into_iter().flatten();
         for order in orders.filter(|o| o["order"] == "start") {
             self.checker
-                .ordered(self.now, order["wagon"].as_str().unwrap_or_default());
+                .record_start_order(self.now, order["wagon"].as_str().unwrap_or_default());
         }
     }
 
     /// Records that a task has completed. Schedules the cancellation of the job if its user wanted to cancel it after
     /// the last task.
     pub(super) fn record_completion(&mut self, task: &str) {
-        self.checker.task_done(task);
+        self.checker.record_completion(task);
         let job = task.split('/').next().unwrap_or_default().to_owned();
         if self.cancel_after_last_task.contains_key(&job)
-            && self.checker.all_done(&job)
+            && self.checker.is_job_done(&job)
             && let Some((controller, after)) = self.cancel_after_last_task.remove(&job)
         {
             self.schedule(after, Event::CancelEndedJob { controller, job });
@@ -78,11 +78,11 @@
     pub(super) fn observe_machine(&mut self, name: &str, started: &[(String, u64)]) {
         let now = self.now;
         let Some(w) = self.workers.get(name) else {
-            self.checker.machine_gone(now, name);
+            self.checker.record_machine_removed(now, name);
             self.record_breaches();
             return;
         };
-        let place = Place {
+        let properties = MachineProperties {
             model: Worker::MODEL.to_owned(),
             zone: w.zone.clone(),
             spot: w.spot,
@@ -94,26 +94,26 @@
             .map(|(task, attempt, image)| ((task.to_owned(), attempt), image))
             .collect();
         for (task, attempt) in known.keys().filter(|k| !is_active(k)) {
-            self.checker.ended(now, name, task, *attempt);
+            self.checker.record_end(now, name, task, *attempt);
         }
-        self.checker.machine(name, place);
+        self.checker.record_machine(name, properties);
         for (task, attempt) in started {
-            self.checker.started(now, name, task, *attempt);
+            self.checker.record_start(now, name, task, *attempt);
         }
         for (key, a) in &w.tasks {
             let (task, attempt) = key;
             let image = known.get(key);
             if a.state == "ended" {
                 if started.contains(key) {
-                    self.checker.ended(now, name, task, *attempt);
+                    self.checker.record_end(now, name, task, *attempt);
                 }
                 continue;
             }
             if image.is_none() && !started.contains(key) {
-                self.checker.started(now, name, task, *attempt);
+                self.checker.record_start(now, name, task, *attempt);
             }
             if a.state != "pulling" && image != Some(&true) {
-                self.checker.has_image(now, name, task, *attempt);
+                self.checker.record_image_fetched(now, name, task, *attempt);
             }
         }
         self.record_breaches();
--- a/crates/tidelatch-standin/src/world/users.rs
+++ b/crates/tidelatch-standin/src/world/users.rs
@@ -3,7 +3,7 @@
 use super::World;
 use super::event::{Event, PendingRequest};
 use super::gangs::GANG_STEP_INTERVAL_MS;
-use crate::checker::Question;
+use crate::checker::UserRequest;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use tidelatch_core::{Answer, Input, Method};
@@ -13,7 +13,7 @@
     pub fn submit(&mut self, controller: usize, body: &Value) -> u64 {
         let id = body["uid"].as_str().unwrap_or_default().to_owned();
         self.jobs.insert(id.clone(), body.clone());
-        self.checker.submitted(body);
+        self.checker.record_submission(body);
         self.write_trace(&format!("a user submits {id} to berth-{controller}"));
         if body["shape"] == "group" && !self.gangs_scheduled {
             self.gangs_scheduled = true;
@@ -61,11 +61,11 @@
             .strip_prefix("/submissions/")
             .and_then(|p| p.strip_suffix("/withdraw"));
         if let Some(job) = cancels.filter(|_| method == Method::Post) {
-            self.checker.asked(self.now, job, Question::Withdraw);
+            self.checker.record_request(self.now, job, UserRequest::Cancel);
         } else if about.1 == "submit" {
-            self.checker.asked(self.now, &about.0, Question::Submit);
+            self.checker.record_request(self.now, &about.0, UserRequest::Submit);
         } else if about.1 == "poll" {
-            self.checker.asked(self.now, &about.0, Question::Poll);
+            self.checker.record_request(self.now, &about.0, UserRequest::Query);
         }
         self.request_subjects.insert(id, about);
         self.deliver_input(
@@ -167,7 +167,7 @@
             answer.status
         ));
         if kind != "health" {
-            self.checker.answered(self.now, &job, answer.status, &status_word);
+            self.checker.record_answer(self.now, &job, answer.status, &status_word);
             self.record_breaches();
         }
         self.answers.insert(id, (self.now, answer));
--- a/crates/tidelatch-standin/tests/checker.rs
+++ b/crates/tidelatch-standin/tests/checker.rs
@@ -2,15 +2,15 @@
 //! history that keeps the rule.
 
 use serde_json::{Value, json};
-use tidelatch_standin::checker::{Place, Question, SILENCE_MS};
+use tidelatch_standin::checker::{MachineProperties, UNANSWERED_LIMIT_MS, UserRequest};
 use tidelatch_standin::{CANCEL_MS, Checker, job};
 
 /// A checker that knows three machines in zone a, two in zone b (one of them spot), and two teams with a limit of four
 /// accelerators each.
 fn new_checker() -> Checker {
     let mut checker = Checker::new(CANCEL_MS);
-    checker.limit("team-0", 4.0);
-    checker.limit("team-1", 4.0);
+    checker.set_team_limit("team-0", 4.0);
+    checker.set_team_limit("team-1", 4.0);
     for (name, zone, spot) in [
         ("a1", "a", false),
         ("a2", "a", false),
@@ -19,7 +19,7 @@
         ("b2", "b", true),
     ] {
         let (model, zone) = ("m2".to_owned(), zone.to_owned());
-        checker.machine(name, Place { model, zone, spot });
+        checker.record_machine(name, MachineProperties { model, zone, spot });
     }
     checker
 }
@@ -27,9 +27,9 @@
 /// Submits a job at 0 ms and accepts it at 1 ms. Returns its id.
 fn accept_job(checker: &mut Checker, body: &Value) -> String {
     let id = body["uid"].as_str().expect("a job has an id").to_owned();
-    checker.submitted(body);
-    checker.asked(0, &id, Question::Submit);
-    checker.answered(1, &id, 201, "queued");
+    checker.record_submission(body);
+    checker.record_request(0, &id, UserRequest::Submit);
+    checker.record_answer(1, &id, 201, "queued");
     id
 }
 
@@ -57,33 +57,33 @@
     // its machine, before it started elsewhere.
     let mut c = new_checker();
     let j = accept_job(&mut c, &job(1, 0, "sweep", 2));
-    c.started(100, "a1", "job-000001/0", 1);
-    c.has_image(1100, "a1", "job-000001/0", 1);
-    c.started(2000, "a2", "job-000001/0", 2);
+    c.record_start(100, "a1", "job-000001/0", 1);
+    c.record_image_fetched(1100, "a1", "job-000001/0", 1);
+    c.record_start(2000, "a2", "job-000001/0", 2);
     assert_one_breach(&c, "ran_twice");
 
     // The task has ended on the first machine at the same time.
     let mut c = new_checker();
     accept_job(&mut c, &job(1, 0, "sweep", 2));
-    c.started(100, "a1", "job-000001/0", 1);
-    c.has_image(1100, "a1", "job-000001/0", 1);
-    c.ended(2000, "a1", "job-000001/0", 1);
-    c.started(2000, "a2", "job-000001/0", 2);
-    c.has_image(3000, "a2", "job-000001/0", 2);
+    c.record_start(100, "a1", "job-000001/0", 1);
+    c.record_image_fetched(1100, "a1", "job-000001/0", 1);
+    c.record_end(2000, "a1", "job-000001/0", 1);
+    c.record_start(2000, "a2", "job-000001/0", 2);
+    c.record_image_fetched(3000, "a2", "job-000001/0", 2);
     // Another task of the job starts on another machine, and the same task starts again on its own.
-    c.started(3000, "a1", "job-000001/1", 2);
-    c.ended(3500, "a2", "job-000001/0", 2);
-    c.started(3600, "a2", "job-000001/0", 3);
+    c.record_start(3000, "a1", "job-000001/1", 2);
+    c.record_end(3500, "a2", "job-000001/0", 2);
+    c.record_start(3600, "a2", "job-000001/0", 3);
     assert_no_breaches(&c);
 
     // The machine is gone, and the task with it.
     let mut c = new_checker();
     accept_job(&mut c, &job(1, 0, "sweep", 2));
-    c.started(100, "a1", "job-000001/0", 1);
-    c.machine_gone(1500, "a1");
-    c.started(1500, "a2", "job-000001/0", 2);
+    c.record_start(100, "a1", "job-000001/0", 1);
+    c.record_machine_removed(1500, "a1");
+    c.record_start(1500, "a2", "job-000001/0", 2);
     assert_no_breaches(&c);
-    assert_eq!(c.gone_after_confirmation(&j), None);
+    assert_eq!(c.cancellation_duration_ms(&j), None);
 }
 
 #[test]
@@ -91,8 +91,8 @@
     // Guards against a second run that the checker misses because it was not told of the start, only of the image.
     let mut c = new_checker();
     accept_job(&mut c, &job(1, 0, "sweep", 1));
-    c.started(100, "a1", "job-000001/0", 1);
-    c.has_image(2000, "a2", "job-000001/0", 2);
+    c.record_start(100, "a1", "job-000001/0", 1);
+    c.record_image_fetched(2000, "a2", "job-000001/0", 2);
     assert_one_breach(&c, "ran_twice");
 }
 
@@ -102,21 +102,21 @@
     let mut c = new_checker();
     accept_job(&mut c, &job(1, 0, "sweep", 5));
     for i in 0..5 {
-        c.started(100, ["a1", "a2", "a3"][i % 3], &format!("job-000001/{i}"), 1);
+        c.record_start(100, ["a1", "a2", "a3"][i % 3], &format!("job-000001/{i}"), 1);
     }
     assert_one_breach(&c, "quota");
 
     // Two tasks of three accelerators each exceed the limit as well.
     let mut c = new_checker();
     accept_job(&mut c, &with_field(job(1, 0, "sweep", 2), "accelerators", json!(3.0)));
-    c.started(100, "a1", "job-000001/0", 1);
-    c.started(100, "a2", "job-000001/1", 1);
+    c.record_start(100, "a1", "job-000001/0", 1);
+    c.record_start(100, "a2", "job-000001/1", 1);
     assert_one_breach(&c, "quota");
 
     // A team without a limit in the settings may use no accelerators.
     let mut c = new_checker();
     accept_job(&mut c, &job(1, 7, "sweep", 1));
-    c.started(100, "a1", "job-000001/0", 1);
+    c.record_start(100, "a1", "job-000001/0", 1);
     assert_one_breach(&c, "quota");
 
     // These keep the limit: exactly the limit, another team's tasks, tasks without accelerators, and a task that
@@ -126,14 +126,14 @@
     accept_job(&mut c, &job(2, 1, "sweep", 4));
     accept_job(&mut c, &with_field(job(3, 0, "sweep", 9), "accelerators", json!(0.0)));
     for i in 0..4 {
-        c.started(100, "a1", &format!("job-000001/{i}"), 1);
-        c.started(100, "a2", &format!("job-000002/{i}"), 1);
+        c.record_start(100, "a1", &format!("job-000001/{i}"), 1);
+        c.record_start(100, "a2", &format!("job-000002/{i}"), 1);
     }
     for i in 0..9 {
-        c.started(200, "a3", &format!("job-000003/{i}"), 1);
+        c.record_start(200, "a3", &format!("job-000003/{i}"), 1);
     }
-    c.ended(5000, "a1", "job-000001/0", 1);
-    c.started(5000, "a1", "job-000001/4", 1);
+    c.record_end(5000, "a1", "job-000001/0", 1);
+    c.record_start(5000, "a1", "job-000001/4", 1);
     assert_no_breaches(&c);
 }
 
@@ -156,14 +156,14 @@
         if !forbidden_machine.is_empty() {
             let mut c = new_checker();
             accept_job(&mut c, &body);
-            c.started(100, forbidden_machine, "job-000001/0", 1);
+            c.record_start(100, forbidden_machine, "job-000001/0", 1);
             assert_one_breach(&c, "wrong_place");
         }
         if let Some(allowed_machine) = allowed_machine {
             let mut c = new_checker();
             accept_job(&mut c, &body);
-            c.started(100, allowed_machine, "job-000001/0", 1);
-            c.has_image(1100, allowed_machine, "job-000001/0", 1);
+            c.record_start(100, allowed_machine, "job-000001/0", 1);
+            c.record_image_fetched(1100, allowed_machine, "job-000001/0", 1);
             assert_no_breaches(&c);
         }
     }
@@ -175,20 +175,20 @@
     let body = with_field(job(1, 0, "sweep", 3), "together", json!(true));
     let mut c = new_checker();
     accept_job(&mut c, &body);
-    c.started(100, "a1", "job-000001/0", 1);
-    c.started(200, "b1", "job-000001/1", 1);
+    c.record_start(100, "a1", "job-000001/0", 1);
+    c.record_start(200, "b1", "job-000001/1", 1);
     assert_one_breach(&c, "wrong_place");
 
     // The job may change its zone when no task is left in the old one. Tasks of other jobs may be in any zone.
     let mut c = new_checker();
     accept_job(&mut c, &body);
     accept_job(&mut c, &job(2, 0, "sweep", 1));
-    c.started(100, "a1", "job-000001/0", 1);
-    c.started(100, "a2", "job-000001/1", 1);
-    c.started(100, "b1", "job-000002/0", 1);
-    c.ended(5000, "a1", "job-000001/0", 1);
-    c.machine_gone(5000, "a2");
-    c.started(5000, "b1", "job-000001/1", 2);
+    c.record_start(100, "a1", "job-000001/0", 1);
+    c.record_start(100, "a2", "job-000001/1", 1);
+    c.record_start(100, "b1", "job-000002/0", 1);
+    c.record_end(5000, "a1", "job-000001/0", 1);
+    c.record_machine_removed(5000, "a2");
+    c.record_start(5000, "b1", "job-000001/1", 2);
     assert_no_breaches(&c);
 }
 
@@ -201,10 +201,10 @@
         let mut c = new_checker();
         accept_job(&mut c, &body);
         for i in 0..max_in_zone {
-            c.started(100, "a1", &format!("job-000001/{i}"), 1);
+            c.record_start(100, "a1", &format!("job-000001/{i}"), 1);
         }
         for i in max_in_zone..tasks {
-            c.started(100, "b1", &format!("job-000001/{i}"), 1);
+            c.record_start(100, "b1", &format!("job-000001/{i}"), 1);
         }
         assert_no_breaches(&c);
         if max_in_zone == tasks {
@@ -213,26 +213,26 @@
         let mut c = new_checker();
         accept_job(&mut c, &body);
         for i in 0..=max_in_zone {
-            c.started(100, ["a1", "a2"][i as usize % 2], &format!("job-000001/{i}"), 1);
+            c.record_start(100, ["a1", "a2"][i as usize % 2], &format!("job-000001/{i}"), 1);
         }
         assert_one_breach(&c, "wrong_place");
     }
     // Only tasks that are on a machine at that moment count, not those that have ended.
     let mut c = new_checker();
     accept_job(&mut c, &with_field(job(1, 0, "standing", 2), "spread", json!(true)));
-    c.started(100, "a1", "job-000001/0", 1);
-    c.ended(5000, "a1", "job-000001/0", 1);
-    c.started(5000, "a2", "job-000001/1", 1);
+    c.record_start(100, "a1", "job-000001/0", 1);
+    c.record_end(5000, "a1", "job-000001/0", 1);
+    c.record_start(5000, "a2", "job-000001/1", 1);
     assert_no_breaches(&c);
 }
 
 /// Starts one task of a job, cancels the job and tells its user so at 10 s. Returns the job's id.
 fn cancel_job(c: &mut Checker) -> String {
     let j = accept_job(c, &job(1, 0, "standing", 2));
-    c.started(100, "a1", "job-000001/0", 1);
-    c.has_image(1100, "a1", "job-000001/0", 1);
-    c.asked(9_900, &j, Question::Withdraw);
-    c.answered(10_000, &j, 200, "withdrawn");
+    c.record_start(100, "a1", "job-000001/0", 1);
+    c.record_image_fetched(1100, "a1", "job-000001/0", 1);
+    c.record_request(9_900, &j, UserRequest::Cancel);
+    c.record_answer(10_000, &j, 200, "withdrawn");
     j
 }
 
@@ -242,23 +242,23 @@
     // lists one which was gone in time.
     let mut c = new_checker();
     cancel_job(&mut c);
-    c.passes(10_000 + CANCEL_MS + 1);
+    c.advance_time(10_000 + CANCEL_MS + 1);
     assert_one_breach(&c, "ran_cancelled");
 
     // A task that saves its state, or that no longer runs because its machine hangs, is still on its machine. The
     // checker looks at the time at which the task is gone, even if no user asked in between.
     let mut c = new_checker();
     cancel_job(&mut c);
-    c.ended(10_000 + CANCEL_MS + 1, "a1", "job-000001/0", 1);
+    c.record_end(10_000 + CANCEL_MS + 1, "a1", "job-000001/0", 1);
     assert_one_breach(&c, "ran_cancelled");
 
     let mut c = new_checker();
     let j = cancel_job(&mut c);
-    c.ended(10_000 + CANCEL_MS, "a1", "job-000001/0", 1);
-    c.passes(200_000);
+    c.record_end(10_000 + CANCEL_MS, "a1", "job-000001/0", 1);
+    c.advance_time(200_000);
     assert_no_breaches(&c);
-    assert_eq!(c.gone_after_confirmation(&j), Some(CANCEL_MS));
-    assert_eq!(c.started_after(&j), 0);
+    assert_eq!(c.cancellation_duration_ms(&j), Some(CANCEL_MS));
+    assert_eq!(c.starts_after_cancellation(&j), 0);
 }
 
 #[test]
@@ -269,24 +269,27 @@
     // A start that was in flight at the confirmation is permitted, but counted.
     let mut c = new_checker();
     let j = cancel_job(&mut c);
-    c.ended(10_200, "a1", "job-000001/0", 1);
-    assert_eq!(c.gone_after_confirmation(&j), Some(200));
-    c.started(12_000, "a2", "job-000001/1", 1);
-    assert_eq!(c.gone_after_confirmation(&j), None);
-    c.ended(13_000, "a2", "job-000001/1", 1);
-    c.passes(200_000);
+    c.record_end(10_200, "a1", "job-000001/0", 1);
+    assert_eq!(c.cancellation_duration_ms(&j), Some(200));
+    c.record_start(12_000, "a2", "job-000001/1", 1);
+    assert_eq!(c.cancellation_duration_ms(&j), None);
+    c.record_end(13_000, "a2", "job-000001/1", 1);
+    c.advance_time(200_000);
     assert_no_breaches(&c);
-    assert_eq!((c.started_after(&j), c.ordered_after(&j)), (1, 0));
-    assert_eq!(c.gone_after_confirmation(&j), Some(3000));
-    assert_eq!(c.confirmed().collect::<Vec<_>>(), ["job-000001"]);
+    assert_eq!(
+        (c.starts_after_cancellation(&j), c.start_orders_after_cancellation(&j)),
+        (1, 0)
+    );
+    assert_eq!(c.cancellation_duration_ms(&j), Some(3000));
+    assert_eq!(c.confirmed_cancellations().collect::<Vec<_>>(), ["job-000001"]);
 
     // A controller orders a start after the confirmation.
-    c.ordered(200_000, "job-000001/1");
-    assert_eq!((c.ordered_after(&j), c.start_orders()), (1, 1));
+    c.record_start_order(200_000, "job-000001/1");
+    assert_eq!((c.start_orders_after_cancellation(&j), c.start_order_count()), (1, 1));
 
     // The task starts too late, and is gone at once.
-    c.started(200_000, "a2", "job-000001/1", 2);
-    c.ended(200_000, "a2", "job-000001/1", 2);
+    c.record_start(200_000, "a2", "job-000001/1", 2);
+    c.record_end(200_000, "a2", "job-000001/1", 2);
     assert_eq!(
         c.breaches(),
         [
@@ -294,17 +297,26 @@
             "ran_cancelled: job-000001 is still on a machine"
         ]
     );
-    assert_eq!(c.started_after(&j), 2);
+    assert_eq!(c.starts_after_cancellation(&j), 2);
 
     // Orders and starts before the confirmation are not counted, nor those of other jobs after it.
     let mut c = new_checker();
-    c.ordered(50, "job-000001/0");
+    c.record_start_order(50, "job-000001/0");
     let j = cancel_job(&mut c);
     let other = accept_job(&mut c, &job(2, 0, "sweep", 1));
-    c.ordered(10_100, "job-000002/0");
-    c.started(10_100, "a3", "job-000002/0", 1);
-    assert_eq!((c.started_after(&j), c.ordered_after(&j)), (0, 0));
-    assert_eq!((c.started_after(&other), c.ordered_after(&other)), (0, 0));
+    c.record_start_order(10_100, "job-000002/0");
+    c.record_start(10_100, "a3", "job-000002/0", 1);
+    assert_eq!(
+        (c.starts_after_cancellation(&j), c.start_orders_after_cancellation(&j)),
+        (0, 0)
+    );
+    assert_eq!(
+        (
+            c.starts_after_cancellation(&other),
+            c.start_orders_after_cancellation(&other)
+        ),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -312,11 +324,11 @@
     // Guards against a checker that goes on waiting for the tasks of a cancelled job of which none is on a machine.
     let mut c = new_checker();
     let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
-    c.asked(5000, &j, Question::Withdraw);
-    assert_eq!(c.gone_after_confirmation(&j), None);
-    c.answered(5100, &j, 200, "withdrawn");
-    assert_eq!(c.gone_after_confirmation(&j), Some(0));
-    c.passes(500_000);
+    c.record_request(5000, &j, UserRequest::Cancel);
+    assert_eq!(c.cancellation_duration_ms(&j), None);
+    c.record_answer(5100, &j, 200, "withdrawn");
+    assert_eq!(c.cancellation_duration_ms(&j), Some(0));
+    c.advance_time(500_000);
     assert_no_breaches(&c);
 }
 
@@ -327,24 +339,24 @@
     for status in [404, 400, 422] {
         let mut c = new_checker();
         let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
-        c.asked(5000, &j, Question::Poll);
-        c.answered(5001, &j, status, "");
+        c.record_request(5000, &j, UserRequest::Query);
+        c.record_answer(5001, &j, status, "");
         assert_one_breach(&c, "forgotten");
 
         // The status is right before the job is accepted, and for a job that nobody submitted.
         let mut c = new_checker();
-        c.submitted(&job(1, 0, "sweep", 1));
-        c.asked(0, "job-000001", Question::Submit);
-        c.answered(1, "job-000001", status, "");
-        c.answered(1, "job-000099", status, "");
+        c.record_submission(&job(1, 0, "sweep", 1));
+        c.record_request(0, "job-000001", UserRequest::Submit);
+        c.record_answer(1, "job-000001", status, "");
+        c.record_answer(1, "job-000099", status, "");
         assert_no_breaches(&c);
     }
     // A request to retry does not deny the job.
     for status in [429, 503, 504] {
         let mut c = new_checker();
         let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
-        c.asked(5000, &j, Question::Poll);
-        c.answered(5001, &j, status, "");
+        c.record_request(5000, &j, UserRequest::Query);
+        c.record_answer(5001, &j, status, "");
         assert_no_breaches(&c);
     }
 }
@@ -357,36 +369,36 @@
     for at in (5_000..=until).step_by(5_000) {
         for i in [1, 2] {
             let j = format!("job-{i:06}");
-            c.asked(at, &j, Question::Poll);
+            c.record_request(at, &j, UserRequest::Query);
             let status = if answered(at, i) { 200 } else { 503 };
-            c.answered(at + 1, &j, status, if status == 200 { "queued" } else { "" });
+            c.record_answer(at + 1, &j, status, if status == 200 { "queued" } else { "" });
         }
     }
 }
 
 #[test]
 fn a_job_is_forgotten_if_only_requests_about_other_jobs_are_answered() {
-    // Guards against a checker that misses a job about which no user is answered for `SILENCE_MS`, while users of
-    // other jobs are answered.
+    // Guards against a checker that misses a job about which no user is answered for `UNANSWERED_LIMIT_MS`, while users
+    // of other jobs are answered.
     let mut c = new_checker();
-    ask_every_5_s(&mut c, 5_000 + SILENCE_MS, |_, i| i == 2);
+    ask_every_5_s(&mut c, 5_000 + UNANSWERED_LIMIT_MS, |_, i| i == 2);
     assert_one_breach(&c, "forgotten");
 
     // The checker finds this as time passes, also without a request at that moment.
     let mut c = new_checker();
-    ask_every_5_s(&mut c, SILENCE_MS, |_, i| i == 2);
+    ask_every_5_s(&mut c, UNANSWERED_LIMIT_MS, |_, i| i == 2);
     assert_no_breaches(&c);
-    c.passes(5_000 + SILENCE_MS);
+    c.advance_time(5_000 + UNANSWERED_LIMIT_MS);
     assert_one_breach(&c, "forgotten");
 
     // A request without any answer counts like one that was answered with 503.
     let mut c = new_checker();
     accept_job(&mut c, &job(1, 0, "sweep", 1));
     accept_job(&mut c, &job(2, 0, "sweep", 1));
-    for at in (5_000..=5_000 + SILENCE_MS).step_by(5_000) {
-        c.asked(at, "job-000001", Question::Poll);
-        c.asked(at, "job-000002", Question::Poll);
-        c.answered(at + 1, "job-000002", 200, "queued");
+    for at in (5_000..=5_000 + UNANSWERED_LIMIT_MS).step_by(5_000) {
+        c.record_request(at, "job-000001", UserRequest::Query);
+        c.record_request(at, "job-000002", UserRequest::Query);
+        c.record_answer(at + 1, "job-000002", 200, "queued");
     }
     assert_one_breach(&c, "forgotten");
 }
@@ -415,13 +427,13 @@
     let mut c = new_checker();
     accept_job(&mut c, &job(1, 0, "sweep", 1));
     accept_job(&mut c, &job(2, 0, "sweep", 1));
-    c.asked(5_000, "job-000001", Question::Poll);
+    c.record_request(5_000, "job-000001", UserRequest::Query);
     for at in (5_000..=150_000).step_by(5_000) {
-        c.asked(at, "job-000002", Question::Poll);
-        c.answered(at + 1, "job-000002", 200, "queued");
+        c.record_request(at, "job-000002", UserRequest::Query);
+        c.record_answer(at + 1, "job-000002", 200, "queued");
     }
-    c.asked(150_000, "job-000001", Question::Poll);
-    c.answered(150_500, "job-000001", 200, "queued");
+    c.record_request(150_000, "job-000001", UserRequest::Query);
+    c.record_answer(150_500, "job-000001", 200, "queued");
     assert_no_breaches(&c);
 }
 
@@ -430,16 +442,16 @@
     // Guards against a checker that misses an answer about a job that nobody submitted, or that lists an answer about
     // a submission that is still open.
     let mut c = new_checker();
-    c.asked(5, "job-000009", Question::Poll);
-    c.answered(10, "job-000009", 200, "queued");
+    c.record_request(5, "job-000009", UserRequest::Query);
+    c.record_answer(10, "job-000009", 200, "queued");
     assert_one_breach(&c, "invented");
 
     let mut c = new_checker();
-    c.submitted(&job(9, 0, "sweep", 1));
-    c.asked(5, "job-000009", Question::Submit);
+    c.record_submission(&job(9, 0, "sweep", 1));
+    c.record_request(5, "job-000009", UserRequest::Submit);
     // The submission has not been answered yet, and another controller knows of it.
-    c.asked(6, "job-000009", Question::Poll);
-    c.answered(10, "job-000009", 200, "queued");
+    c.record_request(6, "job-000009", UserRequest::Query);
+    c.record_answer(10, "job-000009", 200, "queued");
     assert_no_breaches(&c);
 }
 
@@ -448,30 +460,30 @@
     // Guards against a checker that misses a `done` before all tasks of the job are done.
     let mut c = new_checker();
     let j = accept_job(&mut c, &job(1, 0, "sweep", 3));
-    c.task_done("job-000001/0");
-    c.task_done("job-000001/2");
+    c.record_completion("job-000001/0");
+    c.record_completion("job-000001/2");
     // The same task is reported done twice.
-    c.task_done("job-000001/2");
-    assert!(!c.all_done(&j));
-    c.answered(5000, &j, 200, "done");
+    c.record_completion("job-000001/2");
+    assert!(!c.is_job_done(&j));
+    c.record_answer(5000, &j, 200, "done");
     assert_one_breach(&c, "not_done");
 
     let mut c = new_checker();
     let j = accept_job(&mut c, &job(1, 0, "sweep", 3));
     for i in 0..3 {
-        c.task_done(&format!("job-000001/{i}"));
+        c.record_completion(&format!("job-000001/{i}"));
     }
     // `done` may be told late.
-    c.answered(5000, &j, 200, "running");
-    c.answered(5100, &j, 200, "done");
+    c.record_answer(5000, &j, 200, "running");
+    c.record_answer(5100, &j, 200, "done");
     assert_no_breaches(&c);
 
     // A repeated submission with other fields does not change the accepted job.
     let mut c = new_checker();
     let j = accept_job(&mut c, &job(1, 0, "sweep", 3));
-    c.submitted(&job(1, 0, "sweep", 1));
-    c.task_done("job-000001/0");
-    c.answered(5000, &j, 200, "done");
+    c.record_submission(&job(1, 0, "sweep", 1));
+    c.record_completion("job-000001/0");
+    c.record_answer(5000, &j, 200, "done");
     assert_one_breach(&c, "not_done");
 }
 
@@ -488,21 +500,21 @@
     ] {
         let mut c = new_checker();
         let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
-        c.task_done("job-000001/0");
-        c.asked(4000, &j, Question::Withdraw);
-        c.answered(5000, &j, 200, first);
+        c.record_completion("job-000001/0");
+        c.record_request(4000, &j, UserRequest::Cancel);
+        c.record_answer(5000, &j, 200, first);
         // The same state again is right, and so is a 503.
-        c.answered(5100, &j, 200, first);
-        c.answered(5200, &j, 503, "");
+        c.record_answer(5100, &j, 200, first);
+        c.record_answer(5200, &j, 503, "");
         assert_no_breaches(&c);
-        c.answered(5300, &j, 200, then);
+        c.record_answer(5300, &j, 200, then);
         assert_one_breach(&c, "went_back");
     }
     // States that are not final may change either way.
     let mut c = new_checker();
     let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
     for said in ["running", "queued", "running"] {
-        c.answered(5000, &j, 200, said);
+        c.record_answer(5000, &j, 200, said);
     }
     assert_no_breaches(&c);
 }
@@ -514,17 +526,17 @@
     let mut c = new_checker();
     let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
     let other = accept_job(&mut c, &job(2, 0, "sweep", 1));
-    c.asked(4000, &other, Question::Withdraw);
-    c.asked(4000, &j, Question::Poll);
-    c.answered(5000, &j, 200, "withdrawn");
+    c.record_request(4000, &other, UserRequest::Cancel);
+    c.record_request(4000, &j, UserRequest::Query);
+    c.record_answer(5000, &j, 200, "withdrawn");
     assert_one_breach(&c, "went_back");
 
-    // The request to cancel was never answered, and a later question is.
+    // The request to cancel was never answered, and a later request is.
     let mut c = new_checker();
     let j = accept_job(&mut c, &job(1, 0, "sweep", 1));
-    c.asked(4000, &j, Question::Withdraw);
-    c.asked(5000, &j, Question::Poll);
-    c.answered(5001, &j, 200, "withdrawn");
+    c.record_request(4000, &j, UserRequest::Cancel);
+    c.record_request(5000, &j, UserRequest::Query);
+    c.record_answer(5001, &j, 200, "withdrawn");
     assert_no_breaches(&c);
 }
 
@@ -534,7 +546,7 @@
     let mut c = new_checker();
     cancel_job(&mut c);
     for at in 0..100 {
-        c.passes(10_000 + CANCEL_MS + 1 + at);
+        c.advance_time(10_000 + CANCEL_MS + 1 + at);
     }
     assert_one_breach(&c, "ran_cancelled");
 }
--- a/crates/tidelatch-standin/tests/compound_fault_regressions.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_regressions.rs
@@ -183,7 +183,12 @@
     assert!(told.count() > 3, "{}", world.trace());
     world.run_for(4000);
     assert!(world.machines_of("job-000001").is_empty(), "{}", world.trace());
-    assert_eq!(world.checker().ordered_after("job-000001"), 0, "{}", world.trace());
+    assert_eq!(
+        world.checker().start_orders_after_cancellation("job-000001"),
+        0,
+        "{}",
+        world.trace()
+    );
     world.clear_fault_injector();
     world.run_for(20_000);
     assert_no_breaches(&world);
@@ -283,8 +288,13 @@
         world.run_for(CANCEL_MS);
         assert_no_breaches(&world);
         for n in 1..=2 {
-            assert_eq!(world.checker().ordered_after(&id(n)), 0, "{}", world.trace());
-            let ms = world.gone_after_confirmation(&id(n));
+            assert_eq!(
+                world.checker().start_orders_after_cancellation(&id(n)),
+                0,
+                "{}",
+                world.trace()
+            );
+            let ms = world.cancellation_duration_ms(&id(n));
             assert!(ms.is_some_and(|ms| ms < CANCEL_MS), "{ms:?}\n{}", world.trace());
         }
     }
--- a/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
@@ -87,14 +87,14 @@
 /// Checks that the tasks of a cancelled job were gone in time, and that no start was ordered after its user was
 /// told.
 pub fn assert_gone_in_time(world: &World, id: &str, case: impl std::fmt::Debug) {
-    let gone = world.gone_after_confirmation(id);
+    let gone = world.cancellation_duration_ms(id);
     assert!(
         gone.is_some_and(|ms| ms <= CANCEL_MS),
         "{case:?}: {id}: {gone:?}\n{}",
         world.trace()
     );
     assert_eq!(
-        world.checker().ordered_after(id),
+        world.checker().start_orders_after_cancellation(id),
         0,
         "{case:?}: {id}\n{}",
         world.trace()
--- a/crates/tidelatch-standin/tests/compound_faults_answers.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_answers.rs
@@ -144,8 +144,8 @@
     // Guards against a user who is told that an accepted job does not exist. By the time a slow read comes back
     // without the job, the same controller may have accepted the job and told its user.
     for late_ms in [20, 150, 900] {
-        for question in ["poll", "withdraw", "odd"] {
-            let case = (late_ms, question);
+        for request in ["poll", "withdraw", "odd"] {
+            let case = (late_ms, request);
             let mut world = World::new();
             world.run_for(4000);
             let controller = world.owner_of_team(0);
@@ -157,7 +157,7 @@
                 }
             });
             let body = job(1, 0, "sweep", 1);
-            match question {
+            match request {
                 "poll" => world.poll(controller, "job-000001"),
                 "withdraw" => world.cancel(controller, "job-000001"),
                 _ => {
@@ -202,7 +202,7 @@
                     });
                     if task_ends {
                         // The requests begin at the end of the last task, and are repeated every 10 ms.
-                        while !world.checker().all_done("job-000001") {
+                        while !world.checker().is_job_done("job-000001") {
                             world.run_for(1);
                         }
                     }
--- a/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
@@ -78,7 +78,7 @@
                 world.submit_until_accepted(0, &body);
                 world.cancel_after_last_task(controller, "job-000001", after_ms);
                 assert!(
-                    world.run_until(60_000, |w| w.checker().all_done("job-000001")),
+                    world.run_until(60_000, |w| w.checker().is_job_done("job-000001")),
                     "{case:?}"
                 );
                 // Meanwhile users poll and repeat the submission at all controllers every few milliseconds.
@@ -222,7 +222,7 @@
             assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000001"), "withdrawn", "{case:?}");
             world.run_for(CANCEL_MS + 2000);
             assert_gone_in_time(&world, "job-000001", case);
-            let gone = world.gone_after_confirmation("job-000001").unwrap_or(u64::MAX);
+            let gone = world.cancellation_duration_ms("job-000001").unwrap_or(u64::MAX);
             // If its tasks were still on machines, only direct commands can end them so soon: the sessions there
             // would last longer.
             let must_end_at_once = mute_ms <= 9000 && !before.is_empty();
--- a/crates/tidelatch-standin/tests/compound_faults_placement.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_placement.rs
@@ -154,7 +154,7 @@
                     .filter(|j| j["crew"] == body["crew"])
                     .map(|j| tasks_of_job(&world, job_id(j)))
                     .sum();
-                let is_waiting = tasks_of_job(&world, id) == 0 && !world.checker().all_done(id);
+                let is_waiting = tasks_of_job(&world, id) == 0 && !world.checker().is_job_done(id);
                 let has_room = world.workers.values().any(|w| !w.hanging && tasks_on_machine(w) < 2);
                 if is_waiting && has_room && used < 4 {
                     let waiting_since: u64 = *waiting_since_by_job[i].get_or_insert(world.now);
--- a/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
+++ b/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
@@ -183,7 +183,7 @@
     world.store.down = false;
     let done = |w: &World| w.store.get("t/j/job-000001").is_some_and(|j| j["st"] == "done");
     assert!(world.run_until(60_000, done), "{}", world.trace());
-    assert_eq!(world.checker().start_orders(), 4, "{}", world.trace());
+    assert_eq!(world.checker().start_order_count(), 4, "{}", world.trace());
     assert!(
         world.run_until(60_000, |w| w.cloud.machines.is_empty()),
         "{}",
--- a/crates/tidelatch-standin/tests/failure_detection.rs
+++ b/crates/tidelatch-standin/tests/failure_detection.rs
@@ -138,8 +138,8 @@
     );
     // With the old records, tasks that are done would be started again.
     assert_eq!(
-        with_detection.checker().start_orders(),
-        without_detection.checker().start_orders()
+        with_detection.checker().start_order_count(),
+        without_detection.checker().start_order_count()
     );
     assert_world_recovers(with_detection);
 }
--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -321,9 +321,9 @@
     world.run_for(1000);
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
     world.run_for(60_000);
-    let gone = world.gone_after_confirmation("job-000001");
+    let gone = world.cancellation_duration_ms("job-000001");
     assert!(gone.is_some_and(|ms| ms <= 38_000), "{gone:?}\n{}", world.trace());
-    assert_eq!(world.started_after("job-000001"), 0, "{}", world.trace());
+    assert_eq!(world.starts_after_cancellation("job-000001"), 0, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -378,7 +378,12 @@
                 assert_eq!(world.job_status(poll), first, "{after}\n{}", world.trace());
             }
             world.run_for(40_000);
-            assert_eq!(world.started_after("job-000001"), 0, "{after}\n{}", world.trace());
+            assert_eq!(
+                world.starts_after_cancellation("job-000001"),
+                0,
+                "{after}\n{}",
+                world.trace()
+            );
             assert_no_breaches(&world);
         }
     }
@@ -427,7 +432,7 @@
 fn the_simulation_tells_the_checker_when_the_last_task_of_a_cancelled_job_is_gone() {
     // Guards against a wrong measurement of how long a cancelled job stays on its machines.
     let mut world = with_service(0);
-    assert_eq!(world.gone_after_confirmation("job-000001"), None);
+    assert_eq!(world.cancellation_duration_ms("job-000001"), None);
     // A cancellation stops tasks at once by direct commands. Without these the tasks end with the answers to the
     // next reports.
     world.set_fault_injector(|l| {
@@ -440,7 +445,7 @@
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
     let gone = |w: &World| w.machines_of("job-000001").is_empty();
     assert!(world.run_until(38_000, gone), "{}", world.trace());
-    let ms = world.gone_after_confirmation("job-000001");
+    let ms = world.cancellation_duration_ms("job-000001");
     assert!(ms.is_some_and(|ms| ms > 0 && ms < 20_000), "{ms:?}\n{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -479,7 +484,7 @@
         .min()
         .expect("the user was told that the job is cancelled");
     assert!(ended.get() > confirmed_at, "{}", world.trace());
-    let gone = world.gone_after_confirmation("job-000001");
+    let gone = world.cancellation_duration_ms("job-000001");
     assert_eq!(gone, Some(ended.get() - confirmed_at), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -489,21 +494,26 @@
     // Guards against orders to start a task that the checker does not count.
     let mut world = World::new();
     world.run_for(3000);
-    assert_eq!(world.checker().start_orders(), 0);
+    assert_eq!(world.checker().start_order_count(), 0);
     // Orders go out with the answers to reports, and directly to a machine that has room.
     world.submit_until_accepted(0, &job(1, 0, "standing", 1));
     let up = world.run_until(30_000, |w| w.running_tasks("job-000001") == 1);
     assert!(up, "{}", world.trace());
-    let with_answers = world.checker().start_orders();
+    let with_answers = world.checker().start_order_count();
     assert!(with_answers > 0, "{}", world.trace());
     let direct = world.sent.commands;
     world.submit_until_accepted(0, &job(2, 0, "standing", 1));
     let up = world.run_until(4000, |w| w.running_tasks("job-000002") == 1);
     assert!(up, "{}", world.trace());
     assert!(world.sent.commands > direct, "{}", world.trace());
-    assert!(world.checker().start_orders() > with_answers, "{}", world.trace());
+    assert!(world.checker().start_order_count() > with_answers, "{}", world.trace());
     assert_eq!(cancel(&mut world, "job-000002"), "withdrawn");
     world.run_for(40_000);
-    assert_eq!(world.checker().ordered_after("job-000002"), 0, "{}", world.trace());
+    assert_eq!(
+        world.checker().start_orders_after_cancellation("job-000002"),
+        0,
+        "{}",
+        world.trace()
+    );
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/rules.rs
+++ b/crates/tidelatch-standin/tests/rules.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_service_and_an_array_run_without_faults() {
-    // The baseline without faults: a service and an array run, a user is told that the array is done, and a question
+    // The baseline without faults: a service and an array run, a user is told that the array is done, and a request
     // about an unknown job is answered with 404.
     let mut world = with_service(0);
     world.submit_until_accepted(1, &job(2, 1, "sweep", 3));
