--- a/crates/tidelatch-standin/src/interruptions.rs
+++ b/crates/tidelatch-standin/src/interruptions.rs
@@ -17,18 +17,18 @@
 
 /// A voluntary interruption that the budget did not allow.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Excess {
+pub enum BudgetViolation {
     /// More units were voluntarily stopped, and did not run again yet, than the budget allows.
-    TooMany {
+    BudgetExceeded {
         /// The group whose budget was exceeded.
         group: String,
         /// Time of the stop, in milliseconds.
         at_ms: u64,
         /// The units that were stopped.
-        away: Vec<String>,
+        stopped: Vec<String>,
     },
     /// A unit was voluntarily stopped although lost machines had used up the budget for longer than permits are valid.
-    WhileSpent {
+    StoppedWhileBudgetSpent {
         /// The group whose budget was exceeded.
         group: String,
         /// Time of the stop, in milliseconds.
@@ -64,7 +64,7 @@
     /// Milliseconds for which permits that were granted before a loss may still be used.
     grace_ms: u64,
     interruptions: Vec<Interruption>,
-    excesses: Vec<Excess>,
+    budget_violations: Vec<BudgetViolation>,
 }
 
 /// Returns the job of a unit such as `job-000001/3`.
@@ -82,24 +82,24 @@
     }
 
     /// Sets a budget: at most `max_stopped` units of these jobs together may be voluntarily stopped at a time.
-    pub fn limit(&mut self, group: &str, jobs: &[&str], max_stopped: usize) {
+    pub fn set_budget(&mut self, group: &str, jobs: &[&str], max_stopped: usize) {
         let jobs = jobs.iter().map(|job| (*job).to_owned()).collect();
         self.groups.insert(group.to_owned(), Group { max_stopped, jobs });
     }
 
     /// Records that a machine is lost. The stops of the units on it are involuntary.
-    pub fn machine_lost(&mut self, machine: &str) {
+    pub fn record_machine_lost(&mut self, machine: &str) {
         self.lost_machines.insert(machine.to_owned());
     }
 
     /// Records that a worker's session is lost: the stops of the units that ran on it until now are involuntary. Units
     /// that start there later are not affected.
-    pub fn session_lost(&mut self, machine: &str) {
+    pub fn record_session_lost(&mut self, machine: &str) {
         self.lost_sessions.insert(machine.to_owned());
     }
 
     /// Records the units that run at a time, each with its machine.
-    pub fn sample(&mut self, at_ms: u64, running: BTreeMap<String, String>) {
+    pub fn record_running_units(&mut self, at_ms: u64, running: BTreeMap<String, String>) {
         let previous = std::mem::replace(&mut self.running, running);
         for unit in self.running.keys() {
             self.stopped.remove(unit);
@@ -128,7 +128,7 @@
                 .by_ref()
                 .filter(|(_, since)| at_ms.saturating_sub(**since) > self.grace_ms);
             if long_lost.count() >= group.max_stopped {
-                self.excesses.push(Excess::WhileSpent {
+                self.budget_violations.push(BudgetViolation::StoppedWhileBudgetSpent {
                     group: name.clone(),
                     at_ms,
                     unit: unit.clone(),
@@ -141,20 +141,20 @@
 
     fn check_groups(&mut self, at_ms: u64) {
         for (name, group) in &self.groups {
-            let away = self.stopped.iter().filter(|unit| group.jobs.contains(job_of(unit)));
-            let away: Vec<String> = away.cloned().collect();
-            if away.len() > group.max_stopped {
-                self.excesses.push(Excess::TooMany {
+            let stopped = self.stopped.iter().filter(|unit| group.jobs.contains(job_of(unit)));
+            let stopped: Vec<String> = stopped.cloned().collect();
+            if stopped.len() > group.max_stopped {
+                self.budget_violations.push(BudgetViolation::BudgetExceeded {
                     group: name.clone(),
                     at_ms,
-                    away,
+                    stopped,
                 });
             }
         }
     }
 
     /// Records that a job has ended: its units need not run any more.
-    pub fn job_over(&mut self, job: &str) {
+    pub fn record_job_end(&mut self, job: &str) {
         self.running.retain(|unit, _| job_of(unit) != job);
         self.stopped.retain(|unit| job_of(unit) != job);
         self.lost.retain(|unit, _| job_of(unit) != job);
@@ -166,7 +166,7 @@
     }
 
     /// Returns all interruptions that exceeded a budget.
-    pub fn excesses(&self) -> &[Excess] {
-        &self.excesses
+    pub fn budget_violations(&self) -> &[BudgetViolation] {
+        &self.budget_violations
     }
 }
--- a/crates/tidelatch-standin/src/lib.rs
+++ b/crates/tidelatch-standin/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use checker::Checker;
 pub use cloud::Cloud;
-pub use interruptions::{Excess, Interruption, InterruptionRecorder};
+pub use interruptions::{BudgetViolation, Interruption, InterruptionRecorder};
 pub use state::Store;
 pub use worker::Worker;
 pub use world::{CANCEL_MS, Delivery, Message, Sent, Size, World, gang, job};
--- a/crates/tidelatch-standin/tests/drain_support/mod.rs
+++ b/crates/tidelatch-standin/tests/drain_support/mod.rs
@@ -69,7 +69,7 @@
         for team in 0..controllers as u32 {
             let jobs = [10 * team + 1, 10 * team + 2].map(|id| deployment.submit_service(id, team));
             let job_ids: Vec<&str> = jobs.iter().map(String::as_str).collect();
-            deployment.recorder.limit(&format!("team-{team}"), &job_ids, 1);
+            deployment.recorder.set_budget(&format!("team-{team}"), &job_ids, 1);
         }
         assert!(
             deployment.run_until(120_000, Self::all_replicas_run),
@@ -122,7 +122,7 @@
 
     /// Removes a machine and its worker, and tells the recorder that this was a loss.
     pub fn lose_machine(&mut self, machine: &str) {
-        self.recorder.machine_lost(machine);
+        self.recorder.record_machine_lost(machine);
         self.world.write_trace(&format!("the test loses {machine}"));
         self.world.cloud.machines.remove(machine);
         self.world.workers.remove(machine);
@@ -133,7 +133,7 @@
         let mut running = self.world.machines_by_running_task();
         running.retain(|unit, _| self.services.iter().any(|job| unit.starts_with(job.as_str())));
         self.record_losses();
-        self.recorder.sample(self.world.now, running);
+        self.recorder.record_running_units(self.world.now, running);
     }
 
     /// Tells the recorder of machines that controllers gave up as failed and of sessions that ended: what ran there was
@@ -148,13 +148,13 @@
         let before = std::mem::replace(&mut self.sessions, sessions);
         for (machine, session) in before {
             match self.sessions.get(&machine) {
-                Some(now) if *now > session => self.recorder.session_lost(&machine),
+                Some(now) if *now > session => self.recorder.record_session_lost(&machine),
                 Some(_) => {}
                 None => {
                     let lines = self.world.trace().lines();
                     let lines_of_machine = lines.filter(|line| line.contains(&format!("{machine}: ")));
                     if lines_of_machine.into_iter().any(|line| line.ends_with("giving it up")) {
-                        self.recorder.machine_lost(&machine);
+                        self.recorder.record_machine_lost(&machine);
                     }
                 }
             }
@@ -208,7 +208,7 @@
 
     /// Asserts that no budget was exceeded and no rule was broken.
     pub fn assert_within_budgets(&self, case: &str) {
-        assert_eq!(self.recorder.excesses(), [], "{case}\n{}", self.trace());
+        assert_eq!(self.recorder.budget_violations(), [], "{case}\n{}", self.trace());
         assert_no_breaches(&self.world);
     }
 }
--- a/crates/tidelatch-standin/tests/drains.rs
+++ b/crates/tidelatch-standin/tests/drains.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::support::is_done;
-use tidelatch_standin::{Delivery, Excess, InterruptionRecorder, faults};
+use tidelatch_standin::{BudgetViolation, Delivery, InterruptionRecorder, faults};
 
 fn drain_of_all_machines() -> Value {
     json!({ "name": "all", "machine_type": "m2", "surge": 1, "max_machines": 2 })
@@ -293,7 +293,7 @@
     let service = deployment.services.remove(0);
     let owner = deployment.world.owner_of_team(0);
     deployment.world.cancel(owner, &service);
-    deployment.recorder.job_over(&service);
+    deployment.recorder.record_job_end(&service);
     // The machines of the team's other service are still drained.
     deployment.assert_drain_ends("all", "cancelled");
 }
@@ -375,7 +375,7 @@
     deployment.assert_within_budgets("budget of zero");
 }
 
-/// Guards against a recorder that misses excesses: the other tests would then pass whatever the controllers do.
+/// Guards against a recorder that misses violations: the other tests would then pass whatever the controllers do.
 #[test]
 fn the_recorder_reports_each_kind_of_excess_and_none_for_allowed_interruptions() {
     let sample = |units: &[&str]| {
@@ -386,40 +386,40 @@
     };
     let recorder = || {
         let mut recorder = InterruptionRecorder::new(100);
-        recorder.limit("team", &["job-1", "job-2"], 1);
-        recorder.sample(0, sample(&["job-1/0", "job-1/1", "job-2/0"]));
+        recorder.set_budget("team", &["job-1", "job-2"], 1);
+        recorder.record_running_units(0, sample(&["job-1/0", "job-1/1", "job-2/0"]));
         recorder
     };
     let mut allowed = recorder();
-    allowed.sample(10, sample(&["job-1/0", "job-1/1"]));
-    allowed.sample(20, sample(&["job-1/0", "job-1/1", "job-2/0"]));
-    allowed.sample(30, sample(&["job-1/1", "job-2/0"]));
-    allowed.machine_lost("m-1");
-    allowed.sample(40, sample(&[]));
-    assert_eq!(allowed.excesses(), []);
+    allowed.record_running_units(10, sample(&["job-1/0", "job-1/1"]));
+    allowed.record_running_units(20, sample(&["job-1/0", "job-1/1", "job-2/0"]));
+    allowed.record_running_units(30, sample(&["job-1/1", "job-2/0"]));
+    allowed.record_machine_lost("m-1");
+    allowed.record_running_units(40, sample(&[]));
+    assert_eq!(allowed.budget_violations(), []);
     assert_eq!(allowed.interruptions().len(), 2);
 
     let mut faulty = recorder();
-    faulty.sample(10, sample(&["job-2/0"]));
-    let away = vec!["job-1/0".to_owned(), "job-1/1".to_owned()];
+    faulty.record_running_units(10, sample(&["job-2/0"]));
+    let stopped = vec!["job-1/0".to_owned(), "job-1/1".to_owned()];
     let group = || "team".to_owned();
     assert_eq!(
-        faulty.excesses(),
-        [Excess::TooMany {
+        faulty.budget_violations(),
+        [BudgetViolation::BudgetExceeded {
             group: group(),
             at_ms: 10,
-            away
+            stopped
         }]
     );
 
     let mut faulty = recorder();
-    faulty.session_lost("m-1");
-    faulty.sample(10, sample(&["job-1/1", "job-2/0"]));
-    faulty.sample(200, sample(&["job-1/1"]));
+    faulty.record_session_lost("m-1");
+    faulty.record_running_units(10, sample(&["job-1/1", "job-2/0"]));
+    faulty.record_running_units(200, sample(&["job-1/1"]));
     let unit = "job-2/0".to_owned();
     assert_eq!(
-        faulty.excesses(),
-        [Excess::WhileSpent {
+        faulty.budget_violations(),
+        [BudgetViolation::StoppedWhileBudgetSpent {
             group: group(),
             at_ms: 200,
             unit
@@ -517,7 +517,7 @@
     let service = deployment.services[2].clone();
     let owner = deployment.world.owner_of_team(1);
     deployment.world.cancel(owner, &service);
-    deployment.recorder.job_over(&service);
+    deployment.recorder.record_job_end(&service);
     deployment.services.remove(2);
     deployment.run(20_000);
     deployment.world.cloud.most = deployment.world.cloud.machines.len();
--- a/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
+++ b/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
@@ -47,7 +47,7 @@
         .expect("a replica of team 0 or 1 on it");
     let mut recorder = InterruptionRecorder::new(GRACE_MS);
     for id in SERVICES {
-        recorder.limit(id, &[id], 1);
+        recorder.set_budget(id, &[id], 1);
     }
     SharedMachine {
         world,
@@ -64,7 +64,7 @@
         while self.world.now < until {
             self.world.run_for(20);
             self.recorder
-                .sample(self.world.now, self.world.machines_by_running_task());
+                .record_running_units(self.world.now, self.world.machines_by_running_task());
         }
     }
 
@@ -101,7 +101,7 @@
             self.world.trace()
         );
         assert!(all_run(&self.world), "{case}\n{}", self.world.trace());
-        assert_eq!(self.recorder.excesses(), [], "{case}\n{}", self.world.trace());
+        assert_eq!(self.recorder.budget_violations(), [], "{case}\n{}", self.world.trace());
         assert_no_breaches(&self.world);
         assert!(!self.world.cloud.machines.contains_key(&self.machine), "{case}");
     }
@@ -276,7 +276,7 @@
 fn a_stop_permitted_by_an_earlier_owner_is_revoked_when_its_successor_permits_another() {
     let (world, machine) = with_one_replica_on_a_machine_of_partition_2();
     let mut recorder = InterruptionRecorder::new(GRACE_MS);
-    recorder.limit("job-000001", &["job-000001"], 1);
+    recorder.set_budget("job-000001", &["job-000001"], 1);
     let mut shared = SharedMachine {
         world,
         recorder,
--- a/crates/tidelatch/tests/drain_loopback.rs
+++ b/crates/tidelatch/tests/drain_loopback.rs
@@ -148,14 +148,14 @@
         for team in 0..CONTROLLERS {
             let services_of_team = self.replicas.iter().filter(|(t, _)| *t == team);
             let jobs: Vec<&str> = services_of_team.map(|(_, job)| job.as_str()).collect();
-            recorder.limit(&format!("team-{team}"), &jobs, 1);
+            recorder.set_budget(&format!("team-{team}"), &jobs, 1);
         }
         for event in self.services.replica_history() {
             match event {
-                ReplicaEvent::Running { at_ms, replicas } => recorder.sample(at_ms, replicas),
-                ReplicaEvent::SessionEnded { machine } => recorder.session_lost(&machine),
+                ReplicaEvent::Running { at_ms, replicas } => recorder.record_running_units(at_ms, replicas),
+                ReplicaEvent::SessionEnded { machine } => recorder.record_session_lost(&machine),
                 ReplicaEvent::Deleted { machine } if machines_given_up.contains(&machine) => {
-                    recorder.session_lost(&machine)
+                    recorder.record_session_lost(&machine)
                 }
                 ReplicaEvent::Deleted { .. } => {}
             }
@@ -232,7 +232,7 @@
     let after: BTreeSet<String> = deployment.services.roster().into_iter().collect();
     assert!(before.is_disjoint(&after), "{before:?} {after:?}");
     let recorder = deployment.check_interruptions();
-    assert_eq!(recorder.excesses(), [], "{}", deployment.controllers.logs());
+    assert_eq!(recorder.budget_violations(), [], "{}", deployment.controllers.logs());
     let replicas = 2 * CONTROLLERS * REPLICAS as usize;
     assert!(
         recorder.interruptions().len() >= replicas,
