--- a/crates/tidelatch-standin/src/loopback/controllers.rs
+++ b/crates/tidelatch-standin/src/loopback/controllers.rs
@@ -206,7 +206,7 @@
     }
 
     /// Cuts the connection of one controller to the state service.
-    pub fn cut_from_state(&self, index: usize) {
+    pub fn cut_state_service(&self, index: usize) {
         if let Some(proxy) = self.state_proxies.get(index) {
             proxy.cut();
         }
@@ -273,7 +273,7 @@
 
     /// Partitions the network between these controllers and the others. With `state`, the others also lose the state
     /// service.
-    pub fn split(&self, side: &[usize], state: bool) {
+    pub fn partition(&self, side: &[usize], state: bool) {
         for ((from, to), proxy) in &self.peer_proxies {
             if side.contains(from) != side.contains(to) {
                 proxy.cut();
--- a/crates/tidelatch-standin/src/loopback/recorder.rs
+++ b/crates/tidelatch-standin/src/loopback/recorder.rs
@@ -1,6 +1,6 @@
-//! Detects watch gaps and duplicate final answers, from the states of workers and the answers to users.
+//! Detects availability gaps and duplicate final answers, from the states of workers and the answers to users.
 //!
-//! * A **watch gap** is any time in which a replica that has run before runs on no machine although none of its
+//! * An **availability gap** is any time in which a replica that has run before runs on no machine although none of its
 //!   machines was lost. A machine that a controller returns by its own decision does not count as lost: the gap is a breach.
 //! * A **duplicate final answer** is a task of an array that completes twice, or a job that is reported to users with
 //!   two different final statuses.
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Breach {
     /// A replica runs on no machine.
-    WatchGap {
+    AvailabilityGap {
         /// The replica.
         replica: String,
         /// When it stopped running, in milliseconds.
@@ -24,7 +24,7 @@
         task: String,
     },
     /// A job has been reported with two final statuses.
-    EndedTwice {
+    ConflictingFinalStatus {
         /// The job.
         job: String,
         /// The status that was reported first.
@@ -37,9 +37,9 @@
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::WatchGap { replica, from_ms } => write!(f, "{replica} runs nowhere from {from_ms} ms on"),
+            Self::AvailabilityGap { replica, from_ms } => write!(f, "{replica} runs nowhere from {from_ms} ms on"),
             Self::CompletedTwice { task } => write!(f, "{task} has completed twice"),
-            Self::EndedTwice { job, first, then } => write!(f, "{job} has ended as {first} and as {then}"),
+            Self::ConflictingFinalStatus { job, first, then } => write!(f, "{job} has ended as {first} and as {then}"),
         }
     }
 }
@@ -67,12 +67,12 @@
 
     /// Returns the number of replicas that have ever run and the number of tasks that have completed, as a measure of
     /// what was observed.
-    pub fn observed(&self) -> (usize, usize) {
+    pub fn observed_counts(&self) -> (usize, usize) {
         (self.seen_replicas.len(), self.completions.len())
     }
 
     /// Records that a replica runs on a machine.
-    pub fn replica_runs(&mut self, replica: &str, machine: &str) {
+    pub fn record_replica_start(&mut self, replica: &str, machine: &str) {
         self.seen_replicas.insert(replica.to_owned());
         self.being_replaced.remove(replica);
         let machines = self.running.entry(replica.to_owned()).or_default();
@@ -80,14 +80,14 @@
     }
 
     /// Records that a replica no longer runs on a machine that still exists.
-    pub fn replica_stops(&mut self, now_ms: u64, replica: &str, machine: &str) {
+    pub fn record_replica_stop(&mut self, now_ms: u64, replica: &str, machine: &str) {
         let Some(machines) = self.running.get_mut(replica) else {
             return;
         };
         let ran = machines.remove(machine);
         let job = replica.split('/').next().unwrap_or_default();
         if ran && machines.is_empty() && !self.cancelled.contains(job) {
-            self.breaches.push(Breach::WatchGap {
+            self.breaches.push(Breach::AvailabilityGap {
                 replica: replica.to_owned(),
                 from_ms: now_ms,
             });
@@ -95,7 +95,7 @@
     }
 
     /// Records that a machine was lost, not by a decision of a controller.
-    pub fn machine_lost(&mut self, machine: &str) {
+    pub fn record_machine_lost(&mut self, machine: &str) {
         for (replica, machines) in &mut self.running {
             if machines.remove(machine) && machines.is_empty() {
                 self.being_replaced.insert(replica.clone());
@@ -104,12 +104,12 @@
     }
 
     /// Records that a user has requested the cancellation of a job, so that its replicas may stop.
-    pub fn cancel_asked(&mut self, job: &str) {
+    pub fn record_cancel_request(&mut self, job: &str) {
         self.cancelled.insert(job.to_owned());
     }
 
     /// Records that a task of an array has completed.
-    pub fn task_completed(&mut self, task: &str) {
+    pub fn record_completion(&mut self, task: &str) {
         let completions = self.completions.entry(task.to_owned()).or_default();
         *completions += 1;
         if *completions > 1 {
@@ -118,7 +118,7 @@
     }
 
     /// Records the status of a job that a user has received.
-    pub fn told(&mut self, job: &str, status: &str) {
+    pub fn record_status_answer(&mut self, job: &str, status: &str) {
         let first = match (self.final_statuses.get(job), status) {
             (None, "done" | "withdrawn") => {
                 self.final_statuses.insert(job.to_owned(), status.to_owned());
@@ -127,7 +127,7 @@
             (Some(first), _) if first != status => first.clone(),
             _ => return,
         };
-        self.breaches.push(Breach::EndedTwice {
+        self.breaches.push(Breach::ConflictingFinalStatus {
             job: job.to_owned(),
             first,
             then: status.to_owned(),
--- a/crates/tidelatch-standin/src/loopback/services.rs
+++ b/crates/tidelatch-standin/src/loopback/services.rs
@@ -97,7 +97,7 @@
     }
 
     /// Returns the stored record of a drain.
-    pub fn drain(&self, name: &str) -> Option<serde_json::Value> {
+    pub fn drain_record(&self, name: &str) -> Option<serde_json::Value> {
         lock(&self.store).get(&format!("t/d/{name}")).cloned()
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Returns the state of all workers as text, for the message of a failing test.
-    pub fn describe(&self) -> String {
+    pub fn describe_workers(&self) -> String {
         self.fleet.describe()
     }
 }
--- a/crates/tidelatch-standin/src/loopback/users.rs
+++ b/crates/tidelatch-standin/src/loopback/users.rs
@@ -51,7 +51,7 @@
                 for job in polled_jobs {
                     let answer = request(controller, "GET", &format!("/submissions/{job}"), "", REQUEST_TIMEOUT);
                     if let Some(status) = parse_status(answer) {
-                        lock(&recorder).told(&job, &status);
+                        lock(&recorder).record_status_answer(&job, &status);
                         if status == "done" {
                             lock(&done).insert(job);
                         }
--- a/crates/tidelatch-standin/src/loopback/workers.rs
+++ b/crates/tidelatch-standin/src/loopback/workers.rs
@@ -114,11 +114,11 @@
         let replicas_after = running_replicas(worker, &jobs);
         let mut recorder = lock(&self.recorder);
         for replica in replicas_after.difference(&replicas_before) {
-            recorder.replica_runs(replica, name);
+            recorder.record_replica_start(replica, name);
         }
         let now_ms = self.clock.now_ms();
         for replica in replicas_before.difference(&replicas_after) {
-            recorder.replica_stops(now_ms, replica, name);
+            recorder.record_replica_stop(now_ms, replica, name);
         }
         if replicas_before != replicas_after {
             let replicas = all_replicas(&workers, &jobs);
@@ -145,7 +145,7 @@
         })?;
         let mut recorder = lock(&self.recorder);
         for task in finished {
-            recorder.task_completed(&task);
+            recorder.record_completion(&task);
         }
         Some(())
     }
--- a/crates/tidelatch/tests/drain_loopback.rs
+++ b/crates/tidelatch/tests/drain_loopback.rs
@@ -92,7 +92,7 @@
     fn wait_for(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
         let deadline = Instant::now() + EVENT_TIMEOUT;
         while !condition(self) {
-            let state = || format!("{}\n{}", self.services.describe(), self.controllers.logs());
+            let state = || format!("{}\n{}", self.services.describe_workers(), self.controllers.logs());
             assert!(
                 Instant::now() < deadline,
                 "timed out while waiting for {what}:\n{}",
@@ -118,7 +118,9 @@
 
     /// Whether the drain is stored as done.
     fn is_drained(&self) -> bool {
-        self.services.drain("all").is_some_and(|head| head["done"] == true)
+        self.services
+            .drain_record("all")
+            .is_some_and(|head| head["done"] == true)
     }
 
     /// Waits for the next permit that is used, and returns the controller that used it.
@@ -214,7 +216,7 @@
     // The owner of another team is disconnected from the state service.
     let epoch = deployment.services.epoch();
     let owner = deployment.services.owner_of_team(2).expect("it has an owner");
-    deployment.controllers.cut_from_state(owner);
+    deployment.controllers.cut_state_service(owner);
     deployment.wait_for("a takeover", |d| d.services.epoch() > epoch);
     deployment.controllers.heal();
 
@@ -245,7 +247,7 @@
         .filter(|(_, time)| time.as_secs_f64() > DEADLINE_S)
         .collect();
     assert!(late.is_empty(), "{late:?}\n{}", deployment.controllers.logs());
-    let is_duplicate = |breach: &&Breach| !matches!(breach, Breach::WatchGap { .. });
+    let is_duplicate = |breach: &&Breach| !matches!(breach, Breach::AvailabilityGap { .. });
     let answers = deployment.services.recorder();
     let answers = answers.lock().expect("no thread has failed");
     let duplicates: Vec<&Breach> = answers.breaches().iter().filter(is_duplicate).collect();
--- a/crates/tidelatch/tests/loopback.rs
+++ b/crates/tidelatch/tests/loopback.rs
@@ -65,7 +65,7 @@
     /// time.
     fn wait_for(&self, what: &str, condition: impl Fn(&Self) -> bool) {
         let has_come = wait_until(EVENT_TIMEOUT, || condition(self));
-        let state = || format!("{}\n{}", self.services.describe(), self.controllers.logs());
+        let state = || format!("{}\n{}", self.services.describe_workers(), self.controllers.logs());
         assert!(has_come, "timed out while waiting for {what}:\n{}", state());
     }
 
@@ -126,7 +126,7 @@
     });
     let epoch = deployment.services.epoch();
     let confirmed = deployment.count_in_all_logs("is confirmed as gone");
-    deployment.controllers.split(&[0, 1], false);
+    deployment.controllers.partition(&[0, 1], false);
     deployment.wait_for("suspicions in both halves", |d| {
         d.count_in_log(0, "suspects berth-2") > 0 && d.count_in_log(2, "suspects berth-0") > 0
     });
@@ -142,7 +142,7 @@
 
     // Network split into two halves, one without the state service: that half loses its leases, and the other half
     // takes its partitions over.
-    deployment.controllers.split(&[0, 1], true);
+    deployment.controllers.partition(&[0, 1], true);
     deployment.wait_for("a takeover by the half with the state service", |d| {
         d.services.epoch() > epoch
     });
@@ -165,7 +165,10 @@
     });
     let recorder = deployment.services.recorder();
     let recorder = recorder.lock().expect("no thread has failed");
-    assert_eq!(recorder.observed(), (2 * CONTROLLERS, 6 * deployment.arrays.len()));
+    assert_eq!(
+        recorder.observed_counts(),
+        (2 * CONTROLLERS, 6 * deployment.arrays.len())
+    );
     assert_eq!(recorder.breaches(), [], "{}", deployment.controllers.logs());
 }
 
@@ -173,36 +176,36 @@
 #[test]
 fn the_recorder_reports_each_kind_of_breach_and_none_for_valid_events() {
     let mut valid = Recorder::default();
-    valid.replica_runs("job-000001/0", "n-1");
-    valid.replica_runs("job-000001/0", "n-2");
-    valid.replica_stops(10, "job-000001/0", "n-1");
-    valid.machine_lost("n-2");
-    valid.replica_runs("job-000001/0", "n-3");
-    valid.cancel_asked("job-000001");
-    valid.replica_stops(20, "job-000001/0", "n-3");
-    valid.task_completed("job-000002/0");
-    valid.task_completed("job-000002/1");
-    valid.told("job-000002", "running");
-    valid.told("job-000002", "done");
-    valid.told("job-000002", "done");
+    valid.record_replica_start("job-000001/0", "n-1");
+    valid.record_replica_start("job-000001/0", "n-2");
+    valid.record_replica_stop(10, "job-000001/0", "n-1");
+    valid.record_machine_lost("n-2");
+    valid.record_replica_start("job-000001/0", "n-3");
+    valid.record_cancel_request("job-000001");
+    valid.record_replica_stop(20, "job-000001/0", "n-3");
+    valid.record_completion("job-000002/0");
+    valid.record_completion("job-000002/1");
+    valid.record_status_answer("job-000002", "running");
+    valid.record_status_answer("job-000002", "done");
+    valid.record_status_answer("job-000002", "done");
     assert_eq!(valid.breaches(), []);
 
     let mut faulty = Recorder::default();
-    faulty.replica_runs("job-000001/0", "n-1");
-    faulty.replica_stops(30, "job-000001/0", "n-1");
-    faulty.task_completed("job-000002/0");
-    faulty.task_completed("job-000002/0");
-    faulty.told("job-000003", "withdrawn");
-    faulty.told("job-000003", "done");
+    faulty.record_replica_start("job-000001/0", "n-1");
+    faulty.record_replica_stop(30, "job-000001/0", "n-1");
+    faulty.record_completion("job-000002/0");
+    faulty.record_completion("job-000002/0");
+    faulty.record_status_answer("job-000003", "withdrawn");
+    faulty.record_status_answer("job-000003", "done");
     let expected = [
-        Breach::WatchGap {
+        Breach::AvailabilityGap {
             replica: "job-000001/0".into(),
             from_ms: 30,
         },
         Breach::CompletedTwice {
             task: "job-000002/0".into(),
         },
-        Breach::EndedTwice {
+        Breach::ConflictingFinalStatus {
             job: "job-000003".into(),
             first: "withdrawn".into(),
             then: "done".into(),
