--- a/crates/tidelatch-standin/examples/take_over.rs
+++ b/crates/tidelatch-standin/examples/take_over.rs
@@ -48,7 +48,7 @@
         ..Size::default()
     };
     let mut world = World::with_size(operator, size);
-    world.cloud.most = 60;
+    world.cloud.max_machines = 60;
     world.run_ms = 20_000;
     world.uneven = true;
     world.run_for(3_000);
--- a/crates/tidelatch-standin/src/cloud.rs
+++ b/crates/tidelatch-standin/src/cloud.rs
@@ -13,17 +13,17 @@
     /// Names of the machines that were deleted.
     pub deleted: BTreeSet<String>,
     /// Maximum number of machines at a time.
-    pub most: usize,
+    pub max_machines: usize,
     /// Maximum number of machines at a time by zone, for zones with a limit of their own.
-    pub most_in_zone: BTreeMap<String, usize>,
-    /// Boot time in milliseconds of machines that have no entry in `next_boots`.
+    pub max_machines_by_zone: BTreeMap<String, usize>,
+    /// Boot time in milliseconds of machines that have no entry in `next_boot_times_ms`.
     pub boot_ms: u64,
     /// Boot times in milliseconds of the machines rented next, in order. `None`: the machine never boots.
-    pub next_boots: VecDeque<Option<u64>>,
+    pub next_boot_times_ms: VecDeque<Option<u64>>,
     /// Whether the cloud is down: all requests get status 503.
-    pub down: bool,
+    pub is_down: bool,
     /// Prefix of machine names.
-    pub prefix: String,
+    pub machine_name_prefix: String,
 }
 
 impl Default for Cloud {
@@ -33,12 +33,12 @@
             next_number: 0,
             machines: BTreeMap::new(),
             deleted: BTreeSet::new(),
-            most: 20,
-            most_in_zone: BTreeMap::new(),
+            max_machines: 20,
+            max_machines_by_zone: BTreeMap::new(),
             boot_ms: Self::BOOT_MS,
-            next_boots: VecDeque::new(),
-            down: false,
-            prefix: "n-".to_owned(),
+            next_boot_times_ms: VecDeque::new(),
+            is_down: false,
+            machine_name_prefix: "n-".to_owned(),
         }
     }
 }
@@ -47,16 +47,16 @@
     /// Default boot time of machines, in milliseconds.
     pub const BOOT_MS: u64 = 3000;
     /// Maximum number of machines in one page of the list.
-    pub const PAGE: usize = 500;
+    pub const MACHINES_PER_PAGE: usize = 500;
 
     /// Removes and returns the boot time in milliseconds of the next rented machine. `None`: it never boots.
     pub fn take_next_boot_ms(&mut self) -> Option<u64> {
-        self.next_boots.pop_front().unwrap_or(Some(self.boot_ms))
+        self.next_boot_times_ms.pop_front().unwrap_or(Some(self.boot_ms))
     }
 
     /// Executes one HTTP request. Returns the status, the body, and the names of the machines that it rented.
     pub fn request(&mut self, method: &str, path: &str, body: &str) -> (u16, Value, Vec<String>) {
-        if self.down {
+        if self.is_down {
             return (503, json!({ "error": "trouble" }), Vec::new());
         }
         let body: Value = serde_json::from_str(body).unwrap_or(Value::Null);
@@ -95,7 +95,7 @@
         let names: Vec<String> = (0..count)
             .map(|_| {
                 self.next_number += 1;
-                format!("{}{:06}", self.prefix, self.next_number)
+                format!("{}{:06}", self.machine_name_prefix, self.next_number)
             })
             .collect();
         for name in &names {
@@ -107,12 +107,12 @@
 
     /// Returns how many more machines can be rented in a zone.
     fn free_capacity_in(&self, zone: &str) -> usize {
-        let free = self.most.saturating_sub(self.machines.len());
-        let Some(most) = self.most_in_zone.get(zone) else {
+        let free = self.max_machines.saturating_sub(self.machines.len());
+        let Some(max_machines) = self.max_machines_by_zone.get(zone) else {
             return free;
         };
         let in_zone = self.machines.values().filter(|(z, _)| z == zone).count();
-        free.min(most.saturating_sub(in_zone))
+        free.min(max_machines.saturating_sub(in_zone))
     }
 
     fn delete(&mut self, body: &Value) {
@@ -128,9 +128,9 @@
         let since = path.split("since=").nth(1).and_then(|p| p.split('&').next());
         let since = since.unwrap_or_default();
         let following = self.machines.iter().filter(|(id, _)| id.as_str() > since);
-        let more = following.clone().count() > Self::PAGE;
+        let more = following.clone().count() > Self::MACHINES_PER_PAGE;
         let list: Vec<Value> = following
-            .take(Self::PAGE)
+            .take(Self::MACHINES_PER_PAGE)
             .map(|(id, (zone, spot))| {
                 json!({ "uid": id, "addr": "", "model": "m2", "yard": zone, "standby": spot,
                         "status": "running", "ageS": 100.0 })
--- a/crates/tidelatch-standin/src/gang.rs
+++ b/crates/tidelatch-standin/src/gang.rs
@@ -37,7 +37,7 @@
 pub struct Gangs {
     attempts: BTreeMap<(String, u64), GangAttempt>,
     /// Saved progress in milliseconds, by job.
-    pub saved_ms: BTreeMap<String, u64>,
+    pub saved_progress_ms: BTreeMap<String, u64>,
     /// Tasks that have completed and were not yet reported to the world.
     pub done: Vec<String>,
     /// Lines for the trace that were not yet written.
@@ -118,8 +118,8 @@
     fn tasks_by_state(&mut self, step: &mut Step<'_>) -> BTreeMap<&'static str, Vec<WorkerTask>> {
         let prefix = format!("{}/", step.job);
         let mut tasks: BTreeMap<&'static str, Vec<WorkerTask>> = BTreeMap::new();
-        for (name, w) in step.workers.iter_mut().filter(|(_, w)| !w.hanging) {
-            for ((task, n), a) in &mut w.tasks {
+        for (name, w) in step.workers.iter_mut().filter(|(_, w)| !w.is_hanging) {
+            for ((task, n), a) in &mut w.attempts {
                 if *n != step.attempt || !task.starts_with(&prefix) {
                     continue;
                 }
@@ -150,7 +150,7 @@
             .into_iter()
             .filter(|(name, task)| {
                 let worker = step.workers.get(name);
-                let a = worker.and_then(|w| w.tasks.get(&(task.clone(), attempt)));
+                let a = worker.and_then(|w| w.attempts.get(&(task.clone(), attempt)));
                 a.is_some_and(|a| a.transition_ms.is_some_and(|t| t <= now))
             })
             .collect();
@@ -169,7 +169,7 @@
         let (job, attempt, now) = (step.job, step.attempt, step.now);
         let is_complete = active.len() == step.terms.tasks;
         self.add_progress(gang, step, is_complete);
-        let stored = self.saved_ms.get(job).copied().unwrap_or(0);
+        let stored = self.saved_progress_ms.get(job).copied().unwrap_or(0);
         let progress = stored + gang.progress_ms;
         if is_complete && gang.first_stop_ms.is_none() && progress >= step.terms.run_ms {
             self.trace_lines.push(format!("{job}: done"));
@@ -184,7 +184,7 @@
             && now >= stopped_ms + GANG_SAVE_MS
         {
             gang.is_saved = true;
-            self.saved_ms.insert(job.to_owned(), progress);
+            self.saved_progress_ms.insert(job.to_owned(), progress);
             self.trace_lines
                 .push(format!("{job}: attempt {attempt} is saved at {progress} ms"));
             self.set_state(step, active, "ended", "stopped");
@@ -208,13 +208,13 @@
             gang.progress_ms += step.now - gang.updated_ms;
         }
         gang.updated_ms = step.now;
-        let stored = self.saved_ms.get(step.job).copied().unwrap_or(0);
+        let stored = self.saved_progress_ms.get(step.job).copied().unwrap_or(0);
         let checkpoint_ms = step.terms.checkpoint_ms;
         if let Some(checkpoints) = (stored + gang.progress_ms).checked_div(checkpoint_ms) {
             let checkpoint_at_ms = checkpoints * checkpoint_ms;
             if checkpoint_at_ms > stored {
                 gang.progress_ms = stored + gang.progress_ms - checkpoint_at_ms;
-                self.saved_ms.insert(step.job.to_owned(), checkpoint_at_ms);
+                self.saved_progress_ms.insert(step.job.to_owned(), checkpoint_at_ms);
             }
         }
     }
@@ -223,7 +223,7 @@
     fn set_state(&mut self, step: &mut Step<'_>, tasks: &[WorkerTask], state: &'static str, cause: &'static str) {
         for (name, task) in tasks {
             let worker = step.workers.get_mut(name);
-            let a = worker.and_then(|w| w.tasks.get_mut(&(task.clone(), step.attempt)));
+            let a = worker.and_then(|w| w.attempts.get_mut(&(task.clone(), step.attempt)));
             if let Some(a) = a {
                 a.state = state;
                 a.cause = cause;
--- a/crates/tidelatch-standin/src/loopback/services.rs
+++ b/crates/tidelatch-standin/src/loopback/services.rs
@@ -164,7 +164,7 @@
 
 fn cloud_handler(fleet: Arc<Fleet>) -> Handler {
     let mut cloud = Cloud::default();
-    cloud.most = MAX_MACHINES;
+    cloud.max_machines = MAX_MACHINES;
     let cloud = Mutex::new(cloud);
     Arc::new(move |request| {
         let mut cloud = lock(&cloud);
--- a/crates/tidelatch-standin/src/loopback/workers.rs
+++ b/crates/tidelatch-standin/src/loopback/workers.rs
@@ -77,7 +77,7 @@
 
     pub(super) fn running(&self, job: &str) -> usize {
         let workers = lock(&self.workers);
-        let tasks = workers.values().flat_map(|worker| &worker.tasks);
+        let tasks = workers.values().flat_map(|worker| &worker.attempts);
         let runs = tasks.filter(|((task, _), attempt)| attempt.state == "running" && task.starts_with(job));
         runs.count()
     }
@@ -94,7 +94,7 @@
             }
             let machine = name.clone();
             self.record_event(ReplicaEvent::Deleted { machine });
-            self.update_worker(name, |worker, _| worker.tasks.clear());
+            self.update_worker(name, |worker, _| worker.attempts.clear());
             lock(&self.workers).remove(name);
         }
     }
@@ -189,7 +189,7 @@
     fn send_report(&self, name: &str) -> Option<()> {
         let sent_ms = self.clock.now_ms();
         let (body, session, controller) = self.update_worker(name, |worker, _| {
-            (worker.report().to_string(), worker.session, worker.node)
+            (worker.report().to_string(), worker.session, worker.controller)
         })?;
         let controllers = lock(&self.controllers).clone();
         let (_, address) = controllers.get(controller % controllers.len().max(1))?;
@@ -213,9 +213,11 @@
             Ok((421, body)) => {
                 let body: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
                 let named = controllers.iter().position(|(name, _)| body["dispatcher"] == **name);
-                self.update_worker(name, |worker, _| worker.node = named.unwrap_or(worker.node + 1))?;
+                self.update_worker(name, |worker, _| {
+                    worker.controller = named.unwrap_or(worker.controller + 1)
+                })?;
             }
-            _ => self.update_worker(name, |worker, _| worker.node += 1)?,
+            _ => self.update_worker(name, |worker, _| worker.controller += 1)?,
         }
         Some(())
     }
@@ -224,7 +226,7 @@
     fn reported_state(&self, name: &str) -> Option<String> {
         self.update_worker(name, |worker, _| {
             let tasks: Vec<(&String, u64, &str)> = worker
-                .tasks
+                .attempts
                 .iter()
                 .map(|((task, attempt), state)| (task, *attempt, state.state))
                 .collect();
@@ -235,7 +237,7 @@
 
 /// Returns the replicas of services that run on a worker.
 fn running_replicas(worker: &Worker, jobs: &BTreeMap<String, Value>) -> BTreeSet<String> {
-    let running = worker.tasks.iter().filter(|(_, attempt)| attempt.state == "running");
+    let running = worker.attempts.iter().filter(|(_, attempt)| attempt.state == "running");
     let of_service = |task: &&String| {
         let job = task.split('/').next().and_then(|job| jobs.get(job));
         job.is_some_and(|job| job["shape"] == "standing")
--- a/crates/tidelatch-standin/src/state.rs
+++ b/crates/tidelatch-standin/src/state.rs
@@ -26,22 +26,22 @@
     revision: u64,
     next_lease: u64,
     /// Changes up to this revision are compacted: a watch from an earlier revision gets status 410.
-    pub kept_from: u64,
+    pub compacted_revision: u64,
     /// Whether the service is down: all requests get status 503, and no lease expires.
-    pub down: bool,
+    pub is_down: bool,
     /// Maximum bytes of a value and maximum changes of a transaction. Larger transactions get status 400, and so do
     /// those with more than four times as many conditions as changes are allowed.
-    pub limits: Option<(usize, usize)>,
+    pub transaction_limits: Option<(usize, usize)>,
     /// The largest value written, in bytes, and the most changes in one transaction, since the test last cleared this.
-    pub largest: (usize, usize),
+    pub largest_transaction: (usize, usize),
     /// Descriptions of the transactions that were refused as too large.
-    pub refused: Vec<String>,
+    pub oversized_transactions: Vec<String>,
     /// Rate limit in changes per second, if there is one. Transactions beyond it get status 429.
-    pub rate: Option<f64>,
+    pub max_changes_per_s: Option<f64>,
     rate_tokens: f64,
     rate_updated_ms: u64,
     /// Number of requests that got status 429.
-    pub slowed: u64,
+    pub throttled_requests: u64,
 }
 
 /// The reply to a request: immediate, or a watch that waits for changes.
@@ -67,7 +67,7 @@
     }
 
     /// Sets a key without a lease and without notifying watches, as if it had been written before the test.
-    pub fn put(&mut self, key: &str, value: Value) {
+    pub fn set_key(&mut self, key: &str, value: Value) {
         self.revision += 1;
         let (revision, lease) = (self.revision, None);
         self.keys.insert(key.to_owned(), Entry { value, revision, lease });
@@ -80,7 +80,7 @@
 
     /// Ends the expired leases and deletes their keys. Returns whether a key was deleted.
     pub fn expire_leases(&mut self, now: u64) -> bool {
-        if self.down {
+        if self.is_down {
             // After an outage every lease has its full time to live again.
             for (expires_ms, ttl_ms) in self.leases.values_mut() {
                 *expires_ms = now + *ttl_ms;
@@ -144,7 +144,7 @@
 
     /// Executes one HTTP request.
     pub fn request(&mut self, now: u64, method: &str, path: &str, body: &str) -> StoreReply {
-        if self.down {
+        if self.is_down {
             return StoreReply::Immediate(503, json!({ "error": "trouble" }));
         }
         let body: Value = serde_json::from_str(body).unwrap_or(Value::Null);
@@ -169,7 +169,7 @@
             let prefix = parameter(path, "prefix").unwrap_or("").to_owned();
             let since = parameter(path, "since").and_then(|s| s.parse().ok()).unwrap_or(0);
             let wait: u64 = parameter(path, "waitMs").and_then(|s| s.parse().ok()).unwrap_or(0);
-            if since < self.kept_from {
+            if since < self.compacted_revision {
                 return StoreReply::Immediate(410, json!({ "error": "too old" }));
             }
             return match self.changes_since(&prefix, since) {
@@ -215,14 +215,17 @@
         let sizes = changes.iter().filter(|c| c["write"].is_string());
         let value = sizes.map(|c| c["value"].to_string().len()).max().unwrap_or(0);
         let conditions = body["if"].as_array().map_or(0, Vec::len);
-        if let Some((bytes, ops)) = self.limits
+        if let Some((bytes, ops)) = self.transaction_limits
             && (value > bytes || changes.len() > ops || conditions > 4 * ops)
         {
-            self.refused
+            self.oversized_transactions
                 .push(format!("{value} bytes, {} changes: {body}", changes.len()));
             return StoreReply::Immediate(400, json!({ "error": "too large" }));
         }
-        self.largest = (self.largest.0.max(value), self.largest.1.max(changes.len()));
+        self.largest_transaction = (
+            self.largest_transaction.0.max(value),
+            self.largest_transaction.1.max(changes.len()),
+        );
         let lost_lease = changes
             .iter()
             .filter_map(|c| c["permit"].as_u64())
@@ -249,12 +252,14 @@
 
     /// Takes this many changes from the token bucket of the rate limit. Returns whether the bucket had enough.
     fn take_rate_tokens(&mut self, now: u64, changes: usize) -> bool {
-        let Some(rate) = self.rate else { return true };
+        let Some(rate) = self.max_changes_per_s else {
+            return true;
+        };
         let elapsed_s = now.saturating_sub(self.rate_updated_ms) as f64 / 1000.0;
         self.rate_tokens = (self.rate_tokens + elapsed_s * rate).min(rate);
         self.rate_updated_ms = now;
         if self.rate_tokens < changes as f64 {
-            self.slowed += 1;
+            self.throttled_requests += 1;
             return false;
         }
         self.rate_tokens -= changes as f64;
--- a/crates/tidelatch-standin/src/worker.rs
+++ b/crates/tidelatch-standin/src/worker.rs
@@ -30,18 +30,18 @@
     /// Highest fencing token seen; orders with a lower one are ignored.
     pub token: u64,
     /// Its attempts, by task and attempt number.
-    pub tasks: BTreeMap<(String, u64), Attempt>,
+    pub attempts: BTreeMap<(String, u64), Attempt>,
     /// Start of its current lease, in milliseconds: when its session began or its last report was answered. On the
     /// loopback interface the time at which that report was sent counts.
     pub lease_start_ms: u64,
     /// Number of the controller that it reports to.
-    pub node: usize,
+    pub controller: usize,
     /// Whether it hangs: it makes no progress, sends nothing and answers nothing.
-    pub hanging: bool,
+    pub is_hanging: bool,
     /// Sequence number of the report whose answer it waits for.
-    pub waiting: Option<u64>,
+    pub unanswered_sequence: Option<u64>,
     /// Whether it fails every task that it starts.
-    pub sick: bool,
+    pub is_faulty: bool,
     /// Address at which it accepts commands. `None`: an address made from its name, for the simulated network.
     pub command_address: Option<String>,
 }
@@ -50,10 +50,10 @@
     /// Machine type of all workers.
     pub const MODEL: &'static str = "m2";
     /// Milliseconds that fetching an image takes.
-    pub const FETCH_MS: u64 = 1000;
+    pub const IMAGE_FETCH_MS: u64 = 1000;
 
     /// Creates a worker that has just booted and reports to this controller first.
-    pub fn new(name: &str, zone: &str, spot: bool, node: usize, now: u64) -> Self {
+    pub fn new(name: &str, zone: &str, spot: bool, controller: usize, now: u64) -> Self {
         Self {
             name: name.to_owned(),
             zone: zone.to_owned(),
@@ -61,12 +61,12 @@
             session: 1,
             sequence: 0,
             token: 0,
-            tasks: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             lease_start_ms: now,
-            node,
-            hanging: false,
-            waiting: None,
-            sick: false,
+            controller,
+            is_hanging: false,
+            unanswered_sequence: None,
+            is_faulty: false,
             command_address: None,
         }
     }
@@ -75,7 +75,7 @@
     pub fn report(&mut self) -> Value {
         self.sequence += 1;
         let tasks: Vec<Value> = self
-            .tasks
+            .attempts
             .iter()
             .map(|((task, attempt), a)| {
                 let mut v = json!({ "wagon": task, "run": attempt, "status": a.state });
@@ -98,7 +98,7 @@
 
     /// Returns whether it has an attempt of the task that has not ended.
     pub fn has_active_task(&self, task: &str) -> bool {
-        self.tasks.iter().any(|((t, _), a)| t == task && a.state != "ended")
+        self.attempts.iter().any(|((t, _), a)| t == task && a.state != "ended")
     }
 
     /// Executes one order. Returns the task and attempt if the order starts one. `begin_save` decides whether a running
@@ -113,23 +113,23 @@
         let key = (task.clone(), order["run"].as_u64().unwrap_or(0));
         match order["order"].as_str() {
             Some("start") => {
-                if self.tasks.contains_key(&key) {
+                if self.attempts.contains_key(&key) {
                     return None;
                 }
                 let already_running = self.has_active_task(&task);
-                self.tasks.insert(
+                self.attempts.insert(
                     key.clone(),
                     Attempt {
                         state: if already_running { "ended" } else { "pulling" },
                         cause: "busy",
-                        transition_ms: (!already_running).then_some(now + Self::FETCH_MS),
+                        transition_ms: (!already_running).then_some(now + Self::IMAGE_FETCH_MS),
                     },
                 );
                 (!already_running).then_some(key)
             }
             Some("kill") => {
                 let grace_s = order["leewayS"].as_f64().unwrap_or(0.0);
-                if let Some(a) = self.tasks.get_mut(&key).filter(|a| a.state != "ended") {
+                if let Some(a) = self.attempts.get_mut(&key).filter(|a| a.state != "ended") {
                     if a.state == "flushing" && grace_s > 0.0 {
                         return None;
                     }
@@ -145,8 +145,8 @@
                 None
             }
             Some("forget") => {
-                if self.tasks.get(&key).is_some_and(|a| a.state == "ended") {
-                    self.tasks.remove(&key);
+                if self.attempts.get(&key).is_some_and(|a| a.state == "ended") {
+                    self.attempts.remove(&key);
                 }
                 None
             }
@@ -156,7 +156,7 @@
 
     /// Begins the next session after its lease has ended: all its attempts are killed and forgotten.
     pub fn start_next_session(&mut self, now: u64) {
-        self.tasks.clear();
+        self.attempts.clear();
         self.session += 1;
         self.sequence = 0;
         self.lease_start_ms = now;
--- a/crates/tidelatch-standin/src/world/calls.rs
+++ b/crates/tidelatch-standin/src/world/calls.rs
@@ -138,7 +138,7 @@
         if !self.is_current(from.controller, from.incarnation) {
             return;
         }
-        let is_blocked = self.store.down
+        let is_blocked = self.store.is_down
             || self
                 .controllers
                 .get(from.controller)
--- a/crates/tidelatch-standin/src/world/gangs.rs
+++ b/crates/tidelatch-standin/src/world/gangs.rs
@@ -40,7 +40,7 @@
     fn gangs_on_machines(&self) -> BTreeSet<(String, u64)> {
         let mut keys = BTreeSet::new();
         for w in self.workers.values() {
-            for ((task, attempt), _) in w.tasks.iter().filter(|(_, a)| a.state != "ended") {
+            for ((task, attempt), _) in w.attempts.iter().filter(|(_, a)| a.state != "ended") {
                 let job = task.split('/').next().unwrap_or_default();
                 if self.jobs.get(job).is_some_and(|j| j["shape"] == "group") {
                     keys.insert((job.to_owned(), *attempt));
@@ -63,7 +63,7 @@
             let can_report = self
                 .workers
                 .get(&name)
-                .is_some_and(|w| !w.hanging && w.waiting.is_none());
+                .is_some_and(|w| !w.is_hanging && w.unanswered_sequence.is_none());
             if can_report && !reported_recently {
                 self.gang_reported_at.insert(name.clone(), now);
                 self.send_report(&name);
--- a/crates/tidelatch-standin/src/world/reports.rs
+++ b/crates/tidelatch-standin/src/world/reports.rs
@@ -18,8 +18,8 @@
     pub(super) fn send_report(&mut self, name: &str) {
         let Some(w) = self.workers.get_mut(name) else { return };
         let body = w.report().to_string();
-        let (controller, sequence) = (w.node, w.sequence);
-        w.waiting = Some(sequence);
+        let (controller, sequence) = (w.controller, w.sequence);
+        w.unanswered_sequence = Some(sequence);
         let to = format!("berth-{controller}");
         let delivery = self.decide_delivery(name, &to, "POST /agent/beat", &body);
         self.sent.beats += 1;
@@ -87,10 +87,10 @@
     pub(super) fn receive_report_answer(&mut self, name: &str, sequence: u64, result: Option<(u16, String)>) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(name) else { return };
-        if w.waiting != Some(sequence) || w.hanging {
+        if w.unanswered_sequence != Some(sequence) || w.is_hanging {
             return;
         }
-        w.waiting = None;
+        w.unanswered_sequence = None;
         let mut started = Vec::new();
         match result {
             Some((200, body)) => {
@@ -113,9 +113,9 @@
                 let to = serde_json::from_str::<Value>(&body)
                     .ok()
                     .and_then(|v| v["dispatcher"].as_str()?.strip_prefix("berth-")?.parse().ok());
-                w.node = to.unwrap_or((w.node + 1) % self.controllers.len());
+                w.controller = to.unwrap_or((w.controller + 1) % self.controllers.len());
             }
-            _ => w.node = (w.node + 1) % self.controllers.len(),
+            _ => w.controller = (w.controller + 1) % self.controllers.len(),
         }
         self.record_starts(name, &started);
     }
--- a/crates/tidelatch-standin/src/world/rules.rs
+++ b/crates/tidelatch-standin/src/world/rules.rs
@@ -87,7 +87,7 @@
             zone: w.zone.clone(),
             spot: w.spot,
         };
-        let is_active = |key: &(String, u64)| w.tasks.get(key).is_some_and(|a| a.state != "ended");
+        let is_active = |key: &(String, u64)| w.attempts.get(key).is_some_and(|a| a.state != "ended");
         let known: BTreeMap<(String, u64), bool> = self
             .checker
             .on_machine(name)
@@ -100,7 +100,7 @@
         for (task, attempt) in started {
             self.checker.record_start(now, name, task, *attempt);
         }
-        for (key, a) in &w.tasks {
+        for (key, a) in &w.attempts {
             let (task, attempt) = key;
             let image = known.get(key);
             if a.state == "ended" {
--- a/crates/tidelatch-standin/src/world/workers.rs
+++ b/crates/tidelatch-standin/src/world/workers.rs
@@ -28,7 +28,7 @@
     /// Executes a direct command at a worker. Returns status and body, or `None` if the worker does not answer.
     pub(super) fn direct_command(&mut self, machine: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let now = self.now;
-        let w = self.workers.get_mut(machine).filter(|w| !w.hanging)?;
+        let w = self.workers.get_mut(machine).filter(|w| !w.is_hanging)?;
         if path == "/status" {
             return Some((200, w.report().to_string()));
         }
@@ -57,10 +57,10 @@
         let now = self.now;
         let Some(w) = self.workers.get_mut(name) else { return };
         let mut finished = Vec::new();
-        if !w.hanging {
+        if !w.is_hanging {
             if now > w.lease_start_ms + WORKER_LEASE_MS {
                 w.start_next_session(now);
-                w.waiting = None;
+                w.unanswered_sequence = None;
             }
             let run_time = ArrayRunTime {
                 run_ms: self.run_ms,
@@ -75,7 +75,7 @@
         let due = self
             .workers
             .get(name)
-            .is_some_and(|w| !w.hanging && w.waiting.is_none());
+            .is_some_and(|w| !w.is_hanging && w.unanswered_sequence.is_none());
         if due {
             self.send_report(name);
         }
@@ -90,7 +90,7 @@
         let mut begin_save =
             |task: &str, attempt: u64, grace_s: f64| begin_task_stop(gangs, jobs, (task, attempt, grace_s), now);
         if let Some(w) = self.workers.get_mut(machine) {
-            for (task, attempt) in w.tasks.keys().cloned().collect::<Vec<_>>() {
+            for (task, attempt) in w.attempts.keys().cloned().collect::<Vec<_>>() {
                 let order = json!({ "order": "kill", "wagon": task, "run": attempt, "leewayS": grace_s });
                 w.execute_order(&order, now, &mut begin_save);
             }
@@ -112,7 +112,7 @@
         let prefix = format!("{id}/");
         self.workers
             .values()
-            .flat_map(|w| w.tasks.iter())
+            .flat_map(|w| w.attempts.iter())
             .filter(|((t, _), a)| t.starts_with(&prefix) && a.state == "running")
             .count()
     }
@@ -121,7 +121,7 @@
     pub fn machines_by_running_task(&self) -> BTreeMap<String, String> {
         let mut units = BTreeMap::new();
         for worker in self.workers.values() {
-            let running = worker.tasks.iter().filter(|(_, attempt)| attempt.state == "running");
+            let running = worker.attempts.iter().filter(|(_, attempt)| attempt.state == "running");
             units.extend(running.map(|((task, _), _)| (task.clone(), worker.name.clone())));
         }
         units
@@ -133,7 +133,7 @@
         self.workers
             .values()
             .filter(|w| {
-                w.tasks
+                w.attempts
                     .iter()
                     .any(|((t, _), a)| t.starts_with(&prefix) && a.state != "ended")
             })
@@ -168,8 +168,8 @@
     now: u64,
 ) -> Vec<String> {
     let mut finished = Vec::new();
-    let is_faulty = worker.sick;
-    for ((task, _), attempt) in &mut worker.tasks {
+    let is_faulty = worker.is_faulty;
+    for ((task, _), attempt) in &mut worker.attempts {
         let job = task.split('/').next().and_then(|j| jobs.get(j));
         let gang = job.is_some_and(|j| j["shape"] == "group");
         if is_faulty && attempt.state != "ended" {
--- a/crates/tidelatch-standin/tests/acceptance.rs
+++ b/crates/tidelatch-standin/tests/acceptance.rs
@@ -115,7 +115,7 @@
             ..Size::default()
         },
     );
-    world.store.rate = Some(25.0);
+    world.store.max_changes_per_s = Some(25.0);
     world
 }
 
@@ -181,7 +181,7 @@
         batch_retry_per_report: 0.01,
         ..Operator::default()
     });
-    world.cloud.most = 1;
+    world.cloud.max_machines = 1;
     world.run_ms = 600_000;
     world.run_for(3000);
     let mut statuses = Vec::new();
@@ -288,11 +288,11 @@
         ..Size::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
-    world.store.rate = Some(LOW_WRITE_RPS);
-    world.cloud.most = MAX_MACHINES;
+    world.store.max_changes_per_s = Some(LOW_WRITE_RPS);
+    world.cloud.max_machines = MAX_MACHINES;
     let staggered_boots =
         (0..MAX_MACHINES as u64).map(|i| Some(Cloud::BOOT_MS + i * BOOT_SPREAD_MS / MAX_MACHINES as u64));
-    world.cloud.next_boots = staggered_boots.collect();
+    world.cloud.next_boot_times_ms = staggered_boots.collect();
     world.run_ms = MIN_TASK_MS;
     world.uneven = true;
     world.run_for(5000);
@@ -388,7 +388,7 @@
     // controller, and each of them assumes that the others are served.
     let mut world = World::new();
     world.run_for(5000);
-    world.store.down = true;
+    world.store.is_down = true;
     let passed_on = Rc::new(Cell::new(0));
     let count = passed_on.clone();
     world.set_fault_injector(move |m| {
--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -67,7 +67,7 @@
     let name = format!("berth-{refused}");
     world.write_trace(&format!("the state service refuses {name}"));
     for w in world.workers.values_mut() {
-        w.node = refused;
+        w.controller = refused;
     }
     let only_refused_reachable = scenario.only_refused_reachable;
     let loses_hellos = Rc::new(Cell::new(false));
@@ -100,7 +100,7 @@
     }
     world.run_for(scenario.cancelled_ms);
     world.write_trace("the state service is down");
-    world.store.down = true;
+    world.store.is_down = true;
     world.run_for(20);
     loses_hellos.set(scenario.hello_loss == HelloLoss::LostToRefused && scenario.confirmer == ConfirmerFate::Survives);
     match scenario.confirmer {
@@ -121,7 +121,7 @@
     }
     world.run_for(scenario.outage_ms);
     world.write_trace("the state service is back");
-    world.store.down = false;
+    world.store.is_down = false;
     world.clear_fault_injector();
     if scenario.confirmer == ConfirmerFate::Freezes {
         world.resume(confirming);
@@ -241,7 +241,7 @@
         let (refused, writer) = (world.owner_of_team(0), world.owner_of_team(1));
         let reader = 3 - refused - writer;
         let (refused_name, writer_name) = (format!("berth-{refused}"), format!("berth-{writer}"));
-        world.workers.values_mut().for_each(|w| w.node = refused);
+        world.workers.values_mut().for_each(|w| w.controller = refused);
         world.set_fault_injector(move |l| {
             let worker = |who: &str| who.starts_with("n-");
             let elsewhere = only_refused_reachable
@@ -263,13 +263,13 @@
         let poll = world.poll(reader, "job-000002");
         world.run_for(30);
         world.write_trace("the state service is down");
-        world.store.down = true;
+        world.store.is_down = true;
         let crashed = if reader_crashes { reader } else { writer };
         world.crash_controller(crashed);
         world.run_for(300);
         world.start_controller(crashed);
         world.run_for(58_500);
-        world.store.down = false;
+        world.store.is_down = false;
         world.clear_fault_injector();
         world.run_for(10_000);
         assert_eq!(world.job_status(poll), "withdrawn", "{}", world.trace());
@@ -306,7 +306,7 @@
         assert_eq!(machines.len(), 2);
         for m in machines.iter().take(hanging) {
             world.write_trace(&format!("{m} hangs"));
-            world.workers.get_mut(m).expect("a worker").hanging = true;
+            world.workers.get_mut(m).expect("a worker").is_hanging = true;
         }
         let cancellation = world.cancel(owner, "job-000001");
         world.run_for(20);
@@ -347,7 +347,7 @@
         .first()
         .cloned()
         .expect("the job runs on a machine");
-    world.workers.get_mut(&machine).expect("a worker").node = elsewhere;
+    world.workers.get_mut(&machine).expect("a worker").controller = elsewhere;
     let answered = Rc::new(Cell::new(0));
     let (name, count) = (machine.clone(), answered.clone());
     // Reports that are passed on and direct commands are lost. One report of the machine is answered.
--- a/crates/tidelatch-standin/tests/compound_fault_regressions.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_regressions.rs
@@ -222,7 +222,7 @@
                 .cloned()
                 .expect("the job runs on a machine");
             world.write_trace(&format!("{machine} hangs"));
-            world.workers.get_mut(&machine).expect("a worker").hanging = true;
+            world.workers.get_mut(&machine).expect("a worker").is_hanging = true;
             hanging.push(machine);
         }
         for n in 1..=3 {
@@ -366,7 +366,7 @@
             .cloned()
             .expect("the job runs on a machine");
         world.write_trace(&format!("{dead} dies"));
-        world.workers.get_mut(&dead).expect("a worker").hanging = true;
+        world.workers.get_mut(&dead).expect("a worker").is_hanging = true;
         let owner = world.owner_of_team(0);
         // Copies of earlier reports go on arriving.
         let (machine, count) = (dead.clone(), std::cell::Cell::new(0));
@@ -410,7 +410,7 @@
             ..Size::default()
         },
     );
-    world.cloud.most = 120;
+    world.cloud.max_machines = 120;
     world.run_ms = 6000;
     world.run_for(3000);
     world.submit_until_accepted(0, &job(9001, 1, "standing", 4));
--- a/crates/tidelatch-standin/tests/compound_faults_answers.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_answers.rs
@@ -118,11 +118,11 @@
             world.run_for(2950);
             send_requests(&mut world, 50 + refused_ms);
             world.write_trace("the state service is down");
-            world.store.down = true;
+            world.store.is_down = true;
             world.cancel(refused, "job-000002");
             send_requests(&mut world, 300);
             world.run_for(CANCEL_MS + 7000);
-            world.store.down = false;
+            world.store.is_down = false;
             world.clear_fault_injector();
             send_requests(&mut world, 2000);
             assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000001"), "withdrawn", "{case:?}");
--- a/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
@@ -24,7 +24,7 @@
             let others = [(cut_off + 1) % 3, (cut_off + 2) % 3];
             let name = format!("berth-{cut_off}");
             world.write_trace(&format!("{name} is cut from the state service and its peers"));
-            world.workers.values_mut().for_each(|w| w.node = cut_off);
+            world.workers.values_mut().for_each(|w| w.controller = cut_off);
             let mut cut_off_fault = faults::isolate_controller(cut_off);
             world.set_fault_injector(move |l| {
                 let worker = |who: &str| who.starts_with("n-");
@@ -130,7 +130,7 @@
             let machine = world.machines_of("job-000001")[0].clone();
             if hang_ms > 0 {
                 world.write_trace(&format!("{machine} hangs"));
-                world.workers.get_mut(&machine).expect("a worker").hanging = true;
+                world.workers.get_mut(&machine).expect("a worker").is_hanging = true;
             }
             // That machine has room, so the start is sent there directly.
             world.submit_until_accepted(0, &job(2, 0, "sweep", 1));
@@ -138,7 +138,7 @@
             assert_eq!(cancel(&mut world, &[0, 1, 2], "job-000002"), "withdrawn", "{case:?}");
             world.run_for(hang_ms);
             if let Some(w) = world.workers.get_mut(&machine) {
-                w.hanging = false;
+                w.is_hanging = false;
             }
             world.write_trace(&format!("{machine} goes on"));
             world.run_for(60_000);
@@ -172,7 +172,7 @@
                     "cut" => world.set_fault_injector(cut_off_machines(&machines)),
                     "deaf" => world.set_fault_injector(for_each_machine(&machines, faults::lose_messages_to_machine)),
                     _ => machines.iter().for_each(|m| {
-                        world.workers.get_mut(m).expect("a worker").hanging = true;
+                        world.workers.get_mut(m).expect("a worker").is_hanging = true;
                     }),
                 }
                 let owner = world.owner_of_team(0);
@@ -191,7 +191,7 @@
                 world.clear_fault_injector();
                 for m in &machines {
                     if let Some(w) = world.workers.get_mut(m) {
-                        w.hanging = false;
+                        w.is_hanging = false;
                     }
                 }
                 let has_recovered = |w: &World| w.running_tasks("job-000002") == 4;
@@ -256,14 +256,14 @@
                 .values_mut()
                 .filter(|w| w.zone == "b")
                 .map(|w| {
-                    w.node = inside;
+                    w.controller = inside;
                     w.name.clone()
                 })
                 .chain([format!("berth-{inside}")])
                 .collect();
             assert!(zone.len() > 4, "{zone:?}");
             world.write_trace(&format!("cut off: {zone:?}"));
-            world.cloud.most_in_zone.insert("b".into(), 0);
+            world.cloud.max_machines_by_zone.insert("b".into(), 0);
             world.set_fault_injector(move |l| {
                 let is_inside = |who: &str| zone.iter().any(|z| z == who);
                 if is_inside(l.from) == is_inside(l.to) {
@@ -277,7 +277,7 @@
             assert_eq!(cancel(&mut world, &outside, "job-000001"), "withdrawn", "{case:?}");
             world.run_for(cut_ms);
             world.clear_fault_injector();
-            world.cloud.most_in_zone.clear();
+            world.cloud.max_machines_by_zone.clear();
             world.run_for(CANCEL_MS + 2000);
             assert_gone_in_time(&world, "job-000001", case);
             let has_recovered =
--- a/crates/tidelatch-standin/tests/compound_faults_placement.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_placement.rs
@@ -47,12 +47,12 @@
                 if !has_room {
                     // No further machine can be rented in that zone.
                     let zone = world.workers[&lost[0]].zone.clone();
-                    world.cloud.most_in_zone.insert(zone, 0);
+                    world.cloud.max_machines_by_zone.insert(zone, 0);
                 }
                 world.write_trace(&format!("{fault}: {lost:?}"));
                 for name in &lost {
                     match fault {
-                        "hang" => world.workers.get_mut(name).expect("a worker").hanging = true,
+                        "hang" => world.workers.get_mut(name).expect("a worker").is_hanging = true,
                         "taken" => {
                             world.workers.remove(name);
                             world.cloud.machines.remove(name);
@@ -73,10 +73,10 @@
                 world.clear_fault_injector();
                 for name in &lost {
                     if let Some(w) = world.workers.get_mut(name) {
-                        w.hanging = false;
+                        w.is_hanging = false;
                     }
                 }
-                world.cloud.most_in_zone.clear();
+                world.cloud.max_machines_by_zone.clear();
                 let are_done = |w: &World| {
                     ["job-000001", "job-000002"]
                         .iter()
@@ -104,7 +104,7 @@
             .collect();
         let mut world = World::new();
         world.run_ms = 9000;
-        world.cloud.most = 8;
+        world.cloud.max_machines = 8;
         world.run_for(3000);
         for (i, body) in jobs.iter().enumerate() {
             world.submit_until_accepted(i % 3, body);
@@ -155,7 +155,7 @@
                     .map(|j| tasks_of_job(&world, job_id(j)))
                     .sum();
                 let is_waiting = tasks_of_job(&world, id) == 0 && !world.checker().is_job_done(id);
-                let has_room = world.workers.values().any(|w| !w.hanging && tasks_on_machine(w) < 2);
+                let has_room = world.workers.values().any(|w| !w.is_hanging && tasks_on_machine(w) < 2);
                 if is_waiting && has_room && used < 4 {
                     let waiting_since: u64 = *waiting_since_by_job[i].get_or_insert(world.now);
                     assert!(
@@ -192,13 +192,13 @@
 
 /// Tasks on a machine that have not ended.
 fn tasks_on_machine(worker: &Worker) -> usize {
-    worker.tasks.values().filter(|a| a.state != "ended").count()
+    worker.attempts.values().filter(|a| a.state != "ended").count()
 }
 
 /// Tasks of a job that are on machines and have not ended.
 fn tasks_of_job(world: &World, id: &str) -> usize {
     let prefix = format!("{id}/");
-    let tasks = world.workers.values().flat_map(|w| &w.tasks);
+    let tasks = world.workers.values().flat_map(|w| &w.attempts);
     tasks
         .filter(|((task, _), a)| task.starts_with(&prefix) && a.state != "ended")
         .count()
@@ -214,7 +214,7 @@
             let case = (shape, restarts_owner);
             let mut world = World::new();
             world.run_ms = 600_000;
-            world.cloud.most = 2;
+            world.cloud.max_machines = 2;
             world.run_for(3000);
             world.submit_until_accepted(0, &job(1, 0, shape, 1));
             let first_runs = world.run_until(30_000, |w| w.running_tasks("job-000001") == 1);
--- a/crates/tidelatch-standin/tests/compound_faults_requests.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_requests.rs
@@ -123,7 +123,7 @@
     // is down.
     for (i, body) in invalid_of_accepted.iter().enumerate() {
         let controller = i % 3;
-        world.store.down = i % 4 == 3;
+        world.store.is_down = i % 4 == 3;
         if i % 5 == 4 {
             world.crash_controller(controller);
             world.run_for(20);
@@ -138,7 +138,7 @@
             assert!(matches!(status, 0 | 200 | 503), "{status}\n{}", world.trace());
         }
     }
-    world.store.down = false;
+    world.store.is_down = false;
     world.run_for(20_000);
     for controller in 0..3 {
         let of_ended_job = [
--- a/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
@@ -23,10 +23,10 @@
             for i in 0..10 {
                 if outage && i == 3 {
                     world.write_trace("the state service is down");
-                    world.store.down = true;
+                    world.store.is_down = true;
                 }
                 if i == 6 {
-                    world.store.down = false;
+                    world.store.is_down = false;
                 }
                 // If the leader key is gone, a controller that may become leader is restarted instead.
                 let crashed = leader(&world).unwrap_or(i % 3);
@@ -113,7 +113,7 @@
                 let owner = world.owner_of_team(0);
                 let next_owner = (owner + 1) % 3;
                 for (i, w) in world.workers.values_mut().enumerate() {
-                    w.node = (next_owner + i % 2) % 3;
+                    w.controller = (next_owner + i % 2) % 3;
                 }
                 // At least one report of each machine is from before the start of its further task.
                 let until = world.now + 2600;
--- a/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
+++ b/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
@@ -25,7 +25,7 @@
             ..Size::default()
         },
     );
-    world.cloud.most = 120;
+    world.cloud.max_machines = 120;
     world.run_ms = 40_000;
     world.run_for(3000);
     for i in 0..3 {
@@ -50,7 +50,7 @@
     let hang = |world: &mut World, third: usize, hanging: bool| {
         for name in names.iter().enumerate().filter(|(i, _)| i % 3 == third).map(|(_, n)| n) {
             if let Some(w) = world.workers.get_mut(name) {
-                w.hanging = hanging;
+                w.is_hanging = hanging;
             }
         }
     };
@@ -95,7 +95,7 @@
             ..Size::default()
         },
     );
-    world.cloud.most = 60;
+    world.cloud.max_machines = 60;
     world.run_for(3000);
     for i in 0..3 {
         let mut service = job(i, i, "standing", 8);
@@ -107,7 +107,7 @@
     world.run_for(5000);
     let failed_machine = world.machines_of("job-000000").first().cloned().expect("it runs");
     if let Some(w) = world.workers.get_mut(&failed_machine) {
-        w.hanging = true;
+        w.is_hanging = true;
     }
     world.write_trace(&format!("{failed_machine} fails"));
     let owner = world.owner_of_team(0);
@@ -150,7 +150,7 @@
     world.run_for(3000);
     let failed_machine = world.machines_of("job-000002").first().cloned().expect("it runs");
     if let Some(w) = world.workers.get_mut(&failed_machine) {
-        w.hanging = true;
+        w.is_hanging = true;
     }
     let owner = world.owner_of_team(0);
     world.crash_controller(owner);
@@ -177,10 +177,10 @@
         "{}",
         world.trace()
     );
-    world.store.down = true;
+    world.store.is_down = true;
     world.run_for(40_000);
     assert!(world.cloud.deleted.is_empty(), "{}", world.trace());
-    world.store.down = false;
+    world.store.is_down = false;
     let done = |w: &World| w.store.get("t/j/job-000001").is_some_and(|j| j["st"] == "done");
     assert!(world.run_until(60_000, done), "{}", world.trace());
     assert_eq!(world.checker().start_order_count(), 4, "{}", world.trace());
--- a/crates/tidelatch-standin/tests/drain_support/mod.rs
+++ b/crates/tidelatch-standin/tests/drain_support/mod.rs
@@ -56,7 +56,7 @@
             ..Size::default()
         };
         let mut world = World::with_size(&operator(&json!({})), size);
-        world.cloud.most = 60;
+        world.cloud.max_machines = 60;
         world.run_for(5_000);
         let mut deployment = Self {
             world,
--- a/crates/tidelatch-standin/tests/drains.rs
+++ b/crates/tidelatch-standin/tests/drains.rs
@@ -141,7 +141,11 @@
 fn late_and_missing_replacements_exceed_no_budget() {
     let mut deployment = start_with_drain();
     // Of the first three replacements two never come up and one takes four times as long as usual.
-    deployment.world.cloud.next_boots.extend([None, Some(12_000), None]);
+    deployment
+        .world
+        .cloud
+        .next_boot_times_ms
+        .extend([None, Some(12_000), None]);
     deployment.assert_drain_ends("all", "late replacements");
     assert!(
         deployment.count_trace_lines("never came up") > 0,
@@ -173,7 +177,7 @@
 #[test]
 fn a_drain_waits_while_the_cloud_has_no_machines() {
     let mut deployment = Deployment::start(3);
-    deployment.world.cloud.most = deployment.world.cloud.machines.len();
+    deployment.world.cloud.max_machines = deployment.world.cloud.machines.len();
     let drain = json!({ "name": "all", "surge": 2, "max_machines": 2 });
     deployment.restart_all(&with_drain(&drain));
     deployment.run(120_000);
@@ -183,7 +187,7 @@
         "{}",
         deployment.trace()
     );
-    deployment.world.cloud.most = 60;
+    deployment.world.cloud.max_machines = 60;
     deployment.assert_drain_ends("all", "no machines in the cloud");
 }
 
@@ -520,7 +524,7 @@
     deployment.recorder.record_job_end(&service);
     deployment.services.remove(2);
     deployment.run(20_000);
-    deployment.world.cloud.most = deployment.world.cloud.machines.len();
+    deployment.world.cloud.max_machines = deployment.world.cloud.machines.len();
     deployment.submit_array(501, 1, 6);
     let is_used = |d: &Deployment| {
         cordoned
--- a/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
+++ b/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
@@ -29,7 +29,7 @@
 /// them.
 fn with_shared_machine() -> SharedMachine {
     let mut world = World::with_operator(&operator(&json!({})));
-    world.cloud.most = 2;
+    world.cloud.max_machines = 2;
     world.run_for(3_000);
     for (team, id) in (0..).zip(SERVICES) {
         world.submit_until_accepted(0, &job(team + 1, team, "standing", 1));
@@ -71,7 +71,7 @@
     /// Crashes all controllers and restarts them with a drain of all machines. From here on the cloud has machines for
     /// replacements.
     fn restart_all_with_drain(&mut self, operator: &Operator) {
-        self.world.cloud.most = 6;
+        self.world.cloud.max_machines = 6;
         for controller in 0..3 {
             self.world.crash_controller(controller);
             self.world.set_operator(controller, operator);
@@ -245,7 +245,7 @@
 /// partition 2.
 fn with_one_replica_on_a_machine_of_partition_2() -> (World, String) {
     let mut world = World::with_operator(&operator(&json!({})));
-    world.cloud.most = 3;
+    world.cloud.max_machines = 3;
     world.run_for(3_000);
     let sized = |id, team, tasks, cpus: f64| {
         let mut service = job(id, team, "standing", tasks);
--- a/crates/tidelatch-standin/tests/drains_under_faults.rs
+++ b/crates/tidelatch-standin/tests/drains_under_faults.rs
@@ -75,9 +75,9 @@
             deployment.world.resume(controller);
         }
         4 => {
-            deployment.world.store.down = true;
+            deployment.world.store.is_down = true;
             deployment.run(duration_ms / 2);
-            deployment.world.store.down = false;
+            deployment.world.store.is_down = false;
         }
         5 => {
             let machines: Vec<String> = deployment.world.workers.keys().cloned().collect();
--- a/crates/tidelatch-standin/tests/failing_jobs.rs
+++ b/crates/tidelatch-standin/tests/failing_jobs.rs
@@ -59,7 +59,7 @@
 fn a_failing_array_is_distinguished_from_a_faulty_machine() {
     let mut world = start();
     // As many machines as the team may fill: without the faulty one some of its work would have to wait.
-    world.cloud.most = 12;
+    world.cloud.max_machines = 12;
     for id in [2, 3] {
         world.submit_until_accepted(0, &job(id, 0, "sweep", 60));
     }
@@ -67,7 +67,7 @@
     assert!(world.run_until(30_000, running), "{}", world.trace());
     let faulty_machine = world.machines_of("job-000002").first().cloned().expect("it runs");
     if let Some(w) = world.workers.get_mut(&faulty_machine) {
-        w.sick = true;
+        w.is_faulty = true;
     }
     world.submit_until_accepted(1, &failing_array(1, 60));
     let done = |w: &World| is_done(w, "job-000002") && is_done(w, "job-000003");
@@ -174,7 +174,7 @@
     let machines = world.machines_of("job-000002");
     for id in machines.iter().take(4) {
         if let Some(w) = world.workers.get_mut(id) {
-            w.sick = true;
+            w.is_faulty = true;
         }
     }
     assert!(
@@ -195,7 +195,7 @@
 #[test]
 fn a_one_task_job_that_fails_on_faulty_machines_is_retried_on_others() {
     let mut world = start();
-    world.cloud.most = 8;
+    world.cloud.max_machines = 8;
     world.submit_until_accepted(0, &job(2, 0, "sweep", 16));
     let machines = |w: &World| w.machines_of("job-000002");
     assert!(world.run_until(40_000, |w| machines(w).len() == 8), "{}", world.trace());
@@ -209,7 +209,7 @@
     for faulty_positions in [[0, 1, 2, 3], [4, 5, 6, 7], [0, 2, 4, 6], [1, 3, 5, 7]] {
         for (index, name) in all.iter().enumerate() {
             if let Some(worker) = world.workers.get_mut(name) {
-                worker.sick = faulty_positions.contains(&index);
+                worker.is_faulty = faulty_positions.contains(&index);
             }
         }
         let id = 10 + faulty_positions[0] * 10 + faulty_positions[1];
--- a/crates/tidelatch-standin/tests/failure_detection.rs
+++ b/crates/tidelatch-standin/tests/failure_detection.rs
@@ -30,7 +30,7 @@
         ..Size::default()
     };
     let mut world = World::with_size(operator, size);
-    world.cloud.most = 60;
+    world.cloud.max_machines = 60;
     world.run_for(5_000);
     for team in 0..controllers as u32 {
         world.submit_until_accepted(0, &job(team, team, "standing", 2));
@@ -217,7 +217,7 @@
         ..Size::default()
     };
     let mut world = World::with_size(&with_failure_detection(), size);
-    world.cloud.most = 4;
+    world.cloud.max_machines = 4;
     world.run_ms = 60_000;
     world.run_for(3_000);
     world.submit_until_accepted(0, &job(101, 1, "sweep", 8));
--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -476,7 +476,7 @@
         }
     });
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
-    world.cloud.down = true;
+    world.cloud.is_down = true;
     world.run_for(60_000);
     let confirmations = world.answers.values().filter(|(_, a)| a.body.contains("withdrawn"));
     let confirmed_at = confirmations
--- a/crates/tidelatch-standin/tests/gangs.rs
+++ b/crates/tidelatch-standin/tests/gangs.rs
@@ -69,7 +69,7 @@
 /// Returns the attempts of a task on all workers: machine, number and state.
 fn attempts_of(world: &World, task: &str) -> Vec<(String, u64, &'static str)> {
     let all = world.workers.values().flat_map(|w| {
-        let tasks = w.tasks.iter().filter(|((t, _), _)| t == task);
+        let tasks = w.attempts.iter().filter(|((t, _), _)| t == task);
         tasks
             .map(|((_, n), a)| (w.name.clone(), *n, a.state))
             .collect::<Vec<_>>()
@@ -106,7 +106,7 @@
     // One of its tasks cannot run: its machine hangs.
     let machine = machines.first().cloned().expect("a task was placed");
     if let Some(w) = world.workers.get_mut(&machine) {
-        w.hanging = true;
+        w.is_hanging = true;
     }
     world.run_for(3000);
     assert_eq!(world.running_tasks(GANG), 0);
@@ -156,7 +156,7 @@
         .and_then(|line| line.split(" to ").nth(1)?.split(',').next().map(str::to_owned))
         .expect("a start was delayed");
     if let Some(w) = world.workers.get_mut(&machine) {
-        w.hanging = true;
+        w.is_hanging = true;
     }
     assert!(
         world.run_until(40_000, |w| w.running_tasks(GANG) == 2),
@@ -218,13 +218,13 @@
     let mut world = start_with_gang();
     let machine = world.machines_of(GANG).first().cloned().expect("it runs");
     if let Some(w) = world.workers.get_mut(&machine) {
-        w.hanging = true;
+        w.is_hanging = true;
     }
     world.run_for(30_000);
     assert!(world.cloud.deleted.contains(&machine), "{}", world.trace());
     assert_eq!(world.running_tasks(GANG), 4, "{}", world.trace());
     assert!(
-        world.gangs.saved_ms.contains_key(GANG),
+        world.gangs.saved_progress_ms.contains_key(GANG),
         "the gang should have saved a checkpoint"
     );
     assert_trace(&world, "gang_hanging_machine");
@@ -271,16 +271,16 @@
 #[test]
 fn a_preempted_gang_stops_as_a_whole_and_saves_its_progress() {
     let mut world = start_with_gang();
-    world.cloud.most = world.cloud.machines.len();
-    let before = world.gangs.saved_ms.get(GANG).copied().unwrap_or(0);
+    world.cloud.max_machines = world.cloud.machines.len();
+    let before = world.gangs.saved_progress_ms.get(GANG).copied().unwrap_or(0);
     submit_competing_services(&mut world);
     assert!(
         world.run_until(30_000, |w| w.trace().contains("is saved at")),
         "{}",
         world.trace()
     );
-    assert!(world.gangs.saved_ms.get(GANG).copied().unwrap_or(0) > before);
-    world.cloud.most = 20;
+    assert!(world.gangs.saved_progress_ms.get(GANG).copied().unwrap_or(0) > before);
+    world.cloud.max_machines = 20;
     world.run_ms = 15_000;
     assert!(is_done_within(&mut world, 120_000), "{}", world.trace());
     assert_trace(&world, "gang_orderly_stop");
@@ -290,7 +290,7 @@
 #[test]
 fn a_stop_that_misses_one_task_costs_only_the_work_since_the_last_checkpoint() {
     let mut world = start_with_gang();
-    world.cloud.most = world.cloud.machines.len();
+    world.cloud.max_machines = world.cloud.machines.len();
     let unresponsive = world.machines_of(GANG).last().cloned().expect("it runs");
     world.set_fault_injector(move |message| {
         let is_stop = message.to == unresponsive && message.body.contains("kill");
@@ -299,7 +299,7 @@
     submit_competing_services(&mut world);
     world.run_for(15_000);
     world.clear_fault_injector();
-    world.cloud.most = 20;
+    world.cloud.max_machines = 20;
     world.run_ms = 15_000;
     assert!(is_done_within(&mut world, 120_000), "{}", world.trace());
     assert_trace(&world, "gang_stop_that_does_not_reach_all");
@@ -331,7 +331,7 @@
     let machines = submit_until_gathering(&mut world);
     let machine = machines.first().cloned().expect("a task was placed");
     if let Some(w) = world.workers.get_mut(&machine) {
-        w.hanging = true;
+        w.is_hanging = true;
     }
     world.run_for(1000);
     let cancellation = world.cancel(2, GANG);
@@ -364,7 +364,7 @@
         let is_cut = cut.iter().any(|m| m == message.from || m == message.to);
         if is_cut { Delivery::Lost } else { Delivery::Pass }
     });
-    world.cloud.most_in_zone.insert(zone, 0);
+    world.cloud.max_machines_by_zone.insert(zone, 0);
     world.run_for(60_000);
     world.clear_fault_injector();
     world.run_ms = 1000;
@@ -416,7 +416,7 @@
 #[test]
 fn a_takeover_during_a_stop_stops_the_remaining_tasks() {
     let mut world = start_with_gang();
-    world.cloud.most = world.cloud.machines.len();
+    world.cloud.max_machines = world.cloud.machines.len();
     submit_competing_services(&mut world);
     assert!(
         world.run_until(30_000, |w| attempts_of(w, "job-000001/0")
@@ -430,7 +430,7 @@
     world.run_for(300);
     world.start_controller(owner);
     world.run_for(20_000);
-    world.cloud.most = 20;
+    world.cloud.max_machines = 20;
     world.run_ms = 15_000;
     assert!(is_done_within(&mut world, 120_000), "{}", world.trace());
     assert_no_breaches(&world);
@@ -440,7 +440,7 @@
 #[test]
 fn two_gangs_that_need_the_same_machines_run_one_after_the_other() {
     let mut world = start_with_service();
-    world.cloud.most = world.cloud.machines.len();
+    world.cloud.max_machines = world.cloud.machines.len();
     let [mut large, mut other] = [gang(1, 0, 4), gang(2, 0, 3)];
     large["yard"] = serde_json::json!("a");
     other["yard"] = serde_json::json!("a");
@@ -464,7 +464,7 @@
     let machines = submit_until_gathering(&mut world);
     let machine = machines.first().cloned().expect("a task was placed");
     if let Some(w) = world.workers.get_mut(&machine) {
-        w.sick = true;
+        w.is_faulty = true;
     }
     assert!(is_done_within(&mut world, 120_000), "{}", world.trace());
     assert!(world.cloud.deleted.contains(&machine), "{}", world.trace());
@@ -526,7 +526,7 @@
 #[test]
 fn small_jobs_do_not_starve_a_large_gang() {
     let mut world = start_with_service();
-    world.cloud.most = world.cloud.machines.len();
+    world.cloud.max_machines = world.cloud.machines.len();
     world.run_ms = 7000;
     for i in 0..8 {
         let mut small = job(20 + i, 0, "sweep", 250);
@@ -592,8 +592,8 @@
     assert_eq!(machines.len(), 2, "{machines:?}");
     for (index, machine) in machines.iter().enumerate() {
         if let Some(w) = world.workers.get_mut(machine) {
-            w.sick = index == 0;
-            w.hanging = index == 1;
+            w.is_faulty = index == 0;
+            w.is_hanging = index == 1;
         }
     }
     let trace_start = world.trace().len();
--- a/crates/tidelatch-standin/tests/guests.rs
+++ b/crates/tidelatch-standin/tests/guests.rs
@@ -154,7 +154,7 @@
 fn the_largest_job_of_a_team_without_guarantee_starts_under_overload() {
     // Two machines, which an array of many tasks keeps full.
     let mut world = start();
-    world.cloud.most = 2;
+    world.cloud.max_machines = 2;
     world.run_ms = 20_000;
     let mut other = tiny_array(1, 200);
     other["vcpus"] = json!(4.0);
--- a/crates/tidelatch-standin/tests/late_machines.rs
+++ b/crates/tidelatch-standin/tests/late_machines.rs
@@ -20,7 +20,7 @@
 fn a_machine_that_never_comes_up_is_replaced_before_it_is_deleted() {
     let mut world = World::new();
     world.run_for(3000);
-    world.cloud.next_boots = [None].into();
+    world.cloud.next_boot_times_ms = [None].into();
     world.submit_until_accepted(0, &job(1, 0, "standing", 1));
     assert!(world.run_until(12_000, |w| count_rented(w) == 2), "{}", world.trace());
     assert!(world.cloud.deleted.is_empty(), "{}", world.trace());
@@ -64,8 +64,8 @@
 fn a_machine_that_comes_up_late_is_used() {
     let mut world = World::new();
     world.run_for(3000);
-    world.cloud.most = 1;
-    world.cloud.next_boots = [Some(5 * Cloud::BOOT_MS)].into();
+    world.cloud.max_machines = 1;
+    world.cloud.next_boot_times_ms = [Some(5 * Cloud::BOOT_MS)].into();
     world.submit_until_accepted(0, &job(1, 0, "standing", 1));
     let runs = |w: &World| w.running_tasks("job-000001") == 1;
     assert!(world.run_until(30_000, runs), "{}", world.trace());
--- a/crates/tidelatch-standin/tests/partial_failures.rs
+++ b/crates/tidelatch-standin/tests/partial_failures.rs
@@ -27,7 +27,7 @@
         .cloned()
         .expect("the job runs on a machine");
     // The cloud has no other machine: the work runs again only once this one has been returned.
-    world.cloud.most = 1;
+    world.cloud.max_machines = 1;
     lose_messages_to(&mut world, &without_answers);
     let has_moved = |w: &World| {
         w.running_tasks("job-000001") == 2
@@ -36,7 +36,7 @@
     };
     assert!(world.run_until(110_000, has_moved), "{}", world.trace());
     // The deleted machine does not count against the team's limit: two more tasks use up what is left of it.
-    world.cloud.most = 20;
+    world.cloud.max_machines = 20;
     world.submit_until_accepted(1, &job(2, 0, "standing", 2));
     assert!(
         world.run_until(40_000, |w| w.running_tasks("job-000002") == 2),
@@ -298,9 +298,9 @@
     );
     assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     // The others lose the state service as well, and reach it again before this controller does.
-    world.store.down = true;
+    world.store.is_down = true;
     world.run_for(15_000);
-    world.store.down = false;
+    world.store.is_down = false;
     world.run_for(10_000);
     world.clear_fault_injector();
     world.run_for(20_000);
@@ -318,7 +318,7 @@
     // Guards against starvation of a large array by small ones with near due times that keep coming. Jobs of which
     // nothing has started for long come first within their priority.
     let mut world = World::new();
-    world.cloud.most = 2;
+    world.cloud.max_machines = 2;
     world.run_for(3000);
     world.submit_until_accepted(0, &job(1, 0, "sweep", 40));
     let has_started = |w: &World| w.trace().contains("starts job-000001/");
@@ -353,8 +353,8 @@
             ..Size::default()
         },
     );
-    world.cloud.most_in_zone.insert("a".into(), 0);
-    world.cloud.most_in_zone.insert("b".into(), 1);
+    world.cloud.max_machines_by_zone.insert("a".into(), 0);
+    world.cloud.max_machines_by_zone.insert("b".into(), 1);
     world.run_for(3000);
     world.submit_until_accepted(0, &job(1, 0, "standing", 2));
     assert!(
@@ -362,7 +362,7 @@
         "{}",
         world.trace()
     );
-    world.cloud.most_in_zone.remove("a");
+    world.cloud.max_machines_by_zone.remove("a");
     let mut spread = job(2, 0, "standing", 2);
     spread["spread"] = true.into();
     world.submit_until_accepted(0, &spread);
--- a/crates/tidelatch-standin/tests/preemption.rs
+++ b/crates/tidelatch-standin/tests/preemption.rs
@@ -202,7 +202,7 @@
     let mut array = job(ARRAY, 0, "sweep", 40);
     array["yard"] = "a".into();
     let mut world = start_with_array_at_limit(&array);
-    world.cloud.most_in_zone.insert("b".into(), 0);
+    world.cloud.max_machines_by_zone.insert("b".into(), 0);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
     let mut service = job(SERVICE, 0, "standing", 1);
     service["yard"] = "b".into();
@@ -217,7 +217,7 @@
     );
     assert_eq!(world.running_tasks(&job_id(ARRAY)), 4, "{}", world.trace());
     // As soon as the cloud has a machine, it is rented and one task is preempted.
-    world.cloud.most_in_zone.clear();
+    world.cloud.max_machines_by_zone.clear();
     assert_runs(&mut world, SERVICE, 1, 40_000);
     world.run_for(30_000);
     assert_eq!(
@@ -275,7 +275,7 @@
         world.trace()
     );
     // All tasks received the stop in time and with enough grace, so that their progress is saved.
-    let saved = world.gangs.saved_ms.get(&job_id(GANG));
+    let saved = world.gangs.saved_progress_ms.get(&job_id(GANG));
     assert!(saved.is_some_and(|ms| *ms > 0), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -334,7 +334,7 @@
     assert!(is_stopping, "{}", world.trace());
     let machine = world.machines_of(&job_id(GANG)).first().cloned().unwrap_or_default();
     if let Some(w) = world.workers.get_mut(&machine) {
-        w.hanging = true;
+        w.is_hanging = true;
     }
     assert_runs(&mut world, SERVICE, 1, 14_000);
     assert_eq!(world.running_tasks(&job_id(ARRAY)), 1, "{}", world.trace());
@@ -346,7 +346,7 @@
         world.trace()
     );
     if let Some(w) = world.workers.get_mut(&machine) {
-        w.hanging = false;
+        w.is_hanging = false;
     }
     world.run_for(20_000);
     assert_eq!(world.running_tasks(&job_id(SERVICE)), 1, "{}", world.trace());
@@ -364,7 +364,7 @@
     world.run_for(3000);
     world.submit_until_accepted(0, &job(ARRAY, 0, "sweep", 3));
     assert_runs(&mut world, ARRAY, 3, 40_000);
-    let task_count = |w: &tidelatch_standin::Worker| w.tasks.len();
+    let task_count = |w: &tidelatch_standin::Worker| w.attempts.len();
     let half_full = world.workers.values().find(|w| task_count(w) == 1);
     let half_full = half_full.map(|w| w.name.clone()).expect("one machine has one task");
     let owner = world.owner_of_team(0);
--- a/crates/tidelatch-standin/tests/production_data.rs
+++ b/crates/tidelatch-standin/tests/production_data.rs
@@ -65,10 +65,10 @@
             ..Size::default()
         };
         let mut world = World::with_size(&Operator::default(), size);
-        world.cloud.most = 200;
+        world.cloud.max_machines = 200;
         let is_leased = |key: &str| key == "t/c/leader" || key.starts_with("t/c/member/");
         for (key, value) in self.values.iter().filter(|(key, _)| !is_leased(key)) {
-            world.store.put(key, value.clone());
+            world.store.set_key(key, value.clone());
         }
         world
     }
@@ -266,7 +266,7 @@
     // production stored are enough to accept them.
     let fixture = Fixture::load("production.json");
     let mut world = fixture.restart();
-    world.cloud.down = true;
+    world.cloud.is_down = true;
     world.run_for(9000);
     let request = world.submit(0, &job(50, 0, "sweep", 1));
     world.run_for(500);
--- a/crates/tidelatch-standin/tests/queues_and_capacity.rs
+++ b/crates/tidelatch-standin/tests/queues_and_capacity.rs
@@ -12,7 +12,7 @@
 fn production_work_gets_a_machine_that_another_partition_vacates() {
     // All machines of the cloud run tasks of another team's array.
     let mut world = World::new();
-    world.cloud.most = 2;
+    world.cloud.max_machines = 2;
     world.run_ms = 90_000;
     world.run_for(3000);
     world.submit_until_accepted(0, &job(1, 1, "sweep", 4));
@@ -77,7 +77,7 @@
         search_budget_s: 0.001,
         ..Operator::default()
     });
-    world.cloud.most = 1;
+    world.cloud.max_machines = 1;
     world.run_ms = 500;
     world.run_for(3000);
     // The only machine of the cloud is in zone a, and a replica keeps it rented.
--- a/crates/tidelatch-standin/tests/scale.rs
+++ b/crates/tidelatch-standin/tests/scale.rs
@@ -22,7 +22,7 @@
             ..Size::default()
         },
     );
-    world.cloud.most = 300;
+    world.cloud.max_machines = 300;
     world.run_ms = 20_000;
     world.run_for(3000);
     let mut rejected = Vec::new();
@@ -148,7 +148,7 @@
             ..Size::default()
         },
     );
-    world.cloud.most = machines as usize;
+    world.cloud.max_machines = machines as usize;
     world.run_for(3000);
     let (running_jobs, waiting_jobs) = (machines / 4, machines / 16);
     for i in 0..running_jobs {
@@ -197,7 +197,7 @@
     };
     let mut world = World::with_size(&operator, size);
     let machines = 24;
-    world.cloud.most = machines;
+    world.cloud.max_machines = machines;
     world.run_ms = 600_000;
     world.run_for(3000);
     // The arrays fill all machines.
@@ -241,7 +241,7 @@
 fn rent_fleet(world: &mut World, machines: u32, seconds: u32) -> impl Fn(&World) -> bool + Copy + use<> {
     const REPLICAS_PER_JOB: u32 = 100;
     // The cloud has as many machines again as replacements of lost or drained ones.
-    world.cloud.most = 2 * machines as usize;
+    world.cloud.max_machines = 2 * machines as usize;
     world.run_for(3000);
     let jobs = machines * 2 / REPLICAS_PER_JOB;
     for i in 0..jobs {
--- a/crates/tidelatch-standin/tests/shared_machines.rs
+++ b/crates/tidelatch-standin/tests/shared_machines.rs
@@ -33,7 +33,7 @@
 /// Starts a task of team 0 and one of team 1 on the two machines of the cloud.
 fn with_two_machines(mut world: World, shape: &str, run_ms: u64) -> World {
     world.run_ms = run_ms;
-    world.cloud.most = 2;
+    world.cloud.max_machines = 2;
     world.run_for(3000);
     for (team, id) in (0..).zip(FIRST_JOBS) {
         world.submit_until_accepted(0, &job(team + 1, team, shape, 1));
@@ -280,7 +280,7 @@
         for crash in [None, Some(0), Some(1), Some(2)] {
             let case = (name, crash);
             let (mut world, shared) = with_shared_machine("standing", 600_000);
-            world.cloud.most = 3;
+            world.cloud.max_machines = 3;
             world.set_fault_injector(fault(&shared.machine));
             world.run_for(4000);
             if let Some(controller) = crash {
@@ -305,7 +305,7 @@
 #[test]
 fn a_controller_that_cannot_reach_a_shared_machine_does_not_restart_its_task() {
     let (mut world, shared) = with_shared_machine("standing", 600_000);
-    world.cloud.most = 3;
+    world.cloud.max_machines = 3;
     let owner = format!("berth-{}", world.owner_of_team(shared.earlier_team));
     let machine = shared.machine.clone();
     world.set_fault_injector(move |message| {
@@ -339,7 +339,7 @@
 fn the_limit_of_a_team_includes_tasks_on_machines_of_other_partitions() {
     for down_ms in [None, Some(300), Some(25_000)] {
         let (mut world, shared) = with_shared_machine("standing", 600_000);
-        world.cloud.most = 8;
+        world.cloud.max_machines = 8;
         // The limit is four accelerators: three more tasks fit beside the one on the shared machine.
         let mut more = job(4, shared.earlier_team as u32, "sweep", 6);
         more["precedence"] = json!("low");
@@ -363,7 +363,7 @@
 #[test]
 fn a_machine_not_yet_polled_counts_as_full_of_tasks_of_the_new_owners_teams() {
     let (mut world, shared) = with_shared_machine("standing", 600_000);
-    world.cloud.most = 8;
+    world.cloud.max_machines = 8;
     let controller = world.owner_of_team(shared.earlier_team);
     let (owner, machine) = (format!("berth-{controller}"), shared.machine.clone());
     world.crash_controller(controller);
@@ -462,7 +462,7 @@
     for controller in 0..3 {
         let (mut world, shared) = with_shared_machine("sweep", 90_000);
         // The partition has free room on another machine, on which the controller could start the task at once.
-        world.cloud.most = 4;
+        world.cloud.max_machines = 4;
         world.submit_until_accepted(0, &job(4, shared.earlier_team as u32, "standing", 1));
         let runs = world.run_until(30_000, |w| w.running_tasks("job-000004") == 1);
         assert!(runs, "{controller}\n{}", world.trace());
--- a/crates/tidelatch-standin/tests/state_service_outages.rs
+++ b/crates/tidelatch-standin/tests/state_service_outages.rs
@@ -12,7 +12,7 @@
     let mut world = with_service(0);
     let epoch = world.epoch();
     world.write_trace("the state service goes down");
-    world.store.down = true;
+    world.store.is_down = true;
     world.run_for(12_000);
     let refused = world.submit(0, &job(2, 0, "sweep", 1));
     world.run_for(500);
@@ -27,7 +27,7 @@
             .get(&refused)
             .is_some_and(|(_, a)| a.retry_after_s.is_some())
     );
-    world.store.down = false;
+    world.store.is_down = false;
     world.write_trace("the state service is back");
     world.run_for(10_000);
     assert_eq!(world.epoch(), epoch);
@@ -52,9 +52,9 @@
     );
     let epoch = world.epoch();
     world.write_trace("the state service goes down");
-    world.store.down = true;
+    world.store.is_down = true;
     world.run_for(60_000);
-    world.store.down = false;
+    world.store.is_down = false;
     world.write_trace("the state service is back");
     world.run_for(10_000);
     assert_eq!(world.epoch(), epoch, "{}", world.trace());
@@ -72,14 +72,14 @@
     // grants last for a controller's lease, which is longer than the restart takes.
     let mut world = with_service(0);
     let owner = world.owner_of_team(0);
-    world.store.down = true;
+    world.store.is_down = true;
     world.run_for(12_000);
     world.crash_controller((owner + 1) % 3);
     world.run_for(5000);
     world.start_controller((owner + 1) % 3);
     world.run_for(25_000);
     assert!(world.workers.values().all(|w| w.session == 1), "{}", world.trace());
-    world.store.down = false;
+    world.store.is_down = false;
     world.run_for(20_000);
     assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert!(world.broken.is_empty(), "{:?}", world.broken);
@@ -177,7 +177,7 @@
     assert_eq!(world.job_status(request), "withdrawn", "{}", world.trace());
     world.run_for(15_000);
     let machines = world.store.keys("t/m/").len();
-    world.store.kept_from = world.store.revision();
+    world.store.compacted_revision = world.store.revision();
     world.clear_fault_injector();
     assert!(
         world.run_until(40_000, |w| w
--- a/crates/tidelatch-standin/tests/upgrade.rs
+++ b/crates/tidelatch-standin/tests/upgrade.rs
@@ -69,13 +69,13 @@
         ..Size::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
-    world.cloud.most = 200;
+    world.cloud.max_machines = 200;
     let values = recorded["values"].as_object().expect("a field `values`");
     for (key, value) in values
         .iter()
         .filter(|(k, _)| !k.starts_with("t/c/m") && !k.starts_with("t/c/l"))
     {
-        world.store.put(key, value.clone());
+        world.store.set_key(key, value.clone());
     }
     world.run_for(9000);
     assert!(world.epoch() > recorded["values"]["t/c/epoch"]["n"].as_u64().unwrap_or(0));
@@ -127,9 +127,13 @@
         .unwrap_or_default();
     assert_eq!(body["done"].as_u64(), Some(done_tasks), "{body}\n{}", world.trace());
     // All later writes fit the announced limits, which are in force from here on.
-    world.store.limits = Some((2048, 4));
+    world.store.transaction_limits = Some((2048, 4));
     world.run_for(60_000);
-    assert!(world.store.refused.is_empty(), "{:?}", world.store.refused);
+    assert!(
+        world.store.oversized_transactions.is_empty(),
+        "{:?}",
+        world.store.oversized_transactions
+    );
 }
 
 /// Guards against a field or key that this version adds while a controller of the last version still serves, which then
@@ -327,7 +331,7 @@
     let mut world = World::new();
     let record = json!({ "epoch": 1, "at": 0, "st": "queued", "n": 2, "team": "team-0", "size": [1.0, 0.0, 1.0],
         "spec": { "shape": "swarm" } });
-    world.store.put("t/j/job-000777", record);
+    world.store.set_key("t/j/job-000777", record);
     world.run_for(3000);
     let poll = world.send_user_request(
         0,
@@ -371,9 +375,9 @@
 #[test]
 fn values_fit_two_kib_and_transactions_four_changes() {
     let mut world = World::with_size(&Operator::default(), smallest_limits());
-    world.cloud.most = 150;
-    world.cloud.prefix = format!("n-{}-", "long-name-".repeat(5));
-    world.store.limits = Some((2048, 4));
+    world.cloud.max_machines = 150;
+    world.cloud.machine_name_prefix = format!("n-{}-", "long-name-".repeat(5));
+    world.store.transaction_limits = Some((2048, 4));
     world.run_for(3000);
     for i in 0..16u32 {
         let body = match i % 4 {
@@ -400,8 +404,12 @@
         world.cancel(0, &format!("job-{i:06}"));
     }
     world.run_for(120_000);
-    assert!(world.store.refused.is_empty(), "{:?}", world.store.refused.first());
-    let (bytes, changes) = world.store.largest;
+    assert!(
+        world.store.oversized_transactions.is_empty(),
+        "{:?}",
+        world.store.oversized_transactions.first()
+    );
+    let (bytes, changes) = world.store.largest_transaction;
     assert!(bytes > 500 && changes > 1, "{bytes} bytes, {changes} changes");
     assert!(
         world.roster().len() < 10,
@@ -437,8 +445,8 @@
         ..Size::default()
     };
     let mut world = start_last_version(size);
-    world.cloud.most = 120;
-    world.cloud.prefix = format!("n-{}-", "long-name-".repeat(12));
+    world.cloud.max_machines = 120;
+    world.cloud.machine_name_prefix = format!("n-{}-", "long-name-".repeat(12));
     world.submit_until_accepted(0, &job(1, 0, "standing", 180));
     assert!(
         world.run_until(60_000, |w| w.running_tasks("job-000001") == 180),
@@ -457,14 +465,14 @@
         replace_controller(&mut world, controller, Features::default(), 500);
         world.run_for(2000);
     }
-    world.store.limits = Some((2048, 4));
+    world.store.transaction_limits = Some((2048, 4));
     world.run_for(15_000);
     assert_eq!(world.running_tasks("job-000001"), 180, "{}", world.trace());
     let machines = world.roster().len();
     // A single machine fails.
     let failed_machine = world.machines_of("job-000001").into_iter().nth(7).expect("it runs");
     if let Some(w) = world.workers.get_mut(&failed_machine) {
-        w.hanging = true;
+        w.is_hanging = true;
     }
     let has_left = |w: &World| !w.roster().contains(&failed_machine);
     assert!(world.run_until(60_000, has_left), "{}", world.trace());
@@ -504,7 +512,11 @@
         world.roster().len(),
         world.trace()
     );
-    assert!(world.store.refused.is_empty(), "{:?}", world.store.refused.first());
+    assert!(
+        world.store.oversized_transactions.is_empty(),
+        "{:?}",
+        world.store.oversized_transactions.first()
+    );
     assert_no_breaches(&world);
 }
 
@@ -518,8 +530,8 @@
         ..Size::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
-    world.cloud.most = 120;
-    world.store.limits = Some((400, 2));
+    world.cloud.max_machines = 120;
+    world.store.transaction_limits = Some((400, 2));
     world.run_for(3000);
     world.submit_until_accepted(0, &job(1, 0, "standing", 120));
     assert!(
@@ -529,7 +541,7 @@
     );
     world.cancel(0, "job-000001");
     assert!(world.run_until(120_000, |w| w.roster().is_empty()), "{}", world.trace());
-    let refused = world.store.refused.len();
+    let refused = world.store.oversized_transactions.len();
     assert!((1..20).contains(&refused), "{refused}");
     assert_no_breaches(&world);
 }
@@ -547,8 +559,8 @@
         ..Size::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
-    world.cloud.most = 150;
-    world.store.rate = Some(12.0);
+    world.cloud.max_machines = 150;
+    world.store.max_changes_per_s = Some(12.0);
     world.run_for(3000);
     for i in 1..40u32 {
         let body = if i % 3 == 0 {
@@ -561,10 +573,10 @@
     let all_done = |w: &World| (1..40).all(|i| is_done(w, &format!("job-{i:06}")));
     assert!(world.run_until(240_000, all_done), "{}", world.trace());
     assert!(!world.trace().contains("lease lost"), "{}", world.trace());
-    let slowed = world.store.slowed;
+    let throttled = world.store.throttled_requests;
     assert!(
-        (1..14).contains(&slowed),
-        "{slowed} of {} requests got 429",
+        (1..14).contains(&throttled),
+        "{throttled} of {} requests got 429",
         world.sent.state_requests
     );
     assert_no_breaches(&world);
