--- a/crates/tidelatch-standin/examples/take_over.rs
+++ b/crates/tidelatch-standin/examples/take_over.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use tidelatch_core::settings::{FailureDetection, Operator};
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::{DeploymentSize, World, job};
 
 /// Number of rounds, and of crashes, in each configuration.
 const ROUNDS: usize = 20;
@@ -42,15 +42,15 @@
 
 /// Creates a world whose teams have arrays running.
 fn start_loaded_world(operator: &Operator) -> World {
-    let size = Size {
-        limit: 60.0,
+    let size = DeploymentSize {
+        max_accelerators: 60.0,
         write_rps: 200.0,
-        ..Size::default()
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(operator, size);
     world.cloud.max_machines = 60;
     world.run_ms = 20_000;
-    world.uneven = true;
+    world.has_uneven_run_times = true;
     world.run_for(3_000);
     for team in 0..3 {
         for array in 0..ARRAYS_PER_TEAM {
@@ -113,17 +113,17 @@
 /// Measures one configuration and returns its row of the table.
 fn measure_row(name: &str, operator: &Operator) -> Result<String, MeasurementError> {
     let mut world = start_loaded_world(operator);
-    let (sent, from_ms) = (world.sent, world.now);
+    let (sent, from_ms) = (world.message_counts, world.now);
     world.run_for(ROUND_MS);
     let minutes = (world.now - from_ms) as f64 / 60_000.0;
-    let messages = (world.sent.peer_requests - sent.peer_requests) as f64 / minutes;
-    let reads = (world.sent.state_requests - sent.state_requests) as f64 / minutes;
+    let messages = (world.message_counts.peer_requests - sent.peer_requests) as f64 / minutes;
+    let reads = (world.message_counts.state_requests - sent.state_requests) as f64 / minutes;
     let mut times = Times::new()?;
     for round in 0..ROUNDS {
         measure_round(&mut world, round % 3, &mut times)?;
     }
-    if !world.broken.is_empty() {
-        return Err(format!("rules were broken: {:?}", world.broken).into());
+    if !world.breaches.is_empty() {
+        return Err(format!("rules were broken: {:?}", world.breaches).into());
     }
     let format_times = |times: &Histogram<u64>| match times.len() {
         0 => "-".to_owned(),
--- a/crates/tidelatch-standin/src/lib.rs
+++ b/crates/tidelatch-standin/src/lib.rs
@@ -2,7 +2,7 @@
 //! the users, all in one deterministic simulation, the [`World`].
 //!
 //! The world is implemented from the protocol specification only, not from the controllers' code. It checks the
-//! protocol's rules while it runs and lists each broken rule in [`World::broken`]. It writes a human-readable trace of
+//! protocol's rules while it runs and lists each broken rule in [`World::breaches`]. It writes a human-readable trace of
 //! all events. The module [`loopback`] offers the same services on 127.0.0.1 for real controller processes.
 
 #![warn(clippy::too_many_lines)]
@@ -23,4 +23,4 @@
 pub use interruptions::{BudgetViolation, Interruption, InterruptionRecorder};
 pub use state::Store;
 pub use worker::Worker;
-pub use world::{CANCEL_MS, Delivery, Message, Sent, Size, World, gang, job};
+pub use world::{CANCEL_MS, Delivery, DeploymentSize, Message, MessageCounts, World, gang, job};
--- a/crates/tidelatch-standin/src/loopback/workers.rs
+++ b/crates/tidelatch-standin/src/loopback/workers.rs
@@ -139,7 +139,7 @@
             }
             let run_time = ArrayRunTime {
                 run_ms: TASK_RUN_MS,
-                uneven: true,
+                is_uneven: true,
             };
             step_tasks(worker, jobs, run_time, now_ms)
         })?;
--- a/crates/tidelatch-standin/src/support.rs
+++ b/crates/tidelatch-standin/src/support.rs
@@ -9,7 +9,7 @@
 ///
 /// If a rule was broken. The message contains the breaches and the trace.
 pub fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// Asserts that a world's trace equals the stored one, `traces/NAME.txt`, and that no rule was broken. If the
--- a/crates/tidelatch-standin/src/world/calls.rs
+++ b/crates/tidelatch-standin/src/world/calls.rs
@@ -67,14 +67,14 @@
     fn count_call(&mut self, target: &Target, body: &str) {
         match target {
             Target::State => {
-                self.sent.state_requests += 1;
-                self.sent.state_bytes += body.len() as u64;
+                self.message_counts.state_requests += 1;
+                self.message_counts.state_bytes += body.len() as u64;
                 let transaction = serde_json::from_str::<Value>(body).unwrap_or(Value::Null);
-                self.sent.changes += transaction["then"].as_array().map_or(0, Vec::len) as u64;
+                self.message_counts.state_changes += transaction["then"].as_array().map_or(0, Vec::len) as u64;
             }
-            Target::Cloud => self.sent.cloud_calls += 1,
+            Target::Cloud => self.message_counts.cloud_calls += 1,
             Target::Worker(_) => {
-                self.sent.commands += 1;
+                self.message_counts.commands += 1;
                 self.count_start_orders(body);
             }
         }
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -196,7 +196,7 @@
                 request,
                 timeout_ms,
             ),
-            Output::Connect { .. } => self.sent.connections_ahead += 1,
+            Output::Connect { .. } => self.message_counts.connections_ahead += 1,
         }
     }
 
--- a/crates/tidelatch-standin/src/world/mod.rs
+++ b/crates/tidelatch-standin/src/world/mod.rs
@@ -17,7 +17,7 @@
 mod users;
 mod workers;
 
-pub use deployment::{Size, gang, job};
+pub use deployment::{DeploymentSize, gang, job};
 pub use network::{Delivery, Message};
 pub(crate) use workers::{ArrayRunTime, step_tasks};
 
@@ -39,11 +39,11 @@
 
 /// Counts of the messages that all controllers have sent and received.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Sent {
+pub struct MessageCounts {
     /// Requests to the state service.
     pub state_requests: u64,
     /// Writes and deletes in transactions.
-    pub changes: u64,
+    pub state_changes: u64,
     /// Bytes of the bodies of requests to the state service.
     pub state_bytes: u64,
     /// Requests to the cloud.
@@ -51,13 +51,13 @@
     /// Requests to workers.
     pub commands: u64,
     /// Workers' reports that one controller relayed to another.
-    pub relays: u64,
+    pub relayed_reports: u64,
     /// Connections to workers that were opened before a call needed them.
     pub connections_ahead: u64,
     /// Requests between controllers other than relays: heartbeats, forwarded requests and forwarded submissions.
     pub peer_requests: u64,
     /// Reports that workers sent.
-    pub beats: u64,
+    pub reports: u64,
 }
 
 /// A simulated deployment at one point in time.
@@ -71,13 +71,13 @@
     /// Workers that are up, by machine name.
     pub workers: BTreeMap<String, Worker>,
     /// Breaches of the rules so far.
-    pub broken: Vec<String>,
+    pub breaches: Vec<String>,
     /// Answers that users received, with the time of receipt, by request number.
     pub answers: BTreeMap<u64, (u64, Answer)>,
     /// Milliseconds that a task of an array runs.
     pub run_ms: u64,
     /// Whether an array's tasks run for up to twice as long, depending on their index.
-    pub uneven: bool,
+    pub has_uneven_run_times: bool,
     controllers: Vec<SimulatedController>,
     queue: BTreeMap<(u64, u64), Event>,
     event_order: u64,
@@ -91,19 +91,19 @@
     gang_reported_at: BTreeMap<String, u64>,
     request_subjects: BTreeMap<u64, (String, &'static str)>,
     checker: Checker,
-    /// Number of the checker's breaches that are already in `broken`.
+    /// Number of the checker's breaches that are already in `breaches`.
     recorded_breaches: usize,
     /// Jobs whose users cancel them after the last task has ended: the controller, and the delay in milliseconds.
     cancel_after_last_task: BTreeMap<String, (usize, u64)>,
     /// Numbers of the cancellation requests that users sent after a job's last task had ended, by job.
-    pub cancelled_at_end: BTreeMap<String, u64>,
+    pub cancellation_requests_at_end: BTreeMap<String, u64>,
     /// Copies of reports that are delivered again in the next epoch; `None`: none are kept.
     kept_reports: Option<VecDeque<String>>,
     kept_epoch: u64,
     trace: String,
-    size: Size,
+    size: DeploymentSize,
     /// Message counts so far.
-    pub sent: Sent,
+    pub message_counts: MessageCounts,
 }
 
 impl Default for World {
@@ -120,20 +120,20 @@
 
     /// Creates a world with three controllers and these operators' settings.
     pub fn with_operator(operator: &Operator) -> Self {
-        Self::with_size(operator, Size::default())
+        Self::with_size(operator, DeploymentSize::default())
     }
 
     /// Creates a world with these operators' settings and this size.
-    pub fn with_size(operator: &Operator, size: Size) -> Self {
+    pub fn with_size(operator: &Operator, size: DeploymentSize) -> Self {
         let mut world = Self {
             now: 0,
             store: Store::default(),
             cloud: Cloud::default(),
             workers: BTreeMap::new(),
-            broken: Vec::new(),
+            breaches: Vec::new(),
             answers: BTreeMap::new(),
             run_ms: 5000,
-            uneven: false,
+            has_uneven_run_times: false,
             controllers: Vec::new(),
             queue: BTreeMap::new(),
             event_order: 0,
@@ -148,17 +148,17 @@
             checker: Checker::new(CANCEL_MS),
             recorded_breaches: 0,
             cancel_after_last_task: BTreeMap::new(),
-            cancelled_at_end: BTreeMap::new(),
+            cancellation_requests_at_end: BTreeMap::new(),
             kept_reports: None,
             kept_epoch: 0,
             trace: String::new(),
             size,
-            sent: Sent::default(),
+            message_counts: MessageCounts::default(),
         };
         for i in 0..size.teams {
             world
                 .checker
-                .set_team_limit(&deployment::team_name(i, &size), size.limit);
+                .set_team_limit(&deployment::team_name(i, &size), size.max_accelerators);
         }
         for i in 0..size.controllers {
             world
--- a/crates/tidelatch-standin/src/world/peers.rs
+++ b/crates/tidelatch-standin/src/world/peers.rs
@@ -10,7 +10,7 @@
     pub(super) fn send_peer_request(&mut self, from: Caller, to: &str, request: PeerRequest, timeout_ms: u64) {
         let kind = match &request {
             PeerRequest::Relay { .. } => {
-                self.sent.relays += 1;
+                self.message_counts.relayed_reports += 1;
                 "relay"
             }
             PeerRequest::Forward { .. } => "forward",
@@ -18,7 +18,7 @@
             PeerRequest::Heartbeat { .. } => "hello",
         };
         if kind != "relay" {
-            self.sent.peer_requests += 1;
+            self.message_counts.peer_requests += 1;
         }
         let delivery = self.decide_delivery(&format!("berth-{}", from.controller), to, kind, "");
         let timeout_ms = if delivery == Delivery::Refused { 2 } else { timeout_ms };
--- a/crates/tidelatch-standin/src/world/reports.rs
+++ b/crates/tidelatch-standin/src/world/reports.rs
@@ -22,7 +22,7 @@
         w.unanswered_sequence = Some(sequence);
         let to = format!("berth-{controller}");
         let delivery = self.decide_delivery(name, &to, "POST /agent/beat", &body);
-        self.sent.beats += 1;
+        self.message_counts.reports += 1;
         self.keep_report_copy(&body);
         let up = self
             .controllers
--- a/crates/tidelatch-standin/src/world/rules.rs
+++ b/crates/tidelatch-standin/src/world/rules.rs
@@ -122,6 +122,6 @@
     /// Records a breach of a rule and writes it to the trace.
     pub(super) fn record_breach(&mut self, text: String) {
         self.write_trace(&format!("RULE BROKEN: {text}"));
-        self.broken.push(text);
+        self.breaches.push(text);
     }
 }
--- a/crates/tidelatch-standin/src/world/users.rs
+++ b/crates/tidelatch-standin/src/world/users.rs
@@ -142,7 +142,7 @@
     }
 
     /// Makes a user cancel a job at a controller, this many milliseconds after the job's last task has ended. The
-    /// request number is then in [`World::cancelled_at_end`].
+    /// request number is then in [`World::cancellation_requests_at_end`].
     pub fn cancel_after_last_task(&mut self, controller: usize, job: &str, after: u64) {
         self.cancel_after_last_task.insert(job.to_owned(), (controller, after));
     }
@@ -150,7 +150,7 @@
     /// Sends the cancellation of a job whose last task has ended.
     pub(super) fn cancel_ended_job(&mut self, controller: usize, job: String) {
         let request = self.cancel(controller, &job);
-        self.cancelled_at_end.insert(job, request);
+        self.cancellation_requests_at_end.insert(job, request);
     }
 
     /// Delivers an answer to a user and reports it to the checker. Answers to health checks are not checked.
--- a/crates/tidelatch-standin/src/world/workers.rs
+++ b/crates/tidelatch-standin/src/world/workers.rs
@@ -64,7 +64,7 @@
             }
             let run_time = ArrayRunTime {
                 run_ms: self.run_ms,
-                uneven: self.uneven,
+                is_uneven: self.has_uneven_run_times,
             };
             finished = step_tasks(w, &self.jobs, run_time, now);
         }
@@ -147,14 +147,14 @@
 pub(crate) struct ArrayRunTime {
     pub(crate) run_ms: u64,
     /// Whether tasks run for up to twice as long, depending on their index.
-    pub(crate) uneven: bool,
+    pub(crate) is_uneven: bool,
 }
 
 impl ArrayRunTime {
     /// Returns the milliseconds for which a task runs, by its full name.
     fn task_run_ms(self, task: &str) -> u64 {
         let index: u64 = task.split('/').nth(1).and_then(|n| n.parse().ok()).unwrap_or(0);
-        let extra_ms = if self.uneven { index * 1300 % self.run_ms } else { 0 };
+        let extra_ms = if self.is_uneven { index * 1300 % self.run_ms } else { 0 };
         self.run_ms + extra_ms
     }
 }
--- a/crates/tidelatch-standin/tests/acceptance.rs
+++ b/crates/tidelatch-standin/tests/acceptance.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::support::is_done;
-use tidelatch_standin::{Cloud, Delivery, Size, World, job};
+use tidelatch_standin::{Cloud, Delivery, DeploymentSize, World, job};
 
 /// Time for which a user retries.
 const USER_RETRY_MS: u64 = 60_000;
@@ -103,16 +103,16 @@
 
 /// Checks that no rule was broken.
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// A deployment whose state service counts changes, and takes as many a second as the settings say.
 fn with_few_writes(operator: &Operator) -> World {
     let mut world = World::with_size(
         operator,
-        Size {
+        DeploymentSize {
             write_rps: 25.0,
-            ..Size::default()
+            ..DeploymentSize::default()
         },
     );
     world.store.max_changes_per_s = Some(25.0);
@@ -281,11 +281,11 @@
     // Guards against acceptances that wait for completions. Once the budget of changes had 30 % of its burst left, a
     // flush of done bits sent as many changes as a transaction holds and overdrew the budget for seconds. Acceptances
     // were answered with 503 meanwhile, and a user who retried a second later was not accepted within a second.
-    let size = Size {
+    let size = DeploymentSize {
         write_rps: LOW_WRITE_RPS,
-        guarantee: TEAM_LIMIT_ACCELERATORS / 4.0,
-        limit: TEAM_LIMIT_ACCELERATORS,
-        ..Size::default()
+        guaranteed_accelerators: TEAM_LIMIT_ACCELERATORS / 4.0,
+        max_accelerators: TEAM_LIMIT_ACCELERATORS,
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.store.max_changes_per_s = Some(LOW_WRITE_RPS);
@@ -294,7 +294,7 @@
         (0..MAX_MACHINES as u64).map(|i| Some(Cloud::BOOT_MS + i * BOOT_SPREAD_MS / MAX_MACHINES as u64));
     world.cloud.next_boot_times_ms = staggered_boots.collect();
     world.run_ms = MIN_TASK_MS;
-    world.uneven = true;
+    world.has_uneven_run_times = true;
     world.run_for(5000);
     let mut arrays = Users::default();
     for n in 0..ARRAY_COUNT {
@@ -321,14 +321,14 @@
     };
     // The other teams submit at the controller that writes the arrays' done bits.
     let busy = world.owner_of_team(0);
-    let changes_before = world.sent.changes;
+    let changes_before = world.message_counts.state_changes;
     let mut others = Users::default();
     for n in 0..OTHER_JOBS {
         others.add(&world, busy, job(FIRST_OTHER_JOB_NUMBER + n, 1 + n % 2, "sweep", 1));
         others.run(&mut world, OTHER_JOB_INTERVAL_MS);
     }
     assert!(array_tasks(&world) > 0, "the arrays run until the last submission");
-    let changes = world.sent.changes - changes_before;
+    let changes = world.message_counts.state_changes - changes_before;
     others.run(&mut world, USER_RETRY_MS);
     assert_eq!(others.accepted.len(), OTHER_JOBS as usize);
     let late: Vec<_> = others
--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -186,9 +186,9 @@
     for scenario in all_scenarios() {
         let world = run_scenario(scenario, Features::default());
         assert!(
-            world.broken.is_empty(),
+            world.breaches.is_empty(),
             "{scenario:?}: {:?}\n{}",
-            world.broken,
+            world.breaches,
             world.trace()
         );
     }
@@ -204,7 +204,7 @@
     };
     let breaks_rule = |scenario: &Scenario| {
         run_scenario(*scenario, before)
-            .broken
+            .breaches
             .iter()
             .any(|b| b.starts_with("ran_cancelled"))
     };
@@ -273,7 +273,7 @@
         world.clear_fault_injector();
         world.run_for(10_000);
         assert_eq!(world.job_status(poll), "withdrawn", "{}", world.trace());
-        assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+        assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
     }
 }
 
@@ -323,7 +323,7 @@
             (0..3).for_each(|n| world.start_controller(n));
         }
         world.run_for(CANCEL_MS + 5000);
-        assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+        assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
         assert!(world.cloud.deleted.contains(&machines[0]), "{}", world.trace());
     }
 }
@@ -373,5 +373,5 @@
     }
     world.run_for(50);
     assert!(world.machines_of("job-000001").is_empty(), "{}", world.trace());
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
--- a/crates/tidelatch-standin/tests/compound_fault_regressions.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_regressions.rs
@@ -5,7 +5,7 @@
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::faults::{self, FaultInjector};
 use tidelatch_standin::support::assert_no_breaches;
-use tidelatch_standin::{CANCEL_MS, Delivery, Size, World, job};
+use tidelatch_standin::{CANCEL_MS, Delivery, DeploymentSize, World, job};
 
 /// The id of job `n`.
 fn id(n: u32) -> String {
@@ -401,13 +401,13 @@
     // meanwhile.
     let mut world = World::with_size(
         &Operator::default(),
-        Size {
+        DeploymentSize {
             teams: 6,
-            guarantee: 20.0,
-            limit: 60.0,
+            guaranteed_accelerators: 20.0,
+            max_accelerators: 60.0,
             write_rps: 25.0,
             value_kb: 4.0,
-            ..Size::default()
+            ..DeploymentSize::default()
         },
     );
     world.cloud.max_machines = 120;
@@ -415,7 +415,7 @@
     world.run_for(3000);
     world.submit_until_accepted(0, &job(9001, 1, "standing", 4));
     world.submit_until_accepted(0, &job(9002, 2, "sweep", 40));
-    let sent = world.sent;
+    let sent = world.message_counts;
     let from = world.now;
     let mut not_accepted = Vec::new();
     let mut cancellations: Vec<(u32, u64)> = Vec::new();
@@ -442,9 +442,9 @@
     for body in not_accepted {
         world.submit_until_accepted(0, &body);
     }
-    let changes = (world.sent.changes - sent.changes) as f64 / seconds as f64;
+    let changes = (world.message_counts.state_changes - sent.state_changes) as f64 / seconds as f64;
     assert!(changes < 20.0, "{changes} changes a second");
-    let requests = (world.sent.state_requests - sent.state_requests) as f64 / seconds as f64;
+    let requests = (world.message_counts.state_requests - sent.state_requests) as f64 / seconds as f64;
     assert!(requests < 80.0, "{requests} requests a second");
     let are_over = |w: &World| (1..=360).all(|n| is_over(w, &id(n))) && is_over(w, "job-009002");
     assert!(world.run_until(120_000, are_over), "{}", world.trace());
--- a/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
@@ -10,9 +10,9 @@
 /// Checks that no rule was broken. `case` names the test case in the message.
 pub fn assert_no_breaches(world: &World, case: impl std::fmt::Debug) {
     assert!(
-        world.broken.is_empty(),
+        world.breaches.is_empty(),
         "{case:?}: {:?}\n{}",
-        world.broken,
+        world.breaches,
         world.trace()
     );
 }
--- a/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
@@ -88,7 +88,7 @@
                     world.run_for(1 + after_ms / 20);
                 }
                 world.run_for(3000);
-                let request = world.cancelled_at_end["job-000001"];
+                let request = world.cancellation_requests_at_end["job-000001"];
                 let first = world.job_status(request);
                 assert_eq!(world.http_status(request), 200, "{case:?}\n{}", world.trace());
                 assert_eq!(
--- a/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
@@ -8,7 +8,7 @@
 };
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::faults;
-use tidelatch_standin::{CANCEL_MS, Delivery, Size, World, job};
+use tidelatch_standin::{CANCEL_MS, Delivery, DeploymentSize, World, job};
 
 #[test]
 fn ten_changes_of_leader_in_two_minutes_lose_nothing() {
@@ -157,10 +157,10 @@
             // Time from the end of the first task to the crash.
             for crash_after_ms in [0, 2, 4, 8, 50, 400, 900, 1500, 6000] {
                 let case = (tasks, two_crash, crash_after_ms);
-                let one_task_at_a_time = Size {
-                    guarantee: 1.0,
-                    limit: 1.0,
-                    ..Size::default()
+                let one_task_at_a_time = DeploymentSize {
+                    guaranteed_accelerators: 1.0,
+                    max_accelerators: 1.0,
+                    ..DeploymentSize::default()
                 };
                 let mut world = World::with_size(&Operator::default(), one_task_at_a_time);
                 world.run_ms = 12_000;
--- a/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
+++ b/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::support::assert_no_breaches;
-use tidelatch_standin::{Delivery, Size, World, job};
+use tidelatch_standin::{Delivery, DeploymentSize, World, job};
 
 /// Guards against tasks that are started again because their machine is unresponsive, which is no proof that they are
 /// gone. Some machines resume within their lease, others after it with a newer session. Meanwhile a controller crashes
@@ -16,13 +16,13 @@
 fn many_machines_that_hang_at_once_and_resume_run_no_task_twice() {
     let mut world = World::with_size(
         &Operator::default(),
-        Size {
+        DeploymentSize {
             teams: 3,
-            guarantee: 40.0,
-            limit: 80.0,
+            guaranteed_accelerators: 40.0,
+            max_accelerators: 80.0,
             write_rps: 50.0,
             value_kb: 4.0,
-            ..Size::default()
+            ..DeploymentSize::default()
         },
     );
     world.cloud.max_machines = 120;
@@ -88,11 +88,11 @@
 fn a_machine_that_failed_before_a_takeover_delays_it_for_little_more_than_a_report() {
     let mut world = World::with_size(
         &Operator::default(),
-        Size {
+        DeploymentSize {
             teams: 3,
-            guarantee: 40.0,
-            limit: 80.0,
-            ..Size::default()
+            guaranteed_accelerators: 40.0,
+            max_accelerators: 80.0,
+            ..DeploymentSize::default()
         },
     );
     world.cloud.max_machines = 60;
@@ -132,10 +132,10 @@
 /// other machine of the partition shows that the zone can be reached, the controller in that zone does.
 #[test]
 fn the_failure_of_the_only_machine_in_a_zone_is_detected_soon() {
-    let size = Size {
-        guarantee: 8.0,
-        limit: 16.0,
-        ..Size::default()
+    let size = DeploymentSize {
+        guaranteed_accelerators: 8.0,
+        max_accelerators: 16.0,
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.run_for(3000);
--- a/crates/tidelatch-standin/tests/drain_support/mod.rs
+++ b/crates/tidelatch-standin/tests/drain_support/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::support::{assert_no_breaches, is_done};
-use tidelatch_standin::{InterruptionRecorder, Size, World, job};
+use tidelatch_standin::{DeploymentSize, InterruptionRecorder, World, job};
 
 /// A controller's lease in the stand-in's deployment.
 pub const LEASE_MS: u64 = 7_200;
@@ -46,14 +46,14 @@
 impl Deployment {
     /// Starts controllers with budgets and without drains, and waits until all replicas run.
     pub fn start(controllers: usize) -> Self {
-        let size = Size {
+        let size = DeploymentSize {
             controllers,
             teams: controllers as u32,
             // Nothing is preempted for a guarantee.
-            guarantee: 0.0,
-            limit: 40.0,
+            guaranteed_accelerators: 0.0,
+            max_accelerators: 40.0,
             write_rps: 200.0,
-            ..Size::default()
+            ..DeploymentSize::default()
         };
         let mut world = World::with_size(&operator(&json!({})), size);
         world.cloud.max_machines = 60;
--- a/crates/tidelatch-standin/tests/failing_jobs.rs
+++ b/crates/tidelatch-standin/tests/failing_jobs.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{Value, json};
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::{DeploymentSize, World, job};
 
 const FAILING_JOB: &str = "job-000001";
 const TEAM_LIMIT: f64 = 24.0;
@@ -14,15 +14,15 @@
 const FAULTY_LOG_TEXT: &str = "not used any more";
 
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// Starts a deployment whose teams may use all of its machines.
 fn start() -> World {
-    let size = Size {
-        guarantee: TEAM_LIMIT / 2.0,
-        limit: TEAM_LIMIT,
-        ..Size::default()
+    let size = DeploymentSize {
+        guaranteed_accelerators: TEAM_LIMIT / 2.0,
+        max_accelerators: TEAM_LIMIT,
+        ..DeploymentSize::default()
     };
     // Machines boot in seconds here. With the default, idle machines would be returned before they are detected as
     // faulty.
--- a/crates/tidelatch-standin/tests/failure_detection.rs
+++ b/crates/tidelatch-standin/tests/failure_detection.rs
@@ -7,7 +7,7 @@
 use tidelatch_core::settings::{FailureDetection, Operator};
 use tidelatch_standin::faults::{self, StateServiceSide};
 use tidelatch_standin::support::{assert_no_breaches, assert_trace, is_done};
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::{DeploymentSize, World, job};
 
 /// A controller's lease in the stand-in's deployment.
 const LEASE_MS: u64 = 7_200;
@@ -22,12 +22,12 @@
 
 /// Starts a deployment with a service and an array of each team, and waits until the services run.
 fn start_with_work(controllers: usize, operator: &Operator) -> World {
-    let size = Size {
+    let size = DeploymentSize {
         controllers,
         teams: controllers as u32,
-        limit: 20.0,
+        max_accelerators: 20.0,
         write_rps: 200.0,
-        ..Size::default()
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(operator, size);
     world.cloud.max_machines = 60;
@@ -96,7 +96,7 @@
     assert!(crashed < suspected && suspected < prepared && prepared < confirmed);
     assert!(suspected < crashed + lease_s / 1.5, "{}", suspected - crashed);
     assert!(confirmed < crashed + lease_s + 1.0, "{}", confirmed - crashed);
-    assert!(world.sent.connections_ahead > 0);
+    assert!(world.message_counts.connections_ahead > 0);
     assert_recovers(&mut world, 3);
     assert_trace(&world, "suspected_then_confirmed");
 }
@@ -107,7 +107,7 @@
 fn records_read_ahead_of_a_takeover_are_read_again_if_they_changed() {
     let run = |operator: &Operator| {
         let mut world = start_with_work(3, operator);
-        world.uneven = true;
+        world.has_uneven_run_times = true;
         let owner = world.owner_of_team(1);
         world.submit_until_accepted(owner, &job(201, 1, "sweep", 40));
         world.run_for(6_000);
@@ -212,9 +212,9 @@
 
 /// Starts a deployment whose four machines are all used by the long array of a team.
 fn world_without_free_machines() -> World {
-    let size = Size {
-        limit: 20.0,
-        ..Size::default()
+    let size = DeploymentSize {
+        max_accelerators: 20.0,
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&with_failure_detection(), size);
     world.cloud.max_machines = 4;
--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -363,9 +363,9 @@
             world.run_for(3000);
             world.submit_until_accepted(0, &job(1, 0, "sweep", 2));
             world.cancel_after_last_task(controller, "job-000001", after);
-            let cancelled = world.run_until(60_000, |w| w.cancelled_at_end.contains_key("job-000001"));
+            let cancelled = world.run_until(60_000, |w| w.cancellation_requests_at_end.contains_key("job-000001"));
             assert!(cancelled, "{after}\n{}", world.trace());
-            let request = world.cancelled_at_end["job-000001"];
+            let request = world.cancellation_requests_at_end["job-000001"];
             world.run_for(3000);
             let first = match world.http_status(request) {
                 200 => world.job_status(request),
@@ -421,9 +421,9 @@
     world.workers.insert("n-900000".to_owned(), second);
     world.run_for(0);
     assert!(
-        world.broken.iter().any(|b| b.starts_with("ran_twice: job-000001/")),
+        world.breaches.iter().any(|b| b.starts_with("ran_twice: job-000001/")),
         "{:?}",
-        world.broken
+        world.breaches
     );
     assert!(world.trace().contains("RULE BROKEN: ran_twice"), "{}", world.trace());
 }
@@ -501,11 +501,11 @@
     assert!(up, "{}", world.trace());
     let with_answers = world.checker().start_order_count();
     assert!(with_answers > 0, "{}", world.trace());
-    let direct = world.sent.commands;
+    let direct = world.message_counts.commands;
     world.submit_until_accepted(0, &job(2, 0, "standing", 1));
     let up = world.run_until(4000, |w| w.running_tasks("job-000002") == 1);
     assert!(up, "{}", world.trace());
-    assert!(world.sent.commands > direct, "{}", world.trace());
+    assert!(world.message_counts.commands > direct, "{}", world.trace());
     assert!(world.checker().start_order_count() > with_answers, "{}", world.trace());
     assert_eq!(cancel(&mut world, "job-000002"), "withdrawn");
     world.run_for(40_000);
--- a/crates/tidelatch-standin/tests/gangs.rs
+++ b/crates/tidelatch-standin/tests/gangs.rs
@@ -5,17 +5,17 @@
 
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::support::{assert_no_breaches, assert_trace};
-use tidelatch_standin::{Delivery, Size, World, gang, job};
+use tidelatch_standin::{Delivery, DeploymentSize, World, gang, job};
 
 const GANG: &str = "job-000001";
 
 /// Starts a deployment with a service of eight replicas: two machines in each zone, with room for two tasks of a gang
 /// on each, so that a gang of four fits into either zone.
 fn start_with_service() -> World {
-    let size = Size {
-        guarantee: 8.0,
-        limit: 16.0,
-        ..Size::default()
+    let size = DeploymentSize {
+        guaranteed_accelerators: 8.0,
+        max_accelerators: 16.0,
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.run_for(3000);
@@ -536,7 +536,7 @@
         world.submit_until_accepted(0, &small);
     }
     // Tasks of different lengths, so that those of a machine do not end at the same time.
-    world.uneven = true;
+    world.has_uneven_run_times = true;
     world.run_for(20_000);
     let mut large = gang(1, 0, 2);
     large["vcpus"] = serde_json::json!(8.0);
--- a/crates/tidelatch-standin/tests/guests.rs
+++ b/crates/tidelatch-standin/tests/guests.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::{DeploymentSize, World, job};
 
 const TEAM_WITHOUT_GUARANTEE: u32 = 1;
 const SERVICE: u32 = 9000;
@@ -17,17 +17,17 @@
 }
 
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 /// Starts a deployment in which no team has a guarantee or a limit, with a small state service.
 fn start() -> World {
-    let size = Size {
-        guarantee: 0.0,
-        limit: 0.0,
+    let size = DeploymentSize {
+        guaranteed_accelerators: 0.0,
+        max_accelerators: 0.0,
         write_rps: WRITE_RPS,
         value_kb: 4.0,
-        ..Size::default()
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.run_ms = 4000;
@@ -96,13 +96,13 @@
         world.running_tasks(&job_id(1))
     );
     // While the array runs, submissions are answered and a service starts as quickly as without it.
-    let (changes, from) = (world.sent.changes, world.now);
+    let (changes, from) = (world.message_counts.state_changes, world.now);
     for (i, id) in (100..120).enumerate() {
         let accepted_ms = accepted_after(&mut world, i % 3, &tiny_array(id, 1));
         assert!(accepted_ms < 500, "{id}: accepted after {accepted_ms} ms");
         world.run_for(500);
     }
-    let writes_per_s = (world.sent.changes - changes) as f64 * 1000.0 / (world.now - from) as f64;
+    let writes_per_s = (world.message_counts.state_changes - changes) as f64 * 1000.0 / (world.now - from) as f64;
     assert!(
         writes_per_s < WRITE_RPS / 2.0,
         "{writes_per_s} changes a second of {WRITE_RPS}"
--- a/crates/tidelatch-standin/tests/late_machines.rs
+++ b/crates/tidelatch-standin/tests/late_machines.rs
@@ -6,7 +6,7 @@
 use tidelatch_standin::{Cloud, World, job};
 
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// Counts the machines that were rented so far.
--- a/crates/tidelatch-standin/tests/on_call.rs
+++ b/crates/tidelatch-standin/tests/on_call.rs
@@ -9,20 +9,20 @@
 use tidelatch_core::Method;
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::faults::{self, FaultInjector};
-use tidelatch_standin::{Delivery, Message, Size, World, job};
+use tidelatch_standin::{Delivery, DeploymentSize, Message, World, job};
 
 const SERVICE: &str = "job-000001";
 
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// Starts a deployment in which all replicas of a service of the first team run.
 fn with_service(replicas: u32) -> World {
-    let size = Size {
-        guarantee: 8.0,
-        limit: 16.0,
-        ..Size::default()
+    let size = DeploymentSize {
+        guaranteed_accelerators: 8.0,
+        max_accelerators: 16.0,
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.run_for(3000);
@@ -326,7 +326,7 @@
     world.run_for(10_000);
     let (reads, injector) = count_state_requests(JOB_READ_PREFIX, deliver_all());
     world.set_fault_injector(injector);
-    let changes = world.sent.changes;
+    let changes = world.message_counts.state_changes;
     for _ in 0..100 {
         let polls: Vec<u64> = (0..3).map(|n| world.poll(n, SERVICE)).collect();
         world.run_for(50);
@@ -337,6 +337,6 @@
         );
     }
     assert_eq!(reads.get(), 0);
-    assert_eq!(world.sent.changes, changes);
+    assert_eq!(world.message_counts.state_changes, changes);
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/operator_log.rs
+++ b/crates/tidelatch-standin/tests/operator_log.rs
@@ -23,5 +23,5 @@
         pause_lines.iter().all(|line| line.contains("berth-1")),
         "{pause_lines:?}"
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
--- a/crates/tidelatch-standin/tests/partial_failures.rs
+++ b/crates/tidelatch-standin/tests/partial_failures.rs
@@ -7,7 +7,7 @@
 use tidelatch_core::Method;
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::support::{assert_no_breaches, assert_trace, with_service};
-use tidelatch_standin::{Delivery, Size, World, faults, gang, job};
+use tidelatch_standin::{Delivery, DeploymentSize, World, faults, gang, job};
 
 /// Loses every answer and command to a machine. Its reports still arrive, and it still tells its state.
 fn lose_messages_to(world: &mut World, machine: &str) {
@@ -347,10 +347,10 @@
     // services that could run elsewhere. Zone b has room for two, and a first service takes it.
     let mut world = World::with_size(
         &Operator::default(),
-        Size {
-            limit: 16.0,
-            guarantee: 16.0,
-            ..Size::default()
+        DeploymentSize {
+            max_accelerators: 16.0,
+            guaranteed_accelerators: 16.0,
+            ..DeploymentSize::default()
         },
     );
     world.cloud.max_machines_by_zone.insert("a".into(), 0);
--- a/crates/tidelatch-standin/tests/preemption.rs
+++ b/crates/tidelatch-standin/tests/preemption.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::faults;
-use tidelatch_standin::{Delivery, Message, Size, World, gang, job};
+use tidelatch_standin::{Delivery, DeploymentSize, Message, World, gang, job};
 
 const ARRAY: u32 = 1;
 const SERVICE: u32 = 2;
@@ -25,7 +25,7 @@
 }
 
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// Asserts that exactly `tasks` tasks of a job run within `within_ms`.
@@ -234,9 +234,9 @@
 /// Starts a deployment in which a gang of two and an array fill their team's limit. The array starts `array_lead_ms`
 /// before the gang. The gang saves every two seconds, or never.
 fn start_with_gang_and_array(array_tasks: u32, array_lead_ms: u64, saves: bool) -> World {
-    let size = Size {
-        limit: f64::from(2 + array_tasks),
-        ..Size::default()
+    let size = DeploymentSize {
+        max_accelerators: f64::from(2 + array_tasks),
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.run_ms = ARRAY_TASK_MS;
@@ -420,9 +420,9 @@
 /// the same image, which should start within two seconds. Returns whether it runs beside the first one, and how many
 /// tasks were stopped for it.
 fn start_second_service(gigabytes: f64) -> (bool, usize) {
-    let size = Size {
+    let size = DeploymentSize {
         start_within_s: 2.0,
-        ..Size::default()
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.run_ms = ARRAY_TASK_MS;
--- a/crates/tidelatch-standin/tests/production_data.rs
+++ b/crates/tidelatch-standin/tests/production_data.rs
@@ -17,7 +17,7 @@
 use tidelatch_core::roster::{BootEntry, GroupRecord};
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::support::is_done;
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::{DeploymentSize, World, job};
 
 /// Values as the production commit stored them.
 #[derive(Deserialize)]
@@ -58,11 +58,11 @@
     /// Starts a deployment of this version with these values, but without the keys that are deleted when their
     /// controllers' leases end.
     fn restart(&self) -> World {
-        let size = Size {
-            guarantee: 60.0,
-            limit: 200.0,
+        let size = DeploymentSize {
+            guaranteed_accelerators: 60.0,
+            max_accelerators: 200.0,
             value_kb: self.value_kb,
-            ..Size::default()
+            ..DeploymentSize::default()
         };
         let mut world = World::with_size(&Operator::default(), size);
         world.cloud.max_machines = 200;
--- a/crates/tidelatch-standin/tests/queues_and_capacity.rs
+++ b/crates/tidelatch-standin/tests/queues_and_capacity.rs
@@ -106,7 +106,7 @@
         })
     };
     assert!(world.run_until(200_000, all_done), "{}", world.trace());
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 /// Guards against machines that stay rented, or in the roster, when there is no work left.
@@ -122,5 +122,5 @@
     );
     world.run_for(2000);
     assert!(world.store.keys("t/m/").is_empty(), "the roster should be empty");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
--- a/crates/tidelatch-standin/tests/restarts.rs
+++ b/crates/tidelatch-standin/tests/restarts.rs
@@ -76,9 +76,9 @@
         );
     }
     assert!(
-        world.broken.is_empty(),
+        world.breaches.is_empty(),
         "{crash_at_ms} {away_ms}: {:?}\n{}",
-        world.broken,
+        world.breaches,
         world.trace()
     );
 }
@@ -149,13 +149,13 @@
     let next_owner = world.owner_of_team(0);
     assert_ne!(next_owner, owner, "{}", world.trace());
     world.submit_until_accepted(next_owner, &job(8, 0, "sweep", 2));
-    let before = world.sent;
+    let before = world.message_counts;
     world.resume(owner);
-    let after = world.sent;
+    let after = world.message_counts;
     // It sends no command to a worker, no change to the state service and no call to the cloud. It may only ask for a
     // new lease.
     assert_eq!(after.commands, before.commands, "{}", world.trace());
-    assert_eq!(after.changes, before.changes, "{}", world.trace());
+    assert_eq!(after.state_changes, before.state_changes, "{}", world.trace());
     assert_eq!(after.cloud_calls, before.cloud_calls, "{}", world.trace());
     assert!(!matches!(world.http_status(submission), 200 | 201), "{}", world.trace());
     assert_ne!(world.job_status(cancellation), "withdrawn", "{}", world.trace());
--- a/crates/tidelatch-standin/tests/rules.rs
+++ b/crates/tidelatch-standin/tests/rules.rs
@@ -69,7 +69,7 @@
     let request = world.submit(1, &invalid);
     world.run_for(500);
     assert_eq!(world.http_status(request), 200, "{}", world.trace());
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 #[test]
@@ -255,7 +255,7 @@
     );
     world.run_for(20_000);
     assert_eq!(world.running_tasks("job-000001"), 3);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 #[test]
@@ -427,7 +427,7 @@
     world.run_for(35_000);
     assert_eq!(world.job_status(request), "withdrawn", "{}", world.trace());
     assert!(world.machines_of("job-000001").is_empty(), "{}", world.trace());
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 #[test]
@@ -502,5 +502,5 @@
     world.run_for(1500);
     let takeover_line = format!("berth-{owner}: epoch {}: taking over partition 0", world.epoch());
     assert!(world.trace().contains(&takeover_line), "{}", world.trace());
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
--- a/crates/tidelatch-standin/tests/scale.rs
+++ b/crates/tidelatch-standin/tests/scale.rs
@@ -6,20 +6,20 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use tidelatch_core::settings::{Disruption, Operator};
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::{DeploymentSize, World, job};
 
 /// Starts a deployment of six teams and up to 300 machines, with services and arrays of thousands of tasks that are
 /// submitted at about the same time.
 fn start_large_workload() -> World {
     let mut world = World::with_size(
         &Operator::default(),
-        Size {
+        DeploymentSize {
             teams: 6,
-            guarantee: 60.0,
-            limit: 400.0,
+            guaranteed_accelerators: 60.0,
+            max_accelerators: 400.0,
             write_rps: 25.0,
             value_kb: 4.0,
-            ..Size::default()
+            ..DeploymentSize::default()
         },
     );
     world.cloud.max_machines = 300;
@@ -65,11 +65,11 @@
     let machines = world.cloud.machines.len() as u64;
     // Machines that come up together share a write. A rental entry and a first report of each machine used to cost two
     // writes, and 200 machines used up a quarter of a minute's write budget.
-    let sent_until_up = world.sent;
+    let sent_until_up = world.message_counts;
     assert!(
-        sent_until_up.changes < machines,
+        sent_until_up.state_changes < machines,
         "{} changes for {machines} machines",
-        sent_until_up.changes
+        sent_until_up.state_changes
     );
     assert!(
         sent_until_up.cloud_calls < 120,
@@ -77,20 +77,20 @@
         sent_until_up.cloud_calls
     );
     assert!(world.run_until(240_000, all_done), "{}", world.trace());
-    let sent = world.sent;
+    let sent = world.message_counts;
     let tasks: u64 = 10 * 8 + 30 * 60;
     // Writes for acceptances, ends and bitmaps of jobs, and for machines that are rented and returned.
     assert!(
-        sent.changes < 3 * machines + 10 * 40,
+        sent.state_changes < 3 * machines + 10 * 40,
         "{} changes for {tasks} tasks on {machines} machines",
-        sent.changes
+        sent.state_changes
     );
     // Workers learn the owner of their partition and report to it, so that few reports are relayed.
     assert!(
-        sent.relays * 20 < sent.beats,
+        sent.relayed_reports * 20 < sent.reports,
         "{} of {} reports passed on",
-        sent.relays,
-        sent.beats
+        sent.relayed_reports,
+        sent.reports
     );
     assert!(
         sent.commands < 3 * tasks,
@@ -110,7 +110,7 @@
         .map(|k| world.store.get(k).map_or(0, |v| v.to_string().len()))
         .max();
     assert!(largest < Some(4096), "{largest:?} bytes in one value");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 /// Guards against a takeover that polls machines one after the other, opens too many sockets or waits for machines that
@@ -131,7 +131,7 @@
         .map(|i| world.running_tasks(&format!("job-{i:06}")))
         .sum();
     assert_eq!(services, 80);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 /// Returns the evaluations within 20 s, for each waiting service and each machine, in a deployment full of replicas.
@@ -139,13 +139,13 @@
 fn evaluations_of_waiting_replicas(machines: u32) -> f64 {
     let mut world = World::with_size(
         &Operator::default(),
-        Size {
+        DeploymentSize {
             teams: 3,
-            guarantee: 1000.0,
-            limit: 5000.0,
+            guaranteed_accelerators: 1000.0,
+            max_accelerators: 5000.0,
             write_rps: 200.0,
             value_kb: 4.0,
-            ..Size::default()
+            ..DeploymentSize::default()
         },
     );
     world.cloud.max_machines = machines as usize;
@@ -166,7 +166,7 @@
     let incomplete =
         (running_jobs..running_jobs + waiting_jobs).filter(|i| world.running_tasks(&format!("job-{i:06}")) < 8);
     assert!(incomplete.count() as u32 * 2 > waiting_jobs, "{}", world.trace());
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
     (world.machine_evaluations() - before) as f64 / f64::from(waiting_jobs * machines)
 }
 
@@ -190,10 +190,10 @@
         disruption: Some(Disruption::default()),
         ..Operator::default()
     };
-    let size = Size {
-        guarantee: 0.0,
-        limit: 1000.0,
-        ..Size::default()
+    let size = DeploymentSize {
+        guaranteed_accelerators: 0.0,
+        max_accelerators: 1000.0,
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&operator, size);
     let machines = 24;
@@ -213,7 +213,7 @@
     assert!(world.trace().contains("to make room"), "{}", world.trace());
     let counts = world.budget_counts() - before;
     assert!(counts < machines as u64, "{counts} counts for {replicas} replicas");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 /// Costs of a fleet, as counts. All but `cloud_calls_to_rent` and `largest_value`, which is in bytes, are ratios per
@@ -267,18 +267,18 @@
 fn measure_fleet(machines: u32) -> FleetCosts {
     let mut world = World::with_size(
         &Operator::default(),
-        Size {
+        DeploymentSize {
             teams: 6,
-            guarantee: f64::from(machines),
-            limit: 2.0 * f64::from(machines),
+            guaranteed_accelerators: f64::from(machines),
+            max_accelerators: 2.0 * f64::from(machines),
             write_rps: 120.0,
-            ..Size::default()
+            ..DeploymentSize::default()
         },
     );
     let all_run = rent_fleet(&mut world, machines, 600);
     let per_machine = |count: u64| count as f64 / f64::from(machines);
-    let changes_to_rent = per_machine(world.sent.changes);
-    let cloud_calls_to_rent = world.sent.cloud_calls;
+    let changes_to_rent = per_machine(world.message_counts.state_changes);
+    let cloud_calls_to_rent = world.message_counts.cloud_calls;
 
     // A takeover while the partition's machines are in use.
     let before = world.trace().matches("every machine is accounted for").count();
@@ -290,7 +290,7 @@
     );
 
     // A third of the machines is lost at once.
-    let (changes, evaluations) = (world.sent.changes, world.machine_evaluations());
+    let (changes, evaluations) = (world.message_counts.state_changes, world.machine_evaluations());
     let lost: Vec<String> = world.workers.keys().step_by(3).cloned().collect();
     for name in &lost {
         world.workers.remove(name);
@@ -301,17 +301,17 @@
         run_until_in_half_seconds(&mut world, 600, all_run),
         "replicas are missing"
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
     let keys = world.store.keys("t/");
     let sizes = keys.iter().filter_map(|key| world.store.get(key));
     FleetCosts {
         changes_to_rent,
         cloud_calls_to_rent,
-        changes_to_recover: (world.sent.changes - changes) as f64 / lost.len() as f64,
+        changes_to_recover: (world.message_counts.state_changes - changes) as f64 / lost.len() as f64,
         evaluations_to_recover: (world.machine_evaluations() - evaluations) as f64
             / lost.len() as f64
             / f64::from(machines),
-        relays_per_report: world.sent.relays as f64 / world.sent.beats as f64,
+        relays_per_report: world.message_counts.relayed_reports as f64 / world.message_counts.reports as f64,
         largest_value: sizes.map(|value| value.to_string().len()).max().unwrap_or(0),
     }
 }
@@ -348,24 +348,24 @@
     let drain = json!({ "name": "all", "surge": 32, "max_machines": 32, "delay_s": 100.0 });
     let settings = json!({ "disruption": { "drains": [drain] } });
     let operator: Operator = serde_json::from_value(settings).expect("the settings are valid");
-    let size = Size {
+    let size = DeploymentSize {
         teams: 6,
-        guarantee: f64::from(machines),
-        limit: 2.0 * f64::from(machines),
+        guaranteed_accelerators: f64::from(machines),
+        max_accelerators: 2.0 * f64::from(machines),
         write_rps: 120.0,
         value_kb: 2.0,
-        ..Size::default()
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&operator, size);
     let all_run = rent_fleet(&mut world, machines, 95);
     let before: BTreeSet<String> = world.roster().into_iter().collect();
     world.run_for(100_000 - world.now);
     assert!(all_run(&world), "replicas are missing before the drain");
-    let (changes, evaluations) = (world.sent.changes, world.machine_evaluations());
+    let (changes, evaluations) = (world.message_counts.state_changes, world.machine_evaluations());
     world.run_for(40_000);
     let after: BTreeSet<String> = world.roster().into_iter().collect();
     let drained = before.difference(&after).count();
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
     let keys = world.store.keys("t/d/");
     let sizes: Vec<usize> = keys
         .iter()
@@ -373,7 +373,7 @@
         .collect();
     DrainCosts {
         drained,
-        changes: (world.sent.changes - changes) as f64 / drained as f64,
+        changes: (world.message_counts.state_changes - changes) as f64 / drained as f64,
         evaluations: (world.machine_evaluations() - evaluations) as f64 / drained as f64 / f64::from(machines),
         stored_bytes: sizes.iter().sum(),
         largest_value: sizes.into_iter().max().unwrap_or(0),
--- a/crates/tidelatch-standin/tests/shared_machines.rs
+++ b/crates/tidelatch-standin/tests/shared_machines.rs
@@ -23,9 +23,9 @@
 
 fn assert_no_breaches(world: &World, case: impl std::fmt::Debug) {
     assert!(
-        world.broken.is_empty(),
+        world.breaches.is_empty(),
         "{case:?}: {:?}\n{}",
-        world.broken,
+        world.breaches,
         world.trace()
     );
 }
--- a/crates/tidelatch-standin/tests/state_service_outages.rs
+++ b/crates/tidelatch-standin/tests/state_service_outages.rs
@@ -82,7 +82,7 @@
     world.store.is_down = false;
     world.run_for(20_000);
     assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 /// Cuts each controller off from the state service, so that leases run out in the store. Then all but the owner of
@@ -158,7 +158,7 @@
     });
     world.run_for(30_000);
     assert_eq!(world.owner_of_team(0), (owner + 2) % 3, "{}", world.trace());
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 #[test]
@@ -191,7 +191,7 @@
     world.run_for(300);
     assert_eq!(world.job_status(poll), "withdrawn");
     assert!(machines <= 1, "the machine of the cancelled service has been returned");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 #[test]
@@ -214,5 +214,5 @@
         "{}",
         world.trace()
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
--- a/crates/tidelatch-standin/tests/upgrade.rs
+++ b/crates/tidelatch-standin/tests/upgrade.rs
@@ -9,10 +9,10 @@
 use std::path::Path;
 use tidelatch_core::settings::{Features, Operator};
 use tidelatch_standin::support::{assert_no_breaches, assert_trace, is_done};
-use tidelatch_standin::{Delivery, Size, World, gang, job};
+use tidelatch_standin::{Delivery, DeploymentSize, World, gang, job};
 
 /// Starts three controllers of the last version without gangs, and a service that runs.
-fn start_last_version(size: Size) -> World {
+fn start_last_version(size: DeploymentSize) -> World {
     let mut world = World::with_size(&Operator::default(), size);
     for controller in 0..3 {
         world.crash_controller(controller);
@@ -61,12 +61,12 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/kept/before_gangs.json");
     let recorded: Value =
         serde_json::from_str(&std::fs::read_to_string(path).expect("the recorded values can be read")).expect("JSON");
-    let size = Size {
-        guarantee: 60.0,
-        limit: 200.0,
+    let size = DeploymentSize {
+        guaranteed_accelerators: 60.0,
+        max_accelerators: 200.0,
         value_kb: 4.0,
-        next: Some((18.0, 2.0, 4)),
-        ..Size::default()
+        announced_limits: Some((18.0, 2.0, 4)),
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.cloud.max_machines = 200;
@@ -140,9 +140,9 @@
 /// fails to decode the record.
 #[test]
 fn records_written_during_an_upgrade_can_be_read_by_the_last_version() {
-    let size = Size {
-        limit: 20.0,
-        ..Size::default()
+    let size = DeploymentSize {
+        max_accelerators: 20.0,
+        ..DeploymentSize::default()
     };
     let mut world = start_last_version(size);
     for controller in [1, 2] {
@@ -185,7 +185,7 @@
 fn gangs_are_accepted_once_all_controllers_support_them_in_any_upgrade_order() {
     for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
         for down_ms in [100, 6000] {
-            let mut world = start_last_version(Size::default());
+            let mut world = start_last_version(DeploymentSize::default());
             for (position, controller) in order.into_iter().enumerate() {
                 let request = world.submit(controller, &gang(1, 1, 2));
                 world.run_for(500);
@@ -226,7 +226,7 @@
 /// middle of an upgrade.
 #[test]
 fn an_upgrade_with_a_crash_and_a_network_cut_loses_no_job() {
-    let mut world = start_last_version(Size::default());
+    let mut world = start_last_version(DeploymentSize::default());
     world.submit_until_accepted(1, &job(3, 1, "sweep", 6));
     replace_controller(&mut world, 0, Features::default(), 6000);
     world.run_for(3000);
@@ -270,7 +270,7 @@
 /// does not return.
 #[test]
 fn a_controller_that_never_returns_does_not_block_gangs() {
-    let mut world = start_last_version(Size::default());
+    let mut world = start_last_version(DeploymentSize::default());
     for controller in [0, 1] {
         replace_controller(&mut world, controller, Features::default(), 1000);
         world.run_for(9000);
@@ -291,7 +291,7 @@
 /// rolled back to the last version.
 #[test]
 fn a_gang_stays_known_after_a_rollback_of_its_owner() {
-    let mut world = start_last_version(Size::default());
+    let mut world = start_last_version(DeploymentSize::default());
     for controller in 0..3 {
         replace_controller(&mut world, controller, Features::default(), 1000);
         world.run_for(3000);
@@ -350,16 +350,16 @@
 }
 
 /// The smallest limits that are expected of a state service, with the longest names of teams.
-fn smallest_limits() -> Size {
-    Size {
+fn smallest_limits() -> DeploymentSize {
+    DeploymentSize {
         teams: 16,
-        guarantee: 10.0,
-        limit: 60.0,
+        guaranteed_accelerators: 10.0,
+        max_accelerators: 60.0,
         write_rps: 25.0,
         value_kb: 4.0,
-        next: Some((18.0, 2.0, 4)),
-        long_names: 150,
-        ..Size::default()
+        announced_limits: Some((18.0, 2.0, 4)),
+        min_team_name_bytes: 150,
+        ..DeploymentSize::default()
     }
 }
 
@@ -438,11 +438,11 @@
 /// any more. A machine that leaves such a group, for another partition or for good, still has to leave the roster.
 #[test]
 fn full_group_records_of_the_last_version_are_split_after_limits_are_lowered() {
-    let size = Size {
-        guarantee: 100.0,
-        limit: 200.0,
-        next: Some((42.0, 2.0, 4)),
-        ..Size::default()
+    let size = DeploymentSize {
+        guaranteed_accelerators: 100.0,
+        max_accelerators: 200.0,
+        announced_limits: Some((42.0, 2.0, 4)),
+        ..DeploymentSize::default()
     };
     let mut world = start_last_version(size);
     world.cloud.max_machines = 120;
@@ -524,10 +524,10 @@
 /// below the announced one.
 #[test]
 fn a_limit_below_the_announced_one_is_discovered() {
-    let size = Size {
-        guarantee: 100.0,
-        limit: 200.0,
-        ..Size::default()
+    let size = DeploymentSize {
+        guaranteed_accelerators: 100.0,
+        max_accelerators: 200.0,
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.cloud.max_machines = 120;
@@ -550,13 +550,13 @@
 /// announced one.
 #[test]
 fn a_lowered_write_rate_loses_no_lease_and_no_job() {
-    let size = Size {
-        guarantee: 60.0,
-        limit: 120.0,
+    let size = DeploymentSize {
+        guaranteed_accelerators: 60.0,
+        max_accelerators: 120.0,
         write_rps: 25.0,
         value_kb: 4.0,
-        next: Some((12.0, 2.0, 4)),
-        ..Size::default()
+        announced_limits: Some((12.0, 2.0, 4)),
+        ..DeploymentSize::default()
     };
     let mut world = World::with_size(&Operator::default(), size);
     world.cloud.max_machines = 150;
@@ -577,7 +577,7 @@
     assert!(
         (1..14).contains(&throttled),
         "{throttled} of {} requests got 429",
-        world.sent.state_requests
+        world.message_counts.state_requests
     );
     assert_no_breaches(&world);
 }
