--- a/crates/tidelatch-standin/src/checker.rs
+++ b/crates/tidelatch-standin/src/checker.rs
@@ -77,7 +77,7 @@
     unanswered: BTreeMap<String, UnansweredRequests>,
     requests: u64,
     answers: u64,
-    start_orders: u64,
+    start_order_count: u64,
     done: BTreeSet<String>,
     machine_properties: BTreeMap<String, MachineProperties>,
     /// The attempts on each machine, and whether each has fetched its image.
@@ -120,7 +120,7 @@
 
     /// Counts the start orders that controllers have sent for all jobs.
     pub fn start_order_count(&self) -> u64 {
-        self.start_orders
+        self.start_order_count
     }
 
     /// Returns the milliseconds from the confirmation of a cancellation until the job's last task was gone. Returns
@@ -271,7 +271,7 @@
     /// Records that a controller sends an order to start a task.
     pub fn record_start_order(&mut self, now: u64, task: &str) {
         self.advance_time(now);
-        self.start_orders += 1;
+        self.start_order_count += 1;
         if let Some(c) = self.confirmations.get_mut(job_of(task)) {
             c.ordered_starts += 1;
         }
--- a/crates/tidelatch-standin/src/faults.rs
+++ b/crates/tidelatch-standin/src/faults.rs
@@ -22,7 +22,7 @@
 /// Limits an injector to a time range, in milliseconds since the beginning of the simulation.
 pub fn limit_to(time: Range<u64>, mut injector: FaultInjector) -> FaultInjector {
     Box::new(move |message| {
-        if time.contains(&message.at) {
+        if time.contains(&message.sent_ms) {
             injector(message)
         } else {
             Delivery::Pass
@@ -34,7 +34,7 @@
 pub fn delay_transactions(seed: u64, share: f64) -> FaultInjector {
     let mut random = fastrand::Rng::with_seed(seed);
     Box::new(move |message| {
-        if message.what == "POST /txn" && random.f64() < share {
+        if message.request == "POST /txn" && random.f64() < share {
             Delivery::Late(random.u64(2_000..12_000))
         } else {
             Delivery::Pass
@@ -46,7 +46,7 @@
 pub fn lose_transaction_answers(seed: u64, share: f64) -> FaultInjector {
     let mut random = fastrand::Rng::with_seed(seed);
     Box::new(move |message| {
-        if message.what == "POST /txn" && random.f64() < share {
+        if message.request == "POST /txn" && random.f64() < share {
             Delivery::AnswerLost
         } else {
             Delivery::Pass
@@ -58,7 +58,7 @@
 pub fn duplicate_reports(seed: u64, share: f64) -> FaultInjector {
     let mut random = fastrand::Rng::with_seed(seed);
     Box::new(move |message| {
-        if message.what == "POST /agent/beat" && random.f64() < share {
+        if message.request == "POST /agent/beat" && random.f64() < share {
             Delivery::Copied(random.u64(2_000..45_000))
         } else {
             Delivery::Pass
@@ -73,7 +73,7 @@
     Box::new(move |message| {
         if message.from == machine {
             Delivery::AnswerLost
-        } else if message.to == machine && message.what != "GET /status" {
+        } else if message.to == machine && message.request != "GET /status" {
             Delivery::Lost
         } else {
             Delivery::Pass
--- a/crates/tidelatch-standin/src/lib.rs
+++ b/crates/tidelatch-standin/src/lib.rs
@@ -2,8 +2,8 @@
 //! the users, all in one deterministic simulation, the [`World`].
 //!
 //! The world is implemented from the protocol specification only, not from the controllers' code. It checks the
-//! protocol's rules while it runs and lists each broken rule in [`World::breaches`]. It writes a human-readable trace of
-//! all events. The module [`loopback`] offers the same services on 127.0.0.1 for real controller processes.
+//! protocol's rules while it runs and lists each broken rule in [`World::breaches`]. It writes a human-readable trace
+//! of all events. The module [`loopback`] offers the same services on 127.0.0.1 for real controller processes.
 
 #![warn(clippy::too_many_lines)]
 
--- a/crates/tidelatch-standin/src/loopback/recorder.rs
+++ b/crates/tidelatch-standin/src/loopback/recorder.rs
@@ -1,7 +1,8 @@
 //! Detects availability gaps and duplicate final answers, from the states of workers and the answers to users.
 //!
 //! * An **availability gap** is any time in which a replica that has run before runs on no machine although none of its
-//!   machines was lost. A machine that a controller returns by its own decision does not count as lost: the gap is a breach.
+//!   machines was lost. A machine that a controller returns by its own decision does not count as lost: the gap is a
+//!   breach.
 //! * A **duplicate final answer** is a task of an array that completes twice, or a job that is reported to users with
 //!   two different final statuses.
 
--- a/crates/tidelatch-standin/src/support.rs
+++ b/crates/tidelatch-standin/src/support.rs
@@ -39,7 +39,7 @@
 /// # Panics
 ///
 /// If the service does not run within 30 s.
-pub fn with_service(team: u32) -> World {
+pub fn world_with_service(team: u32) -> World {
     let mut world = World::new();
     world.run_for(3000);
     world.submit_until_accepted(0, &job(1, team, "standing", 2));
@@ -52,6 +52,6 @@
 }
 
 /// Returns whether the state service stores a job as done.
-pub fn is_done(world: &World, id: &str) -> bool {
+pub fn is_stored_as_done(world: &World, id: &str) -> bool {
     world.store.get(&format!("t/j/{id}")).is_some_and(|j| j["st"] == "done")
 }
--- a/crates/tidelatch-standin/src/world/calls.rs
+++ b/crates/tidelatch-standin/src/world/calls.rs
@@ -29,8 +29,13 @@
     /// Sends a controller's call over the network, with the faults that the injector decides.
     pub(super) fn send_call(&mut self, from: Caller, target: &Target, request: ServiceRequest, timeout_ms: u64) {
         self.count_call(target, &request.body);
-        let what = format!("{} {}", request.method, request.path);
-        let delivery = self.decide_delivery(&format!("berth-{}", from.controller), &request.to, &what, &request.body);
+        let method_and_path = format!("{} {}", request.method, request.path);
+        let delivery = self.decide_delivery(
+            &format!("berth-{}", from.controller),
+            &request.to,
+            &method_and_path,
+            &request.body,
+        );
         if let Some(process) = self.controllers.get_mut(from.controller) {
             process.pending_calls.insert(from.call);
             if *target == Target::State {
--- a/crates/tidelatch-standin/src/world/deployment.rs
+++ b/crates/tidelatch-standin/src/world/deployment.rs
@@ -50,7 +50,10 @@
         .map(|i| json!({ "host_name": format!("berth-{i}"), "area": "a", "address": format!("10.0.0.{}:8081", i + 1) }))
         .collect();
     let teams: Vec<Value> = (0..size.teams)
-        .map(|i| json!({ "name": team_name(i, size), "gpus": size.guaranteed_accelerators, "gpus_max": size.max_accelerators }))
+        .map(|i| {
+            json!({ "name": team_name(i, size),
+                "gpus": size.guaranteed_accelerators, "gpus_max": size.max_accelerators })
+        })
         .collect();
     let objectives = if size.start_within_s > 0.0 {
         json!([{ "kind": "wait", "class": "c", "within_s": size.start_within_s }])
@@ -66,7 +69,8 @@
             "workers": { "report_s": 2.5, "lease_s": 18.0, "cancel_s": 38.0,
                 "gang_wait_s": GANG_WAIT_MS as f64 / 1000.0, "gang_peer_s": GANG_PEER_TIMEOUT_MS as f64 / 1000.0 },
             "state": { "rps": 250.0, "write_rps": size.write_rps, "value_kb": size.value_kb, "txn_ops": 16,
-                "next": size.announced_limits.map(|(rps, kb, ops)| json!({ "write_rps": rps, "value_kb": kb, "txn_ops": ops })) },
+                "next": size.announced_limits
+                    .map(|(rps, kb, ops)| json!({ "write_rps": rps, "value_kb": kb, "txn_ops": ops })) },
             "cloud": { "rps": 4.0, "list_lag_s": 8.0 },
             "machine_limits": { "cores": 0.1, "ram_mb": 100.0, "sockets": 1000 }
         }
--- a/crates/tidelatch-standin/src/world/network.rs
+++ b/crates/tidelatch-standin/src/world/network.rs
@@ -28,13 +28,13 @@
 #[derive(Debug)]
 pub struct Message<'a> {
     /// Time of sending, in milliseconds.
-    pub at: u64,
+    pub sent_ms: u64,
     /// Sender: a controller or a machine.
     pub from: &'a str,
     /// Receiver: `state`, `cloud`, a controller or a machine.
     pub to: &'a str,
     /// Method and path, or the kind of a peer request: `relay`, `forward`, `submit` or `hello`.
-    pub what: &'a str,
+    pub request: &'a str,
     /// Body; empty for peer requests.
     pub body: &'a str,
 }
@@ -78,17 +78,19 @@
 
     /// Asks the fault injector for the delivery of a message. Writes lost, late and refused messages to the trace,
     /// except heartbeats.
-    pub(super) fn decide_delivery(&mut self, from: &str, to: &str, what: &str, body: &str) -> Delivery {
+    pub(super) fn decide_delivery(&mut self, from: &str, to: &str, request: &str, body: &str) -> Delivery {
         let message = Message {
-            at: self.now,
+            sent_ms: self.now,
             from,
             to,
-            what,
+            request,
             body,
         };
         let delivery = (self.injector)(&message);
-        if !matches!(delivery, Delivery::Pass | Delivery::Copied(_) | Delivery::Slow(_)) && !what.starts_with("hello") {
-            let path: String = what.chars().take(60).collect();
+        if !matches!(delivery, Delivery::Pass | Delivery::Copied(_) | Delivery::Slow(_))
+            && !request.starts_with("hello")
+        {
+            let path: String = request.chars().take(60).collect();
             self.write_trace(&format!("({from} to {to}, {path}: {delivery:?})"));
         }
         delivery
--- a/crates/tidelatch-standin/tests/acceptance.rs
+++ b/crates/tidelatch-standin/tests/acceptance.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::support::is_done;
+use tidelatch_standin::support::is_stored_as_done;
 use tidelatch_standin::{Cloud, Delivery, DeploymentSize, World, job};
 
 /// Time for which a user retries.
@@ -377,7 +377,7 @@
     );
     world.set_fault_injector(|_| Delivery::Pass);
     let jobs: Vec<String> = users.accepted.keys().cloned().collect();
-    let are_done = world.run_until(120_000, |w| jobs.iter().all(|j| is_done(w, j)));
+    let are_done = world.run_until(120_000, |w| jobs.iter().all(|j| is_stored_as_done(w, j)));
     assert!(are_done, "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -392,7 +392,7 @@
     let passed_on = Rc::new(Cell::new(0));
     let count = passed_on.clone();
     world.set_fault_injector(move |m| {
-        count.set(count.get() + u32::from(m.what == "submit"));
+        count.set(count.get() + u32::from(m.request == "submit"));
         Delivery::Pass
     });
     let request = world.submit(0, &job(1, 0, "sweep", 1));
--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -81,7 +81,7 @@
             HelloLoss::LostToRefused => l.from == name || l.to == name,
             HelloLoss::LostToAll => true,
         };
-        let is_lost_hello = l.what == "hello" && hellos_are_lost.get() && is_affected;
+        let is_lost_hello = l.request == "hello" && hellos_are_lost.get() && is_affected;
         if elsewhere || is_lost_hello {
             Delivery::Lost
         } else if l.from == name && l.to == "state" {
@@ -247,8 +247,8 @@
             let elsewhere = only_refused_reachable
                 && ((worker(l.from) && l.to != refused_name) || (worker(l.to) && l.from != refused_name));
             // The writer's hello messages to its peers are lost, and it gets no answer to its transaction.
-            let is_end = l.from == writer_name && l.what == "POST /txn" && l.body.contains("withdrawn");
-            if elsewhere || (l.from == writer_name && l.what == "hello") {
+            let is_end = l.from == writer_name && l.request == "POST /txn" && l.body.contains("withdrawn");
+            if elsewhere || (l.from == writer_name && l.request == "hello") {
                 Delivery::Lost
             } else if is_end {
                 Delivery::AnswerLost
@@ -352,7 +352,7 @@
     let (name, count) = (machine.clone(), answered.clone());
     // Reports that are passed on and direct commands are lost. One report of the machine is answered.
     world.set_fault_injector(move |l| {
-        if l.what == "relay" || (l.to == name && l.what.starts_with("POST /commands")) {
+        if l.request == "relay" || (l.to == name && l.request.starts_with("POST /commands")) {
             return Delivery::Lost;
         }
         if l.from == name {
--- a/crates/tidelatch-standin/tests/compound_fault_regressions.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_regressions.rs
@@ -161,9 +161,9 @@
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
     world.set_fault_injector(move |l| {
-        let is_end = l.from == name && l.what == "POST /txn" && l.body.contains("withdrawn");
+        let is_end = l.from == name && l.request == "POST /txn" && l.body.contains("withdrawn");
         // The owner's watch is lost as well.
-        let is_watch = l.from == name && l.what.starts_with("GET /changes");
+        let is_watch = l.from == name && l.request.starts_with("GET /changes");
         match (is_end, is_watch) {
             (true, _) => Delivery::AnswerLost,
             (_, true) => Delivery::Lost,
@@ -266,7 +266,7 @@
         // Direct commands of the old owner are delayed by seconds.
         let old_owner = name.clone();
         world.set_fault_injector(move |l| {
-            if l.from == old_owner && l.what == "POST /commands" {
+            if l.from == old_owner && l.request == "POST /commands" {
                 Delivery::Late(9000)
             } else {
                 Delivery::Pass
@@ -372,7 +372,7 @@
         let (machine, count) = (dead.clone(), std::cell::Cell::new(0));
         world.set_fault_injector(move |l| {
             count.set(count.get() + 1);
-            let is_copied = l.what == "POST /agent/beat" && l.from != machine && count.get() % 3 == 0;
+            let is_copied = l.request == "POST /agent/beat" && l.from != machine && count.get() % 3 == 0;
             if is_copied {
                 Delivery::Copied(9000)
             } else {
--- a/crates/tidelatch-standin/tests/compound_faults_answers.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_answers.rs
@@ -95,7 +95,7 @@
                 n += 1;
                 if l.to != "state" {
                     Delivery::Pass
-                } else if l.from == name && l.at >= from {
+                } else if l.from == name && l.sent_ms >= from {
                     Delivery::Refused
                 } else if slow_ms > 0 && n % 3 != 0 {
                     Delivery::Slow(slow_ms)
@@ -150,7 +150,7 @@
             world.run_for(4000);
             let controller = world.owner_of_team(0);
             world.set_fault_injector(move |l| {
-                if l.what.starts_with("GET /store/t/j/") {
+                if l.request.starts_with("GET /store/t/j/") {
                     Delivery::AnswerLate(late_ms)
                 } else {
                     Delivery::Pass
@@ -192,9 +192,9 @@
                     let asked_controller = (world.owner_of_team(0) + controller) % 3;
                     let mut forwards = 0;
                     world.set_fault_injector(move |l| {
-                        forwards += u64::from(l.what == "forward");
+                        forwards += u64::from(l.request == "forward");
                         // Every other answer is late, the first one included.
-                        if l.what == "forward" && forwards % 2 == 1 {
+                        if l.request == "forward" && forwards % 2 == 1 {
                             Delivery::AnswerLate(late_ms)
                         } else {
                             Delivery::Pass
--- a/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_cancellations.rs
@@ -120,7 +120,7 @@
             let case = (late_ms, hang_ms, cancel_after_ms, delays_answer);
             let mut world = with_running_jobs(300_000, &[job(1, 0, "standing", 1)]);
             world.set_fault_injector(move |l| {
-                let is_start = l.what == "POST /commands" && l.body.contains("\"start\"");
+                let is_start = l.request == "POST /commands" && l.body.contains("\"start\"");
                 match is_start && l.body.contains("job-000002/0") {
                     true if delays_answer => Delivery::AnswerLate(late_ms),
                     true => Delivery::Late(late_ms),
--- a/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_take_overs.rs
@@ -117,9 +117,9 @@
                 }
                 // At least one report of each machine is from before the start of its further task.
                 let until = world.now + 2600;
-                world.set_fault_injector(move |l| match l.what {
-                    "POST /agent/beat" if l.at < until && is_lost => Delivery::Late(delay_ms),
-                    "POST /agent/beat" if l.at < until => Delivery::Copied(delay_ms),
+                world.set_fault_injector(move |l| match l.request {
+                    "POST /agent/beat" if l.sent_ms < until && is_lost => Delivery::Late(delay_ms),
+                    "POST /agent/beat" if l.sent_ms < until => Delivery::Copied(delay_ms),
                     _ => Delivery::Pass,
                 });
                 world.run_for(2600);
--- a/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
+++ b/crates/tidelatch-standin/tests/dead_and_hanging_machines.rs
@@ -39,7 +39,7 @@
     let messages = Rc::new(Cell::new(0u64));
     world.set_fault_injector(move |message| {
         messages.set(messages.get() + 1);
-        match message.what {
+        match message.request {
             "POST /agent/beat" | "POST /commands" if messages.get().is_multiple_of(5) => {
                 Delivery::Copied(4000 + 900 * (messages.get() % 40))
             }
--- a/crates/tidelatch-standin/tests/drain_support/mod.rs
+++ b/crates/tidelatch-standin/tests/drain_support/mod.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::support::{assert_no_breaches, is_done};
+use tidelatch_standin::support::{assert_no_breaches, is_stored_as_done};
 use tidelatch_standin::{DeploymentSize, InterruptionRecorder, World, job};
 
 /// A controller's lease in the stand-in's deployment.
@@ -201,7 +201,8 @@
     pub fn assert_drain_ends(&mut self, drain: &str, case: &str) {
         let ended = self.run_until(DRAIN_MS, |d| d.is_done(drain));
         assert!(ended, "{case}: the drain has not ended\n{}", self.trace());
-        let recovered = |d: &Self| d.all_replicas_run() && d.arrays.iter().all(|array| is_done(&d.world, array));
+        let recovered =
+            |d: &Self| d.all_replicas_run() && d.arrays.iter().all(|array| is_stored_as_done(&d.world, array));
         assert!(self.run_until(150_000, recovered), "{case}\n{}", self.trace());
         self.assert_within_budgets(case);
     }
--- a/crates/tidelatch-standin/tests/drains.rs
+++ b/crates/tidelatch-standin/tests/drains.rs
@@ -8,7 +8,7 @@
 use drain_support::{DRAIN_MS, Deployment, LEASE_MS, operator, with_drain};
 use serde_json::{Value, json};
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::support::is_done;
+use tidelatch_standin::support::is_stored_as_done;
 use tidelatch_standin::{BudgetViolation, Delivery, InterruptionRecorder, faults};
 
 fn drain_of_all_machines() -> Value {
@@ -438,7 +438,7 @@
     let mut deployment = Deployment::start(3);
     let mut lost = 0;
     deployment.world.set_fault_injector(move |message| {
-        let writes_record = message.what == "POST /txn" && message.body.contains("t/d/all\"") && lost < 3;
+        let writes_record = message.request == "POST /txn" && message.body.contains("t/d/all\"") && lost < 3;
         if writes_record {
             lost += 1;
             Delivery::AnswerLost
@@ -473,7 +473,7 @@
     // room.
     deployment.submit_array(501, 1, 8);
     assert!(
-        deployment.run_until(90_000, |d| is_done(&d.world, "job-000501")),
+        deployment.run_until(90_000, |d| is_stored_as_done(&d.world, "job-000501")),
         "{}",
         deployment.trace()
     );
--- a/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
+++ b/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
@@ -247,15 +247,15 @@
     let mut world = World::with_operator(&operator(&json!({})));
     world.cloud.max_machines = 3;
     world.run_for(3_000);
-    let sized = |id, team, tasks, cpus: f64| {
+    let service_with_cpus = |id, team, tasks, cpus: f64| {
         let mut service = job(id, team, "standing", tasks);
         service["vcpus"] = json!(cpus);
         service
     };
     for (service, replicas) in [
-        (sized(1, 0, 2, 13.0), 2),
-        (sized(2, 1, 1, 20.0), 1),
-        (sized(3, 2, 1, 8.0), 1),
+        (service_with_cpus(1, 0, 2, 13.0), 2),
+        (service_with_cpus(2, 1, 1, 20.0), 1),
+        (service_with_cpus(3, 2, 1, 8.0), 1),
     ] {
         world.submit_until_accepted(0, &service);
         let id = service["uid"].as_str().expect("an id");
@@ -288,9 +288,9 @@
     let cut = move |message: &tidelatch_standin::Message<'_>| {
         let pair = [message.from, message.to];
         let is_between_peers = pair == ["berth-1", "berth-2"] || pair == ["berth-2", "berth-1"];
-        let is_order = message.from == "berth-2" && message.to == machine && message.what != "GET /status";
+        let is_order = message.from == "berth-2" && message.to == machine && message.request != "GET /status";
         let is_report = message.from == machine && message.to == "berth-2";
-        let is_relay = message.to == "berth-2" && message.what == "relay";
+        let is_relay = message.to == "berth-2" && message.request == "relay";
         if is_order || is_report || is_relay || is_between_peers {
             Delivery::Lost
         } else {
@@ -351,7 +351,7 @@
     let machine_owner = shared.world.owner_of_team(2);
     let requester = format!("berth-{machine_owner}");
     shared.world.set_fault_injector(move |message| {
-        let is_request = message.from == requester && message.to == team_owner && message.what == "hello";
+        let is_request = message.from == requester && message.to == team_owner && message.request == "hello";
         if is_request {
             Delivery::AnswerLost
         } else {
--- a/crates/tidelatch-standin/tests/drains_under_faults.rs
+++ b/crates/tidelatch-standin/tests/drains_under_faults.rs
@@ -20,7 +20,7 @@
 fn delayed_commands(seed: u64, probability: f64) -> FaultInjector {
     let mut rng = Rng::with_seed(seed);
     Box::new(move |message| {
-        if !message.what.starts_with("POST /commands") || rng.f64() >= probability {
+        if !message.request.starts_with("POST /commands") || rng.f64() >= probability {
             return Delivery::Pass;
         }
         match rng.u32(0..3) {
--- a/crates/tidelatch-standin/tests/failure_detection.rs
+++ b/crates/tidelatch-standin/tests/failure_detection.rs
@@ -6,7 +6,7 @@
 
 use tidelatch_core::settings::{FailureDetection, Operator};
 use tidelatch_standin::faults::{self, StateServiceSide};
-use tidelatch_standin::support::{assert_no_breaches, assert_trace, is_done};
+use tidelatch_standin::support::{assert_no_breaches, assert_trace, is_stored_as_done};
 use tidelatch_standin::{DeploymentSize, World, job};
 
 /// A controller's lease in the stand-in's deployment.
@@ -46,7 +46,7 @@
     world.clear_fault_injector();
     let recovered = |w: &World| {
         (0..controllers).all(|team| {
-            w.running_tasks(&format!("job-{team:06}")) == 2 && is_done(w, &format!("job-{:06}", 100 + team))
+            w.running_tasks(&format!("job-{team:06}")) == 2 && is_stored_as_done(w, &format!("job-{:06}", 100 + team))
         })
     };
     assert!(world.run_until(150_000, recovered), "{}", world.trace());
@@ -120,7 +120,7 @@
         world.run_for(500);
         world.clear_fault_injector();
         assert!(
-            world.run_until(150_000, |w| is_done(w, "job-000201")),
+            world.run_until(150_000, |w| is_stored_as_done(w, "job-000201")),
             "{}",
             world.trace()
         );
@@ -241,7 +241,7 @@
         world.pause(owner);
         world.run_for(LEASE_MS + 300);
         world.resume(owner);
-        let recovered = |w: &World| w.running_tasks("job-000001") == 4 && is_done(w, "job-000101");
+        let recovered = |w: &World| w.running_tasks("job-000001") == 4 && is_stored_as_done(w, "job-000101");
         assert!(world.run_until(240_000, recovered), "{}", world.trace());
         assert_no_breaches(&world);
         let mut roster = world.roster();
--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -4,17 +4,17 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use tidelatch_standin::faults::{self, FaultInjector};
-use tidelatch_standin::support::{assert_no_breaches, is_done, with_service};
+use tidelatch_standin::support::{assert_no_breaches, is_stored_as_done, world_with_service};
 use tidelatch_standin::{Delivery, Message, World, job};
 
 /// What an injector does with one message.
 fn delivery_of(injector: &mut FaultInjector, at: u64, from: &str, to: &str, what: &str) -> Delivery {
     let body = "{}";
     injector(&Message {
-        at,
+        sent_ms: at,
         from,
         to,
-        what,
+        request: what,
         body,
     })
 }
@@ -191,7 +191,11 @@
         let jobs = ["job-000001", "job-000002", "job-000003"];
         let unanswered = world.poll_unanswered(75_000, &jobs);
         assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}\n{}", world.trace());
-        assert!(is_done(&world, "job-000002"), "seed {seed}\n{}", world.trace());
+        assert!(
+            is_stored_as_done(&world, "job-000002"),
+            "seed {seed}\n{}",
+            world.trace()
+        );
         assert_eq!(world.running_tasks("job-000001"), 1, "seed {seed}\n{}", world.trace());
         assert_no_breaches(&world);
     }
@@ -201,7 +205,7 @@
 fn a_controller_refused_by_the_state_service_loses_its_partitions() {
     // Guards against a controller that goes on acting, or stays healthy for the load balancer, while the state service
     // refuses it alone: its leases run out, and its watches hear of nothing.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     let before = world.epoch();
     let name = format!("berth-{owner}");
@@ -214,7 +218,7 @@
     assert!(!is_healthy(&mut world, owner), "{}", world.trace());
     assert!(is_healthy(&mut world, (owner + 1) % 3), "{}", world.trace());
     world.submit_until_accepted((owner + 1) % 3, &job(2, 0, "sweep", 2));
-    let is_finished = world.run_until(60_000, |w| is_done(w, "job-000002"));
+    let is_finished = world.run_until(60_000, |w| is_stored_as_done(w, "job-000002"));
     assert!(is_finished, "{}", world.trace());
     assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     world.clear_fault_injector();
@@ -231,7 +235,7 @@
     let team = (0..3).find(|t| world.owner_of_team(*t) == 2).expect("it owns a team");
     // Submissions that are passed on are lost, so that no peer stores the job either.
     let mut refused = faults::refuse_state_requests(2);
-    world.set_fault_injector(move |m| match m.what {
+    world.set_fault_injector(move |m| match m.request {
         "submit" => Delivery::Lost,
         _ => refused(m),
     });
@@ -257,11 +261,11 @@
         let count = Rc::new(Cell::new(0));
         let counter = count.clone();
         world.set_fault_injector(move |l| {
-            if l.from == "berth-2" && l.what.starts_with("GET /changes") {
+            if l.from == "berth-2" && l.request.starts_with("GET /changes") {
                 counter.set(counter.get() + 1);
             }
             // Its requests for leases and its writes are refused. It can still open watches.
-            let watch = l.what.starts_with("GET /changes");
+            let watch = l.request.starts_with("GET /changes");
             if refused && l.from == "berth-2" && l.to == "state" && !watch {
                 Delivery::Refused
             } else {
@@ -294,7 +298,7 @@
 fn work_on_a_machine_that_receives_nothing_moves_elsewhere() {
     // Guards against tasks that stay assigned to a machine whose reports arrive, but which no answer and no command
     // reaches.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let machine = world
         .machines_of("job-000001")
         .first()
@@ -310,7 +314,7 @@
 #[test]
 fn a_cancelled_job_on_a_machine_whose_reports_are_lost_ends_in_time() {
     // Guards against cancelled tasks that go on running because their machine's reports reach no controller.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let machine = world
         .machines_of("job-000001")
         .first()
@@ -331,7 +335,7 @@
 fn earlier_reports_are_repeated_to_all_controllers_when_an_epoch_begins() {
     // Guards against a simulation that repeats no earlier reports when an epoch begins, and against controllers that
     // take such copies for the present state.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     world.replay_reports_in_next_epoch();
     world.submit_until_accepted(0, &job(2, 0, "sweep", 4));
     world.run_for(8000);
@@ -346,7 +350,7 @@
     assert!(!world.trace().contains(" 0 reports of before"), "{}", world.trace());
     world.start_controller(owner);
     let is_finished = world.run_until(60_000, |w| {
-        is_done(w, "job-000002") && w.running_tasks("job-000001") == 2
+        is_stored_as_done(w, "job-000002") && w.running_tasks("job-000001") == 2
     });
     assert!(is_finished, "{}", world.trace());
     world.run_for(40_000);
@@ -393,7 +397,7 @@
 fn a_controller_cut_off_from_the_state_service_and_its_peers_steps_down() {
     // Guards against a controller that goes on acting, or stays healthy for the load balancer, though it reaches
     // neither the state service nor its peers.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     world.write_trace(&format!("berth-{owner} is cut from the state service and its peers"));
     world.set_fault_injector(faults::isolate_controller(owner));
@@ -410,7 +414,7 @@
 fn the_simulation_tells_the_checker_of_a_task_on_a_second_machine() {
     // Guards against a checker that misses a task on two machines: the simulation looks at the machines itself, so
     // that it also sees what a test changes on a machine by hand.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let on = world
         .machines_of("job-000001")
         .first()
@@ -431,12 +435,12 @@
 #[test]
 fn the_simulation_tells_the_checker_when_the_last_task_of_a_cancelled_job_is_gone() {
     // Guards against a wrong measurement of how long a cancelled job stays on its machines.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     assert_eq!(world.cancellation_duration_ms("job-000001"), None);
     // A cancellation stops tasks at once by direct commands. Without these the tasks end with the answers to the
     // next reports.
     world.set_fault_injector(|l| {
-        if l.what == "POST /commands" {
+        if l.request == "POST /commands" {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -454,7 +458,7 @@
 fn the_simulation_tells_the_checker_when_tasks_end_with_the_lease_of_their_worker() {
     // Guards against ends of tasks that the checker learns of too late. The lease ends within one long run, during
     // which only the simulation itself looks at the machines.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let cut = world
         .machines_of("job-000001")
         .first()
@@ -467,7 +471,7 @@
     world.set_fault_injector(move |l| {
         // The worker sends the first report of its next session when its lease has ended.
         if l.from == machine && l.body.contains("\"shift\":2,") && seen.get() == 0 {
-            seen.set(l.at);
+            seen.set(l.sent_ms);
         }
         if l.from == machine || l.to == machine {
             Delivery::Lost
--- a/crates/tidelatch-standin/tests/gangs.rs
+++ b/crates/tidelatch-standin/tests/gangs.rs
@@ -132,7 +132,7 @@
     let mut is_start_delayed = false;
     world.set_fault_injector(move |message| {
         // The first start of a task gets no answer and arrives 30 s late.
-        let is_start = message.what.starts_with("POST /commands") && message.body.contains("job-000001/1");
+        let is_start = message.request.starts_with("POST /commands") && message.body.contains("job-000001/1");
         if is_start && !is_start_delayed {
             is_start_delayed = true;
             return Delivery::Late(30_000);
@@ -178,7 +178,7 @@
     let mut world = start_with_service();
     world.set_fault_injector(|message| {
         // All direct commands that start one of the tasks are lost on the way.
-        let is_start = message.body.contains("job-000001/2") && message.what.starts_with("POST /commands");
+        let is_start = message.body.contains("job-000001/2") && message.request.starts_with("POST /commands");
         if is_start { Delivery::Lost } else { Delivery::Pass }
     });
     world.submit_until_accepted(1, &gang(1, 0, 4));
@@ -479,7 +479,7 @@
     let mut count = 0u64;
     world.set_fault_injector(move |message| {
         count += 1;
-        let is_duplicated = message.what == "POST /agent/beat" || message.what.starts_with("POST /commands");
+        let is_duplicated = message.request == "POST /agent/beat" || message.request.starts_with("POST /commands");
         if is_duplicated && count.is_multiple_of(2) {
             return Delivery::Copied(2000 + count * 977 % 40_000);
         }
--- a/crates/tidelatch-standin/tests/on_call.rs
+++ b/crates/tidelatch-standin/tests/on_call.rs
@@ -18,7 +18,7 @@
 }
 
 /// Starts a deployment in which all replicas of a service of the first team run.
-fn with_service(replicas: u32) -> World {
+fn world_with_service(replicas: u32) -> World {
     let size = DeploymentSize {
         guaranteed_accelerators: 8.0,
         max_accelerators: 16.0,
@@ -50,7 +50,7 @@
     let count = Rc::new(Cell::new(0));
     let seen = count.clone();
     let injector = move |message: &Message<'_>| {
-        if message.to == "state" && message.what.starts_with(request_prefix) {
+        if message.to == "state" && message.request.starts_with(request_prefix) {
             seen.set(seen.get() + 1);
         }
         next_injector(message)
@@ -65,7 +65,7 @@
 /// Loses the requests to the state service that begin with `request_prefix`, so that they get no answer.
 fn lose_state_requests(request_prefix: &'static str) -> FaultInjector {
     Box::new(move |message| {
-        if message.to == "state" && message.what.starts_with(request_prefix) {
+        if message.to == "state" && message.request.starts_with(request_prefix) {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -80,7 +80,7 @@
 /// the log (inc-6e9b). Here the process was paused.
 #[test]
 fn the_log_names_a_pause_as_the_cause_of_a_lost_lease() {
-    let mut world = with_service(2);
+    let mut world = world_with_service(2);
     let owner = world.owner_of_team(0);
     world.pause(owner);
     world.run_for(9000);
@@ -101,7 +101,7 @@
 /// controllers are still entitled.
 #[test]
 fn the_log_names_refusals_of_one_controller_as_the_cause_of_a_lost_lease() {
-    let mut world = with_service(2);
+    let mut world = world_with_service(2);
     let owner = world.owner_of_team(0);
     let others: Vec<String> = (0..3)
         .filter(|n| *n != owner)
@@ -135,7 +135,7 @@
 /// Guards against a log that does not tell that the controller was disconnected from the state service and its peers.
 #[test]
 fn the_log_names_a_network_cut_as_the_cause_of_a_lost_lease() {
-    let mut world = with_service(2);
+    let mut world = world_with_service(2);
     let owner = world.owner_of_team(0);
     world.set_fault_injector(faults::isolate_controller(owner));
     world.run_for(12_000);
@@ -183,7 +183,7 @@
     for fault_ms in [3000, 6500, 8000, 20_000] {
         for is_pause in [true, false] {
             let case = (fault_ms, is_pause);
-            let mut world = with_service(2);
+            let mut world = world_with_service(2);
             let leader_before = leader(&world);
             let controller = leader_before
                 .strip_prefix("berth-")
@@ -233,7 +233,7 @@
 /// the read capacity.
 #[test]
 fn concurrent_polls_of_an_unknown_job_share_reads() {
-    let mut world = with_service(2);
+    let mut world = world_with_service(2);
     let (reads, injector) = count_state_requests(JOB_READ_PREFIX, deliver_all());
     world.set_fault_injector(injector);
     let polls: Vec<u64> = (0..50).map(|_| world.poll(1, "job-000404")).collect();
@@ -251,16 +251,16 @@
 /// accepted, and would answer an accepted job with 404.
 #[test]
 fn no_poll_is_answered_from_a_read_begun_before_it() {
-    let mut world = with_service(2);
+    let mut world = world_with_service(2);
     let polled = 1;
     let slow = Rc::new(Cell::new(true));
     let is_slow = slow.clone();
     world.set_fault_injector(move |message| {
         let is_of_polled = message.from == "berth-1" && message.to == "state";
-        if is_of_polled && message.what.starts_with("GET /changes") {
+        if is_of_polled && message.request.starts_with("GET /changes") {
             // The controller's watch gets no answer, so that it does not learn of the job.
             Delivery::Lost
-        } else if is_of_polled && message.what.starts_with(JOB_READ_PREFIX) && is_slow.replace(false) {
+        } else if is_of_polled && message.request.starts_with(JOB_READ_PREFIX) && is_slow.replace(false) {
             Delivery::AnswerLate(800)
         } else {
             Delivery::Pass
@@ -285,7 +285,7 @@
 /// reads without an answer.
 #[test]
 fn polls_beyond_the_read_capacity_are_rejected_at_once() {
-    let mut world = with_service(2);
+    let mut world = world_with_service(2);
     let (reads, injector) = count_state_requests(JOB_READ_PREFIX, lose_state_requests(JOB_READ_PREFIX));
     world.set_fault_injector(injector);
     let polls: Vec<u64> = (0..300)
@@ -304,7 +304,7 @@
 /// Guards against polls that overdraw the request budget, as they once did: the next submission got a 503.
 #[test]
 fn a_flood_of_polls_leaves_capacity_for_submissions_and_cancellations() {
-    let mut world = with_service(2);
+    let mut world = world_with_service(2);
     for round in 0..20 {
         for i in 0..40 {
             world.poll(0, &format!("job-{:06}", 1000 + 40 * round + i));
@@ -322,7 +322,7 @@
 /// Guards against polls that cost the state service a request although the owner of the job knows its state.
 #[test]
 fn a_poll_of_a_known_job_causes_no_write_and_no_read() {
-    let mut world = with_service(2);
+    let mut world = world_with_service(2);
     world.run_for(10_000);
     let (reads, injector) = count_state_requests(JOB_READ_PREFIX, deliver_all());
     world.set_fault_injector(injector);
--- a/crates/tidelatch-standin/tests/partial_failures.rs
+++ b/crates/tidelatch-standin/tests/partial_failures.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tidelatch_core::Method;
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::support::{assert_no_breaches, assert_trace, with_service};
+use tidelatch_standin::support::{assert_no_breaches, assert_trace, world_with_service};
 use tidelatch_standin::{Delivery, DeploymentSize, World, faults, gang, job};
 
 /// Loses every answer and command to a machine. Its reports still arrive, and it still tells its state.
@@ -20,7 +20,7 @@
     // Guards against a machine that is given the same tasks again and again, because it reports and looks empty, but
     // no answer reaches it. A worker whose lease ends though it is answered, or that never starts what it is sent, is
     // given up.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let without_answers = world
         .machines_of("job-000001")
         .first()
@@ -91,7 +91,7 @@
         n.set(n.get() + 1);
         // Copies come after a few seconds, after about a lease, and after well over a lease.
         let late = [3_000, 17_000, 26_000, 44_000][n.get() as usize % 4] + 7 * (n.get() % 100);
-        let repeated = l.what == "POST /agent/beat" || l.what == "POST /commands" || l.what == "POST /txn";
+        let repeated = l.request == "POST /agent/beat" || l.request == "POST /commands" || l.request == "POST /txn";
         if repeated {
             Delivery::Copied(late)
         } else {
@@ -152,7 +152,7 @@
     let copied = Rc::new(Cell::new(0));
     let count = copied.clone();
     world.set_fault_injector(move |l| {
-        if l.what == "POST /commands" && l.body.contains("\"start\"") {
+        if l.request == "POST /commands" && l.body.contains("\"start\"") {
             count.set(count.get() + 1);
             return Delivery::Copied(46_000);
         }
@@ -191,7 +191,7 @@
     let n = Rc::new(Cell::new(0u64));
     world.set_fault_injector(move |l| {
         n.set(n.get() + 1);
-        let is_report = l.what == "POST /agent/beat";
+        let is_report = l.request == "POST /agent/beat";
         if is_report {
             Delivery::Copied(30_000 + 900 * (n.get() % 20))
         } else {
@@ -227,7 +227,7 @@
     let held = Rc::new(Cell::new(false));
     let once = held.clone();
     world.set_fault_injector(move |l| {
-        if l.what == "POST /hosts" && !once.get() {
+        if l.request == "POST /hosts" && !once.get() {
             once.set(true);
             return Delivery::Late(9000);
         }
@@ -265,7 +265,7 @@
     // Guards against a controller that goes on acting after it has lost the state service and its peers. Its
     // entitlement ends with its lease when no peer can grant anything. The load balancer is told, because the
     // controller's users would otherwise be told to retry without end.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
     world.write_trace(&format!(
--- a/crates/tidelatch-standin/tests/preemption.rs
+++ b/crates/tidelatch-standin/tests/preemption.rs
@@ -44,7 +44,7 @@
 type RecordedStops = Rc<RefCell<BTreeSet<(String, u64, u64)>>>;
 
 fn is_command(message: &Message<'_>) -> bool {
-    message.what == "POST /commands"
+    message.request == "POST /commands"
 }
 
 /// Records the stop orders in direct commands, and lets `decide_delivery` decide what happens to each message.
--- a/crates/tidelatch-standin/tests/production_data.rs
+++ b/crates/tidelatch-standin/tests/production_data.rs
@@ -16,7 +16,7 @@
 use tidelatch_core::protocol::MachineTypes;
 use tidelatch_core::roster::{BootEntry, GroupRecord};
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::support::is_done;
+use tidelatch_standin::support::is_stored_as_done;
 use tidelatch_standin::{DeploymentSize, World, job};
 
 /// Values as the production commit stored them.
@@ -246,7 +246,8 @@
     let said = poll_job(&mut world, "job-000002");
     assert_eq!(said["done"].as_u64(), Some(done.len() as u64), "{}", world.trace());
     assert!(
-        world.run_until(200_000, |w| is_done(w, "job-000007") && is_done(w, "job-000008")),
+        world.run_until(200_000, |w| is_stored_as_done(w, "job-000007")
+            && is_stored_as_done(w, "job-000008")),
         "{}",
         world.trace()
     );
--- a/crates/tidelatch-standin/tests/restarts.rs
+++ b/crates/tidelatch-standin/tests/restarts.rs
@@ -4,7 +4,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use tidelatch_core::Method;
-use tidelatch_standin::support::{assert_no_breaches, assert_trace, with_service};
+use tidelatch_standin::support::{assert_no_breaches, assert_trace, world_with_service};
 use tidelatch_standin::{Delivery, World, job};
 
 /// Crashes one controller `crash_at_ms` after a submission and restarts it after `away_ms`, then another
@@ -15,7 +15,7 @@
     world.set_fault_injector(move |l| {
         n.set(n.get() + 1);
         let is_copied = matches!(
-            l.what,
+            l.request,
             "POST /agent/beat" | "POST /commands" | "POST /txn" | "POST /hosts"
         );
         if is_copied && n.get().is_multiple_of(3) {
@@ -100,13 +100,13 @@
 fn a_late_copy_of_an_earlier_incarnations_key_changes_nothing() {
     // Guards against a late copy of an earlier incarnation's write, which put that incarnation back, so that the
     // membership changed to and fro. A controller writes its own key on condition of the key's revision.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
     let copies = Rc::new(Cell::new(0));
     let count = copies.clone();
     world.set_fault_injector(move |l| {
-        if l.from == name && l.what == "POST /txn" && l.body.contains("t/c/member/") && count.get() < 1 {
+        if l.from == name && l.request == "POST /txn" && l.body.contains("t/c/member/") && count.get() < 1 {
             count.set(1);
             return Delivery::Copied(2500);
         }
@@ -133,7 +133,7 @@
     // Guards against a controller that acts on old input after a long pause. The entitlement is checked with each
     // input, at the time of that input. Whatever waited in the buffers (reports, users' requests, ends of calls,
     // ticks) is handled by a controller that may no longer act.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     world.pause(owner);
     // A submission and a cancellation wait in its buffers when it resumes.
--- a/crates/tidelatch-standin/tests/rules.rs
+++ b/crates/tidelatch-standin/tests/rules.rs
@@ -4,14 +4,14 @@
 
 use std::cell::Cell;
 use std::rc::Rc;
-use tidelatch_standin::support::{assert_trace, with_service};
+use tidelatch_standin::support::{assert_trace, world_with_service};
 use tidelatch_standin::{Delivery, World, job};
 
 #[test]
 fn a_service_and_an_array_run_without_faults() {
     // The baseline without faults: a service and an array run, a user is told that the array is done, and a request
     // about an unknown job is answered with 404.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     world.submit_until_accepted(1, &job(2, 1, "sweep", 3));
     assert!(
         world.run_until(60_000, |w| w
@@ -36,7 +36,7 @@
     // The controller reads the unknown outcome from the state service and does not guess it.
     let mut world = World::new();
     world.run_for(3000);
-    world.set_fault_injector(|l| match l.what {
+    world.set_fault_injector(|l| match l.request {
         "POST /txn" if l.body.contains("t/j/") => Delivery::AnswerLost,
         _ => Delivery::Pass,
     });
@@ -58,7 +58,7 @@
     let mut world = World::new();
     world.run_for(3000);
     world.set_fault_injector(|l| {
-        let without_watch = l.from == "berth-1" && l.what.starts_with("GET /changes");
+        let without_watch = l.from == "berth-1" && l.request.starts_with("GET /changes");
         if without_watch { Delivery::Lost } else { Delivery::Pass }
     });
     world.run_for(10_000);
@@ -76,7 +76,7 @@
 fn a_takeover_with_an_unresponsive_machine_starts_no_task_twice() {
     // Guards against a task that runs on two machines: its machine is unreachable but still runs it when another
     // controller takes over the partition. No older task starts while a machine of the roster is not accounted for.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     let machines = world.machines_of("job-000001");
     let unresponsive = machines.first().cloned().expect("a machine runs the service");
@@ -106,7 +106,7 @@
 fn a_deposed_controller_starts_no_task_late() {
     // Guards against a controller that has lost its lease, still reaches its workers and starts tasks that the new
     // owner starts too. Its entitlement ends before its lease, and answers under an older token are dropped.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
     let cut_off = name.clone();
@@ -156,7 +156,7 @@
     let delayed = Rc::new(Cell::new(0));
     let count = delayed.clone();
     world.set_fault_injector(move |l| {
-        if l.what == "POST /agent/beat" && l.from == "n-000001" && count.get() < 1 {
+        if l.request == "POST /agent/beat" && l.from == "n-000001" && count.get() < 1 {
             count.set(1);
             return Delivery::Late(32_700);
         }
@@ -188,7 +188,7 @@
     // while its last owner is alive but hears nothing of the new epoch. The home controller does not act for the
     // partition before that owner has acknowledged the epoch: until then the owner goes on telling users what it
     // knows.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let home_controller = world.owner_of_team(0);
     world.crash_controller(home_controller);
     world.run_for(12_000);
@@ -203,7 +203,7 @@
     );
     let without_watch = format!("berth-{last_owner}");
     world.set_fault_injector(move |l| {
-        if l.from == without_watch && l.what.starts_with("GET /changes") {
+        if l.from == without_watch && l.request.starts_with("GET /changes") {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -241,7 +241,7 @@
     let lost = Rc::new(Cell::new(0));
     let count = lost.clone();
     world.set_fault_injector(move |l| {
-        if l.what == "POST /agent/beat" && l.at > 5000 && count.get() < 4 {
+        if l.request == "POST /agent/beat" && l.sent_ms > 5000 && count.get() < 4 {
             count.set(count.get() + 1);
             return Delivery::AnswerLost;
         }
@@ -262,7 +262,7 @@
 fn a_cancellation_that_races_a_start_wins() {
     // Guards against a task that starts after its user was told that the job is cancelled. Nothing starts once the
     // cancellation is being stored, and what has started is stopped.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     world.submit_until_accepted(0, &job(2, 0, "standing", 2));
     let mut confirmed = 0;
     for _ in 0..5 {
@@ -309,7 +309,7 @@
     // Guards against different answers about one job that is cancelled while its last task completes and the answers
     // to the writes are lost. The end of a job is one conditional write, and every user is told the end that it
     // stored.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     world.submit_until_accepted(0, &job(2, 0, "sweep", 1));
     assert!(
         world.run_until(30_000, |w| w.running_tasks("job-000002") == 1),
@@ -318,8 +318,8 @@
     );
     // For a while, transactions that store the end of a job are carried out, but their answers are lost.
     let until = world.now + 12_000;
-    world.set_fault_injector(move |l| match l.what {
-        "POST /txn" if l.at < until && l.body.contains("\"st\":") => Delivery::AnswerLost,
+    world.set_fault_injector(move |l| match l.request {
+        "POST /txn" if l.sent_ms < until && l.body.contains("\"st\":") => Delivery::AnswerLost,
         _ => Delivery::Pass,
     });
     world.run_for(5200);
@@ -339,7 +339,7 @@
 fn a_restart_within_the_lease_is_a_new_incarnation() {
     // Guards against a restarted controller that is taken for its predecessor because that one's lease has not ended.
     // Each incarnation has a number of its own, so that it takes over from its predecessor.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     let epoch = world.epoch();
     world.crash_controller(owner);
@@ -384,7 +384,7 @@
 #[test]
 fn tasks_survive_a_crash_of_all_controllers() {
     // Guards against tasks that are lost when all controllers crash and are back before the workers' leases end.
-    let mut world = with_service(2);
+    let mut world = world_with_service(2);
     for i in 0..3 {
         world.crash_controller(i);
     }
@@ -408,7 +408,7 @@
 fn a_worker_cut_off_from_its_controller_is_served_through_another() {
     // Guards against workers whose leases end because they cannot reach the controller that owns their machines. Any
     // entitled controller may answer a report, and passes it on to the owner.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = format!("berth-{}", world.owner_of_team(0));
     let machines = world.machines_of("job-000001");
     let cut_off = machines.clone();
@@ -454,7 +454,7 @@
     let sent = Rc::new(Cell::new(0));
     let count = sent.clone();
     world.set_fault_injector(move |l| {
-        if l.what == "POST /commands" && l.body.contains("\"start\"") && count.get() < 1 {
+        if l.request == "POST /commands" && l.body.contains("\"start\"") && count.get() < 1 {
             count.set(1);
             return Delivery::Late(25_000);
         }
@@ -484,7 +484,7 @@
     // Guards against a partition without an owner, as in an incident: it had been given back to a controller that
     // reached the state service again, and had no owner for 7 s, until the watch that was opened before the
     // disconnection had timed out.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
     world.set_fault_injector(move |l| {
--- a/crates/tidelatch-standin/tests/shared_machines.rs
+++ b/crates/tidelatch-standin/tests/shared_machines.rs
@@ -233,8 +233,8 @@
             let mut world = with_two_machines(World::new(), "standing", 600_000);
             let until = world.now + 30_000;
             world.set_fault_injector(move |message| {
-                let is_transfer = message.what == "POST /txn" && message.body.contains("\"also\"");
-                if is_transfer && message.at < until {
+                let is_transfer = message.request == "POST /txn" && message.body.contains("\"also\"");
+                if is_transfer && message.sent_ms < until {
                     delivery
                 } else {
                     Delivery::Pass
--- a/crates/tidelatch-standin/tests/state_service_outages.rs
+++ b/crates/tidelatch-standin/tests/state_service_outages.rs
@@ -2,14 +2,14 @@
 //! what controllers may still do, and how they catch up. The comment at the head of each test names the failure and
 //! what prevents it.
 
-use tidelatch_standin::support::{assert_trace, with_service};
+use tidelatch_standin::support::{assert_trace, world_with_service};
 use tidelatch_standin::{Delivery, World, job};
 
 #[test]
 fn a_short_outage_ends_no_task() {
     // Guards against controllers that lose their leases in a short outage. Leases have their full time again after an
     // outage, so that the same incarnation goes on.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let epoch = world.epoch();
     world.write_trace("the state service goes down");
     world.store.is_down = true;
@@ -43,7 +43,7 @@
 fn a_long_outage_ends_no_task() {
     // Guards against workers whose leases end in an outage that is longer than a controller's lease. With the grants
     // of all its peers a controller goes on answering reports, and there is no gap between its lease and the grants.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     world.submit_until_accepted(1, &job(2, 1, "standing", 2));
     assert!(
         world.run_until(30_000, |w| w.running_tasks("job-000002") == 2),
@@ -70,7 +70,7 @@
 fn a_restart_of_a_peer_in_a_long_outage_ends_no_task() {
     // Guards against tasks that end because a peer restarts in the outage and grants nothing meanwhile. The peers'
     // grants last for a controller's lease, which is longer than the restart takes.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     world.store.is_down = true;
     world.run_for(12_000);
@@ -88,7 +88,7 @@
 /// Cuts each controller off from the state service, so that leases run out in the store. Then all but the owner of
 /// team 0 reach it again. Two controllers must never act for that team's partition.
 fn run_with_grants_in_an_outage(restart_others: bool) -> World {
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     let name = format!("berth-{owner}");
     world.write_trace("every controller is refused by the state service, each by itself");
@@ -140,7 +140,7 @@
 fn the_grant_of_one_peer_is_not_enough() {
     // Guards against two controllers that act for one partition: the owner has the grant of one peer, and another
     // peer, which granted nothing, changes the membership. Any peer could do so, so every one of them has to grant.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     let (refused, served) = (
         format!("berth-{}", (owner + 1) % 3),
@@ -165,9 +165,9 @@
 fn a_watch_that_is_too_old_is_replaced_by_reading_the_keys_again() {
     // Guards against changes that a controller never learns of because its watch was interrupted for too long. A 410
     // means that changes were missed: all keys are read again, deleted ones are forgotten and new ones are added.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     world.set_fault_injector(|l| {
-        let is_watch = l.from == "berth-1" && l.what.starts_with("GET /changes");
+        let is_watch = l.from == "berth-1" && l.request.starts_with("GET /changes");
         if is_watch { Delivery::Lost } else { Delivery::Pass }
     });
     world.run_for(10_000);
@@ -201,7 +201,7 @@
     let mut world = World::new();
     world.run_for(3000);
     world.set_fault_injector(|l| {
-        let is_watch = l.from == "berth-1" && l.what.starts_with("GET /changes");
+        let is_watch = l.from == "berth-1" && l.request.starts_with("GET /changes");
         if is_watch { Delivery::AnswerLost } else { Delivery::Pass }
     });
     world.run_for(10_000);
--- a/crates/tidelatch-standin/tests/upgrade.rs
+++ b/crates/tidelatch-standin/tests/upgrade.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use std::path::Path;
 use tidelatch_core::settings::{Features, Operator};
-use tidelatch_standin::support::{assert_no_breaches, assert_trace, is_done};
+use tidelatch_standin::support::{assert_no_breaches, assert_trace, is_stored_as_done};
 use tidelatch_standin::{Delivery, DeploymentSize, World, gang, job};
 
 /// Starts three controllers of the last version without gangs, and a service that runs.
@@ -211,7 +211,7 @@
             }
             submit_until_accepted(&mut world, &gang(2, 1, 2), 20_000);
             assert!(
-                world.run_until(60_000, |w| is_done(w, "job-000002")),
+                world.run_until(60_000, |w| is_stored_as_done(w, "job-000002")),
                 "{order:?}\n{}",
                 world.trace()
             );
@@ -253,12 +253,12 @@
     replace_controller(&mut world, 2, Features::default(), 6000);
     submit_until_accepted(&mut world, &gang(2, 2, 3), 30_000);
     assert!(
-        world.run_until(60_000, |w| is_done(w, "job-000002")),
+        world.run_until(60_000, |w| is_stored_as_done(w, "job-000002")),
         "{}",
         world.trace()
     );
     assert!(
-        world.run_until(60_000, |w| is_done(w, "job-000003")),
+        world.run_until(60_000, |w| is_stored_as_done(w, "job-000003")),
         "{}",
         world.trace()
     );
@@ -317,7 +317,7 @@
     replace_controller(&mut world, owner, Features::default(), 500);
     world.run_ms = 3000;
     assert!(
-        world.run_until(90_000, |w| is_done(w, "job-000001")),
+        world.run_until(90_000, |w| is_stored_as_done(w, "job-000001")),
         "{}",
         world.trace()
     );
@@ -396,7 +396,7 @@
     let all_done = |w: &World| {
         (0..16)
             .filter(|i| i % 4 != 0)
-            .all(|i| is_done(w, &format!("job-{:06}", i + 1)))
+            .all(|i| is_stored_as_done(w, &format!("job-{:06}", i + 1)))
     };
     assert!(world.run_until(240_000, all_done), "{}", world.trace());
     world.run_for(9000);
@@ -570,7 +570,7 @@
         };
         submit_until_accepted(&mut world, &body, 30_000);
     }
-    let all_done = |w: &World| (1..40).all(|i| is_done(w, &format!("job-{i:06}")));
+    let all_done = |w: &World| (1..40).all(|i| is_stored_as_done(w, &format!("job-{i:06}")));
     assert!(world.run_until(240_000, all_done), "{}", world.trace());
     assert!(!world.trace().contains("lease lost"), "{}", world.trace());
     let throttled = world.store.throttled_requests;
