--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -8,13 +8,13 @@
 use tidelatch_standin::{Delivery, Message, World, job};
 
 /// What an injector does with one message.
-fn delivery_of(injector: &mut FaultInjector, at: u64, from: &str, to: &str, what: &str) -> Delivery {
+fn delivery_of(injector: &mut FaultInjector, sent_ms: u64, from: &str, to: &str, request: &str) -> Delivery {
     let body = "{}";
     injector(&Message {
-        sent_ms: at,
+        sent_ms,
         from,
         to,
-        request: what,
+        request,
         body,
     })
 }
