--- a/crates/tidelatch-standin/examples/take_over.rs
+++ b/crates/tidelatch-standin/examples/take_over.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use tidelatch_core::settings::{FailureDetection, Operator};
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::{DeploymentSize, World, job};
 
 /// Number of rounds, and of crashes, in each configuration.
 const ROUNDS: usize = 20;
@@ -42,24 +42,24 @@
 
 /// Creates a world whose teams have arrays running.
 fn start_loaded_world(operator: &Operator) -> World {
-    let size = Size {
-        limit: 60.0,
+    let size = DeploymentSize {
+        max_accelerators: 60.0,
         write_rps: 200.0,
-        ..Size::default()
+        ..DeploymentSize::default()
     };
-    let mut world = World::sized(operator, size);
-    world.cloud.most = 60;
+    let mut world = World::with_size(operator, size);
+    world.cloud.max_machines = 60;
     world.run_ms = 20_000;
-    world.uneven = true;
-    world.run(3_000);
+    world.has_uneven_run_times = true;
+    world.run_for(3_000);
     for team in 0..3 {
         for array in 0..ARRAYS_PER_TEAM {
             let mut body = job(team * 100 + array, team, "sweep", 600);
             body["precedence"] = "low".into();
-            world.accepted(0, &body);
+            world.submit_until_accepted(0, &body);
         }
     }
-    world.run(60_000);
+    world.run_for(60_000);
     world
 }
 
@@ -76,19 +76,19 @@
 fn measure_round(world: &mut World, team: usize, times: &mut Times) -> Result<(), MeasurementError> {
     let owner = world.owner_of_team(team);
     let (from, crashed_ms) = (world.trace().len(), world.now);
-    world.crash(owner);
+    world.crash_controller(owner);
     let polled_job = format!("job-{:06}", team * 100);
     let mut answered = None;
     let mut polls = Vec::new();
     while world.now < crashed_ms + ROUND_MS {
-        world.run(CHECK_INTERVAL_MS);
+        world.run_for(CHECK_INTERVAL_MS);
         let acting = first_line_ms(world, from, &format!("acting for partition {team}"), crashed_ms);
         if acting.is_some() && answered.is_none() {
             let controller = world.owner_of_team(team);
             polls.push(world.poll(controller, &polled_job));
             answered = polls
                 .iter()
-                .find(|poll| world.status(**poll) == 200)
+                .find(|poll| world.http_status(**poll) == 200)
                 .map(|_| world.now - crashed_ms);
         }
     }
@@ -105,25 +105,25 @@
     if let Some(ms) = answered {
         times.answered.record(ms)?;
     }
-    world.start(owner);
-    world.run(20_000);
+    world.start_controller(owner);
+    world.run_for(20_000);
     Ok(())
 }
 
 /// Measures one configuration and returns its row of the table.
 fn measure_row(name: &str, operator: &Operator) -> Result<String, MeasurementError> {
     let mut world = start_loaded_world(operator);
-    let (sent, from_ms) = (world.sent, world.now);
-    world.run(ROUND_MS);
+    let (sent, from_ms) = (world.message_counts, world.now);
+    world.run_for(ROUND_MS);
     let minutes = (world.now - from_ms) as f64 / 60_000.0;
-    let messages = (world.sent.peer_requests - sent.peer_requests) as f64 / minutes;
-    let reads = (world.sent.state_requests - sent.state_requests) as f64 / minutes;
+    let messages = (world.message_counts.peer_requests - sent.peer_requests) as f64 / minutes;
+    let reads = (world.message_counts.state_requests - sent.state_requests) as f64 / minutes;
     let mut times = Times::new()?;
     for round in 0..ROUNDS {
         measure_round(&mut world, round % 3, &mut times)?;
     }
-    if !world.broken.is_empty() {
-        return Err(format!("rules were broken: {:?}", world.broken).into());
+    if !world.breaches.is_empty() {
+        return Err(format!("rules were broken: {:?}", world.breaches).into());
     }
     let format_times = |times: &Histogram<u64>| match times.len() {
         0 => "-".to_owned(),
--- a/crates/tidelatch-standin/src/loopback/services.rs
+++ b/crates/tidelatch-standin/src/loopback/services.rs
@@ -97,7 +97,7 @@
     }
 
     /// Returns the stored record of a drain.
-    pub fn drain(&self, name: &str) -> Option<serde_json::Value> {
+    pub fn drain_record(&self, name: &str) -> Option<serde_json::Value> {
         lock(&self.store).get(&format!("t/d/{name}")).cloned()
     }
 
@@ -115,12 +115,12 @@
     }
 
     /// Returns the number of a job's tasks that run.
-    pub fn running(&self, job: &str) -> usize {
+    pub fn running_tasks(&self, job: &str) -> usize {
         self.fleet.running(job)
     }
 
     /// Returns the state of all workers as text, for the message of a failing test.
-    pub fn describe(&self) -> String {
+    pub fn describe_workers(&self) -> String {
         self.fleet.describe()
     }
 }
@@ -164,7 +164,7 @@
 
 fn cloud_handler(fleet: Arc<Fleet>) -> Handler {
     let mut cloud = Cloud::default();
-    cloud.most = MAX_MACHINES;
+    cloud.max_machines = MAX_MACHINES;
     let cloud = Mutex::new(cloud);
     Arc::new(move |request| {
         let mut cloud = lock(&cloud);
--- a/crates/tidelatch-standin/src/support.rs
+++ b/crates/tidelatch-standin/src/support.rs
@@ -9,7 +9,7 @@
 ///
 /// If a rule was broken. The message contains the breaches and the trace.
 pub fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// Asserts that a world's trace equals the stored one, `traces/NAME.txt`, and that no rule was broken. If the
@@ -39,12 +39,12 @@
 /// # Panics
 ///
 /// If the service does not run within 30 s.
-pub fn with_service(team: u32) -> World {
+pub fn world_with_service(team: u32) -> World {
     let mut world = World::new();
-    world.run(3000);
-    world.accepted(0, &job(1, team, "standing", 2));
+    world.run_for(3000);
+    world.submit_until_accepted(0, &job(1, team, "standing", 2));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 2),
         "{}",
         world.trace()
     );
@@ -52,6 +52,6 @@
 }
 
 /// Returns whether the state service stores a job as done.
-pub fn is_done(world: &World, id: &str) -> bool {
+pub fn is_stored_as_done(world: &World, id: &str) -> bool {
     world.store.get(&format!("t/j/{id}")).is_some_and(|j| j["st"] == "done")
 }
--- a/crates/tidelatch-standin/src/world/calls.rs
+++ b/crates/tidelatch-standin/src/world/calls.rs
@@ -29,8 +29,13 @@
     /// Sends a controller's call over the network, with the faults that the injector decides.
     pub(super) fn send_call(&mut self, from: Caller, target: &Target, request: ServiceRequest, timeout_ms: u64) {
         self.count_call(target, &request.body);
-        let what = format!("{} {}", request.method, request.path);
-        let delivery = self.decide_delivery(&format!("berth-{}", from.controller), &request.to, &what, &request.body);
+        let method_and_path = format!("{} {}", request.method, request.path);
+        let delivery = self.decide_delivery(
+            &format!("berth-{}", from.controller),
+            &request.to,
+            &method_and_path,
+            &request.body,
+        );
         if let Some(process) = self.controllers.get_mut(from.controller) {
             process.pending_calls.insert(from.call);
             if *target == Target::State {
@@ -67,14 +72,14 @@
     fn count_call(&mut self, target: &Target, body: &str) {
         match target {
             Target::State => {
-                self.sent.state_requests += 1;
-                self.sent.state_bytes += body.len() as u64;
+                self.message_counts.state_requests += 1;
+                self.message_counts.state_bytes += body.len() as u64;
                 let transaction = serde_json::from_str::<Value>(body).unwrap_or(Value::Null);
-                self.sent.changes += transaction["then"].as_array().map_or(0, Vec::len) as u64;
+                self.message_counts.state_changes += transaction["then"].as_array().map_or(0, Vec::len) as u64;
             }
-            Target::Cloud => self.sent.cloud_calls += 1,
+            Target::Cloud => self.message_counts.cloud_calls += 1,
             Target::Worker(_) => {
-                self.sent.commands += 1;
+                self.message_counts.commands += 1;
                 self.count_start_orders(body);
             }
         }
@@ -138,7 +143,7 @@
         if !self.is_current(from.controller, from.incarnation) {
             return;
         }
-        let is_blocked = self.store.down
+        let is_blocked = self.store.is_down
             || self
                 .controllers
                 .get(from.controller)
--- a/crates/tidelatch-standin/src/world/network.rs
+++ b/crates/tidelatch-standin/src/world/network.rs
@@ -28,13 +28,13 @@
 #[derive(Debug)]
 pub struct Message<'a> {
     /// Time of sending, in milliseconds.
-    pub at: u64,
+    pub sent_ms: u64,
     /// Sender: a controller or a machine.
     pub from: &'a str,
     /// Receiver: `state`, `cloud`, a controller or a machine.
     pub to: &'a str,
     /// Method and path, or the kind of a peer request: `relay`, `forward`, `submit` or `hello`.
-    pub what: &'a str,
+    pub request: &'a str,
     /// Body; empty for peer requests.
     pub body: &'a str,
 }
@@ -67,29 +67,31 @@
 
 impl World {
     /// Installs a fault injector, which decides the delivery of every message from now on.
-    pub fn meddle(&mut self, injector: impl FnMut(&Message<'_>) -> Delivery + 'static) {
+    pub fn set_fault_injector(&mut self, injector: impl FnMut(&Message<'_>) -> Delivery + 'static) {
         self.injector = Box::new(injector);
     }
 
     /// Removes the fault injector: all messages are delivered again.
-    pub fn calm(&mut self) {
+    pub fn clear_fault_injector(&mut self) {
         self.injector = Box::new(|_| Delivery::Pass);
     }
 
     /// Asks the fault injector for the delivery of a message. Writes lost, late and refused messages to the trace,
     /// except heartbeats.
-    pub(super) fn decide_delivery(&mut self, from: &str, to: &str, what: &str, body: &str) -> Delivery {
+    pub(super) fn decide_delivery(&mut self, from: &str, to: &str, request: &str, body: &str) -> Delivery {
         let message = Message {
-            at: self.now,
+            sent_ms: self.now,
             from,
             to,
-            what,
+            request,
             body,
         };
         let delivery = (self.injector)(&message);
-        if !matches!(delivery, Delivery::Pass | Delivery::Copied(_) | Delivery::Slow(_)) && !what.starts_with("hello") {
-            let path: String = what.chars().take(60).collect();
-            self.note(&format!("({from} to {to}, {path}: {delivery:?})"));
+        if !matches!(delivery, Delivery::Pass | Delivery::Copied(_) | Delivery::Slow(_))
+            && !request.starts_with("hello")
+        {
+            let path: String = request.chars().take(60).collect();
+            self.write_trace(&format!("({from} to {to}, {path}: {delivery:?})"));
         }
         delivery
     }
--- a/crates/tidelatch-standin/tests/acceptance.rs
+++ b/crates/tidelatch-standin/tests/acceptance.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::support::is_done;
-use tidelatch_standin::{Cloud, Delivery, Size, World, job};
+use tidelatch_standin::support::is_stored_as_done;
+use tidelatch_standin::{Cloud, Delivery, DeploymentSize, World, job};
 
 /// Time for which a user retries.
 const USER_RETRY_MS: u64 = 60_000;
@@ -53,7 +53,7 @@
         let until = world.now + ms;
         while world.now < until {
             self.submit_and_read(world);
-            world.run(50);
+            world.run_for(50);
         }
     }
 
@@ -103,19 +103,19 @@
 
 /// Checks that no rule was broken.
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// A deployment whose state service counts changes, and takes as many a second as the settings say.
 fn with_few_writes(operator: &Operator) -> World {
-    let mut world = World::sized(
+    let mut world = World::with_size(
         operator,
-        Size {
+        DeploymentSize {
             write_rps: 25.0,
-            ..Size::default()
+            ..DeploymentSize::default()
         },
     );
-    world.store.rate = Some(25.0);
+    world.store.max_changes_per_s = Some(25.0);
     world
 }
 
@@ -125,7 +125,7 @@
     // got 429 gave up before it had drained.
     let mut world = with_few_writes(&Operator::default());
     world.run_ms = 20_000;
-    world.run(5000);
+    world.run_for(5000);
     let mut users = Users::default();
     for n in 0..700 {
         users.add(&world, n % 3, job(n as u32, 0, "sweep", 1));
@@ -145,7 +145,7 @@
     // service could take, and the others' submissions were refused for a time as well.
     let mut world = with_few_writes(&Operator::default());
     world.run_ms = 20_000;
-    world.run(5000);
+    world.run_for(5000);
     let mut users = Users::default();
     let mut others = Users::default();
     for step in 0..200u32 {
@@ -177,18 +177,18 @@
 fn a_team_that_fills_its_share_of_the_queue_leaves_the_others_theirs() {
     // Guards against one team that takes the whole queue. The batch period is so short here that the scheduler can go
     // through 75 jobs in its share of it, which bounds the queue.
-    let mut world = World::with(&Operator {
+    let mut world = World::with_operator(&Operator {
         batch_retry_per_report: 0.01,
         ..Operator::default()
     });
-    world.cloud.most = 1;
+    world.cloud.max_machines = 1;
     world.run_ms = 600_000;
-    world.run(3000);
+    world.run_for(3000);
     let mut statuses = Vec::new();
     for n in 0..150 {
         let request = world.submit(n % 3, &job(n as u32, 0, "sweep", 1));
-        world.run(300);
-        statuses.push(world.status(request));
+        world.run_for(300);
+        statuses.push(world.http_status(request));
     }
     let accepted = statuses.iter().filter(|s| **s == 201).count();
     assert!((40..=75).contains(&accepted), "{accepted} accepted");
@@ -196,8 +196,8 @@
     for team in [1, 2] {
         for n in 0..10 {
             let request = world.submit(0, &job(200 + 10 * team + n, team, "sweep", 1));
-            world.run(300);
-            assert_eq!(world.status(request), 201, "{}", world.trace());
+            world.run_for(300);
+            assert_eq!(world.http_status(request), 201, "{}", world.trace());
         }
     }
     assert_no_breaches(&world);
@@ -207,12 +207,12 @@
 fn refused_users_are_told_to_retry_one_after_the_other() {
     // Guards against users who retry all at once: all of them were told to come back after ten seconds, however fast
     // the queue drained.
-    let mut world = World::with(&Operator {
+    let mut world = World::with_operator(&Operator {
         queue_jobs_per_team: Some(12),
         ..Operator::default()
     });
     world.run_ms = 1500;
-    world.run(3000);
+    world.run_for(3000);
     // A first wave of jobs ends, so that the controllers know the rate at which jobs end.
     let mut users = Users::default();
     for n in 0..40 {
@@ -281,21 +281,21 @@
     // Guards against acceptances that wait for completions. Once the budget of changes had 30 % of its burst left, a
     // flush of done bits sent as many changes as a transaction holds and overdrew the budget for seconds. Acceptances
     // were answered with 503 meanwhile, and a user who retried a second later was not accepted within a second.
-    let size = Size {
+    let size = DeploymentSize {
         write_rps: LOW_WRITE_RPS,
-        guarantee: TEAM_LIMIT_ACCELERATORS / 4.0,
-        limit: TEAM_LIMIT_ACCELERATORS,
-        ..Size::default()
+        guaranteed_accelerators: TEAM_LIMIT_ACCELERATORS / 4.0,
+        max_accelerators: TEAM_LIMIT_ACCELERATORS,
+        ..DeploymentSize::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
-    world.store.rate = Some(LOW_WRITE_RPS);
-    world.cloud.most = MAX_MACHINES;
+    let mut world = World::with_size(&Operator::default(), size);
+    world.store.max_changes_per_s = Some(LOW_WRITE_RPS);
+    world.cloud.max_machines = MAX_MACHINES;
     let staggered_boots =
         (0..MAX_MACHINES as u64).map(|i| Some(Cloud::BOOT_MS + i * BOOT_SPREAD_MS / MAX_MACHINES as u64));
-    world.cloud.next_boots = staggered_boots.collect();
+    world.cloud.next_boot_times_ms = staggered_boots.collect();
     world.run_ms = MIN_TASK_MS;
-    world.uneven = true;
-    world.run(5000);
+    world.has_uneven_run_times = true;
+    world.run_for(5000);
     let mut arrays = Users::default();
     for n in 0..ARRAY_COUNT {
         arrays.add(&world, n as usize % 3, job(1 + n, 0, "sweep", TASKS_PER_ARRAY));
@@ -312,17 +312,23 @@
         .as_str()
         .unwrap_or_default()
         .to_owned();
-    let array_tasks = |world: &World| world.running_units().keys().filter(|t| **t < first_other).count();
+    let array_tasks = |world: &World| {
+        world
+            .machines_by_running_task()
+            .keys()
+            .filter(|t| **t < first_other)
+            .count()
+    };
     // The other teams submit at the controller that writes the arrays' done bits.
     let busy = world.owner_of_team(0);
-    let changes_before = world.sent.changes;
+    let changes_before = world.message_counts.state_changes;
     let mut others = Users::default();
     for n in 0..OTHER_JOBS {
         others.add(&world, busy, job(FIRST_OTHER_JOB_NUMBER + n, 1 + n % 2, "sweep", 1));
         others.run(&mut world, OTHER_JOB_INTERVAL_MS);
     }
     assert!(array_tasks(&world) > 0, "the arrays run until the last submission");
-    let changes = world.sent.changes - changes_before;
+    let changes = world.message_counts.state_changes - changes_before;
     others.run(&mut world, USER_RETRY_MS);
     assert_eq!(others.accepted.len(), OTHER_JOBS as usize);
     let late: Vec<_> = others
@@ -345,8 +351,8 @@
     // Guards against submissions that are refused needlessly. A controller that the state service refuses alone stays
     // healthy for the load balancer until its lease ends. Meanwhile all submissions sent to it were answered with 503.
     let mut world = World::new();
-    world.run(5000);
-    world.meddle(|m| match (m.from, m.to) {
+    world.run_for(5000);
+    world.set_fault_injector(|m| match (m.from, m.to) {
         ("berth-0", "state") => Delivery::Refused,
         _ => Delivery::Pass,
     });
@@ -369,9 +375,9 @@
         "{late:?}\n{}",
         world.trace()
     );
-    world.meddle(|_| Delivery::Pass);
+    world.set_fault_injector(|_| Delivery::Pass);
     let jobs: Vec<String> = users.accepted.keys().cloned().collect();
-    let are_done = world.run_until(120_000, |w| jobs.iter().all(|j| is_done(w, j)));
+    let are_done = world.run_until(120_000, |w| jobs.iter().all(|j| is_stored_as_done(w, j)));
     assert!(are_done, "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -381,17 +387,17 @@
     // Guards against a submission that is passed on in circles. In an outage the state service refuses every
     // controller, and each of them assumes that the others are served.
     let mut world = World::new();
-    world.run(5000);
-    world.store.down = true;
+    world.run_for(5000);
+    world.store.is_down = true;
     let passed_on = Rc::new(Cell::new(0));
     let count = passed_on.clone();
-    world.meddle(move |m| {
-        count.set(count.get() + u32::from(m.what == "submit"));
+    world.set_fault_injector(move |m| {
+        count.set(count.get() + u32::from(m.request == "submit"));
         Delivery::Pass
     });
     let request = world.submit(0, &job(1, 0, "sweep", 1));
-    world.run(500);
-    assert_eq!(world.status(request), 503, "{}", world.trace());
+    world.run_for(500);
+    assert_eq!(world.http_status(request), 503, "{}", world.trace());
     assert_eq!(passed_on.get(), 1);
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -50,29 +50,29 @@
 fn run_scenario(scenario: Scenario, features: Features) -> World {
     let mut world = World::new();
     for controller in 0..3 {
-        world.crash(controller);
-        world.version(controller, features);
-        world.start(controller);
+        world.crash_controller(controller);
+        world.set_features(controller, features);
+        world.start_controller(controller);
     }
     world.run_ms = 300_000;
-    world.run(3000);
+    world.run_for(3000);
     for team in 0..3 {
-        world.accepted(0, &job(team + 1, team, "sweep", 3));
+        world.submit_until_accepted(0, &job(team + 1, team, "sweep", 3));
     }
-    let all_run = |w: &World| (1..=3).all(|j| w.running(&format!("job-00000{j}")) == 3);
+    let all_run = |w: &World| (1..=3).all(|j| w.running_tasks(&format!("job-00000{j}")) == 3);
     assert!(world.run_until(40_000, all_run), "{}", world.trace());
     let refused = world.owner_of_team(0);
     let confirming = world.owner_of_team(1);
     assert_ne!(refused, confirming);
     let name = format!("berth-{refused}");
-    world.note(&format!("the state service refuses {name}"));
+    world.write_trace(&format!("the state service refuses {name}"));
     for w in world.workers.values_mut() {
-        w.node = refused;
+        w.controller = refused;
     }
     let only_refused_reachable = scenario.only_refused_reachable;
     let loses_hellos = Rc::new(Cell::new(false));
     let hellos_are_lost = loses_hellos.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         let worker = |who: &str| who.starts_with("n-");
         let elsewhere =
             only_refused_reachable && ((worker(l.from) && l.to != name) || (worker(l.to) && l.from != name));
@@ -81,7 +81,7 @@
             HelloLoss::LostToRefused => l.from == name || l.to == name,
             HelloLoss::LostToAll => true,
         };
-        let is_lost_hello = l.what == "hello" && hellos_are_lost.get() && is_affected;
+        let is_lost_hello = l.request == "hello" && hellos_are_lost.get() && is_affected;
         if elsewhere || is_lost_hello {
             Delivery::Lost
         } else if l.from == name && l.to == "state" {
@@ -90,52 +90,52 @@
             Delivery::Pass
         }
     });
-    world.run(scenario.refused_ms.saturating_sub(scenario.cancelled_ms));
+    world.run_for(scenario.refused_ms.saturating_sub(scenario.cancelled_ms));
     loses_hellos.set(true);
     let owner = world.owner_of_team(0);
-    world.withdraw(confirming, "job-000002");
+    world.cancel(confirming, "job-000002");
     if owner != refused {
         // By then another controller owns the team of the refused one.
-        world.withdraw(owner, "job-000001");
+        world.cancel(owner, "job-000001");
     }
-    world.run(scenario.cancelled_ms);
-    world.note("the state service is down");
-    world.store.down = true;
-    world.run(20);
+    world.run_for(scenario.cancelled_ms);
+    world.write_trace("the state service is down");
+    world.store.is_down = true;
+    world.run_for(20);
     loses_hellos.set(scenario.hello_loss == HelloLoss::LostToRefused && scenario.confirmer == ConfirmerFate::Survives);
     match scenario.confirmer {
         ConfirmerFate::Survives => {}
-        ConfirmerFate::Freezes => world.freeze(confirming),
+        ConfirmerFate::Freezes => world.pause(confirming),
         ConfirmerFate::Restarts(away_ms) => {
-            world.crash(confirming);
-            world.run(away_ms);
-            world.start(confirming);
+            world.crash_controller(confirming);
+            world.run_for(away_ms);
+            world.start_controller(confirming);
         }
-        ConfirmerFate::RestartsAfterOutage => world.crash(confirming),
+        ConfirmerFate::RestartsAfterOutage => world.crash_controller(confirming),
         ConfirmerFate::BothOthersRestart(away_ms) => {
             let others: Vec<usize> = (0..3).filter(|n| *n != refused).collect();
-            others.iter().for_each(|n| world.crash(*n));
-            world.run(away_ms);
-            others.iter().for_each(|n| world.start(*n));
+            others.iter().for_each(|n| world.crash_controller(*n));
+            world.run_for(away_ms);
+            others.iter().for_each(|n| world.start_controller(*n));
         }
     }
-    world.run(scenario.outage_ms);
-    world.note("the state service is back");
-    world.store.down = false;
-    world.calm();
+    world.run_for(scenario.outage_ms);
+    world.write_trace("the state service is back");
+    world.store.is_down = false;
+    world.clear_fault_injector();
     if scenario.confirmer == ConfirmerFate::Freezes {
-        world.thaw(confirming);
+        world.resume(confirming);
     }
     if scenario.confirmer == ConfirmerFate::RestartsAfterOutage {
-        world.start(confirming);
+        world.start_controller(confirming);
     }
-    world.run(CANCEL_MS);
+    world.run_for(CANCEL_MS);
     for controller in 0..3 {
-        world.withdraw(controller, "job-000002");
+        world.cancel(controller, "job-000002");
         world.poll(controller, "job-000002");
         world.poll(controller, "job-000001");
     }
-    world.run(3000);
+    world.run_for(3000);
     world
 }
 
@@ -186,9 +186,9 @@
     for scenario in all_scenarios() {
         let world = run_scenario(scenario, Features::default());
         assert!(
-            world.broken.is_empty(),
+            world.breaches.is_empty(),
             "{scenario:?}: {:?}\n{}",
-            world.broken,
+            world.breaches,
             world.trace()
         );
     }
@@ -204,7 +204,7 @@
     };
     let breaks_rule = |scenario: &Scenario| {
         run_scenario(*scenario, before)
-            .broken
+            .breaches
             .iter()
             .any(|b| b.starts_with("ran_cancelled"))
     };
@@ -232,23 +232,23 @@
     for (reader_crashes, only_refused_reachable) in [(false, true), (true, true), (true, false)] {
         let mut world = World::new();
         world.run_ms = 300_000;
-        world.run(3000);
+        world.run_for(3000);
         for team in 0..3 {
-            world.accepted(0, &job(team + 1, team, "sweep", 3));
+            world.submit_until_accepted(0, &job(team + 1, team, "sweep", 3));
         }
-        let all_run = |w: &World| (1..=3).all(|j| w.running(&format!("job-00000{j}")) == 3);
+        let all_run = |w: &World| (1..=3).all(|j| w.running_tasks(&format!("job-00000{j}")) == 3);
         assert!(world.run_until(40_000, all_run), "{}", world.trace());
         let (refused, writer) = (world.owner_of_team(0), world.owner_of_team(1));
         let reader = 3 - refused - writer;
         let (refused_name, writer_name) = (format!("berth-{refused}"), format!("berth-{writer}"));
-        world.workers.values_mut().for_each(|w| w.node = refused);
-        world.meddle(move |l| {
+        world.workers.values_mut().for_each(|w| w.controller = refused);
+        world.set_fault_injector(move |l| {
             let worker = |who: &str| who.starts_with("n-");
             let elsewhere = only_refused_reachable
                 && ((worker(l.from) && l.to != refused_name) || (worker(l.to) && l.from != refused_name));
             // The writer's hello messages to its peers are lost, and it gets no answer to its transaction.
-            let is_end = l.from == writer_name && l.what == "POST /txn" && l.body.contains("withdrawn");
-            if elsewhere || (l.from == writer_name && l.what == "hello") {
+            let is_end = l.from == writer_name && l.request == "POST /txn" && l.body.contains("withdrawn");
+            if elsewhere || (l.from == writer_name && l.request == "hello") {
                 Delivery::Lost
             } else if is_end {
                 Delivery::AnswerLost
@@ -258,22 +258,22 @@
                 Delivery::Pass
             }
         });
-        world.withdraw(writer, "job-000002");
-        world.run(10);
+        world.cancel(writer, "job-000002");
+        world.run_for(10);
         let poll = world.poll(reader, "job-000002");
-        world.run(30);
-        world.note("the state service is down");
-        world.store.down = true;
+        world.run_for(30);
+        world.write_trace("the state service is down");
+        world.store.is_down = true;
         let crashed = if reader_crashes { reader } else { writer };
-        world.crash(crashed);
-        world.run(300);
-        world.start(crashed);
-        world.run(58_500);
-        world.store.down = false;
-        world.calm();
-        world.run(10_000);
-        assert_eq!(world.said(poll), "withdrawn", "{}", world.trace());
-        assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+        world.crash_controller(crashed);
+        world.run_for(300);
+        world.start_controller(crashed);
+        world.run_for(58_500);
+        world.store.is_down = false;
+        world.clear_fault_injector();
+        world.run_for(10_000);
+        assert_eq!(world.job_status(poll), "withdrawn", "{}", world.trace());
+        assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
     }
 }
 
@@ -294,10 +294,10 @@
     for (hanging, crash_ms, max_crashes) in cases {
         let mut world = World::new();
         world.run_ms = 300_000;
-        world.run(3000);
-        world.accepted(0, &job(1, 0, "sweep", 4));
+        world.run_for(3000);
+        world.submit_until_accepted(0, &job(1, 0, "sweep", 4));
         assert!(
-            world.run_until(30_000, |w| w.running("job-000001") == 4),
+            world.run_until(30_000, |w| w.running_tasks("job-000001") == 4),
             "{}",
             world.trace()
         );
@@ -305,25 +305,25 @@
         let machines = world.machines_of("job-000001");
         assert_eq!(machines.len(), 2);
         for m in machines.iter().take(hanging) {
-            world.note(&format!("{m} hangs"));
-            world.workers.get_mut(m).expect("a worker").hanging = true;
+            world.write_trace(&format!("{m} hangs"));
+            world.workers.get_mut(m).expect("a worker").is_hanging = true;
         }
-        let cancellation = world.withdraw(owner, "job-000001");
-        world.run(20);
-        assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
+        let cancellation = world.cancel(owner, "job-000001");
+        world.run_for(20);
+        assert_eq!(world.job_status(cancellation), "withdrawn", "{}", world.trace());
         if let Some(ms) = crash_ms {
-            world.run(ms);
-            world.crash(owner);
+            world.run_for(ms);
+            world.crash_controller(owner);
         }
         if max_crashes == 3 {
             // All controllers crash: the next owner of the machines learns of the cancellation from the state service
             // only.
-            (0..3).for_each(|n| world.crash(n));
-            world.run(6000);
-            (0..3).for_each(|n| world.start(n));
+            (0..3).for_each(|n| world.crash_controller(n));
+            world.run_for(6000);
+            (0..3).for_each(|n| world.start_controller(n));
         }
-        world.run(CANCEL_MS + 5000);
-        assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+        world.run_for(CANCEL_MS + 5000);
+        assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
         assert!(world.cloud.deleted.contains(&machines[0]), "{}", world.trace());
     }
 }
@@ -336,9 +336,9 @@
     // start was carried out late, after its owner had ended.
     let mut world = World::new();
     world.run_ms = 300_000;
-    world.run(3000);
-    world.accepted(0, &job(1, 0, "sweep", 1));
-    let runs = world.run_until(30_000, |w| w.running("job-000001") == 1);
+    world.run_for(3000);
+    world.submit_until_accepted(0, &job(1, 0, "sweep", 1));
+    let runs = world.run_until(30_000, |w| w.running_tasks("job-000001") == 1);
     assert!(runs, "{}", world.trace());
     let owner = world.owner_of_team(0);
     let elsewhere = (owner + 1) % 3;
@@ -347,12 +347,12 @@
         .first()
         .cloned()
         .expect("the job runs on a machine");
-    world.workers.get_mut(&machine).expect("a worker").node = elsewhere;
+    world.workers.get_mut(&machine).expect("a worker").controller = elsewhere;
     let answered = Rc::new(Cell::new(0));
     let (name, count) = (machine.clone(), answered.clone());
     // Reports that are passed on and direct commands are lost. One report of the machine is answered.
-    world.meddle(move |l| {
-        if l.what == "relay" || (l.to == name && l.what.starts_with("POST /commands")) {
+    world.set_fault_injector(move |l| {
+        if l.request == "relay" || (l.to == name && l.request.starts_with("POST /commands")) {
             return Delivery::Lost;
         }
         if l.from == name {
@@ -365,13 +365,13 @@
         }
         Delivery::Pass
     });
-    let cancellation = world.withdraw(owner, "job-000001");
-    world.run(20);
-    assert_eq!(world.said(cancellation), "withdrawn", "{}", world.trace());
+    let cancellation = world.cancel(owner, "job-000001");
+    world.run_for(20);
+    assert_eq!(world.job_status(cancellation), "withdrawn", "{}", world.trace());
     while answered.get() == 0 {
-        world.run(1);
+        world.run_for(1);
     }
-    world.run(50);
+    world.run_for(50);
     assert!(world.machines_of("job-000001").is_empty(), "{}", world.trace());
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
--- a/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
+++ b/crates/tidelatch-standin/tests/compound_fault_support/mod.rs
@@ -10,9 +10,9 @@
 /// Checks that no rule was broken. `case` names the test case in the message.
 pub fn assert_no_breaches(world: &World, case: impl std::fmt::Debug) {
     assert!(
-        world.broken.is_empty(),
+        world.breaches.is_empty(),
         "{case:?}: {:?}\n{}",
-        world.broken,
+        world.breaches,
         world.trace()
     );
 }
@@ -21,9 +21,9 @@
 pub fn with_running_jobs(run_ms: u64, jobs: &[Value]) -> World {
     let mut world = World::new();
     world.run_ms = run_ms;
-    world.run(3000);
+    world.run_for(3000);
     for (i, body) in jobs.iter().enumerate() {
-        world.accepted(i % 3, body);
+        world.submit_until_accepted(i % 3, body);
     }
     let are_running = world.run_until(60_000, |w| jobs.iter().all(|j| all_tasks_run(w, j)));
     assert!(are_running, "{}", world.trace());
@@ -37,7 +37,7 @@
 
 /// Whether all tasks of a job run at present.
 pub fn all_tasks_run(world: &World, body: &Value) -> bool {
-    body["wagons"] == world.running(job_id(body))
+    body["wagons"] == world.running_tasks(job_id(body))
 }
 
 /// A job's state in its stored record, or an empty string if there is no record.
@@ -55,10 +55,10 @@
 /// Cancels a job at these controllers, one after the other, until one answers with a final state. Returns that state.
 pub fn cancel(world: &mut World, controllers: &[usize], id: &str) -> String {
     for i in 0..60 {
-        let request = world.withdraw(controllers[i % controllers.len()], id);
-        world.run(1000);
-        if world.status(request) == 200 {
-            return world.said(request);
+        let request = world.cancel(controllers[i % controllers.len()], id);
+        world.run_for(1000);
+        if world.http_status(request) == 200 {
+            return world.job_status(request);
         }
     }
     panic!(
@@ -74,9 +74,9 @@
     for controller in 0..3 {
         for _ in 0..20 {
             let request = world.poll(controller, id);
-            world.run(1500);
-            if world.status(request) == 200 {
-                states.push(world.said(request));
+            world.run_for(1500);
+            if world.http_status(request) == 200 {
+                states.push(world.job_status(request));
                 break;
             }
         }
@@ -87,14 +87,14 @@
 /// Checks that the tasks of a cancelled job were gone in time, and that no start was ordered after its user was
 /// told.
 pub fn assert_gone_in_time(world: &World, id: &str, case: impl std::fmt::Debug) {
-    let gone = world.gone_after_confirmation(id);
+    let gone = world.cancellation_duration_ms(id);
     assert!(
         gone.is_some_and(|ms| ms <= CANCEL_MS),
         "{case:?}: {id}: {gone:?}\n{}",
         world.trace()
     );
     assert_eq!(
-        world.checker().ordered_after(id),
+        world.checker().start_orders_after_cancellation(id),
         0,
         "{case:?}: {id}\n{}",
         world.trace()
@@ -115,5 +115,5 @@
 
 /// The same fault for each of these machines.
 pub fn for_each_machine(machines: &[String], fault: fn(&str) -> FaultInjector) -> FaultInjector {
-    faults::all(machines.iter().map(|m| fault(m)).collect())
+    faults::combine(machines.iter().map(|m| fault(m)).collect())
 }
--- a/crates/tidelatch-standin/tests/compound_faults_placement.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_placement.rs
@@ -32,9 +32,9 @@
                     let here = zone_of(&world, team + 1);
                     let mut other = job(team + 4, team, "standing", 1);
                     other["yard"] = json!(if here == "a" { "b" } else { "a" });
-                    world.accepted(0, &other);
+                    world.submit_until_accepted(0, &other);
                 }
-                let others_run = |w: &World| (4..7).all(|j| w.running(&format!("job-00000{j}")) == 1);
+                let others_run = |w: &World| (4..7).all(|j| w.running_tasks(&format!("job-00000{j}")) == 1);
                 assert!(world.run_until(30_000, others_run), "{case:?}\n{}", world.trace());
                 let lost: Vec<String> = (1..=3)
                     .flat_map(|j| {
@@ -47,12 +47,12 @@
                 if !has_room {
                     // No further machine can be rented in that zone.
                     let zone = world.workers[&lost[0]].zone.clone();
-                    world.cloud.most_in_zone.insert(zone, 0);
+                    world.cloud.max_machines_by_zone.insert(zone, 0);
                 }
-                world.note(&format!("{fault}: {lost:?}"));
+                world.write_trace(&format!("{fault}: {lost:?}"));
                 for name in &lost {
                     match fault {
-                        "hang" => world.workers.get_mut(name).expect("a worker").hanging = true,
+                        "hang" => world.workers.get_mut(name).expect("a worker").is_hanging = true,
                         "taken" => {
                             world.workers.remove(name);
                             world.cloud.machines.remove(name);
@@ -61,28 +61,28 @@
                     }
                 }
                 if fault == "cut" {
-                    world.meddle(cut_off_machines(&lost));
+                    world.set_fault_injector(cut_off_machines(&lost));
                 }
                 if restarts_leader {
                     let crashed = leader(&world).expect("a leader");
-                    world.crash(crashed);
-                    world.run(300);
-                    world.start(crashed);
+                    world.crash_controller(crashed);
+                    world.run_for(300);
+                    world.start_controller(crashed);
                 }
-                world.run(45_000);
-                world.calm();
+                world.run_for(45_000);
+                world.clear_fault_injector();
                 for name in &lost {
                     if let Some(w) = world.workers.get_mut(name) {
-                        w.hanging = false;
+                        w.is_hanging = false;
                     }
                 }
-                world.cloud.most_in_zone.clear();
+                world.cloud.max_machines_by_zone.clear();
                 let are_done = |w: &World| {
                     ["job-000001", "job-000002"]
                         .iter()
                         .all(|id| stored_state(w, id) == "done")
                 };
-                let has_recovered = |w: &World| are_done(w) && w.running("job-000003") == 3;
+                let has_recovered = |w: &World| are_done(w) && w.running_tasks("job-000003") == 3;
                 assert!(world.run_until(200_000, has_recovered), "{case:?}\n{}", world.trace());
                 assert_no_breaches(&world, case);
             }
@@ -104,39 +104,39 @@
             .collect();
         let mut world = World::new();
         world.run_ms = 9000;
-        world.cloud.most = 8;
-        world.run(3000);
+        world.cloud.max_machines = 8;
+        world.run_for(3000);
         for (i, body) in jobs.iter().enumerate() {
-            world.accepted(i % 3, body);
+            world.submit_until_accepted(i % 3, body);
         }
-        world.run(6000);
+        world.run_for(6000);
         let machines: Vec<String> = world.workers.keys().cloned().collect();
         let from = world.now;
         let mut injectors = vec![
-            faults::late_writes(seed, 0.1),
-            faults::late_copies(seed, 0.2),
-            faults::lost_answers(seed + 100, 0.1),
+            faults::delay_transactions(seed, 0.1),
+            faults::duplicate_reports(seed, 0.2),
+            faults::lose_transaction_answers(seed + 100, 0.1),
         ];
         for (i, m) in machines.iter().enumerate() {
             match (seed + i as u64) % 5 {
-                0 => injectors.push(faults::mute(m)),
-                1 => injectors.push(faults::deaf(m)),
+                0 => injectors.push(faults::lose_reports_of_machine(m)),
+                1 => injectors.push(faults::lose_messages_to_machine(m)),
                 2 => injectors.push(cut_off_machines(std::slice::from_ref(m))),
                 _ => {}
             }
         }
         let controller = seed as usize % 3;
-        injectors.push(faults::during(
+        injectors.push(faults::limit_to(
             from + 20_000..from + 40_000,
-            faults::cut_off(controller),
+            faults::isolate_controller(controller),
         ));
-        world.meddle(faults::during(from..from + 60_000, faults::all(injectors)));
-        world.run(10_000);
-        world.crash((controller + 1) % 3);
-        world.run(500);
-        world.start((controller + 1) % 3);
-        world.run(52_000);
-        world.calm();
+        world.set_fault_injector(faults::limit_to(from..from + 60_000, faults::combine(injectors)));
+        world.run_for(10_000);
+        world.crash_controller((controller + 1) % 3);
+        world.run_for(500);
+        world.start_controller((controller + 1) % 3);
+        world.run_for(52_000);
+        world.clear_fault_injector();
         // Since when each job has waited although a machine has capacity and its team is below its limit.
         let mut waiting_since_by_job = vec![None; jobs.len()];
         let end = world.now + 200_000;
@@ -154,8 +154,8 @@
                     .filter(|j| j["crew"] == body["crew"])
                     .map(|j| tasks_of_job(&world, job_id(j)))
                     .sum();
-                let is_waiting = tasks_of_job(&world, id) == 0 && !world.checker().all_done(id);
-                let has_room = world.workers.values().any(|w| !w.hanging && tasks_on_machine(w) < 2);
+                let is_waiting = tasks_of_job(&world, id) == 0 && !world.checker().is_job_done(id);
+                let has_room = world.workers.values().any(|w| !w.is_hanging && tasks_on_machine(w) < 2);
                 if is_waiting && has_room && used < 4 {
                     let waiting_since: u64 = *waiting_since_by_job[i].get_or_insert(world.now);
                     assert!(
@@ -167,12 +167,12 @@
                     waiting_since_by_job[i] = None;
                 }
             }
-            world.run(500);
+            world.run_for(500);
             step += 1;
         }
         for (i, requests) in polls.iter().enumerate() {
             let mut last = requests[0].0;
-            for (polled_at, _) in requests.iter().filter(|(_, r)| world.status(*r) == 200) {
+            for (polled_at, _) in requests.iter().filter(|(_, r)| world.http_status(*r) == 200) {
                 assert!(
                     polled_at - last < 75_000,
                     "{seed}: {}\n{}",
@@ -192,13 +192,13 @@
 
 /// Tasks on a machine that have not ended.
 fn tasks_on_machine(worker: &Worker) -> usize {
-    worker.tasks.values().filter(|a| a.state != "ended").count()
+    worker.attempts.values().filter(|a| a.state != "ended").count()
 }
 
 /// Tasks of a job that are on machines and have not ended.
 fn tasks_of_job(world: &World, id: &str) -> usize {
     let prefix = format!("{id}/");
-    let tasks = world.workers.values().flat_map(|w| &w.tasks);
+    let tasks = world.workers.values().flat_map(|w| &w.attempts);
     tasks
         .filter(|((task, _), a)| task.starts_with(&prefix) && a.state != "ended")
         .count()
@@ -214,22 +214,22 @@
             let case = (shape, restarts_owner);
             let mut world = World::new();
             world.run_ms = 600_000;
-            world.cloud.most = 2;
-            world.run(3000);
-            world.accepted(0, &job(1, 0, shape, 1));
-            let first_runs = world.run_until(30_000, |w| w.running("job-000001") == 1);
+            world.cloud.max_machines = 2;
+            world.run_for(3000);
+            world.submit_until_accepted(0, &job(1, 0, shape, 1));
+            let first_runs = world.run_until(30_000, |w| w.running_tasks("job-000001") == 1);
             assert!(first_runs, "{case:?}\n{}", world.trace());
-            world.accepted(0, &job(2, 1, shape, 1));
-            let second_runs = world.run_until(30_000, |w| w.running("job-000002") == 1);
+            world.submit_until_accepted(0, &job(2, 1, shape, 1));
+            let second_runs = world.run_until(30_000, |w| w.running_tasks("job-000002") == 1);
             assert!(second_runs, "{case:?}\n{}", world.trace());
             if restarts_owner {
                 let owner = world.owner_of_team(2);
-                world.crash(owner);
-                world.run(300);
-                world.start(owner);
+                world.crash_controller(owner);
+                world.run_for(300);
+                world.start_controller(owner);
             }
-            world.accepted(0, &job(3, 2, shape, 1));
-            let third_runs = world.run_until(90_000, |w| w.running("job-000003") == 1);
+            world.submit_until_accepted(0, &job(3, 2, shape, 1));
+            let third_runs = world.run_until(90_000, |w| w.running_tasks("job-000003") == 1);
             assert!(third_runs, "{case:?}\n{}", world.trace());
             assert_no_breaches(&world, case);
         }
--- a/crates/tidelatch-standin/tests/compound_faults_requests.rs
+++ b/crates/tidelatch-standin/tests/compound_faults_requests.rs
@@ -70,15 +70,15 @@
 
 /// Sends a body unchanged as a submission, and returns the status of the answer, or 0 without an answer.
 fn send(world: &mut World, controller: usize, body: &str, id: &str) -> u16 {
-    let request = world.user(
+    let request = world.send_user_request(
         controller,
         Method::Post,
         "/submissions",
         body,
         (id.to_owned(), "submit"),
     );
-    world.run(30);
-    world.status(request)
+    world.run_for(30);
+    world.http_status(request)
 }
 
 #[test]
@@ -86,11 +86,11 @@
     // Guards against a final refusal of a job that was accepted before. A submission is refused permanently only after
     // a read of the state service has found no job of its id.
     let mut world = World::new();
-    world.run(4000);
+    world.run_for(4000);
     let accepted = job(1, 0, "sweep", 2);
     let service = job(2, 1, "standing", 1);
-    world.accepted(0, &accepted);
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &accepted);
+    world.submit_until_accepted(0, &service);
     let invalid_of_accepted = invalid_bodies(1);
     for (i, body) in invalid_bodies(900).iter().enumerate() {
         for controller in [0, 1, 2, i % 3] {
@@ -105,16 +105,16 @@
     for i in 0..6 {
         let body = job(10 + i, i % 3, "sweep", 1);
         let acceptance = world.submit(i as usize % 3, &body);
-        while world.status(acceptance) == 0 {
-            world.run(1);
+        while world.http_status(acceptance) == 0 {
+            world.run_for(1);
         }
-        assert_eq!(world.status(acceptance), 201, "{}", world.trace());
+        assert_eq!(world.http_status(acceptance), 201, "{}", world.trace());
         for (wait_ms, controller) in [(1, (i + 1) % 3), (5, (i + 2) % 3)] {
             let mut invalid = body.clone();
             invalid["wagons"] = json!(0);
             let status = send(&mut world, controller as usize, &invalid.to_string(), job_id(&body));
             assert_eq!(status, 200, "{}", world.trace());
-            world.run(wait_ms);
+            world.run_for(wait_ms);
         }
     }
     let is_done = |w: &World| stored_state(w, "job-000001") == "done";
@@ -123,14 +123,14 @@
     // is down.
     for (i, body) in invalid_of_accepted.iter().enumerate() {
         let controller = i % 3;
-        world.store.down = i % 4 == 3;
+        world.store.is_down = i % 4 == 3;
         if i % 5 == 4 {
-            world.crash(controller);
-            world.run(20);
-            world.start(controller);
+            world.crash_controller(controller);
+            world.run_for(20);
+            world.start_controller(controller);
         }
         for wait in [1, 5, 40] {
-            world.run(wait);
+            world.run_for(wait);
             let status = send(&mut world, controller, &body.to_string(), "job-000001");
             assert!(matches!(status, 0 | 200 | 503), "{status} to {body}\n{}", world.trace());
             let incomplete = json!({ "uid": "job-000002" }).to_string();
@@ -138,27 +138,30 @@
             assert!(matches!(status, 0 | 200 | 503), "{status}\n{}", world.trace());
         }
     }
-    world.store.down = false;
-    world.run(20_000);
+    world.store.is_down = false;
+    world.run_for(20_000);
     for controller in 0..3 {
         let of_ended_job = [
-            world.withdraw(controller, "job-000001"),
+            world.cancel(controller, "job-000001"),
             world.poll(controller, "job-000001"),
         ];
         let of_unknown_job = [
-            world.withdraw(controller, "job-000900"),
+            world.cancel(controller, "job-000900"),
             world.poll(controller, "job-000900"),
         ];
-        world.run(200);
+        world.run_for(200);
         for request in of_ended_job {
-            assert_eq!((world.status(request), world.said(request).as_str()), (200, "done"));
+            assert_eq!(
+                (world.http_status(request), world.job_status(request).as_str()),
+                (200, "done")
+            );
         }
         for request in of_unknown_job {
-            assert_eq!(world.status(request), 404, "{}", world.trace());
+            assert_eq!(world.http_status(request), 404, "{}", world.trace());
         }
     }
     assert!(
-        world.run_until(30_000, |w| w.running("job-000002") == 1),
+        world.run_until(30_000, |w| w.running_tasks("job-000002") == 1),
         "{}",
         world.trace()
     );
@@ -170,8 +173,8 @@
     // Guards against a controller that crashes on input from outside. No input is assumed to be well-formed, and
     // whatever is malformed is refused.
     let mut world = World::new();
-    world.run(4000);
-    world.accepted(0, &job(1, 0, "standing", 1));
+    world.run_for(4000);
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
     let mut too_long = job(900, 0, "sweep", 1);
     too_long["consist"] = json!("x".repeat(70_000));
     let bodies = [
@@ -215,9 +218,10 @@
             assert!(matches!(status, 400 | 422), "{status} to {body:.80}");
         }
         for (body, is_well_formed) in bodies.iter().map(|b| (b.as_str(), false)).chain(reports) {
-            let request = world.user(controller, Method::Post, "/agent/beat", body, ("beat".into(), "health"));
-            world.run(30);
-            let status = world.status(request);
+            let request =
+                world.send_user_request(controller, Method::Post, "/agent/beat", body, ("beat".into(), "health"));
+            world.run_for(30);
+            let status = world.http_status(request);
             assert!(is_well_formed || status != 200, "{status} to {body:.80}");
         }
         for path in [
@@ -229,19 +233,19 @@
             "/store/x",
         ] {
             for method in [Method::Get, Method::Post, Method::Delete] {
-                let request = world.user(controller, method, path, "", ("odd".into(), "health"));
-                world.run(30);
-                let status = world.status(request);
+                let request = world.send_user_request(controller, method, path, "", ("odd".into(), "health"));
+                world.run_for(30);
+                let status = world.http_status(request);
                 assert!((400..500).contains(&status), "{status} to {path}");
             }
         }
     }
-    world.run(10_000);
+    world.run_for(10_000);
     assert!(
-        world.unanswered(20_000, &["job-000001"]).is_empty(),
+        world.poll_unanswered(20_000, &["job-000001"]).is_empty(),
         "{}",
         world.trace()
     );
-    assert_eq!(world.running("job-000001"), 1, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000001"), 1, "{}", world.trace());
     assert_no_breaches(&world, "");
 }
--- a/crates/tidelatch-standin/tests/drain_support/mod.rs
+++ b/crates/tidelatch-standin/tests/drain_support/mod.rs
@@ -7,8 +7,8 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::support::{assert_no_breaches, is_done};
-use tidelatch_standin::{InterruptionRecorder, Size, World, job};
+use tidelatch_standin::support::{assert_no_breaches, is_stored_as_done};
+use tidelatch_standin::{DeploymentSize, InterruptionRecorder, World, job};
 
 /// A controller's lease in the stand-in's deployment.
 pub const LEASE_MS: u64 = 7_200;
@@ -46,18 +46,18 @@
 impl Deployment {
     /// Starts controllers with budgets and without drains, and waits until all replicas run.
     pub fn start(controllers: usize) -> Self {
-        let size = Size {
+        let size = DeploymentSize {
             controllers,
             teams: controllers as u32,
             // Nothing is preempted for a guarantee.
-            guarantee: 0.0,
-            limit: 40.0,
+            guaranteed_accelerators: 0.0,
+            max_accelerators: 40.0,
             write_rps: 200.0,
-            ..Size::default()
+            ..DeploymentSize::default()
         };
-        let mut world = World::sized(&operator(&json!({})), size);
-        world.cloud.most = 60;
-        world.run(5_000);
+        let mut world = World::with_size(&operator(&json!({})), size);
+        world.cloud.max_machines = 60;
+        world.run_for(5_000);
         let mut deployment = Self {
             world,
             recorder: InterruptionRecorder::new(GRACE_MS),
@@ -69,7 +69,7 @@
         for team in 0..controllers as u32 {
             let jobs = [10 * team + 1, 10 * team + 2].map(|id| deployment.submit_service(id, team));
             let job_ids: Vec<&str> = jobs.iter().map(String::as_str).collect();
-            deployment.recorder.limit(&format!("team-{team}"), &job_ids, 1);
+            deployment.recorder.set_budget(&format!("team-{team}"), &job_ids, 1);
         }
         assert!(
             deployment.run_until(120_000, Self::all_replicas_run),
@@ -81,7 +81,8 @@
 
     /// Submits a service of a team and returns its id.
     fn submit_service(&mut self, id: u32, team: u32) -> String {
-        self.world.accepted(0, &job(id, team, "standing", REPLICAS as u32));
+        self.world
+            .submit_until_accepted(0, &job(id, team, "standing", REPLICAS as u32));
         let name = format!("job-{id:06}");
         self.services.push(name.clone());
         name
@@ -89,7 +90,7 @@
 
     /// Submits an array of a team.
     pub fn submit_array(&mut self, id: u32, team: u32, tasks: u32) {
-        self.world.accepted(0, &job(id, team, "sweep", tasks));
+        self.world.submit_until_accepted(0, &job(id, team, "sweep", tasks));
         // Accepting the job took simulated time, in which replicas may have stopped.
         self.sample();
         self.arrays.push(format!("job-{id:06}"));
@@ -98,12 +99,12 @@
     /// Crashes all controllers and restarts them with these settings.
     pub fn restart_all(&mut self, operator: &Operator) {
         for controller in 0..self.controllers {
-            self.world.crash(controller);
-            self.world.operator(controller, operator);
+            self.world.crash_controller(controller);
+            self.world.set_operator(controller, operator);
         }
         self.run(200);
         for controller in 0..self.controllers {
-            self.world.start(controller);
+            self.world.start_controller(controller);
         }
     }
 
@@ -114,23 +115,25 @@
 
     /// Whether every service has all its replicas running.
     pub fn all_replicas_run(&self) -> bool {
-        self.services.iter().all(|job| self.world.running(job) == REPLICAS)
+        self.services
+            .iter()
+            .all(|job| self.world.running_tasks(job) == REPLICAS)
     }
 
     /// Removes a machine and its worker, and tells the recorder that this was a loss.
     pub fn lose_machine(&mut self, machine: &str) {
-        self.recorder.machine_lost(machine);
-        self.world.note(&format!("the test loses {machine}"));
+        self.recorder.record_machine_lost(machine);
+        self.world.write_trace(&format!("the test loses {machine}"));
         self.world.cloud.machines.remove(machine);
         self.world.workers.remove(machine);
     }
 
     /// Tells the recorder which replicas run and which machines were lost.
     fn sample(&mut self) {
-        let mut running = self.world.running_units();
+        let mut running = self.world.machines_by_running_task();
         running.retain(|unit, _| self.services.iter().any(|job| unit.starts_with(job.as_str())));
         self.record_losses();
-        self.recorder.sample(self.world.now, running);
+        self.recorder.record_running_units(self.world.now, running);
     }
 
     /// Tells the recorder of machines that controllers gave up as failed and of sessions that ended: what ran there was
@@ -145,13 +148,13 @@
         let before = std::mem::replace(&mut self.sessions, sessions);
         for (machine, session) in before {
             match self.sessions.get(&machine) {
-                Some(now) if *now > session => self.recorder.session_lost(&machine),
+                Some(now) if *now > session => self.recorder.record_session_lost(&machine),
                 Some(_) => {}
                 None => {
                     let lines = self.world.trace().lines();
                     let lines_of_machine = lines.filter(|line| line.contains(&format!("{machine}: ")));
                     if lines_of_machine.into_iter().any(|line| line.ends_with("giving it up")) {
-                        self.recorder.machine_lost(&machine);
+                        self.recorder.record_machine_lost(&machine);
                     }
                 }
             }
@@ -162,7 +165,7 @@
     pub fn run(&mut self, ms: u64) {
         let until = self.world.now + ms;
         while self.world.now < until {
-            self.world.run(20.min(until - self.world.now));
+            self.world.run_for(20.min(until - self.world.now));
             self.sample();
         }
     }
@@ -198,14 +201,15 @@
     pub fn assert_drain_ends(&mut self, drain: &str, case: &str) {
         let ended = self.run_until(DRAIN_MS, |d| d.is_done(drain));
         assert!(ended, "{case}: the drain has not ended\n{}", self.trace());
-        let recovered = |d: &Self| d.all_replicas_run() && d.arrays.iter().all(|array| is_done(&d.world, array));
+        let recovered =
+            |d: &Self| d.all_replicas_run() && d.arrays.iter().all(|array| is_stored_as_done(&d.world, array));
         assert!(self.run_until(150_000, recovered), "{case}\n{}", self.trace());
         self.assert_within_budgets(case);
     }
 
     /// Asserts that no budget was exceeded and no rule was broken.
     pub fn assert_within_budgets(&self, case: &str) {
-        assert_eq!(self.recorder.excesses(), [], "{case}\n{}", self.trace());
+        assert_eq!(self.recorder.budget_violations(), [], "{case}\n{}", self.trace());
         assert_no_breaches(&self.world);
     }
 }
--- a/crates/tidelatch-standin/tests/drains.rs
+++ b/crates/tidelatch-standin/tests/drains.rs
@@ -8,8 +8,8 @@
 use drain_support::{DRAIN_MS, Deployment, LEASE_MS, operator, with_drain};
 use serde_json::{Value, json};
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::support::is_done;
-use tidelatch_standin::{Delivery, Excess, InterruptionRecorder, faults};
+use tidelatch_standin::support::is_stored_as_done;
+use tidelatch_standin::{BudgetViolation, Delivery, InterruptionRecorder, faults};
 
 fn drain_of_all_machines() -> Value {
     json!({ "name": "all", "machine_type": "m2", "surge": 1, "max_machines": 2 })
@@ -27,9 +27,9 @@
 /// Crashes the controllers one after the other and restarts each with these settings, 12 s apart.
 fn restart_one_by_one(deployment: &mut Deployment, operator: &Operator) {
     for controller in 0..deployment.controllers {
-        deployment.world.crash(controller);
-        deployment.world.operator(controller, operator);
-        deployment.world.start(controller);
+        deployment.world.crash_controller(controller);
+        deployment.world.set_operator(controller, operator);
+        deployment.world.start_controller(controller);
         deployment.run(12_000);
     }
 }
@@ -65,12 +65,12 @@
         deployment.run(crash_after_ms);
         // The leader, which often owns machines under drain itself, and a second owner.
         let leader = deployment.world.leader().expect("there is a leader");
-        deployment.world.crash(leader);
+        deployment.world.crash_controller(leader);
         deployment.run(1_000);
-        deployment.world.crash((leader + 1) % 3);
+        deployment.world.crash_controller((leader + 1) % 3);
         deployment.run(20_000);
-        deployment.world.start(leader);
-        deployment.world.start((leader + 1) % 3);
+        deployment.world.start_controller(leader);
+        deployment.world.start_controller((leader + 1) % 3);
         deployment.assert_drain_ends("all", &format!("crash after {crash_after_ms} ms"));
         assert_eq!(
             deployment.count_trace_lines("drain all begins"),
@@ -89,9 +89,9 @@
         let mut deployment = start_with_drain();
         deployment.run(pause_after_ms);
         for controller in 0..3 {
-            deployment.world.freeze(controller);
+            deployment.world.pause(controller);
             deployment.run(LEASE_MS + 300);
-            deployment.world.thaw(controller);
+            deployment.world.resume(controller);
             deployment.run(2_000);
         }
         deployment.assert_drain_ends("all", &format!("pause after {pause_after_ms} ms"));
@@ -104,7 +104,7 @@
     let mut deployment = Deployment::start(3);
     deployment.world.run_ms = 60_000;
     deployment.submit_array(501, 1, 6);
-    let runs = |d: &Deployment| d.world.running("job-000501") == 6;
+    let runs = |d: &Deployment| d.world.running_tasks("job-000501") == 6;
     assert!(deployment.run_until(60_000, runs), "{}", deployment.trace());
     let drain = json!({ "name": "all", "surge": 1, "max_machines": 30, "patience_s": 600.0 });
     deployment.restart_all(&with_drain(&drain));
@@ -124,7 +124,7 @@
     let mut deployment = Deployment::start(3);
     deployment.world.run_ms = 90_000;
     deployment.submit_array(501, 1, 4);
-    let runs = |d: &Deployment| d.world.running("job-000501") == 4;
+    let runs = |d: &Deployment| d.world.running_tasks("job-000501") == 4;
     assert!(deployment.run_until(60_000, runs), "{}", deployment.trace());
     let drain = json!({ "name": "all", "surge": 1, "max_machines": 30, "patience_s": 20.0 });
     deployment.restart_all(&with_drain(&drain));
@@ -141,7 +141,11 @@
 fn late_and_missing_replacements_exceed_no_budget() {
     let mut deployment = start_with_drain();
     // Of the first three replacements two never come up and one takes four times as long as usual.
-    deployment.world.cloud.next_boots.extend([None, Some(12_000), None]);
+    deployment
+        .world
+        .cloud
+        .next_boot_times_ms
+        .extend([None, Some(12_000), None]);
     deployment.assert_drain_ends("all", "late replacements");
     assert!(
         deployment.count_trace_lines("never came up") > 0,
@@ -173,7 +177,7 @@
 #[test]
 fn a_drain_waits_while_the_cloud_has_no_machines() {
     let mut deployment = Deployment::start(3);
-    deployment.world.cloud.most = deployment.world.cloud.machines.len();
+    deployment.world.cloud.max_machines = deployment.world.cloud.machines.len();
     let drain = json!({ "name": "all", "surge": 2, "max_machines": 2 });
     deployment.restart_all(&with_drain(&drain));
     deployment.run(120_000);
@@ -183,7 +187,7 @@
         "{}",
         deployment.trace()
     );
-    deployment.world.cloud.most = 60;
+    deployment.world.cloud.max_machines = 60;
     deployment.assert_drain_ends("all", "no machines in the cloud");
 }
 
@@ -292,8 +296,8 @@
     assert!(deployment.run_until(60_000, permit_used), "{}", deployment.trace());
     let service = deployment.services.remove(0);
     let owner = deployment.world.owner_of_team(0);
-    deployment.world.withdraw(owner, &service);
-    deployment.recorder.job_over(&service);
+    deployment.world.cancel(owner, &service);
+    deployment.recorder.record_job_end(&service);
     // The machines of the team's other service are still drained.
     deployment.assert_drain_ends("all", "cancelled");
 }
@@ -305,14 +309,14 @@
     let mut deployment = Deployment::start(3);
     let with_budgets = with_drain(&drain_of_all_machines());
     for controller in 0..3 {
-        deployment.world.crash(controller);
+        deployment.world.crash_controller(controller);
         let settings = if controller == 1 {
             Operator::default()
         } else {
             with_budgets.clone()
         };
-        deployment.world.operator(controller, &settings);
-        deployment.world.start(controller);
+        deployment.world.set_operator(controller, &settings);
+        deployment.world.start_controller(controller);
         deployment.run(15_000);
     }
     deployment.run(120_000);
@@ -327,9 +331,9 @@
             .all(|i| !i.unit.starts_with("job-00001"))
     );
     // The drain continues once the last controller has budgets as well.
-    deployment.world.crash(1);
-    deployment.world.operator(1, &with_budgets);
-    deployment.world.start(1);
+    deployment.world.crash_controller(1);
+    deployment.world.set_operator(1, &with_budgets);
+    deployment.world.start_controller(1);
     deployment.assert_drain_ends("all", "budgets turned on everywhere");
 }
 
@@ -339,10 +343,12 @@
 fn a_one_way_cut_between_owner_and_leader_exceeds_no_budget_and_the_drain_ends_after_it() {
     let mut deployment = start_with_drain();
     let leader = deployment.world.leader().expect("there is a leader");
-    deployment.world.meddle(faults::one_way((leader + 1) % 3, leader));
+    deployment
+        .world
+        .set_fault_injector(faults::cut_direction((leader + 1) % 3, leader));
     deployment.run(120_000);
     // The leader rents the replacements that the owner needs, but does not receive the owner's requests for them.
-    deployment.world.calm();
+    deployment.world.clear_fault_injector();
     deployment.assert_drain_ends("all", "one-way cut");
 }
 
@@ -373,7 +379,7 @@
     deployment.assert_within_budgets("budget of zero");
 }
 
-/// Guards against a recorder that misses excesses: the other tests would then pass whatever the controllers do.
+/// Guards against a recorder that misses violations: the other tests would then pass whatever the controllers do.
 #[test]
 fn the_recorder_reports_each_kind_of_excess_and_none_for_allowed_interruptions() {
     let sample = |units: &[&str]| {
@@ -384,40 +390,40 @@
     };
     let recorder = || {
         let mut recorder = InterruptionRecorder::new(100);
-        recorder.limit("team", &["job-1", "job-2"], 1);
-        recorder.sample(0, sample(&["job-1/0", "job-1/1", "job-2/0"]));
+        recorder.set_budget("team", &["job-1", "job-2"], 1);
+        recorder.record_running_units(0, sample(&["job-1/0", "job-1/1", "job-2/0"]));
         recorder
     };
     let mut allowed = recorder();
-    allowed.sample(10, sample(&["job-1/0", "job-1/1"]));
-    allowed.sample(20, sample(&["job-1/0", "job-1/1", "job-2/0"]));
-    allowed.sample(30, sample(&["job-1/1", "job-2/0"]));
-    allowed.machine_lost("m-1");
-    allowed.sample(40, sample(&[]));
-    assert_eq!(allowed.excesses(), []);
+    allowed.record_running_units(10, sample(&["job-1/0", "job-1/1"]));
+    allowed.record_running_units(20, sample(&["job-1/0", "job-1/1", "job-2/0"]));
+    allowed.record_running_units(30, sample(&["job-1/1", "job-2/0"]));
+    allowed.record_machine_lost("m-1");
+    allowed.record_running_units(40, sample(&[]));
+    assert_eq!(allowed.budget_violations(), []);
     assert_eq!(allowed.interruptions().len(), 2);
 
     let mut faulty = recorder();
-    faulty.sample(10, sample(&["job-2/0"]));
-    let away = vec!["job-1/0".to_owned(), "job-1/1".to_owned()];
+    faulty.record_running_units(10, sample(&["job-2/0"]));
+    let stopped = vec!["job-1/0".to_owned(), "job-1/1".to_owned()];
     let group = || "team".to_owned();
     assert_eq!(
-        faulty.excesses(),
-        [Excess::TooMany {
+        faulty.budget_violations(),
+        [BudgetViolation::BudgetExceeded {
             group: group(),
             at_ms: 10,
-            away
+            stopped
         }]
     );
 
     let mut faulty = recorder();
-    faulty.session_lost("m-1");
-    faulty.sample(10, sample(&["job-1/1", "job-2/0"]));
-    faulty.sample(200, sample(&["job-1/1"]));
+    faulty.record_session_lost("m-1");
+    faulty.record_running_units(10, sample(&["job-1/1", "job-2/0"]));
+    faulty.record_running_units(200, sample(&["job-1/1"]));
     let unit = "job-2/0".to_owned();
     assert_eq!(
-        faulty.excesses(),
-        [Excess::WhileSpent {
+        faulty.budget_violations(),
+        [BudgetViolation::StoppedWhileBudgetSpent {
             group: group(),
             at_ms: 200,
             unit
@@ -431,8 +437,8 @@
 fn a_drain_continues_after_lost_answers_to_writes_of_its_record() {
     let mut deployment = Deployment::start(3);
     let mut lost = 0;
-    deployment.world.meddle(move |message| {
-        let writes_record = message.what == "POST /txn" && message.body.contains("t/d/all\"") && lost < 3;
+    deployment.world.set_fault_injector(move |message| {
+        let writes_record = message.request == "POST /txn" && message.body.contains("t/d/all\"") && lost < 3;
         if writes_record {
             lost += 1;
             Delivery::AnswerLost
@@ -467,7 +473,7 @@
     // room.
     deployment.submit_array(501, 1, 8);
     assert!(
-        deployment.run_until(90_000, |d| is_done(&d.world, "job-000501")),
+        deployment.run_until(90_000, |d| is_stored_as_done(&d.world, "job-000501")),
         "{}",
         deployment.trace()
     );
@@ -502,9 +508,9 @@
     let leader = deployment.world.leader().expect("there is a leader");
     assert_ne!(leader, 1, "{}", deployment.trace());
     // The controller restarts at once, without the drain in its settings, and becomes leader again.
-    deployment.world.crash(leader);
-    deployment.world.operator(leader, &operator(&json!({})));
-    deployment.world.start(leader);
+    deployment.world.crash_controller(leader);
+    deployment.world.set_operator(leader, &operator(&json!({})));
+    deployment.world.start_controller(leader);
     let is_back = |d: &Deployment| {
         d.count_trace_lines("berth-1: n-") > 0 && d.count_trace_lines("was withdrawn: back in service") > 0
     };
@@ -514,11 +520,11 @@
     // the array.
     let service = deployment.services[2].clone();
     let owner = deployment.world.owner_of_team(1);
-    deployment.world.withdraw(owner, &service);
-    deployment.recorder.job_over(&service);
+    deployment.world.cancel(owner, &service);
+    deployment.recorder.record_job_end(&service);
     deployment.services.remove(2);
     deployment.run(20_000);
-    deployment.world.cloud.most = deployment.world.cloud.machines.len();
+    deployment.world.cloud.max_machines = deployment.world.cloud.machines.len();
     deployment.submit_array(501, 1, 6);
     let is_used = |d: &Deployment| {
         cordoned
--- a/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
+++ b/crates/tidelatch-standin/tests/drains_of_shared_machines.rs
@@ -28,12 +28,16 @@
 /// Starts a deployment with two machines and a replica on each. The replica of a third team is placed beside one of
 /// them.
 fn with_shared_machine() -> SharedMachine {
-    let mut world = World::with(&operator(&json!({})));
-    world.cloud.most = 2;
-    world.run(3_000);
+    let mut world = World::with_operator(&operator(&json!({})));
+    world.cloud.max_machines = 2;
+    world.run_for(3_000);
     for (team, id) in (0..).zip(SERVICES) {
-        world.accepted(0, &job(team + 1, team, "standing", 1));
-        assert!(world.run_until(90_000, |w| w.running(id) == 1), "{}", world.trace());
+        world.submit_until_accepted(0, &job(team + 1, team, "standing", 1));
+        assert!(
+            world.run_until(90_000, |w| w.running_tasks(id) == 1),
+            "{}",
+            world.trace()
+        );
     }
     let machine = world.machines_of(SERVICES[2]).pop().expect("a machine");
     let is_on_machine = |id: &&str| world.machines_of(id).contains(&machine);
@@ -43,7 +47,7 @@
         .expect("a replica of team 0 or 1 on it");
     let mut recorder = InterruptionRecorder::new(GRACE_MS);
     for id in SERVICES {
-        recorder.limit(id, &[id], 1);
+        recorder.set_budget(id, &[id], 1);
     }
     SharedMachine {
         world,
@@ -58,21 +62,22 @@
     fn run(&mut self, ms: u64) {
         let until = self.world.now + ms;
         while self.world.now < until {
-            self.world.run(20);
-            self.recorder.sample(self.world.now, self.world.running_units());
+            self.world.run_for(20);
+            self.recorder
+                .record_running_units(self.world.now, self.world.machines_by_running_task());
         }
     }
 
     /// Crashes all controllers and restarts them with a drain of all machines. From here on the cloud has machines for
     /// replacements.
     fn restart_all_with_drain(&mut self, operator: &Operator) {
-        self.world.cloud.most = 6;
+        self.world.cloud.max_machines = 6;
         for controller in 0..3 {
-            self.world.crash(controller);
-            self.world.operator(controller, operator);
+            self.world.crash_controller(controller);
+            self.world.set_operator(controller, operator);
         }
         self.run(200);
-        (0..3).for_each(|controller| self.world.start(controller));
+        (0..3).for_each(|controller| self.world.start_controller(controller));
     }
 
     /// Whether the drain is stored as done.
@@ -86,7 +91,7 @@
     /// Asserts that the drain ends, that all services run, that no budget was exceeded and that the machine is gone.
     fn assert_drain_ends(&mut self, case: &str) {
         let until = self.world.now + DRAIN_MS;
-        let all_run = |w: &World| SERVICES.iter().all(|id| w.running(id) >= 1);
+        let all_run = |w: &World| SERVICES.iter().all(|id| w.running_tasks(id) >= 1);
         while self.world.now < until && !(self.is_done() && all_run(&self.world)) {
             self.run(500);
         }
@@ -96,7 +101,7 @@
             self.world.trace()
         );
         assert!(all_run(&self.world), "{case}\n{}", self.world.trace());
-        assert_eq!(self.recorder.excesses(), [], "{case}\n{}", self.world.trace());
+        assert_eq!(self.recorder.budget_violations(), [], "{case}\n{}", self.world.trace());
         assert_no_breaches(&self.world);
         assert!(!self.world.cloud.machines.contains_key(&self.machine), "{case}");
     }
@@ -132,11 +137,13 @@
             shared.run(crash_after_ms);
             let crashed = [(remaining + 1) % 3, (remaining + 2) % 3];
             for controller in crashed {
-                shared.world.crash(controller);
+                shared.world.crash_controller(controller);
                 shared.run(700);
             }
             shared.run(LEASE_MS);
-            crashed.iter().for_each(|controller| shared.world.start(*controller));
+            crashed
+                .iter()
+                .for_each(|controller| shared.world.start_controller(*controller));
             shared.assert_drain_ends(&format!("{crashed:?} crash after {crash_after_ms} ms"));
         }
     }
@@ -151,13 +158,13 @@
             let mut shared = with_shared_machine();
             shared.restart_all_with_drain(&drain_of_all());
             shared.run(pause_after_ms);
-            shared.world.freeze(controller);
+            shared.world.pause(controller);
             shared.run(LEASE_MS / 2);
-            shared.world.freeze((controller + 1) % 3);
+            shared.world.pause((controller + 1) % 3);
             shared.run(LEASE_MS);
-            shared.world.thaw(controller);
+            shared.world.resume(controller);
             shared.run(1_000);
-            shared.world.thaw((controller + 1) % 3);
+            shared.world.resume((controller + 1) % 3);
             shared.assert_drain_ends(&format!("berth-{controller} pauses after {pause_after_ms} ms"));
         }
     }
@@ -171,9 +178,9 @@
         let mut shared = with_shared_machine();
         shared.restart_all_with_drain(&drain_of_all());
         shared.run(6_000);
-        shared.world.meddle(faults::rough_peer_network(seed));
+        shared.world.set_fault_injector(faults::unreliable_peer_network(seed));
         shared.run(60_000);
-        shared.world.calm();
+        shared.world.clear_fault_injector();
         shared.assert_drain_ends(&format!("seed {seed}"));
     }
 }
@@ -213,9 +220,9 @@
     let with_budgets = drain_of_all();
     shared.restart_all_with_drain(&with_budgets);
     // The team's owner restarts with budgets turned off.
-    shared.world.crash(owner);
-    shared.world.operator(owner, &Operator::default());
-    shared.world.start(owner);
+    shared.world.crash_controller(owner);
+    shared.world.set_operator(owner, &Operator::default());
+    shared.world.start_controller(owner);
     shared.run(DRAIN_MS / 4);
     assert_eq!(shared.count_permits_of_other_owners(), 0, "{}", shared.world.trace());
     let earlier_replica = format!("{}/0", SERVICES[shared.earlier_team]);
@@ -228,32 +235,32 @@
         "{}",
         shared.world.trace()
     );
-    shared.world.crash(owner);
-    shared.world.operator(owner, &with_budgets);
-    shared.world.start(owner);
+    shared.world.crash_controller(owner);
+    shared.world.set_operator(owner, &with_budgets);
+    shared.world.start_controller(owner);
     shared.assert_drain_ends("budgets are turned on everywhere");
 }
 
 /// Starts a service of team 0 with two replicas on a machine each. One of the machines, with its replica, has moved to
 /// partition 2.
 fn with_one_replica_on_a_machine_of_partition_2() -> (World, String) {
-    let mut world = World::with(&operator(&json!({})));
-    world.cloud.most = 3;
-    world.run(3_000);
-    let sized = |id, team, tasks, cpus: f64| {
+    let mut world = World::with_operator(&operator(&json!({})));
+    world.cloud.max_machines = 3;
+    world.run_for(3_000);
+    let service_with_cpus = |id, team, tasks, cpus: f64| {
         let mut service = job(id, team, "standing", tasks);
         service["vcpus"] = json!(cpus);
         service
     };
     for (service, replicas) in [
-        (sized(1, 0, 2, 13.0), 2),
-        (sized(2, 1, 1, 20.0), 1),
-        (sized(3, 2, 1, 8.0), 1),
+        (service_with_cpus(1, 0, 2, 13.0), 2),
+        (service_with_cpus(2, 1, 1, 20.0), 1),
+        (service_with_cpus(3, 2, 1, 8.0), 1),
     ] {
-        world.accepted(0, &service);
+        world.submit_until_accepted(0, &service);
         let id = service["uid"].as_str().expect("an id");
         assert!(
-            world.run_until(90_000, |w| w.running(id) == replicas),
+            world.run_until(90_000, |w| w.running_tasks(id) == replicas),
             "{}",
             world.trace()
         );
@@ -269,7 +276,7 @@
 fn a_stop_permitted_by_an_earlier_owner_is_revoked_when_its_successor_permits_another() {
     let (world, machine) = with_one_replica_on_a_machine_of_partition_2();
     let mut recorder = InterruptionRecorder::new(GRACE_MS);
-    recorder.limit("job-000001", &["job-000001"], 1);
+    recorder.set_budget("job-000001", &["job-000001"], 1);
     let mut shared = SharedMachine {
         world,
         recorder,
@@ -281,9 +288,9 @@
     let cut = move |message: &tidelatch_standin::Message<'_>| {
         let pair = [message.from, message.to];
         let is_between_peers = pair == ["berth-1", "berth-2"] || pair == ["berth-2", "berth-1"];
-        let is_order = message.from == "berth-2" && message.to == machine && message.what != "GET /status";
+        let is_order = message.from == "berth-2" && message.to == machine && message.request != "GET /status";
         let is_report = message.from == machine && message.to == "berth-2";
-        let is_relay = message.to == "berth-2" && message.what == "relay";
+        let is_relay = message.to == "berth-2" && message.request == "relay";
         if is_order || is_report || is_relay || is_between_peers {
             Delivery::Lost
         } else {
@@ -298,7 +305,7 @@
         { "name": "rest", "zone": other, "surge": 0, "max_machines": 4, "delay_s": 15.0 },
     ] })));
     shared.run(7_500);
-    shared.world.meddle(cut);
+    shared.world.set_fault_injector(cut);
     let has_permit = |s: &SharedMachine| s.count_permits_of_other_owners() > 0;
     let has_successor_used_permit = |s: &SharedMachine| {
         let mut lines = s.world.trace().lines().filter(|line| line.contains("berth-1: "));
@@ -312,11 +319,11 @@
     }
     assert!(has_permit(&shared), "{}", shared.world.trace());
     assert_eq!(
-        shared.world.running("job-000001"),
+        shared.world.running_tasks("job-000001"),
         2,
         "the stop should not have arrived yet"
     );
-    shared.world.crash(0);
+    shared.world.crash_controller(0);
     for _ in 0..3_000 {
         if has_successor_used_permit(&shared) {
             break;
@@ -326,9 +333,9 @@
     assert!(has_successor_used_permit(&shared), "{}", shared.world.trace());
     // Without the revocation the stop that the earlier owner permitted would arrive now, while the other replica is
     // unavailable.
-    shared.world.calm();
+    shared.world.clear_fault_injector();
     shared.run(20_000);
-    shared.world.start(0);
+    shared.world.start_controller(0);
     shared.assert_drain_ends("earlier stop revoked");
 }
 
@@ -343,8 +350,8 @@
     let team_owner = format!("berth-{}", shared.world.owner_of_team(shared.earlier_team));
     let machine_owner = shared.world.owner_of_team(2);
     let requester = format!("berth-{machine_owner}");
-    shared.world.meddle(move |message| {
-        let is_request = message.from == requester && message.to == team_owner && message.what == "hello";
+    shared.world.set_fault_injector(move |message| {
+        let is_request = message.from == requester && message.to == team_owner && message.request == "hello";
         if is_request {
             Delivery::AnswerLost
         } else {
@@ -353,7 +360,7 @@
     });
     shared.run(15_000);
     assert_eq!(shared.count_permits_of_other_owners(), 0, "{}", shared.world.trace());
-    shared.world.crash(machine_owner);
-    shared.world.calm();
+    shared.world.crash_controller(machine_owner);
+    shared.world.clear_fault_injector();
     shared.assert_drain_ends("permit holder crashed");
 }
--- a/crates/tidelatch-standin/tests/drains_under_faults.rs
+++ b/crates/tidelatch-standin/tests/drains_under_faults.rs
@@ -20,7 +20,7 @@
 fn delayed_commands(seed: u64, probability: f64) -> FaultInjector {
     let mut rng = Rng::with_seed(seed);
     Box::new(move |message| {
-        if !message.what.starts_with("POST /commands") || rng.f64() >= probability {
+        if !message.request.starts_with("POST /commands") || rng.f64() >= probability {
             return Delivery::Pass;
         }
         match rng.u32(0..3) {
@@ -36,13 +36,19 @@
     let seed = rng.u64(..);
     let controller = rng.usize(..controllers);
     match rng.u32(0..8) {
-        0 => faults::cut_off(controller),
-        1 => faults::refused(controller),
-        2 => faults::split(&[controller, (controller + 1) % controllers], StateServiceSide::Both),
-        3 => faults::one_way(controller, (controller + 1) % controllers),
-        4 => faults::rough_peer_network(seed),
-        5 => faults::lost_answers(seed, 0.4),
-        6 => faults::all(vec![faults::late_copies(seed, 0.3), faults::late_writes(seed, 0.2)]),
+        0 => faults::isolate_controller(controller),
+        1 => faults::refuse_state_requests(controller),
+        2 => faults::partition_controllers(
+            &[controller, (controller + 1) % controllers],
+            StateServiceSide::AllControllers,
+        ),
+        3 => faults::cut_direction(controller, (controller + 1) % controllers),
+        4 => faults::unreliable_peer_network(seed),
+        5 => faults::lose_transaction_answers(seed, 0.4),
+        6 => faults::combine(vec![
+            faults::duplicate_reports(seed, 0.3),
+            faults::delay_transactions(seed, 0.2),
+        ]),
         _ => delayed_commands(seed, 0.5),
     }
 }
@@ -56,22 +62,22 @@
         0 | 1 => {
             // Two controllers crash, the second up to 3 s after the first.
             let other = (controller + 1) % controllers;
-            deployment.world.crash(controller);
+            deployment.world.crash_controller(controller);
             deployment.run(rng.u64(0..3_000));
-            deployment.world.crash(other);
+            deployment.world.crash_controller(other);
             deployment.run(duration_ms);
-            deployment.world.start(controller);
-            deployment.world.start(other);
+            deployment.world.start_controller(controller);
+            deployment.world.start_controller(other);
         }
         2 | 3 => {
-            deployment.world.freeze(controller);
+            deployment.world.pause(controller);
             deployment.run(duration_ms);
-            deployment.world.thaw(controller);
+            deployment.world.resume(controller);
         }
         4 => {
-            deployment.world.store.down = true;
+            deployment.world.store.is_down = true;
             deployment.run(duration_ms / 2);
-            deployment.world.store.down = false;
+            deployment.world.store.is_down = false;
         }
         5 => {
             let machines: Vec<String> = deployment.world.workers.keys().cloned().collect();
@@ -82,14 +88,14 @@
         }
         _ => {
             let injector = random_network_fault(rng, controllers);
-            deployment.world.meddle(injector);
+            deployment.world.set_fault_injector(injector);
             deployment.run(duration_ms);
             if rng.bool() {
-                deployment.world.crash(controller);
+                deployment.world.crash_controller(controller);
                 deployment.run(rng.u64(100..3_000));
-                deployment.world.start(controller);
+                deployment.world.start_controller(controller);
             }
-            deployment.world.calm();
+            deployment.world.clear_fault_injector();
         }
     }
 }
--- a/crates/tidelatch-standin/tests/failing_jobs.rs
+++ b/crates/tidelatch-standin/tests/failing_jobs.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{Value, json};
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::{DeploymentSize, World, job};
 
 const FAILING_JOB: &str = "job-000001";
 const TEAM_LIMIT: f64 = 24.0;
@@ -14,15 +14,15 @@
 const FAULTY_LOG_TEXT: &str = "not used any more";
 
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// Starts a deployment whose teams may use all of its machines.
 fn start() -> World {
-    let size = Size {
-        guarantee: TEAM_LIMIT / 2.0,
-        limit: TEAM_LIMIT,
-        ..Size::default()
+    let size = DeploymentSize {
+        guaranteed_accelerators: TEAM_LIMIT / 2.0,
+        max_accelerators: TEAM_LIMIT,
+        ..DeploymentSize::default()
     };
     // Machines boot in seconds here. With the default, idle machines would be returned before they are detected as
     // faulty.
@@ -30,8 +30,8 @@
         idle_per_boot: 40.0,
         ..Operator::default()
     };
-    let mut world = World::sized(&operator, size);
-    world.run(3000);
+    let mut world = World::with_size(&operator, size);
+    world.run_for(3000);
     world
 }
 
@@ -59,17 +59,17 @@
 fn a_failing_array_is_distinguished_from_a_faulty_machine() {
     let mut world = start();
     // As many machines as the team may fill: without the faulty one some of its work would have to wait.
-    world.cloud.most = 12;
+    world.cloud.max_machines = 12;
     for id in [2, 3] {
-        world.accepted(0, &job(id, 0, "sweep", 60));
+        world.submit_until_accepted(0, &job(id, 0, "sweep", 60));
     }
-    let running = |w: &World| w.running("job-000002") + w.running("job-000003") >= 12;
+    let running = |w: &World| w.running_tasks("job-000002") + w.running_tasks("job-000003") >= 12;
     assert!(world.run_until(30_000, running), "{}", world.trace());
     let faulty_machine = world.machines_of("job-000002").first().cloned().expect("it runs");
     if let Some(w) = world.workers.get_mut(&faulty_machine) {
-        w.sick = true;
+        w.is_faulty = true;
     }
-    world.accepted(1, &failing_array(1, 60));
+    world.submit_until_accepted(1, &failing_array(1, 60));
     let done = |w: &World| is_done(w, "job-000002") && is_done(w, "job-000003");
     assert!(world.run_until(120_000, done), "{}", world.trace());
     assert!(
@@ -78,16 +78,16 @@
         world.trace()
     );
     // All other machines are free for the failing job now, and it is soon suspected of failing everywhere.
-    world.run(30_000);
+    world.run_for(30_000);
     let trace_start = world.trace().len();
     for id in 4..8 {
-        world.accepted(2, &job(id, 0, "sweep", 6));
+        world.submit_until_accepted(2, &job(id, 0, "sweep", 6));
         let key = format!("job-{id:06}");
         assert!(world.run_until(40_000, |w| is_done(w, &key)), "{}", world.trace());
-        assert!(world.running(FAILING_JOB) <= 1, "{}", world.trace());
+        assert!(world.running_tasks(FAILING_JOB) <= 1, "{}", world.trace());
     }
     let observed_s = 30;
-    world.run(observed_s * 1000);
+    world.run_for(observed_s * 1000);
     let retries = count_starts(&world.trace()[trace_start..], FAILING_JOB);
     assert!((1..=6).contains(&retries), "{retries} starts\n{}", world.trace());
     // Only the faulty machine is taken out of service.
@@ -103,15 +103,15 @@
     );
     // The failing job stays known until it is cancelled, and its cancellation stays known as well.
     let request = world.poll(0, FAILING_JOB);
-    world.run(1000);
+    world.run_for(1000);
     assert!(
-        matches!(world.said(request).as_str(), "queued" | "running"),
+        matches!(world.job_status(request).as_str(), "queued" | "running"),
         "{}",
         world.trace()
     );
-    let request = world.withdraw(1, FAILING_JOB);
-    world.run(3000);
-    assert_eq!(world.said(request), "withdrawn", "{}", world.trace());
+    let request = world.cancel(1, FAILING_JOB);
+    world.run_for(3000);
+    assert_eq!(world.job_status(request), "withdrawn", "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -120,18 +120,18 @@
 #[test]
 fn two_failing_jobs_that_share_each_machine_make_none_faulty() {
     let mut world = start();
-    world.accepted(0, &job(3, 0, "sweep", 12));
+    world.submit_until_accepted(0, &job(3, 0, "sweep", 12));
     assert!(
         world.run_until(40_000, |w| is_done(w, "job-000003")),
         "{}",
         world.trace()
     );
     for id in [1, 2] {
-        world.accepted(0, &failing_array(id, 1));
+        world.submit_until_accepted(0, &failing_array(id, 1));
     }
-    world.run(60_000);
+    world.run_for(60_000);
     assert!(!world.trace().contains(FAULTY_LOG_TEXT), "{}", world.trace());
-    world.accepted(0, &job(4, 0, "sweep", 12));
+    world.submit_until_accepted(0, &job(4, 0, "sweep", 12));
     assert!(
         world.run_until(40_000, |w| is_done(w, "job-000004")),
         "{}",
@@ -145,10 +145,10 @@
 #[test]
 fn two_failing_arrays_make_no_shared_machine_faulty() {
     let mut world = start();
-    world.accepted(0, &failing_array(1, 30));
-    world.accepted(0, &failing_array(2, 30));
-    world.run(40_000);
-    world.accepted(0, &job(3, 0, "sweep", 12));
+    world.submit_until_accepted(0, &failing_array(1, 30));
+    world.submit_until_accepted(0, &failing_array(2, 30));
+    world.run_for(40_000);
+    world.submit_until_accepted(0, &job(3, 0, "sweep", 12));
     assert!(
         world.run_until(40_000, |w| is_done(w, "job-000003")),
         "{}",
@@ -163,18 +163,18 @@
 #[test]
 fn an_array_that_fails_on_many_faulty_machines_is_not_slowed_down() {
     let mut world = start();
-    world.accepted(0, &job(2, 0, "sweep", 60));
+    world.submit_until_accepted(0, &job(2, 0, "sweep", 60));
     assert!(
-        world.run_until(40_000, |w| w.running("job-000002") >= 16),
+        world.run_until(40_000, |w| w.running_tasks("job-000002") >= 16),
         "{}",
         world.trace()
     );
     // Lets some tasks complete.
-    world.run(world.run_ms + 3000);
+    world.run_for(world.run_ms + 3000);
     let machines = world.machines_of("job-000002");
     for id in machines.iter().take(4) {
         if let Some(w) = world.workers.get_mut(id) {
-            w.sick = true;
+            w.is_faulty = true;
         }
     }
     assert!(
@@ -195,8 +195,8 @@
 #[test]
 fn a_one_task_job_that_fails_on_faulty_machines_is_retried_on_others() {
     let mut world = start();
-    world.cloud.most = 8;
-    world.accepted(0, &job(2, 0, "sweep", 16));
+    world.cloud.max_machines = 8;
+    world.submit_until_accepted(0, &job(2, 0, "sweep", 16));
     let machines = |w: &World| w.machines_of("job-000002");
     assert!(world.run_until(40_000, |w| machines(w).len() == 8), "{}", world.trace());
     let all = machines(&world);
@@ -209,11 +209,11 @@
     for faulty_positions in [[0, 1, 2, 3], [4, 5, 6, 7], [0, 2, 4, 6], [1, 3, 5, 7]] {
         for (index, name) in all.iter().enumerate() {
             if let Some(worker) = world.workers.get_mut(name) {
-                worker.sick = faulty_positions.contains(&index);
+                worker.is_faulty = faulty_positions.contains(&index);
             }
         }
         let id = 10 + faulty_positions[0] * 10 + faulty_positions[1];
-        world.accepted(0, &job(id as u32, 0, "sweep", 1));
+        world.submit_until_accepted(0, &job(id as u32, 0, "sweep", 1));
         let key = format!("job-{id:06}");
         assert!(
             world.run_until(60_000, |w| is_done(w, &key)),
--- a/crates/tidelatch-standin/tests/fault_injection.rs
+++ b/crates/tidelatch-standin/tests/fault_injection.rs
@@ -4,41 +4,41 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use tidelatch_standin::faults::{self, FaultInjector};
-use tidelatch_standin::support::{assert_no_breaches, is_done, with_service};
+use tidelatch_standin::support::{assert_no_breaches, is_stored_as_done, world_with_service};
 use tidelatch_standin::{Delivery, Message, World, job};
 
 /// What an injector does with one message.
-fn delivery_of(injector: &mut FaultInjector, at: u64, from: &str, to: &str, what: &str) -> Delivery {
+fn delivery_of(injector: &mut FaultInjector, sent_ms: u64, from: &str, to: &str, request: &str) -> Delivery {
     let body = "{}";
     injector(&Message {
-        at,
+        sent_ms,
         from,
         to,
-        what,
+        request,
         body,
     })
 }
 
 /// Whether a controller answers the load balancer's health check with 200.
 fn is_healthy(world: &mut World, controller: usize) -> bool {
-    let request = world.user(
+    let request = world.send_user_request(
         controller,
         tidelatch_core::Method::Get,
         "/up",
         "",
         ("up".into(), "health"),
     );
-    world.run(10);
-    world.status(request) == 200
+    world.run_for(10);
+    world.http_status(request) == 200
 }
 
 /// Cancels a job, at one controller after the other, until the user is told a final state.
 fn cancel(world: &mut World, id: &str) -> String {
     for i in 0..40 {
-        let request = world.withdraw(i % 3, id);
-        world.run(1500);
-        if world.status(request) == 200 {
-            return world.said(request);
+        let request = world.cancel(i % 3, id);
+        world.run_for(1500);
+        if world.http_status(request) == 200 {
+            return world.job_status(request);
         }
     }
     panic!(
@@ -52,9 +52,9 @@
     // Guards against injectors that affect too few, too many or the wrong messages, or that do something else when
     // they are run again with the same seed.
     for (make_injector, what) in [
-        (faults::late_writes as fn(u64, f64) -> FaultInjector, "POST /txn"),
-        (faults::lost_answers, "POST /txn"),
-        (faults::late_copies, "POST /agent/beat"),
+        (faults::delay_transactions as fn(u64, f64) -> FaultInjector, "POST /txn"),
+        (faults::lose_transaction_answers, "POST /txn"),
+        (faults::duplicate_reports, "POST /agent/beat"),
     ] {
         let deliveries = |seed: u64| -> Vec<Delivery> {
             let mut injector = make_injector(seed, 0.3);
@@ -90,9 +90,9 @@
 fn combined_faults_affect_only_their_messages_and_end() {
     // Guards against injectors that affect messages other than their own, that do not end in time, or that hide each
     // other when they are combined.
-    let mut combined = faults::all(vec![
-        faults::during(100..200, faults::mute("n-000001")),
-        faults::refused(1),
+    let mut combined = faults::combine(vec![
+        faults::limit_to(100..200, faults::lose_reports_of_machine("n-000001")),
+        faults::refuse_state_requests(1),
     ]);
     let report = "POST /agent/beat";
     assert_eq!(
@@ -127,7 +127,7 @@
         delivery_of(&mut combined, 150, "berth-1", "cloud", "POST /hosts"),
         Delivery::Pass
     );
-    let mut no_input = faults::deaf("n-000001");
+    let mut no_input = faults::lose_messages_to_machine("n-000001");
     assert_eq!(
         delivery_of(&mut no_input, 0, "n-000001", "berth-0", report),
         Delivery::AnswerLost
@@ -136,7 +136,7 @@
         delivery_of(&mut no_input, 0, "berth-0", "n-000001", "POST /commands"),
         Delivery::Lost
     );
-    let mut cut = faults::cut_off(1);
+    let mut cut = faults::isolate_controller(1);
     assert_eq!(
         delivery_of(&mut cut, 0, "berth-1", "state", "POST /txn"),
         Delivery::Lost
@@ -155,28 +155,28 @@
 /// team 0 crashes in between.
 fn run_with_faults(seed: u64) -> World {
     let mut world = World::new();
-    world.run(3000);
-    world.keep_reports();
-    world.meddle(faults::during(
+    world.run_for(3000);
+    world.replay_reports_in_next_epoch();
+    world.set_fault_injector(faults::limit_to(
         0..80_000,
-        faults::all(vec![
-            faults::late_writes(seed, 0.05),
-            faults::lost_answers(seed + 1, 0.05),
-            faults::late_copies(seed + 2, 0.2),
+        faults::combine(vec![
+            faults::delay_transactions(seed, 0.05),
+            faults::lose_transaction_answers(seed + 1, 0.05),
+            faults::duplicate_reports(seed + 2, 0.2),
         ]),
     ));
-    world.accepted(0, &job(1, 0, "standing", 1));
-    world.accepted(1, &job(2, 1, "sweep", 4));
-    world.accepted(2, &job(3, 2, "sweep", 4));
-    world.run(8000);
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
+    world.submit_until_accepted(1, &job(2, 1, "sweep", 4));
+    world.submit_until_accepted(2, &job(3, 2, "sweep", 4));
+    world.run_for(8000);
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(300);
-    world.start(owner);
-    world.run(10_000);
+    world.crash_controller(owner);
+    world.run_for(300);
+    world.start_controller(owner);
+    world.run_for(10_000);
     let said = cancel(&mut world, "job-000003");
     assert!(said == "withdrawn" || said == "done", "{said}");
-    world.run(80_000);
+    world.run_for(80_000);
     world
 }
 
@@ -189,10 +189,14 @@
         assert_no_breaches(&world);
         assert_eq!(world.trace(), run_with_faults(seed).trace(), "seed {seed}");
         let jobs = ["job-000001", "job-000002", "job-000003"];
-        let unanswered = world.unanswered(75_000, &jobs);
+        let unanswered = world.poll_unanswered(75_000, &jobs);
         assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}\n{}", world.trace());
-        assert!(is_done(&world, "job-000002"), "seed {seed}\n{}", world.trace());
-        assert_eq!(world.running("job-000001"), 1, "seed {seed}\n{}", world.trace());
+        assert!(
+            is_stored_as_done(&world, "job-000002"),
+            "seed {seed}\n{}",
+            world.trace()
+        );
+        assert_eq!(world.running_tasks("job-000001"), 1, "seed {seed}\n{}", world.trace());
         assert_no_breaches(&world);
     }
 }
@@ -201,24 +205,24 @@
 fn a_controller_refused_by_the_state_service_loses_its_partitions() {
     // Guards against a controller that goes on acting, or stays healthy for the load balancer, while the state service
     // refuses it alone: its leases run out, and its watches hear of nothing.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
     let before = world.epoch();
     let name = format!("berth-{owner}");
-    world.note(&format!("the state service refuses {name} alone"));
-    world.meddle(faults::refused(owner));
+    world.write_trace(&format!("the state service refuses {name} alone"));
+    world.set_fault_injector(faults::refuse_state_requests(owner));
     // The state service still answers the others, which go on without the refused controller.
-    world.run(25_000);
+    world.run_for(25_000);
     assert!(world.epoch() > before, "{}", world.trace());
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
     assert!(!is_healthy(&mut world, owner), "{}", world.trace());
     assert!(is_healthy(&mut world, (owner + 1) % 3), "{}", world.trace());
-    world.accepted((owner + 1) % 3, &job(2, 0, "sweep", 2));
-    let is_finished = world.run_until(60_000, |w| is_done(w, "job-000002"));
+    world.submit_until_accepted((owner + 1) % 3, &job(2, 0, "sweep", 2));
+    let is_finished = world.run_until(60_000, |w| is_stored_as_done(w, "job-000002"));
     assert!(is_finished, "{}", world.trace());
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
-    world.calm();
-    world.run(20_000);
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
+    world.clear_fault_injector();
+    world.run_for(20_000);
     assert!(is_healthy(&mut world, owner), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -227,20 +231,20 @@
 fn a_refused_write_is_not_carried_out() {
     // Guards against a fault injector that answers a write with a refusal and carries it out nevertheless.
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     let team = (0..3).find(|t| world.owner_of_team(*t) == 2).expect("it owns a team");
     // Submissions that are passed on are lost, so that no peer stores the job either.
-    let mut refused = faults::refused(2);
-    world.meddle(move |m| match m.what {
+    let mut refused = faults::refuse_state_requests(2);
+    world.set_fault_injector(move |m| match m.request {
         "submit" => Delivery::Lost,
         _ => refused(m),
     });
     let request = world.submit(2, &job(1, team as u32, "sweep", 1));
-    world.run(400);
+    world.run_for(400);
     assert_eq!(world.store.get("t/j/job-000001"), None, "{}", world.trace());
-    assert_ne!(world.status(request), 201, "{}", world.trace());
-    world.calm();
-    world.accepted(2, &job(1, team as u32, "sweep", 1));
+    assert_ne!(world.http_status(request), 201, "{}", world.trace());
+    world.clear_fault_injector();
+    world.submit_until_accepted(2, &job(1, team as u32, "sweep", 1));
     assert!(world.store.get("t/j/job-000001").is_some(), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -253,15 +257,15 @@
     // that receives a change ends, and is opened again.
     let count_opened_watches = |refused: bool| {
         let mut world = World::new();
-        world.run(3000);
+        world.run_for(3000);
         let count = Rc::new(Cell::new(0));
         let counter = count.clone();
-        world.meddle(move |l| {
-            if l.from == "berth-2" && l.what.starts_with("GET /changes") {
+        world.set_fault_injector(move |l| {
+            if l.from == "berth-2" && l.request.starts_with("GET /changes") {
                 counter.set(counter.get() + 1);
             }
             // Its requests for leases and its writes are refused. It can still open watches.
-            let watch = l.what.starts_with("GET /changes");
+            let watch = l.request.starts_with("GET /changes");
             if refused && l.from == "berth-2" && l.to == "state" && !watch {
                 Delivery::Refused
             } else {
@@ -269,7 +273,7 @@
             }
         });
         // Within this time the controller has sent a request that was refused.
-        world.run(2500);
+        world.run_for(2500);
         let before = count.get();
         for i in 0..3 {
             for team in 0..3 {
@@ -280,7 +284,7 @@
                     );
                 }
             }
-            world.run(1000);
+            world.run_for(1000);
         }
         assert_no_breaches(&world);
         count.get() - before
@@ -294,15 +298,15 @@
 fn work_on_a_machine_that_receives_nothing_moves_elsewhere() {
     // Guards against tasks that stay assigned to a machine whose reports arrive, but which no answer and no command
     // reaches.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let machine = world
         .machines_of("job-000001")
         .first()
         .cloned()
         .expect("the job runs on a machine");
-    world.note(&format!("nothing reaches {machine} any more; its reports arrive"));
-    world.meddle(faults::deaf(&machine));
-    let has_moved = |w: &World| w.running("job-000001") == 2 && !w.machines_of("job-000001").contains(&machine);
+    world.write_trace(&format!("nothing reaches {machine} any more; its reports arrive"));
+    world.set_fault_injector(faults::lose_messages_to_machine(&machine));
+    let has_moved = |w: &World| w.running_tasks("job-000001") == 2 && !w.machines_of("job-000001").contains(&machine);
     assert!(world.run_until(110_000, has_moved), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -310,20 +314,20 @@
 #[test]
 fn a_cancelled_job_on_a_machine_whose_reports_are_lost_ends_in_time() {
     // Guards against cancelled tasks that go on running because their machine's reports reach no controller.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let machine = world
         .machines_of("job-000001")
         .first()
         .cloned()
         .expect("the job runs on a machine");
-    world.note(&format!("reports of {machine} reach nobody any more"));
-    world.meddle(faults::mute(&machine));
-    world.run(1000);
+    world.write_trace(&format!("reports of {machine} reach nobody any more"));
+    world.set_fault_injector(faults::lose_reports_of_machine(&machine));
+    world.run_for(1000);
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
-    world.run(60_000);
-    let gone = world.gone_after_confirmation("job-000001");
+    world.run_for(60_000);
+    let gone = world.cancellation_duration_ms("job-000001");
     assert!(gone.is_some_and(|ms| ms <= 38_000), "{gone:?}\n{}", world.trace());
-    assert_eq!(world.started_after("job-000001"), 0, "{}", world.trace());
+    assert_eq!(world.starts_after_cancellation("job-000001"), 0, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -331,23 +335,25 @@
 fn earlier_reports_are_repeated_to_all_controllers_when_an_epoch_begins() {
     // Guards against a simulation that repeats no earlier reports when an epoch begins, and against controllers that
     // take such copies for the present state.
-    let mut world = with_service(0);
-    world.keep_reports();
-    world.accepted(0, &job(2, 0, "sweep", 4));
-    world.run(8000);
+    let mut world = world_with_service(0);
+    world.replay_reports_in_next_epoch();
+    world.submit_until_accepted(0, &job(2, 0, "sweep", 4));
+    world.run_for(8000);
     let before = world.epoch();
     let owner = world.owner_of_team(0);
-    world.crash(owner);
+    world.crash_controller(owner);
     assert!(
         world.run_until(40_000, |w| w.epoch() > before && w.trace().contains("come again")),
         "{}",
         world.trace()
     );
     assert!(!world.trace().contains(" 0 reports of before"), "{}", world.trace());
-    world.start(owner);
-    let is_finished = world.run_until(60_000, |w| is_done(w, "job-000002") && w.running("job-000001") == 2);
+    world.start_controller(owner);
+    let is_finished = world.run_until(60_000, |w| {
+        is_stored_as_done(w, "job-000002") && w.running_tasks("job-000001") == 2
+    });
     assert!(is_finished, "{}", world.trace());
-    world.run(40_000);
+    world.run_for(40_000);
     assert_no_breaches(&world);
 }
 
@@ -358,25 +364,30 @@
     for after in [0, 1, 2, 3, 5, 10, 50, 500] {
         for controller in 0..3 {
             let mut world = World::new();
-            world.run(3000);
-            world.accepted(0, &job(1, 0, "sweep", 2));
-            world.cancel_at_end(controller, "job-000001", after);
-            let cancelled = world.run_until(60_000, |w| w.cancelled_at_end.contains_key("job-000001"));
+            world.run_for(3000);
+            world.submit_until_accepted(0, &job(1, 0, "sweep", 2));
+            world.cancel_after_last_task(controller, "job-000001", after);
+            let cancelled = world.run_until(60_000, |w| w.cancellation_requests_at_end.contains_key("job-000001"));
             assert!(cancelled, "{after}\n{}", world.trace());
-            let request = world.cancelled_at_end["job-000001"];
-            world.run(3000);
-            let first = match world.status(request) {
-                200 => world.said(request),
+            let request = world.cancellation_requests_at_end["job-000001"];
+            world.run_for(3000);
+            let first = match world.http_status(request) {
+                200 => world.job_status(request),
                 _ => cancel(&mut world, "job-000001"),
             };
             assert!(first == "done" || first == "withdrawn", "{first}\n{}", world.trace());
             for controller in 0..3 {
                 let poll = world.poll(controller, "job-000001");
-                world.run(1500);
-                assert_eq!(world.said(poll), first, "{after}\n{}", world.trace());
+                world.run_for(1500);
+                assert_eq!(world.job_status(poll), first, "{after}\n{}", world.trace());
             }
-            world.run(40_000);
-            assert_eq!(world.started_after("job-000001"), 0, "{after}\n{}", world.trace());
+            world.run_for(40_000);
+            assert_eq!(
+                world.starts_after_cancellation("job-000001"),
+                0,
+                "{after}\n{}",
+                world.trace()
+            );
             assert_no_breaches(&world);
         }
     }
@@ -386,16 +397,16 @@
 fn a_controller_cut_off_from_the_state_service_and_its_peers_steps_down() {
     // Guards against a controller that goes on acting, or stays healthy for the load balancer, though it reaches
     // neither the state service nor its peers.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let owner = world.owner_of_team(0);
-    world.note(&format!("berth-{owner} is cut from the state service and its peers"));
-    world.meddle(faults::cut_off(owner));
-    world.run(25_000);
+    world.write_trace(&format!("berth-{owner} is cut from the state service and its peers"));
+    world.set_fault_injector(faults::isolate_controller(owner));
+    world.run_for(25_000);
     assert_ne!(world.owner_of_team(0), owner, "{}", world.trace());
     assert!(!is_healthy(&mut world, owner), "{}", world.trace());
-    world.calm();
-    world.run(20_000);
-    assert_eq!(world.running("job-000001"), 2, "{}", world.trace());
+    world.clear_fault_injector();
+    world.run_for(20_000);
+    assert_eq!(world.running_tasks("job-000001"), 2, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -403,7 +414,7 @@
 fn the_simulation_tells_the_checker_of_a_task_on_a_second_machine() {
     // Guards against a checker that misses a task on two machines: the simulation looks at the machines itself, so
     // that it also sees what a test changes on a machine by hand.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let on = world
         .machines_of("job-000001")
         .first()
@@ -412,11 +423,11 @@
     let mut second = world.workers[&on].clone();
     second.name = "n-900000".to_owned();
     world.workers.insert("n-900000".to_owned(), second);
-    world.run(0);
+    world.run_for(0);
     assert!(
-        world.broken.iter().any(|b| b.starts_with("ran_twice: job-000001/")),
+        world.breaches.iter().any(|b| b.starts_with("ran_twice: job-000001/")),
         "{:?}",
-        world.broken
+        world.breaches
     );
     assert!(world.trace().contains("RULE BROKEN: ran_twice"), "{}", world.trace());
 }
@@ -424,12 +435,12 @@
 #[test]
 fn the_simulation_tells_the_checker_when_the_last_task_of_a_cancelled_job_is_gone() {
     // Guards against a wrong measurement of how long a cancelled job stays on its machines.
-    let mut world = with_service(0);
-    assert_eq!(world.gone_after_confirmation("job-000001"), None);
+    let mut world = world_with_service(0);
+    assert_eq!(world.cancellation_duration_ms("job-000001"), None);
     // A cancellation stops tasks at once by direct commands. Without these the tasks end with the answers to the
     // next reports.
-    world.meddle(|l| {
-        if l.what == "POST /commands" {
+    world.set_fault_injector(|l| {
+        if l.request == "POST /commands" {
             Delivery::Lost
         } else {
             Delivery::Pass
@@ -438,7 +449,7 @@
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
     let gone = |w: &World| w.machines_of("job-000001").is_empty();
     assert!(world.run_until(38_000, gone), "{}", world.trace());
-    let ms = world.gone_after_confirmation("job-000001");
+    let ms = world.cancellation_duration_ms("job-000001");
     assert!(ms.is_some_and(|ms| ms > 0 && ms < 20_000), "{ms:?}\n{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -447,20 +458,20 @@
 fn the_simulation_tells_the_checker_when_tasks_end_with_the_lease_of_their_worker() {
     // Guards against ends of tasks that the checker learns of too late. The lease ends within one long run, during
     // which only the simulation itself looks at the machines.
-    let mut world = with_service(0);
+    let mut world = world_with_service(0);
     let cut = world
         .machines_of("job-000001")
         .first()
         .cloned()
         .expect("the job runs on a machine");
-    world.note(&format!("nothing comes from {cut}, and nothing reaches it"));
+    world.write_trace(&format!("nothing comes from {cut}, and nothing reaches it"));
     let ended = Rc::new(Cell::new(0));
     let seen = ended.clone();
     let machine = cut.clone();
-    world.meddle(move |l| {
+    world.set_fault_injector(move |l| {
         // The worker sends the first report of its next session when its lease has ended.
         if l.from == machine && l.body.contains("\"shift\":2,") && seen.get() == 0 {
-            seen.set(l.at);
+            seen.set(l.sent_ms);
         }
         if l.from == machine || l.to == machine {
             Delivery::Lost
@@ -469,15 +480,15 @@
         }
     });
     assert_eq!(cancel(&mut world, "job-000001"), "withdrawn");
-    world.cloud.down = true;
-    world.run(60_000);
+    world.cloud.is_down = true;
+    world.run_for(60_000);
     let confirmations = world.answers.values().filter(|(_, a)| a.body.contains("withdrawn"));
     let confirmed_at = confirmations
         .map(|(at, _)| *at)
         .min()
         .expect("the user was told that the job is cancelled");
     assert!(ended.get() > confirmed_at, "{}", world.trace());
-    let gone = world.gone_after_confirmation("job-000001");
+    let gone = world.cancellation_duration_ms("job-000001");
     assert_eq!(gone, Some(ended.get() - confirmed_at), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -486,22 +497,27 @@
 fn the_simulation_tells_the_checker_of_orders_to_start() {
     // Guards against orders to start a task that the checker does not count.
     let mut world = World::new();
-    world.run(3000);
-    assert_eq!(world.checker().start_orders(), 0);
+    world.run_for(3000);
+    assert_eq!(world.checker().start_order_count(), 0);
     // Orders go out with the answers to reports, and directly to a machine that has room.
-    world.accepted(0, &job(1, 0, "standing", 1));
-    let up = world.run_until(30_000, |w| w.running("job-000001") == 1);
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
+    let up = world.run_until(30_000, |w| w.running_tasks("job-000001") == 1);
     assert!(up, "{}", world.trace());
-    let with_answers = world.checker().start_orders();
+    let with_answers = world.checker().start_order_count();
     assert!(with_answers > 0, "{}", world.trace());
-    let direct = world.sent.commands;
-    world.accepted(0, &job(2, 0, "standing", 1));
-    let up = world.run_until(4000, |w| w.running("job-000002") == 1);
+    let direct = world.message_counts.commands;
+    world.submit_until_accepted(0, &job(2, 0, "standing", 1));
+    let up = world.run_until(4000, |w| w.running_tasks("job-000002") == 1);
     assert!(up, "{}", world.trace());
-    assert!(world.sent.commands > direct, "{}", world.trace());
-    assert!(world.checker().start_orders() > with_answers, "{}", world.trace());
+    assert!(world.message_counts.commands > direct, "{}", world.trace());
+    assert!(world.checker().start_order_count() > with_answers, "{}", world.trace());
     assert_eq!(cancel(&mut world, "job-000002"), "withdrawn");
-    world.run(40_000);
-    assert_eq!(world.checker().ordered_after("job-000002"), 0, "{}", world.trace());
+    world.run_for(40_000);
+    assert_eq!(
+        world.checker().start_orders_after_cancellation("job-000002"),
+        0,
+        "{}",
+        world.trace()
+    );
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/guests.rs
+++ b/crates/tidelatch-standin/tests/guests.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::{DeploymentSize, World, job};
 
 const TEAM_WITHOUT_GUARANTEE: u32 = 1;
 const SERVICE: u32 = 9000;
@@ -17,21 +17,21 @@
 }
 
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 /// Starts a deployment in which no team has a guarantee or a limit, with a small state service.
 fn start() -> World {
-    let size = Size {
-        guarantee: 0.0,
-        limit: 0.0,
+    let size = DeploymentSize {
+        guaranteed_accelerators: 0.0,
+        max_accelerators: 0.0,
         write_rps: WRITE_RPS,
         value_kb: 4.0,
-        ..Size::default()
+        ..DeploymentSize::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     world.run_ms = 4000;
-    world.run(3000);
+    world.run_for(3000);
     world
 }
 
@@ -64,8 +64,8 @@
 fn accepted_after(world: &mut World, controller: usize, body: &Value) -> u64 {
     let from = world.now;
     let request = world.submit(controller, body);
-    let answered = world.run_until(5000, |w| w.status(request) == 201);
-    assert!(answered, "{}: {}", body["uid"], world.status(request));
+    let answered = world.run_until(5000, |w| w.http_status(request) == 201);
+    assert!(answered, "{}: {}", body["uid"], world.http_status(request));
     world.now - from
 }
 
@@ -74,10 +74,10 @@
 fn submit_until_accepted(world: &mut World, controller: usize, body: &Value) {
     for _ in 0..8 {
         let request = world.submit(controller, body);
-        world.run(50);
-        match world.status(request) {
+        world.run_for(50);
+        match world.http_status(request) {
             201 | 200 => return,
-            503 => world.run(1000),
+            503 => world.run_for(1000),
             status => panic!("{}: {status}", body["uid"]),
         }
     }
@@ -91,18 +91,18 @@
     let mut world = start();
     accepted_after(&mut world, 0, &tiny_array(1, 20_000));
     assert!(
-        world.run_until(60_000, |w| w.running(&job_id(1)) > 100),
+        world.run_until(60_000, |w| w.running_tasks(&job_id(1)) > 100),
         "{}",
-        world.running(&job_id(1))
+        world.running_tasks(&job_id(1))
     );
     // While the array runs, submissions are answered and a service starts as quickly as without it.
-    let (changes, from) = (world.sent.changes, world.now);
+    let (changes, from) = (world.message_counts.state_changes, world.now);
     for (i, id) in (100..120).enumerate() {
         let accepted_ms = accepted_after(&mut world, i % 3, &tiny_array(id, 1));
         assert!(accepted_ms < 500, "{id}: accepted after {accepted_ms} ms");
-        world.run(500);
+        world.run_for(500);
     }
-    let writes_per_s = (world.sent.changes - changes) as f64 * 1000.0 / (world.now - from) as f64;
+    let writes_per_s = (world.message_counts.state_changes - changes) as f64 * 1000.0 / (world.now - from) as f64;
     assert!(
         writes_per_s < WRITE_RPS / 2.0,
         "{writes_per_s} changes a second of {WRITE_RPS}"
@@ -111,8 +111,8 @@
         accepted_after(&mut world, 0, &service(TEAM_WITHOUT_GUARANTEE, 2)) / 500,
         0
     );
-    let is_up = world.run_until(10_000, |w| w.running(&job_id(SERVICE)) == 2);
-    assert!(is_up, "{} replicas", world.running(&job_id(SERVICE)));
+    let is_up = world.run_until(10_000, |w| w.running_tasks(&job_id(SERVICE)) == 2);
+    assert!(is_up, "{} replicas", world.running_tasks(&job_id(SERVICE)));
     assert!(
         !is_done(&world, 1),
         "the array ended before the measurement was complete"
@@ -120,7 +120,7 @@
     assert!(
         world.run_until(600_000, |w| is_done(w, 1)),
         "{} run",
-        world.running(&job_id(1))
+        world.running_tasks(&job_id(1))
     );
     assert!((100..120).all(|id| is_done(&world, id)));
     assert_no_breaches(&world);
@@ -133,17 +133,17 @@
     let mut world = start();
     for id in 1..=240 {
         submit_until_accepted(&mut world, (id % 3) as usize, &tiny_array(id, 1));
-        world.run(250);
+        world.run_for(250);
         if id == 120 {
             assert!(accepted_after(&mut world, 0, &service(TEAM_WITHOUT_GUARANTEE, 2)) < 500);
         }
     }
-    let running = world.running(&job_id(SERVICE));
+    let running = world.running_tasks(&job_id(SERVICE));
     assert_eq!(
         running, 2,
         "{running} replicas run half a minute after they were submitted"
     );
-    world.run(20_000);
+    world.run_for(20_000);
     let unfinished: Vec<u32> = (1..=240).filter(|id| !is_done(&world, *id)).collect();
     assert!(unfinished.is_empty(), "{unfinished:?}\n{}", world.trace());
     assert_no_breaches(&world);
@@ -154,23 +154,23 @@
 fn the_largest_job_of_a_team_without_guarantee_starts_under_overload() {
     // Two machines, which an array of many tasks keeps full.
     let mut world = start();
-    world.cloud.most = 2;
+    world.cloud.max_machines = 2;
     world.run_ms = 20_000;
     let mut other = tiny_array(1, 200);
     other["vcpus"] = json!(4.0);
     accepted_after(&mut world, 0, &other);
     assert!(
-        world.run_until(60_000, |w| w.running(&job_id(1)) >= 6),
+        world.run_until(60_000, |w| w.running_tasks(&job_id(1)) >= 6),
         "{}",
-        world.running(&job_id(1))
+        world.running_tasks(&job_id(1))
     );
     let mut largest = tiny_array(2, 300);
     largest["vcpus"] = json!(8.0);
     accepted_after(&mut world, 0, &largest);
     assert!(
-        world.run_until(240_000, |w| w.running(&job_id(2)) > 0),
+        world.run_until(240_000, |w| w.running_tasks(&job_id(2)) > 0),
         "{}",
-        world.running(&job_id(2))
+        world.running_tasks(&job_id(2))
     );
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch-standin/tests/late_machines.rs
+++ b/crates/tidelatch-standin/tests/late_machines.rs
@@ -6,7 +6,7 @@
 use tidelatch_standin::{Cloud, World, job};
 
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// Counts the machines that were rented so far.
@@ -19,12 +19,12 @@
 #[test]
 fn a_machine_that_never_comes_up_is_replaced_before_it_is_deleted() {
     let mut world = World::new();
-    world.run(3000);
-    world.cloud.next_boots = [None].into();
-    world.accepted(0, &job(1, 0, "standing", 1));
+    world.run_for(3000);
+    world.cloud.next_boot_times_ms = [None].into();
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
     assert!(world.run_until(12_000, |w| count_rented(w) == 2), "{}", world.trace());
     assert!(world.cloud.deleted.is_empty(), "{}", world.trace());
-    let runs = |w: &World| w.running("job-000001") == 1;
+    let runs = |w: &World| w.running_tasks("job-000001") == 1;
     assert!(world.run_until(12_000, runs), "{}", world.trace());
     assert_eq!(count_rented(&world), 2, "{}", world.trace());
     // The machine is deleted once another one that was rented later has come up.
@@ -42,12 +42,12 @@
 #[test]
 fn slow_boots_cause_few_extra_rentals_and_no_deletion() {
     let mut world = World::new();
-    world.run(3000);
+    world.run_for(3000);
     world.cloud.boot_ms = 5 * Cloud::BOOT_MS;
     for team in 0..3 {
-        world.accepted(team as usize, &job(1 + team, team, "sweep", 4));
+        world.submit_until_accepted(team as usize, &job(1 + team, team, "sweep", 4));
     }
-    world.run(5 * Cloud::BOOT_MS);
+    world.run_for(5 * Cloud::BOOT_MS);
     let needed = 6;
     assert!(count_rented(&world) <= needed + 3, "{}", world.trace());
     assert!(world.cloud.deleted.is_empty(), "{}", world.trace());
@@ -63,11 +63,11 @@
 #[test]
 fn a_machine_that_comes_up_late_is_used() {
     let mut world = World::new();
-    world.run(3000);
-    world.cloud.most = 1;
-    world.cloud.next_boots = [Some(5 * Cloud::BOOT_MS)].into();
-    world.accepted(0, &job(1, 0, "standing", 1));
-    let runs = |w: &World| w.running("job-000001") == 1;
+    world.run_for(3000);
+    world.cloud.max_machines = 1;
+    world.cloud.next_boot_times_ms = [Some(5 * Cloud::BOOT_MS)].into();
+    world.submit_until_accepted(0, &job(1, 0, "standing", 1));
+    let runs = |w: &World| w.running_tasks("job-000001") == 1;
     assert!(world.run_until(30_000, runs), "{}", world.trace());
     assert_eq!(count_rented(&world), 1, "{}", world.trace());
     assert_no_breaches(&world);
--- a/crates/tidelatch-standin/tests/preemption.rs
+++ b/crates/tidelatch-standin/tests/preemption.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tidelatch_core::settings::Operator;
 use tidelatch_standin::faults;
-use tidelatch_standin::{Delivery, Message, Size, World, gang, job};
+use tidelatch_standin::{Delivery, DeploymentSize, Message, World, gang, job};
 
 const ARRAY: u32 = 1;
 const SERVICE: u32 = 2;
@@ -25,17 +25,17 @@
 }
 
 fn assert_no_breaches(world: &World) {
-    assert!(world.broken.is_empty(), "{:?}\n{}", world.broken, world.trace());
+    assert!(world.breaches.is_empty(), "{:?}\n{}", world.breaches, world.trace());
 }
 
 /// Asserts that exactly `tasks` tasks of a job run within `within_ms`.
 fn assert_runs(world: &mut World, id: u32, tasks: usize, within_ms: u64) {
-    let up = world.run_until(within_ms, |w| w.running(&job_id(id)) == tasks);
+    let up = world.run_until(within_ms, |w| w.running_tasks(&job_id(id)) == tasks);
     assert!(
         up,
         "{} runs {} tasks\n{}",
         job_id(id),
-        world.running(&job_id(id)),
+        world.running_tasks(&job_id(id)),
         world.trace()
     );
 }
@@ -44,7 +44,7 @@
 type RecordedStops = Rc<RefCell<BTreeSet<(String, u64, u64)>>>;
 
 fn is_command(message: &Message<'_>) -> bool {
-    message.what == "POST /commands"
+    message.request == "POST /commands"
 }
 
 /// Records the stop orders in direct commands, and lets `decide_delivery` decide what happens to each message.
@@ -54,7 +54,7 @@
 ) -> RecordedStops {
     let stops: RecordedStops = Rc::default();
     let recorded = stops.clone();
-    world.meddle(move |message| {
+    world.set_fault_injector(move |message| {
         let orders: Value = match is_command(message) {
             true => serde_json::from_str(message.body).unwrap_or_default(),
             false => Value::Null,
@@ -82,10 +82,10 @@
 fn start_with_array_at_limit(array: &Value) -> World {
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
-    world.accepted(0, array);
+    world.run_for(3000);
+    world.submit_until_accepted(0, array);
     assert_runs(&mut world, ARRAY, 4, 40_000);
-    world.run(3000);
+    world.run_for(3000);
     world
 }
 
@@ -94,9 +94,9 @@
 fn production_work_of_a_team_at_its_limit_preempts_only_as_many_tasks_as_needed() {
     let mut world = start_with_array_at_limit(&job(ARRAY, 0, "sweep", 40));
     let stops = record_stops(&mut world, |_| Delivery::Pass);
-    world.accepted(0, &job(SERVICE, 0, "standing", 2));
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 2));
     assert_runs(&mut world, SERVICE, 2, PLACEMENT_MS);
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!(
         count_stopped_tasks(&stops),
         2,
@@ -104,8 +104,8 @@
         stops.borrow(),
         world.trace()
     );
-    assert_eq!(world.running(&job_id(SERVICE)), 2, "{}", world.trace());
-    assert_eq!(world.running(&job_id(ARRAY)), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(SERVICE)), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 2, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -117,7 +117,7 @@
     array["stowS"] = json!(1.5);
     let mut world = start_with_array_at_limit(&array);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
     assert_runs(&mut world, SERVICE, 1, PLACEMENT_MS);
     assert_eq!(count_stopped_tasks(&stops), 1, "{}", world.trace());
     assert!(
@@ -134,17 +134,17 @@
     // The second array starts 30 s later, so its task has less work to lose.
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
-    world.accepted(0, &job(ARRAY, 0, "sweep", 3));
+    world.run_for(3000);
+    world.submit_until_accepted(0, &job(ARRAY, 0, "sweep", 3));
     assert_runs(&mut world, ARRAY, 3, 40_000);
-    world.run(30_000);
-    world.accepted(0, &job(3, 0, "sweep", 1));
+    world.run_for(30_000);
+    world.submit_until_accepted(0, &job(3, 0, "sweep", 1));
     assert_runs(&mut world, 3, 1, 40_000);
-    world.run(3000);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
+    world.run_for(3000);
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
     assert_runs(&mut world, SERVICE, 1, PLACEMENT_MS);
-    assert_eq!(world.running(&job_id(ARRAY)), 3, "{}", world.trace());
-    assert_eq!(world.running(&job_id(3)), 0, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 3, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(3)), 0, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -154,17 +154,17 @@
     // The service cannot run on the array's machines, so that only the limit could be a reason to preempt tasks.
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
+    world.run_for(3000);
     let mut array = job(ARRAY, 0, "sweep", 2);
     array["yard"] = "a".into();
-    world.accepted(0, &array);
+    world.submit_until_accepted(0, &array);
     assert_runs(&mut world, ARRAY, 2, 40_000);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
     let mut service = job(SERVICE, 0, "standing", 2);
     service["yard"] = "b".into();
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &service);
     assert_runs(&mut world, SERVICE, 2, 20_000);
-    world.run(20_000);
+    world.run_for(20_000);
     assert_eq!(
         count_stopped_tasks(&stops),
         0,
@@ -172,7 +172,7 @@
         stops.borrow(),
         world.trace()
     );
-    assert_eq!(world.running(&job_id(ARRAY)), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 2, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -183,8 +183,8 @@
     array["precedence"] = "prod".into();
     let mut world = start_with_array_at_limit(&array);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
-    world.run(30_000);
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
+    world.run_for(30_000);
     assert_eq!(
         count_stopped_tasks(&stops),
         0,
@@ -202,12 +202,12 @@
     let mut array = job(ARRAY, 0, "sweep", 40);
     array["yard"] = "a".into();
     let mut world = start_with_array_at_limit(&array);
-    world.cloud.most_in_zone.insert("b".into(), 0);
+    world.cloud.max_machines_by_zone.insert("b".into(), 0);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
     let mut service = job(SERVICE, 0, "standing", 1);
     service["yard"] = "b".into();
-    world.accepted(0, &service);
-    world.run(30_000);
+    world.submit_until_accepted(0, &service);
+    world.run_for(30_000);
     assert_eq!(
         count_stopped_tasks(&stops),
         0,
@@ -215,11 +215,11 @@
         stops.borrow(),
         world.trace()
     );
-    assert_eq!(world.running(&job_id(ARRAY)), 4, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 4, "{}", world.trace());
     // As soon as the cloud has a machine, it is rented and one task is preempted.
-    world.cloud.most_in_zone.clear();
+    world.cloud.max_machines_by_zone.clear();
     assert_runs(&mut world, SERVICE, 1, 40_000);
-    world.run(30_000);
+    world.run_for(30_000);
     assert_eq!(
         count_stopped_tasks(&stops),
         1,
@@ -227,24 +227,24 @@
         stops.borrow(),
         world.trace()
     );
-    assert_eq!(world.running(&job_id(ARRAY)), 3, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 3, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
 /// Starts a deployment in which a gang of two and an array fill their team's limit. The array starts `array_lead_ms`
 /// before the gang. The gang saves every two seconds, or never.
 fn start_with_gang_and_array(array_tasks: u32, array_lead_ms: u64, saves: bool) -> World {
-    let size = Size {
-        limit: f64::from(2 + array_tasks),
-        ..Size::default()
+    let size = DeploymentSize {
+        max_accelerators: f64::from(2 + array_tasks),
+        ..DeploymentSize::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
+    world.run_for(3000);
     if array_tasks > 0 {
-        world.accepted(0, &job(ARRAY, 0, "sweep", array_tasks));
+        world.submit_until_accepted(0, &job(ARRAY, 0, "sweep", array_tasks));
         assert_runs(&mut world, ARRAY, array_tasks as usize, 40_000);
-        world.run(array_lead_ms);
+        world.run_for(array_lead_ms);
     }
     let mut body = gang(GANG, 0, 2);
     body["accelerators"] = json!(1.0);
@@ -252,9 +252,9 @@
         body["waypointS"] = json!(0.0);
         body["stowS"] = json!(0.0);
     }
-    world.accepted(0, &body);
+    world.submit_until_accepted(0, &body);
     assert_runs(&mut world, GANG, 2, 40_000);
-    world.run(4000);
+    world.run_for(4000);
     world
 }
 
@@ -263,10 +263,10 @@
 fn a_gang_is_preempted_as_a_whole() {
     let mut world = start_with_gang_and_array(0, 0, true);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
     assert_runs(&mut world, SERVICE, 1, 15_000);
-    world.run(10_000);
-    assert_eq!(world.running(&job_id(GANG)), 0, "{}", world.trace());
+    world.run_for(10_000);
+    assert_eq!(world.running_tasks(&job_id(GANG)), 0, "{}", world.trace());
     assert_eq!(
         count_stopped_tasks(&stops),
         2,
@@ -275,7 +275,7 @@
         world.trace()
     );
     // All tasks received the stop in time and with enough grace, so that their progress is saved.
-    let saved = world.gangs.saved_ms.get(&job_id(GANG));
+    let saved = world.gangs.saved_progress_ms.get(&job_id(GANG));
     assert!(saved.is_some_and(|ms| *ms > 0), "{}", world.trace());
     assert_no_breaches(&world);
 }
@@ -285,10 +285,10 @@
 #[test]
 fn a_single_task_that_loses_less_is_preempted_before_a_gang() {
     let mut world = start_with_gang_and_array(1, 0, false);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
     assert_runs(&mut world, SERVICE, 1, 15_000);
-    assert_eq!(world.running(&job_id(GANG)), 2, "{}", world.trace());
-    assert_eq!(world.running(&job_id(ARRAY)), 0, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(GANG)), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 0, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -307,9 +307,9 @@
                 Delivery::Pass
             }
         });
-        world.accepted(0, &job(SERVICE, 0, "standing", 2));
+        world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 2));
         assert_runs(&mut world, SERVICE, 2, 30_000);
-        world.run(20_000);
+        world.run_for(20_000);
         assert_eq!(
             count_stopped_tasks(&stops),
             2,
@@ -329,15 +329,15 @@
     // meantime.
     let mut world = start_with_gang_and_array(2, 60_000, true);
     let stops = record_stops(&mut world, |_| Delivery::Pass);
-    world.accepted(0, &job(SERVICE, 0, "standing", 1));
-    let is_stopping = world.run_until(PLACEMENT_MS, |w| w.running(&job_id(GANG)) < 2);
+    world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 1));
+    let is_stopping = world.run_until(PLACEMENT_MS, |w| w.running_tasks(&job_id(GANG)) < 2);
     assert!(is_stopping, "{}", world.trace());
     let machine = world.machines_of(&job_id(GANG)).first().cloned().unwrap_or_default();
     if let Some(w) = world.workers.get_mut(&machine) {
-        w.hanging = true;
+        w.is_hanging = true;
     }
     assert_runs(&mut world, SERVICE, 1, 14_000);
-    assert_eq!(world.running(&job_id(ARRAY)), 1, "{}", world.trace());
+    assert_eq!(world.running_tasks(&job_id(ARRAY)), 1, "{}", world.trace());
     assert_eq!(
         count_stopped_tasks(&stops),
         3,
@@ -346,10 +346,10 @@
         world.trace()
     );
     if let Some(w) = world.workers.get_mut(&machine) {
-        w.hanging = false;
+        w.is_hanging = false;
     }
-    world.run(20_000);
-    assert_eq!(world.running(&job_id(SERVICE)), 1, "{}", world.trace());
+    world.run_for(20_000);
+    assert_eq!(world.running_tasks(&job_id(SERVICE)), 1, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -361,20 +361,20 @@
     // limit: here the team uses three of its four accelerators.
     let mut world = World::new();
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
-    world.accepted(0, &job(ARRAY, 0, "sweep", 3));
+    world.run_for(3000);
+    world.submit_until_accepted(0, &job(ARRAY, 0, "sweep", 3));
     assert_runs(&mut world, ARRAY, 3, 40_000);
-    let task_count = |w: &tidelatch_standin::Worker| w.tasks.len();
+    let task_count = |w: &tidelatch_standin::Worker| w.attempts.len();
     let half_full = world.workers.values().find(|w| task_count(w) == 1);
     let half_full = half_full.map(|w| w.name.clone()).expect("one machine has one task");
     let owner = world.owner_of_team(0);
     let successor = (owner + 1) % 3;
-    let stops = record_stops(&mut world, faults::deaf(&half_full));
-    world.crash(owner);
+    let stops = record_stops(&mut world, faults::lose_messages_to_machine(&half_full));
+    world.crash_controller(owner);
     let epoch = world.epoch();
     assert!(world.run_until(20_000, |w| w.epoch() > epoch), "{}", world.trace());
-    world.accepted(successor, &job(SERVICE, 0, "standing", 1));
-    world.run(8000);
+    world.submit_until_accepted(successor, &job(SERVICE, 0, "standing", 1));
+    world.run_for(8000);
     assert_eq!(
         count_stopped_tasks(&stops),
         0,
@@ -382,8 +382,8 @@
         stops.borrow(),
         world.trace()
     );
-    world.calm();
-    world.start(owner);
+    world.clear_fault_injector();
+    world.start_controller(owner);
     assert_runs(&mut world, SERVICE, 1, 60_000);
     assert_no_breaches(&world);
 }
@@ -397,16 +397,16 @@
         array["waypointS"] = json!(2.0);
         array["stowS"] = json!(1.5);
         let mut world = start_with_array_at_limit(&array);
-        world.accepted(0, &job(SERVICE, 0, "standing", 3));
-        world.run(crash_after_ms);
+        world.submit_until_accepted(0, &job(SERVICE, 0, "standing", 3));
+        world.run_for(crash_after_ms);
         let owner = world.owner_of_team(0);
-        world.crash(owner);
-        world.run(6000);
-        world.start(owner);
+        world.crash_controller(owner);
+        world.run_for(6000);
+        world.start_controller(owner);
         assert_runs(&mut world, SERVICE, 3, 60_000);
-        world.run(10_000);
+        world.run_for(10_000);
         assert_eq!(
-            world.running(&job_id(SERVICE)),
+            world.running_tasks(&job_id(SERVICE)),
             3,
             "{crash_after_ms}\n{}",
             world.trace()
@@ -420,21 +420,21 @@
 /// the same image, which should start within two seconds. Returns whether it runs beside the first one, and how many
 /// tasks were stopped for it.
 fn start_second_service(gigabytes: f64) -> (bool, usize) {
-    let size = Size {
+    let size = DeploymentSize {
         start_within_s: 2.0,
-        ..Size::default()
+        ..DeploymentSize::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
+    let mut world = World::with_size(&Operator::default(), size);
     world.run_ms = ARRAY_TASK_MS;
-    world.run(3000);
+    world.run_for(3000);
     let mut service = job(SERVICE, 0, "standing", 1);
     service["stock"] = json!("camera");
     service["sizeGb"] = json!(gigabytes);
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &service);
     assert_runs(&mut world, SERVICE, 1, 40_000);
     let mut array = job(ARRAY, 0, "sweep", 2);
     array["consist"] = json!("audit");
-    world.accepted(0, &array);
+    world.submit_until_accepted(0, &array);
     assert_runs(&mut world, ARRAY, 2, 40_000);
     let with_image = world.machines_of(&job_id(SERVICE));
     assert!(
@@ -444,7 +444,7 @@
     );
     let stops = record_stops(&mut world, |_| Delivery::Pass);
     service["uid"] = json!(job_id(GANG));
-    world.accepted(0, &service);
+    world.submit_until_accepted(0, &service);
     assert_runs(&mut world, GANG, 1, PLACEMENT_MS);
     assert_runs(&mut world, ARRAY, 2, PLACEMENT_MS);
     assert_no_breaches(&world);
--- a/crates/tidelatch-standin/tests/production_data.rs
+++ b/crates/tidelatch-standin/tests/production_data.rs
@@ -16,8 +16,8 @@
 use tidelatch_core::protocol::MachineTypes;
 use tidelatch_core::roster::{BootEntry, GroupRecord};
 use tidelatch_core::settings::Operator;
-use tidelatch_standin::support::is_done;
-use tidelatch_standin::{Size, World, job};
+use tidelatch_standin::support::is_stored_as_done;
+use tidelatch_standin::{DeploymentSize, World, job};
 
 /// Values as the production commit stored them.
 #[derive(Deserialize)]
@@ -58,17 +58,17 @@
     /// Starts a deployment of this version with these values, but without the keys that are deleted when their
     /// controllers' leases end.
     fn restart(&self) -> World {
-        let size = Size {
-            guarantee: 60.0,
-            limit: 200.0,
+        let size = DeploymentSize {
+            guaranteed_accelerators: 60.0,
+            max_accelerators: 200.0,
             value_kb: self.value_kb,
-            ..Size::default()
+            ..DeploymentSize::default()
         };
-        let mut world = World::sized(&Operator::default(), size);
-        world.cloud.most = 200;
+        let mut world = World::with_size(&Operator::default(), size);
+        world.cloud.max_machines = 200;
         let is_leased = |key: &str| key == "t/c/leader" || key.starts_with("t/c/member/");
         for (key, value) in self.values.iter().filter(|(key, _)| !is_leased(key)) {
-            world.store.put(key, value.clone());
+            world.store.set_key(key, value.clone());
         }
         world
     }
@@ -89,8 +89,8 @@
 /// The body of a controller's answer to a poll of a job.
 fn poll_job(world: &mut World, id: &str) -> Value {
     let path = format!("/submissions/{id}");
-    let polled = world.user(0, Method::Get, &path, "", (id.to_owned(), "health"));
-    world.run(500);
+    let polled = world.send_user_request(0, Method::Get, &path, "", (id.to_owned(), "health"));
+    world.run_for(500);
     let answer = world.answers.get(&polled);
     let body = answer.and_then(|(_, answer)| serde_json::from_str(&answer.body).ok());
     body.unwrap_or_else(|| panic!("{id}: no answer\n{}", world.trace()))
@@ -188,7 +188,7 @@
     // Guards against jobs or machines that a takeover by this version overlooks in the records of production.
     for (name, fixture) in fixtures() {
         let mut world = fixture.restart();
-        world.run(9000);
+        world.run_for(9000);
         let before = fixture.values["t/c/epoch"]["n"].as_u64();
         assert!(Some(world.epoch()) > before, "{name}");
         for partition in 0..3 {
@@ -216,7 +216,7 @@
     // Guards against users who are told another state after the upgrade than production stored.
     for (name, fixture) in fixtures() {
         let mut world = fixture.restart();
-        world.run(9000);
+        world.run_for(9000);
         for (id, record) in fixture.with_prefix("t/j/") {
             let said = poll_job(&mut world, id);
             let stored = record["st"].as_str().expect("a state");
@@ -242,11 +242,12 @@
         "the second chunk has tasks that are done"
     );
     let mut world = fixture.restart();
-    world.run(9000);
+    world.run_for(9000);
     let said = poll_job(&mut world, "job-000002");
     assert_eq!(said["done"].as_u64(), Some(done.len() as u64), "{}", world.trace());
     assert!(
-        world.run_until(200_000, |w| is_done(w, "job-000007") && is_done(w, "job-000008")),
+        world.run_until(200_000, |w| is_stored_as_done(w, "job-000007")
+            && is_stored_as_done(w, "job-000008")),
         "{}",
         world.trace()
     );
@@ -266,9 +267,9 @@
     // production stored are enough to accept them.
     let fixture = Fixture::load("production.json");
     let mut world = fixture.restart();
-    world.cloud.down = true;
-    world.run(9000);
+    world.cloud.is_down = true;
+    world.run_for(9000);
     let request = world.submit(0, &job(50, 0, "sweep", 1));
-    world.run(500);
-    assert_eq!(world.status(request), 201, "{}", world.trace());
+    world.run_for(500);
+    assert_eq!(world.http_status(request), 201, "{}", world.trace());
 }
--- a/crates/tidelatch-standin/tests/queues_and_capacity.rs
+++ b/crates/tidelatch-standin/tests/queues_and_capacity.rs
@@ -12,24 +12,24 @@
 fn production_work_gets_a_machine_that_another_partition_vacates() {
     // All machines of the cloud run tasks of another team's array.
     let mut world = World::new();
-    world.cloud.most = 2;
+    world.cloud.max_machines = 2;
     world.run_ms = 90_000;
-    world.run(3000);
-    world.accepted(0, &job(1, 1, "sweep", 4));
+    world.run_for(3000);
+    world.submit_until_accepted(0, &job(1, 1, "sweep", 4));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 4),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 4),
         "{}",
         world.trace()
     );
-    world.accepted(0, &job(2, 0, "standing", 1));
+    world.submit_until_accepted(0, &job(2, 0, "standing", 1));
     assert!(
-        world.run_until(12_000, |w| w.running("job-000002") == 1),
+        world.run_until(12_000, |w| w.running_tasks("job-000002") == 1),
         "{}",
         world.trace()
     );
-    world.run(30_000);
+    world.run_for(30_000);
     assert_eq!(
-        world.running("job-000001"),
+        world.running_tasks("job-000001"),
         3,
         "three tasks of the array should run, one of them beside the replica: {}",
         world.trace()
@@ -40,13 +40,13 @@
 /// Guards against users who wait for an answer, or do not learn when to retry, while the queue of their team is full.
 #[test]
 fn a_submission_to_a_full_queue_is_rejected_at_once_with_a_retry_time() {
-    let mut world = World::with(&Operator {
+    let mut world = World::with_operator(&Operator {
         queue_jobs_per_team: Some(2),
         ..Operator::default()
     });
-    world.run(3000);
-    world.accepted(0, &job(1, 0, "sweep", 1));
-    world.accepted(0, &job(2, 0, "sweep", 1));
+    world.run_for(3000);
+    world.submit_until_accepted(0, &job(1, 0, "sweep", 1));
+    world.submit_until_accepted(0, &job(2, 0, "sweep", 1));
     let refused = world.submit(0, &job(3, 0, "sweep", 1));
     let (answered_at, answer) = world
         .answers
@@ -57,11 +57,11 @@
     assert!(answer.retry_after_s.is_some());
     let known = world.submit(0, &job(2, 0, "sweep", 1));
     assert_eq!(
-        world.status(known),
+        world.http_status(known),
         200,
         "a job that is already known should not be rejected"
     );
-    world.accepted(0, &job(4, 1, "sweep", 1));
+    world.submit_until_accepted(0, &job(4, 1, "sweep", 1));
 }
 
 fn in_zone(mut job: serde_json::Value, zone: &str) -> serde_json::Value {
@@ -73,17 +73,17 @@
 /// is used up, jobs that found no machine are not searched again at once, and the others get their turn.
 #[test]
 fn jobs_behind_many_unplaceable_ones_run() {
-    let mut world = World::with(&Operator {
+    let mut world = World::with_operator(&Operator {
         search_budget_s: 0.001,
         ..Operator::default()
     });
-    world.cloud.most = 1;
+    world.cloud.max_machines = 1;
     world.run_ms = 500;
-    world.run(3000);
+    world.run_for(3000);
     // The only machine of the cloud is in zone a, and a replica keeps it rented.
-    world.accepted(0, &in_zone(job(100, 0, "standing", 1), "a"));
+    world.submit_until_accepted(0, &in_zone(job(100, 0, "standing", 1), "a"));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000100") > 0),
+        world.run_until(30_000, |w| w.running_tasks("job-000100") > 0),
         "{}",
         world.trace()
     );
@@ -95,8 +95,8 @@
             in_zone(job(id + 1, 0, "sweep", 2), "a")
         };
         let request = world.submit(0, &body);
-        world.run(100);
-        assert_eq!(world.status(request), 201, "{}", world.trace());
+        world.run_for(100);
+        assert_eq!(world.http_status(request), 201, "{}", world.trace());
     }
     let all_done = |w: &World| {
         (81..96).all(|id| {
@@ -106,21 +106,21 @@
         })
     };
     assert!(world.run_until(200_000, all_done), "{}", world.trace());
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
 /// Guards against machines that stay rented, or in the roster, when there is no work left.
 #[test]
 fn idle_machines_are_returned() {
     let mut world = World::new();
-    world.run(3000);
-    world.accepted(0, &job(1, 0, "sweep", 4));
+    world.run_for(3000);
+    world.submit_until_accepted(0, &job(1, 0, "sweep", 4));
     assert!(
         world.run_until(90_000, |w| !w.cloud.deleted.is_empty() && w.cloud.machines.is_empty()),
         "{}",
         world.trace()
     );
-    world.run(2000);
+    world.run_for(2000);
     assert!(world.store.keys("t/m/").is_empty(), "the roster should be empty");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
--- a/crates/tidelatch-standin/tests/upgrade.rs
+++ b/crates/tidelatch-standin/tests/upgrade.rs
@@ -8,21 +8,21 @@
 use serde_json::{Value, json};
 use std::path::Path;
 use tidelatch_core::settings::{Features, Operator};
-use tidelatch_standin::support::{assert_no_breaches, assert_trace, is_done};
-use tidelatch_standin::{Delivery, Size, World, gang, job};
+use tidelatch_standin::support::{assert_no_breaches, assert_trace, is_stored_as_done};
+use tidelatch_standin::{Delivery, DeploymentSize, World, gang, job};
 
 /// Starts three controllers of the last version without gangs, and a service that runs.
-fn start_last_version(size: Size) -> World {
-    let mut world = World::sized(&Operator::default(), size);
+fn start_last_version(size: DeploymentSize) -> World {
+    let mut world = World::with_size(&Operator::default(), size);
     for controller in 0..3 {
-        world.crash(controller);
-        world.version(controller, Features::before_gangs());
-        world.start(controller);
+        world.crash_controller(controller);
+        world.set_features(controller, Features::before_gangs());
+        world.start_controller(controller);
     }
-    world.run(3000);
-    world.accepted(0, &job(9, 0, "standing", 2));
+    world.run_for(3000);
+    world.submit_until_accepted(0, &job(9, 0, "standing", 2));
     assert!(
-        world.run_until(30_000, |w| w.running("job-000009") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000009") == 2),
         "{}",
         world.trace()
     );
@@ -31,10 +31,10 @@
 
 /// Crashes a controller and restarts it with the features of another version after `down_ms`.
 fn replace_controller(world: &mut World, controller: usize, features: Features, down_ms: u64) {
-    world.crash(controller);
-    world.version(controller, features);
-    world.run(down_ms);
-    world.start(controller);
+    world.crash_controller(controller);
+    world.set_features(controller, features);
+    world.run_for(down_ms);
+    world.start_controller(controller);
 }
 
 /// Submits a job to one controller after another until it is accepted or `ms` have passed. Returns the statuses of the
@@ -44,8 +44,8 @@
     let mut statuses = Vec::new();
     for controller in (0..3).cycle() {
         let request = world.submit(controller, body);
-        world.run(500);
-        let status = world.status(request);
+        world.run_for(500);
+        let status = world.http_status(request);
         if matches!(status, 200 | 201) || world.now >= until {
             return statuses;
         }
@@ -61,23 +61,23 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/kept/before_gangs.json");
     let recorded: Value =
         serde_json::from_str(&std::fs::read_to_string(path).expect("the recorded values can be read")).expect("JSON");
-    let size = Size {
-        guarantee: 60.0,
-        limit: 200.0,
+    let size = DeploymentSize {
+        guaranteed_accelerators: 60.0,
+        max_accelerators: 200.0,
         value_kb: 4.0,
-        next: Some((18.0, 2.0, 4)),
-        ..Size::default()
+        announced_limits: Some((18.0, 2.0, 4)),
+        ..DeploymentSize::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
-    world.cloud.most = 200;
+    let mut world = World::with_size(&Operator::default(), size);
+    world.cloud.max_machines = 200;
     let values = recorded["values"].as_object().expect("a field `values`");
     for (key, value) in values
         .iter()
         .filter(|(k, _)| !k.starts_with("t/c/m") && !k.starts_with("t/c/l"))
     {
-        world.store.put(key, value.clone());
+        world.store.set_key(key, value.clone());
     }
-    world.run(9000);
+    world.run_for(9000);
     assert!(world.epoch() > recorded["values"]["t/c/epoch"]["n"].as_u64().unwrap_or(0));
     let groups = recorded["values"]
         .as_object()
@@ -102,24 +102,24 @@
         ("job-000003", "done"),
         ("job-000004", "withdrawn"),
     ] {
-        let poll = world.user(
+        let poll = world.send_user_request(
             0,
             tidelatch_core::Method::Get,
             &format!("/submissions/{id}"),
             "",
             (id.into(), "health"),
         );
-        world.run(500);
-        assert_eq!(world.said(poll), status, "{id}\n{}", world.trace());
+        world.run_for(500);
+        assert_eq!(world.job_status(poll), status, "{id}\n{}", world.trace());
     }
-    let poll = world.user(
+    let poll = world.send_user_request(
         1,
         tidelatch_core::Method::Get,
         "/submissions/job-000005",
         "",
         ("job-000005".into(), "health"),
     );
-    world.run(500);
+    world.run_for(500);
     let body: Value = world
         .answers
         .get(&poll)
@@ -127,31 +127,35 @@
         .unwrap_or_default();
     assert_eq!(body["done"].as_u64(), Some(done_tasks), "{body}\n{}", world.trace());
     // All later writes fit the announced limits, which are in force from here on.
-    world.store.limits = Some((2048, 4));
-    world.run(60_000);
-    assert!(world.store.refused.is_empty(), "{:?}", world.store.refused);
+    world.store.transaction_limits = Some((2048, 4));
+    world.run_for(60_000);
+    assert!(
+        world.store.oversized_transactions.is_empty(),
+        "{:?}",
+        world.store.oversized_transactions
+    );
 }
 
 /// Guards against a field or key that this version adds while a controller of the last version still serves, which then
 /// fails to decode the record.
 #[test]
 fn records_written_during_an_upgrade_can_be_read_by_the_last_version() {
-    let size = Size {
-        limit: 20.0,
-        ..Size::default()
+    let size = DeploymentSize {
+        max_accelerators: 20.0,
+        ..DeploymentSize::default()
     };
     let mut world = start_last_version(size);
     for controller in [1, 2] {
         replace_controller(&mut world, controller, Features::default(), 6000);
-        world.run(9000);
+        world.run_for(9000);
     }
     for i in 1..4 {
-        world.accepted(
+        world.submit_until_accepted(
             i as usize % 3,
             &job(i, i % 3, if i == 1 { "standing" } else { "sweep" }, 12),
         );
     }
-    world.run(20_000);
+    world.run_for(20_000);
     let keys = world.store.keys("");
     assert!(keys.iter().any(|k| k.starts_with("t/u/")), "{keys:?}");
     for key in keys {
@@ -181,33 +185,33 @@
 fn gangs_are_accepted_once_all_controllers_support_them_in_any_upgrade_order() {
     for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
         for down_ms in [100, 6000] {
-            let mut world = start_last_version(Size::default());
+            let mut world = start_last_version(DeploymentSize::default());
             for (position, controller) in order.into_iter().enumerate() {
                 let request = world.submit(controller, &gang(1, 1, 2));
-                world.run(500);
+                world.run_for(500);
                 assert!(
-                    matches!(world.status(request), 400 | 503),
+                    matches!(world.http_status(request), 400 | 503),
                     "{order:?} {position}\n{}",
                     world.trace()
                 );
                 replace_controller(&mut world, controller, Features::default(), down_ms);
-                world.run(5000);
+                world.run_for(5000);
                 if position == 1 {
                     // The last controller of the old version crashes before its upgrade and restarts with the old
                     // version.
                     let last_old = order[2];
-                    world.crash(last_old);
-                    world.run(300);
-                    world.start(last_old);
-                    world.run(5000);
+                    world.crash_controller(last_old);
+                    world.run_for(300);
+                    world.start_controller(last_old);
+                    world.run_for(5000);
                     let request = world.submit(order[0], &gang(1, 1, 2));
-                    world.run(500);
-                    assert_eq!(world.status(request), 503, "{order:?}\n{}", world.trace());
+                    world.run_for(500);
+                    assert_eq!(world.http_status(request), 503, "{order:?}\n{}", world.trace());
                 }
             }
             submit_until_accepted(&mut world, &gang(2, 1, 2), 20_000);
             assert!(
-                world.run_until(60_000, |w| is_done(w, "job-000002")),
+                world.run_until(60_000, |w| is_stored_as_done(w, "job-000002")),
                 "{order:?}\n{}",
                 world.trace()
             );
@@ -222,43 +226,43 @@
 /// middle of an upgrade.
 #[test]
 fn an_upgrade_with_a_crash_and_a_network_cut_loses_no_job() {
-    let mut world = start_last_version(Size::default());
-    world.accepted(1, &job(3, 1, "sweep", 6));
+    let mut world = start_last_version(DeploymentSize::default());
+    world.submit_until_accepted(1, &job(3, 1, "sweep", 6));
     replace_controller(&mut world, 0, Features::default(), 6000);
-    world.run(3000);
+    world.run_for(3000);
     // The leader is now berth-1, of the old version. It is disconnected from the state service.
-    world.meddle(|message| {
+    world.set_fault_injector(|message| {
         if message.from == "berth-1" && message.to == "state" {
             Delivery::Lost
         } else {
             Delivery::Pass
         }
     });
-    world.run(9000);
-    world.calm();
+    world.run_for(9000);
+    world.clear_fault_injector();
     replace_controller(&mut world, 1, Features::default(), 200);
-    world.run(700);
-    world.crash(0);
-    world.run(300);
-    world.start(0);
-    world.run(500);
-    world.crash(2);
-    world.run(6000);
-    world.start(2);
-    world.run(9000);
+    world.run_for(700);
+    world.crash_controller(0);
+    world.run_for(300);
+    world.start_controller(0);
+    world.run_for(500);
+    world.crash_controller(2);
+    world.run_for(6000);
+    world.start_controller(2);
+    world.run_for(9000);
     replace_controller(&mut world, 2, Features::default(), 6000);
     submit_until_accepted(&mut world, &gang(2, 2, 3), 30_000);
     assert!(
-        world.run_until(60_000, |w| is_done(w, "job-000002")),
+        world.run_until(60_000, |w| is_stored_as_done(w, "job-000002")),
         "{}",
         world.trace()
     );
     assert!(
-        world.run_until(60_000, |w| is_done(w, "job-000003")),
+        world.run_until(60_000, |w| is_stored_as_done(w, "job-000003")),
         "{}",
         world.trace()
     );
-    assert_eq!(world.running("job-000009"), 2, "{}", world.trace());
+    assert_eq!(world.running_tasks("job-000009"), 2, "{}", world.trace());
     assert_trace(&world, "upgrade_with_a_crash_and_a_cut");
 }
 
@@ -266,12 +270,12 @@
 /// does not return.
 #[test]
 fn a_controller_that_never_returns_does_not_block_gangs() {
-    let mut world = start_last_version(Size::default());
+    let mut world = start_last_version(DeploymentSize::default());
     for controller in [0, 1] {
         replace_controller(&mut world, controller, Features::default(), 1000);
-        world.run(9000);
+        world.run_for(9000);
     }
-    world.crash(2);
+    world.crash_controller(2);
     let crashed_at = world.now;
     submit_until_accepted(&mut world, &gang(1, 0, 2), 20_000);
     assert!(world.store.get("t/j/job-000001").is_some(), "{}", world.trace());
@@ -287,33 +291,33 @@
 /// rolled back to the last version.
 #[test]
 fn a_gang_stays_known_after_a_rollback_of_its_owner() {
-    let mut world = start_last_version(Size::default());
+    let mut world = start_last_version(DeploymentSize::default());
     for controller in 0..3 {
         replace_controller(&mut world, controller, Features::default(), 1000);
-        world.run(3000);
+        world.run_for(3000);
     }
     world.run_ms = 30_000;
     submit_until_accepted(&mut world, &gang(1, 1, 2), 20_000);
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 2),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 2),
         "{}",
         world.trace()
     );
     let owner = world.owner_of_team(1);
     replace_controller(&mut world, owner, Features::before_gangs(), 500);
-    world.run(15_000);
+    world.run_for(15_000);
     for controller in 0..3 {
         let poll = world.poll(controller, "job-000001");
-        world.run(2000);
-        assert!(matches!(world.status(poll), 200 | 503), "{}", world.trace());
+        world.run_for(2000);
+        assert!(matches!(world.http_status(poll), 200 | 503), "{}", world.trace());
     }
     let request = world.submit((owner + 1) % 3, &gang(2, 1, 2));
-    world.run(500);
-    assert_eq!(world.status(request), 503, "{}", world.trace());
+    world.run_for(500);
+    assert_eq!(world.http_status(request), 503, "{}", world.trace());
     replace_controller(&mut world, owner, Features::default(), 500);
     world.run_ms = 3000;
     assert!(
-        world.run_until(90_000, |w| is_done(w, "job-000001")),
+        world.run_until(90_000, |w| is_stored_as_done(w, "job-000001")),
         "{}",
         world.trace()
     );
@@ -327,18 +331,18 @@
     let mut world = World::new();
     let record = json!({ "epoch": 1, "at": 0, "st": "queued", "n": 2, "team": "team-0", "size": [1.0, 0.0, 1.0],
         "spec": { "shape": "swarm" } });
-    world.store.put("t/j/job-000777", record);
-    world.run(3000);
-    let poll = world.user(
+    world.store.set_key("t/j/job-000777", record);
+    world.run_for(3000);
+    let poll = world.send_user_request(
         0,
         tidelatch_core::Method::Get,
         "/submissions/job-000777",
         "",
         ("job-000777".into(), "health"),
     );
-    world.run(500);
+    world.run_for(500);
     assert_eq!(
-        (world.status(poll), world.said(poll)),
+        (world.http_status(poll), world.job_status(poll)),
         (200, "queued".to_owned()),
         "{}",
         world.trace()
@@ -346,23 +350,23 @@
 }
 
 /// The smallest limits that are expected of a state service, with the longest names of teams.
-fn smallest_limits() -> Size {
-    Size {
+fn smallest_limits() -> DeploymentSize {
+    DeploymentSize {
         teams: 16,
-        guarantee: 10.0,
-        limit: 60.0,
+        guaranteed_accelerators: 10.0,
+        max_accelerators: 60.0,
         write_rps: 25.0,
         value_kb: 4.0,
-        next: Some((18.0, 2.0, 4)),
-        long_names: 150,
-        ..Size::default()
+        announced_limits: Some((18.0, 2.0, 4)),
+        min_team_name_bytes: 150,
+        ..DeploymentSize::default()
     }
 }
 
 /// Replaces the team of a job by the team with this index.
 fn with_team(world: &World, body: Value, index: usize) -> Value {
     let mut body = body;
-    body["crew"] = json!(world.team(index));
+    body["crew"] = json!(world.team_name(index));
     body
 }
 
@@ -370,11 +374,11 @@
 /// nothing larger is ever sent.
 #[test]
 fn values_fit_two_kib_and_transactions_four_changes() {
-    let mut world = World::sized(&Operator::default(), smallest_limits());
-    world.cloud.most = 150;
-    world.cloud.prefix = format!("n-{}-", "long-name-".repeat(5));
-    world.store.limits = Some((2048, 4));
-    world.run(3000);
+    let mut world = World::with_size(&Operator::default(), smallest_limits());
+    world.cloud.max_machines = 150;
+    world.cloud.machine_name_prefix = format!("n-{}-", "long-name-".repeat(5));
+    world.store.transaction_limits = Some((2048, 4));
+    world.run_for(3000);
     for i in 0..16u32 {
         let body = match i % 4 {
             0 => job(i + 1, 0, "standing", 6),
@@ -382,26 +386,30 @@
             _ => job(i + 1, 0, "sweep", 30),
         };
         let body = with_team(&world, body, i as usize);
-        world.accepted(i as usize % 3, &body);
+        world.submit_until_accepted(i as usize % 3, &body);
     }
-    world.run(40_000);
+    world.run_for(40_000);
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(8000);
-    world.start(owner);
+    world.crash_controller(owner);
+    world.run_for(8000);
+    world.start_controller(owner);
     let all_done = |w: &World| {
         (0..16)
             .filter(|i| i % 4 != 0)
-            .all(|i| is_done(w, &format!("job-{:06}", i + 1)))
+            .all(|i| is_stored_as_done(w, &format!("job-{:06}", i + 1)))
     };
     assert!(world.run_until(240_000, all_done), "{}", world.trace());
-    world.run(9000);
+    world.run_for(9000);
     for i in [1, 5, 9, 13] {
-        world.withdraw(0, &format!("job-{i:06}"));
+        world.cancel(0, &format!("job-{i:06}"));
     }
-    world.run(120_000);
-    assert!(world.store.refused.is_empty(), "{:?}", world.store.refused.first());
-    let (bytes, changes) = world.store.largest;
+    world.run_for(120_000);
+    assert!(
+        world.store.oversized_transactions.is_empty(),
+        "{:?}",
+        world.store.oversized_transactions.first()
+    );
+    let (bytes, changes) = world.store.largest_transaction;
     assert!(bytes > 500 && changes > 1, "{bytes} bytes, {changes} changes");
     assert!(
         world.roster().len() < 10,
@@ -415,14 +423,14 @@
 /// Guards against an accepted job whose description does not fit a value under the announced limits.
 #[test]
 fn a_description_too_long_to_be_stored_is_rejected_at_once() {
-    let mut world = World::sized(&Operator::default(), smallest_limits());
-    world.run(3000);
+    let mut world = World::with_size(&Operator::default(), smallest_limits());
+    world.run_for(3000);
     let mut long_body = with_team(&world, job(1, 0, "sweep", 1), 0);
     long_body["models"] = json!(vec!["m2".to_owned() + &"x".repeat(60); 40]);
     long_body["models"][0] = json!("m2");
     let request = world.submit(0, &long_body);
-    world.run(500);
-    assert_eq!(world.status(request), 422, "{}", world.trace());
+    world.run_for(500);
+    assert_eq!(world.http_status(request), 422, "{}", world.trace());
     assert_no_breaches(&world);
 }
 
@@ -430,18 +438,18 @@
 /// any more. A machine that leaves such a group, for another partition or for good, still has to leave the roster.
 #[test]
 fn full_group_records_of_the_last_version_are_split_after_limits_are_lowered() {
-    let size = Size {
-        guarantee: 100.0,
-        limit: 200.0,
-        next: Some((42.0, 2.0, 4)),
-        ..Size::default()
+    let size = DeploymentSize {
+        guaranteed_accelerators: 100.0,
+        max_accelerators: 200.0,
+        announced_limits: Some((42.0, 2.0, 4)),
+        ..DeploymentSize::default()
     };
     let mut world = start_last_version(size);
-    world.cloud.most = 120;
-    world.cloud.prefix = format!("n-{}-", "long-name-".repeat(12));
-    world.accepted(0, &job(1, 0, "standing", 180));
+    world.cloud.max_machines = 120;
+    world.cloud.machine_name_prefix = format!("n-{}-", "long-name-".repeat(12));
+    world.submit_until_accepted(0, &job(1, 0, "standing", 180));
     assert!(
-        world.run_until(60_000, |w| w.running("job-000001") == 180),
+        world.run_until(60_000, |w| w.running_tasks("job-000001") == 180),
         "{}",
         world.trace()
     );
@@ -455,16 +463,16 @@
     assert!(largest > Some(5000), "{largest:?}");
     for controller in 0..3 {
         replace_controller(&mut world, controller, Features::default(), 500);
-        world.run(2000);
+        world.run_for(2000);
     }
-    world.store.limits = Some((2048, 4));
-    world.run(15_000);
-    assert_eq!(world.running("job-000001"), 180, "{}", world.trace());
+    world.store.transaction_limits = Some((2048, 4));
+    world.run_for(15_000);
+    assert_eq!(world.running_tasks("job-000001"), 180, "{}", world.trace());
     let machines = world.roster().len();
     // A single machine fails.
     let failed_machine = world.machines_of("job-000001").into_iter().nth(7).expect("it runs");
     if let Some(w) = world.workers.get_mut(&failed_machine) {
-        w.hanging = true;
+        w.is_hanging = true;
     }
     let has_left = |w: &World| !w.roster().contains(&failed_machine);
     assert!(world.run_until(60_000, has_left), "{}", world.trace());
@@ -473,7 +481,7 @@
         "only the failed machine should leave the roster"
     );
     assert!(
-        world.run_until(30_000, |w| w.running("job-000001") == 180),
+        world.run_until(30_000, |w| w.running_tasks("job-000001") == 180),
         "{}",
         world.trace()
     );
@@ -492,19 +500,23 @@
     );
     // A takeover of the partly split groups finds all machines. They are returned once the job is cancelled.
     let owner = world.owner_of_team(0);
-    world.crash(owner);
-    world.run(9000);
-    world.start(owner);
-    world.run(9000);
-    assert_eq!(world.running("job-000001"), 180, "{}", world.trace());
-    world.withdraw(0, "job-000001");
+    world.crash_controller(owner);
+    world.run_for(9000);
+    world.start_controller(owner);
+    world.run_for(9000);
+    assert_eq!(world.running_tasks("job-000001"), 180, "{}", world.trace());
+    world.cancel(0, "job-000001");
     assert!(
         world.run_until(120_000, |w| w.roster().len() <= 2),
         "{}\n{}",
         world.roster().len(),
         world.trace()
     );
-    assert!(world.store.refused.is_empty(), "{:?}", world.store.refused.first());
+    assert!(
+        world.store.oversized_transactions.is_empty(),
+        "{:?}",
+        world.store.oversized_transactions.first()
+    );
     assert_no_breaches(&world);
 }
 
@@ -512,24 +524,24 @@
 /// below the announced one.
 #[test]
 fn a_limit_below_the_announced_one_is_discovered() {
-    let size = Size {
-        guarantee: 100.0,
-        limit: 200.0,
-        ..Size::default()
+    let size = DeploymentSize {
+        guaranteed_accelerators: 100.0,
+        max_accelerators: 200.0,
+        ..DeploymentSize::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
-    world.cloud.most = 120;
-    world.store.limits = Some((400, 2));
-    world.run(3000);
-    world.accepted(0, &job(1, 0, "standing", 120));
+    let mut world = World::with_size(&Operator::default(), size);
+    world.cloud.max_machines = 120;
+    world.store.transaction_limits = Some((400, 2));
+    world.run_for(3000);
+    world.submit_until_accepted(0, &job(1, 0, "standing", 120));
     assert!(
-        world.run_until(90_000, |w| w.running("job-000001") == 120),
+        world.run_until(90_000, |w| w.running_tasks("job-000001") == 120),
         "{}",
         world.trace()
     );
-    world.withdraw(0, "job-000001");
+    world.cancel(0, "job-000001");
     assert!(world.run_until(120_000, |w| w.roster().is_empty()), "{}", world.trace());
-    let refused = world.store.refused.len();
+    let refused = world.store.oversized_transactions.len();
     assert!((1..20).contains(&refused), "{refused}");
     assert_no_breaches(&world);
 }
@@ -538,18 +550,18 @@
 /// announced one.
 #[test]
 fn a_lowered_write_rate_loses_no_lease_and_no_job() {
-    let size = Size {
-        guarantee: 60.0,
-        limit: 120.0,
+    let size = DeploymentSize {
+        guaranteed_accelerators: 60.0,
+        max_accelerators: 120.0,
         write_rps: 25.0,
         value_kb: 4.0,
-        next: Some((12.0, 2.0, 4)),
-        ..Size::default()
+        announced_limits: Some((12.0, 2.0, 4)),
+        ..DeploymentSize::default()
     };
-    let mut world = World::sized(&Operator::default(), size);
-    world.cloud.most = 150;
-    world.store.rate = Some(12.0);
-    world.run(3000);
+    let mut world = World::with_size(&Operator::default(), size);
+    world.cloud.max_machines = 150;
+    world.store.max_changes_per_s = Some(12.0);
+    world.run_for(3000);
     for i in 1..40u32 {
         let body = if i % 3 == 0 {
             gang(i, i % 3, 3)
@@ -558,14 +570,14 @@
         };
         submit_until_accepted(&mut world, &body, 30_000);
     }
-    let all_done = |w: &World| (1..40).all(|i| is_done(w, &format!("job-{i:06}")));
+    let all_done = |w: &World| (1..40).all(|i| is_stored_as_done(w, &format!("job-{i:06}")));
     assert!(world.run_until(240_000, all_done), "{}", world.trace());
     assert!(!world.trace().contains("lease lost"), "{}", world.trace());
-    let slowed = world.store.slowed;
+    let throttled = world.store.throttled_requests;
     assert!(
-        (1..14).contains(&slowed),
-        "{slowed} of {} requests got 429",
-        world.sent.state_requests
+        (1..14).contains(&throttled),
+        "{throttled} of {} requests got 429",
+        world.message_counts.state_requests
     );
     assert_no_breaches(&world);
 }
--- a/crates/tidelatch/tests/drain_loopback.rs
+++ b/crates/tidelatch/tests/drain_loopback.rs
@@ -92,7 +92,7 @@
     fn wait_for(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
         let deadline = Instant::now() + EVENT_TIMEOUT;
         while !condition(self) {
-            let state = || format!("{}\n{}", self.services.describe(), self.controllers.logs());
+            let state = || format!("{}\n{}", self.services.describe_workers(), self.controllers.logs());
             assert!(
                 Instant::now() < deadline,
                 "timed out while waiting for {what}:\n{}",
@@ -112,13 +112,15 @@
 
     /// Whether every service has all its replicas running.
     fn all_replicas_run(&self) -> bool {
-        let runs = |(_, job): &(usize, String)| self.services.running(job) == REPLICAS as usize;
+        let runs = |(_, job): &(usize, String)| self.services.running_tasks(job) == REPLICAS as usize;
         self.replicas.iter().all(runs)
     }
 
     /// Whether the drain is stored as done.
     fn is_drained(&self) -> bool {
-        self.services.drain("all").is_some_and(|head| head["done"] == true)
+        self.services
+            .drain_record("all")
+            .is_some_and(|head| head["done"] == true)
     }
 
     /// Waits for the next permit that is used, and returns the controller that used it.
@@ -148,14 +150,14 @@
         for team in 0..CONTROLLERS {
             let services_of_team = self.replicas.iter().filter(|(t, _)| *t == team);
             let jobs: Vec<&str> = services_of_team.map(|(_, job)| job.as_str()).collect();
-            recorder.limit(&format!("team-{team}"), &jobs, 1);
+            recorder.set_budget(&format!("team-{team}"), &jobs, 1);
         }
         for event in self.services.replica_history() {
             match event {
-                ReplicaEvent::Running { at_ms, replicas } => recorder.sample(at_ms, replicas),
-                ReplicaEvent::SessionEnded { machine } => recorder.session_lost(&machine),
+                ReplicaEvent::Running { at_ms, replicas } => recorder.record_running_units(at_ms, replicas),
+                ReplicaEvent::SessionEnded { machine } => recorder.record_session_lost(&machine),
                 ReplicaEvent::Deleted { machine } if machines_given_up.contains(&machine) => {
-                    recorder.session_lost(&machine)
+                    recorder.record_session_lost(&machine)
                 }
                 ReplicaEvent::Deleted { .. } => {}
             }
@@ -205,7 +207,7 @@
     // The owner of a team is frozen for longer than its lease and then resumed.
     let epoch = deployment.services.epoch();
     let owner = deployment.services.owner_of_team(1).expect("it has an owner");
-    deployment.controllers.processes[owner].freeze().expect("it runs");
+    deployment.controllers.processes[owner].pause().expect("it runs");
     deployment.wait_for("a takeover", |d| d.services.epoch() > epoch);
     deployment.submit_arrays();
     deployment.controllers.processes[owner].resume().expect("it runs");
@@ -214,7 +216,7 @@
     // The owner of another team is disconnected from the state service.
     let epoch = deployment.services.epoch();
     let owner = deployment.services.owner_of_team(2).expect("it has an owner");
-    deployment.controllers.cut_from_state(owner);
+    deployment.controllers.cut_state_service(owner);
     deployment.wait_for("a takeover", |d| d.services.epoch() > epoch);
     deployment.controllers.heal();
 
@@ -232,7 +234,7 @@
     let after: BTreeSet<String> = deployment.services.roster().into_iter().collect();
     assert!(before.is_disjoint(&after), "{before:?} {after:?}");
     let recorder = deployment.check_interruptions();
-    assert_eq!(recorder.excesses(), [], "{}", deployment.controllers.logs());
+    assert_eq!(recorder.budget_violations(), [], "{}", deployment.controllers.logs());
     let replicas = 2 * CONTROLLERS * REPLICAS as usize;
     assert!(
         recorder.interruptions().len() >= replicas,
@@ -245,7 +247,7 @@
         .filter(|(_, time)| time.as_secs_f64() > DEADLINE_S)
         .collect();
     assert!(late.is_empty(), "{late:?}\n{}", deployment.controllers.logs());
-    let is_duplicate = |breach: &&Breach| !matches!(breach, Breach::WatchGap { .. });
+    let is_duplicate = |breach: &&Breach| !matches!(breach, Breach::AvailabilityGap { .. });
     let answers = deployment.services.recorder();
     let answers = answers.lock().expect("no thread has failed");
     let duplicates: Vec<&Breach> = answers.breaches().iter().filter(is_duplicate).collect();
