--- a/crates/tidelatch-core/src/calls.rs
+++ b/crates/tidelatch-core/src/calls.rs
@@ -6,8 +6,9 @@
 use crate::protocol::Rental;
 use crate::roster::{BootBatch, GroupRecord};
 
-/// Whether the state service refused a transaction because its lease has ended, and not because it is malformed.
-pub(crate) fn is_lost_lease(body: &[u8]) -> bool {
+/// Whether the state service refused a transaction because the controller's lease, which the transaction names, has
+/// ended, and not because the transaction is malformed. The error text then contains the word "lease".
+pub(crate) fn is_lost_lease_error(body: &[u8]) -> bool {
     String::from_utf8_lossy(body).contains("lease")
 }
 
@@ -27,9 +28,9 @@
     NewLease { sent: u64 },
     /// Extends the lease.
     ExtendLease { sent: u64, lease_id: u64 },
-    /// Writes this controller's member record.
-    MemberWrite { ack: u64 },
-    /// Writes the leader's key.
+    /// Writes this controller's member record, which acknowledges this epoch.
+    MemberWrite { acknowledged_epoch: u64 },
+    /// Writes the leader record.
     LeaderWrite,
     /// Writes a new epoch.
     EpochWrite,
@@ -37,13 +38,14 @@
     ListSharedKeys { cursor: String, first_revision: u64 },
     /// Waits for changes of the shared keys.
     WatchSharedKeys { number: u64 },
-    /// Reads a page of the stored bitmaps of a partition that this controller takes over. `since` is the number of the
-    /// epoch in which it became the owner.
-    DoneBits { partition: Partition, since: u64 },
-    /// Reads a page of records of a partition that this controller may have to take over.
-    ReadAhead { partition: Partition, attempt: u64 },
-    /// Reads the changes since such records were read, at the takeover. `since` as in `DoneBits`.
-    DoneBitsChanges { partition: Partition, since: u64 },
+    /// Reads a page of the stored bitmaps of completed tasks of a partition that this controller takes over.
+    /// `since_epoch` is the number of the epoch in which it became the owner.
+    DoneBits { partition: Partition, since_epoch: u64 },
+    /// Reads a page of these bitmaps ahead, of a partition that this controller may have to take over. `read_number` is
+    /// the number of the read, of which each page is a part.
+    ReadAhead { partition: Partition, read_number: u64 },
+    /// Reads the changes since the bitmaps were read ahead, at the takeover. `since_epoch` as in `DoneBits`.
+    DoneBitsChanges { partition: Partition, since_epoch: u64 },
     /// A call about a job.
     Job(JobPurpose),
     /// Reads the machine types from the cloud.
@@ -54,13 +56,14 @@
     RentMachines { rental: Rental, partitions: Vec<Partition> },
     /// Stores new machine groups, as the leader.
     WriteNewMachineGroups,
-    /// Changes a machine group, possibly into several groups.
+    /// Changes a machine group or splits it into several.
     WriteMachineGroup {
         group: String,
         revision: Revision,
         changes: Vec<(String, Option<GroupRecord>)>,
     },
-    /// Stores that machines have booted. Their first reports are answered once this is stored.
+    /// Stores that machines have booted. Their first reports are answered once this is stored. Each requester is given
+    /// with its machine, and with the session and sequence number of the machine's first report.
     WriteBootBatch {
         batch: BootBatch,
         requesters: Vec<(Requester, MachineId, (u64, u64))>,
@@ -71,7 +74,7 @@
     ListMachines,
     /// Changes the keys of a drain, as the leader.
     WriteDrain { write: DrainWrite },
-    /// Confirms a machine by an empty list of commands, which tells its worker the new epoch.
+    /// Asks a machine which tasks it holds, with an empty list of commands, which tells its worker the new epoch.
     ConfirmMachine { machine: MachineId, sent: u64 },
     /// Asks a worker for its status, outside its reports.
     ReadWorkerStatus { machine: MachineId, sent: u64 },
--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -60,7 +60,7 @@
     pub requested: Vec<JobId>,
     /// The sender has not read the state service in this incarnation, so it does not know the cancellations that its
     /// earlier incarnations knew.
-    pub has_not_read_store: bool,
+    pub has_not_read_state: bool,
 }
 
 /// All cancellations that this controller knows of, and which peers know them.
@@ -217,7 +217,7 @@
             incarnation: self.membership.incarnation.0,
             cancelled: unacknowledged.cancelled,
             requested: unacknowledged.requested,
-            has_not_read_store: self.membership.revision == 0,
+            has_not_read_state: self.membership.revision == 0,
         };
         (notice, unacknowledged.sequence_range, unacknowledged.is_complete)
     }
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -1,7 +1,7 @@
 //! The controller's state machine: handles inputs, keeps the table of calls in progress, and dispatches their replies.
 
 use crate::admission::Admission;
-use crate::calls::{CallPurpose, Requester, is_lost_lease};
+use crate::calls::{CallPurpose, Requester, is_lost_lease_error};
 use crate::cancellations::Cancellations;
 use crate::capacity::{CapacityState, UnplacedTasks};
 use crate::disruption::Disruption;
@@ -53,7 +53,8 @@
     pub(crate) machines: BTreeMap<MachineId, Machine>,
     pub(crate) capacity: CapacityState,
     pub(crate) roster: Roster,
-    pub(crate) state_reads: TokenBucket,
+    /// Limits all requests to the state service.
+    pub(crate) state_requests: TokenBucket,
     pub(crate) state_writes: TokenBucket,
     pub(crate) write_limits: WriteLimits,
     pub(crate) admission: Admission,
@@ -86,7 +87,8 @@
     pub(crate) detection: Option<FailureDetection>,
     /// Disruption control; `None` if the settings do not enable it.
     pub(crate) disruption: Option<Disruption>,
-    /// Number of pairs of a task and a machine that the placement search has evaluated.
+    /// Number of pairs of a task and a machine that the placement search has evaluated, plus the units that censuses
+    /// for disruption budgets have counted.
     pub(crate) evaluated_candidates: u64,
 }
 
@@ -95,7 +97,7 @@
     pub fn new(settings: Settings, incarnation: Incarnation, now: Now) -> Self {
         let controllers = f64::from(settings.partitions());
         let state = &settings.platform.facts.state;
-        let state_reads = TokenBucket::new(state.rps / controllers, state.rps / controllers);
+        let state_requests = TokenBucket::new(state.rps / controllers, state.rps / controllers);
         let state_writes = TokenBucket::new(state.write_rps / controllers, state.write_rps / controllers);
         let capacity = CapacityState::new(&settings);
         let own_name = ControllerId::new(settings.platform.host_name.clone());
@@ -120,7 +122,7 @@
             machines: BTreeMap::new(),
             capacity,
             roster: Roster::default(),
-            state_reads,
+            state_requests,
             state_writes,
             write_limits: WriteLimits {
                 value_bytes: settings.value_bytes(),
@@ -181,7 +183,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Number of pairs of a task and a machine that the placement search has evaluated, as a measure of its cost.
+    /// Number of pairs of a task and a machine that the placement search has evaluated, plus the units that censuses
+    /// for disruption budgets have counted, as a measure of their cost.
     pub fn evaluated_candidates(&self) -> u64 {
         self.evaluated_candidates
     }
@@ -317,26 +320,27 @@
                 name,
                 entitled,
                 wants_grant,
-                relies_on_grant: relies,
+                relies_on_grant,
                 digests,
-                cancellations: told,
-                detector_heartbeat: liveness,
+                cancellations,
+                detector_heartbeat,
                 permits,
             } => {
                 let from = ControllerId::new(name);
-                self.on_peer_heartbeat(&from, Channel::Scheduled, liveness);
-                self.apply_cancellations(&from, &told);
+                self.on_peer_heartbeat(&from, Channel::Scheduled, detector_heartbeat);
+                self.apply_cancellations(&from, &cancellations);
                 let granted = permits.and_then(|listing| self.on_permit_listing(&from, &listing));
-                self.on_heartbeat(id, from, (entitled, wants_grant, relies), digests, granted);
+                self.on_heartbeat(id, from, (entitled, wants_grant, relies_on_grant), digests, granted);
             }
         }
     }
 
     /// Adapts the write limits when the state service refuses a transaction.
     ///
-    /// Its limits may drop without notice. After status 429, all writes slow down at once to the announced future
-    /// rate; the most important ones (leases, the epoch, job acceptances) may use the last part of the budget.
-    /// Status 400 means that a transaction was too large: transactions that can be split are smaller from then on.
+    /// Its limits may drop without notice. After status 429, all writes slow down at once to the future rate that the
+    /// settings announce; the most important ones (leases, the epoch, job acceptances) may use the last part of the
+    /// budget. Status 400 means that a transaction was too large: transactions that can be split are smaller from then
+    /// on.
     fn apply_write_refusal(&mut self, purpose: &CallPurpose, result: Option<&(u16, Vec<u8>)>) {
         let Some((status, body)) = result else { return };
         let (what, can_split) = match purpose {
@@ -362,7 +366,7 @@
                 format!("the state service limits the write rate ({what}): slowing down writes"),
             );
         }
-        if *status == 400 && !is_lost_lease(body) {
+        if *status == 400 && !is_lost_lease_error(body) {
             if can_split {
                 self.write_limits.halve();
             }
@@ -383,16 +387,18 @@
         match purpose {
             CallPurpose::NewLease { sent } => self.on_new_lease(sent, result),
             CallPurpose::ExtendLease { sent, lease_id } => self.on_lease_extension(sent, lease_id, result),
-            CallPurpose::MemberWrite { ack } => self.on_member_write(ack, result),
+            CallPurpose::MemberWrite { acknowledged_epoch } => self.on_member_write(acknowledged_epoch, result),
             CallPurpose::LeaderWrite => self.on_leader_write(result),
             CallPurpose::EpochWrite => self.on_epoch_write(result),
             CallPurpose::ListSharedKeys { cursor, first_revision } => {
                 self.on_shared_keys(cursor, first_revision, result)
             }
             CallPurpose::WatchSharedKeys { number } => self.on_watch(number, result),
-            CallPurpose::DoneBits { partition, since } => self.on_done_bits(partition, since, result),
-            CallPurpose::DoneBitsChanges { partition, since } => self.on_done_bits_changes(partition, since, result),
-            CallPurpose::ReadAhead { partition, attempt } => self.on_read_ahead(partition, attempt, result),
+            CallPurpose::DoneBits { partition, since_epoch } => self.on_done_bits(partition, since_epoch, result),
+            CallPurpose::DoneBitsChanges { partition, since_epoch } => {
+                self.on_done_bits_changes(partition, since_epoch, result)
+            }
+            CallPurpose::ReadAhead { partition, read_number } => self.on_read_ahead(partition, read_number, result),
             CallPurpose::Job(purpose) => self.on_job_reply(purpose, result),
             CallPurpose::ReadMachineTypes => self.on_machine_types(result),
             CallPurpose::WriteMachineTypes => self.capacity.types_write_in_flight = false,
@@ -435,11 +441,11 @@
                 Some(PeerReply::Heartbeat {
                     entitled,
                     granted,
-                    relies_on_grant: relies,
+                    relies_on_grant,
                     moves,
                     refused,
                     cancellations,
-                    detector_heartbeat: liveness,
+                    detector_heartbeat,
                     permits,
                 }),
             ) => {
@@ -448,14 +454,14 @@
                     self.ask_peer_again(&to);
                 } else {
                     self.record_peer_contact(&to, true, entitled);
-                    self.record_reliance(&to, relies);
-                    self.on_peer_heartbeat(&to, Channel::Answer, liveness);
+                    self.record_reliance(&to, relies_on_grant);
+                    self.on_peer_heartbeat(&to, Channel::Answer, detector_heartbeat);
                 }
-                // The cancellations that the giver of a grant knows are applied before the grant counts.
+                // The cancellations that the granter knows are applied before the grant counts.
                 self.apply_cancellations(&to, &cancellations);
                 self.record_acknowledged_cancellations(&to, cancellations.incarnation, sent_cancellations);
                 if granted {
-                    self.record_grant(&to, sent, cancellations.has_not_read_store);
+                    self.record_grant(&to, sent, cancellations.has_not_read_state);
                 }
                 if let Some(grants) = permits {
                     self.on_permit_grants(&to, sent, &grants);
@@ -489,7 +495,7 @@
         }
     }
 
-    /// Resources that one task of a job needs: processors, accelerators and GB of memory.
+    /// Resources that one task of a job needs: CPUs, GPUs and memory in GB.
     pub(crate) fn task_resources(spec: &JobSpec) -> [f64; 3] {
         [spec.cpus, spec.gpus, spec.memory_gb]
     }
--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -43,7 +43,7 @@
     interruptions_inferred: BTreeSet<Partition>,
     /// The permits that this controller has requested or holds.
     permit_holder: PermitHolder,
-    /// Machines that are being emptied so that they can be returned, each with the start time in ms.
+    /// Machines that are being emptied so that they can be returned to the cloud, each with the start time in ms.
     emptying_since_ms: BTreeMap<MachineId, u64>,
     /// The machines of this controller that are being drained.
     drained_machines: BTreeMap<MachineId, DrainedMachine>,
@@ -56,7 +56,7 @@
 }
 
 impl Disruption {
-    /// Returns `None` if the settings do not enable disruption budgets, or if they emulate an older version.
+    /// Returns `None` if the settings do not enable disruption budgets, or if `features` turns them off.
     pub(crate) fn new(settings: &Settings, now_ms: u64) -> Option<Self> {
         (settings.level() >= DISRUPTION_LEVEL).then(|| Self {
             started_ms: now_ms,
@@ -77,19 +77,19 @@
     ControllerName::new(controller.as_str())
 }
 
-fn unit(task: &TaskId) -> Unit {
+fn unit_of_task(task: &TaskId) -> Unit {
     Unit::new(job_name(&task.job), task.index)
 }
 
 /// The task that a unit stands for, or `None` if the unit's job name is not a valid job ID.
-fn task(unit: &Unit) -> Option<TaskId> {
+fn task_of_unit(unit: &Unit) -> Option<TaskId> {
     Some(TaskId {
         job: JobId::parse(unit.job().as_str())?,
         index: unit.index(),
     })
 }
 
-fn tenure(epoch: Epoch) -> Tenure {
+fn tenure_of_epoch(epoch: Epoch) -> Tenure {
     Tenure(epoch.0)
 }
 
@@ -111,7 +111,7 @@
     pub(crate) fn open_ledger(&mut self, partition: Partition, since: Epoch) {
         let grants_from_ms = self.now.ms + self.settings.entitlement_ms();
         if let Some(disruption) = &mut self.disruption {
-            let ledger = PermitLedger::new(tenure(since), grants_from_ms);
+            let ledger = PermitLedger::new(tenure_of_epoch(since), grants_from_ms);
             disruption.ledgers.insert(partition, ledger);
         }
     }
@@ -164,8 +164,11 @@
         }
         let jobs = &self.jobs;
         let is_current = |_: &ControllerName, unit: &Unit, granted_by: Tenure| {
-            let job = task(unit).and_then(|task| jobs.get(&task.job));
-            job.and_then(|job| since.get(&job.partition)).copied().map(tenure) == Some(granted_by)
+            let job = task_of_unit(unit).and_then(|task| jobs.get(&task.job));
+            job.and_then(|job| since.get(&job.partition))
+                .copied()
+                .map(tenure_of_epoch)
+                == Some(granted_by)
         };
         if let Some(disruption) = &mut self.disruption {
             disruption.permit_holder.drop_superseded(is_current);
--- a/crates/tidelatch-core/src/disruption/budget_lookup.rs
+++ b/crates/tidelatch-core/src/disruption/budget_lookup.rs
@@ -10,8 +10,8 @@
 /// Caches, for the duration of one search, whether the budgets of each job permit an interruption.
 ///
 /// A census visits all tasks of the jobs that share a budget. A search that sorts tasks by what their budgets permit
-/// asks about the same jobs in each comparison. Without the cache, one batch used seconds of a controller's CPU time,
-/// and the controller lost its lease.
+/// asks about the same jobs in each comparison. Without the cache, a large batch would take seconds of CPU time, and
+/// the controller would lose its lease.
 pub(crate) struct BudgetLookup<'a> {
     controller: &'a Controller,
     /// By team and class: jobs with the same team and class share a census.
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -1,6 +1,6 @@
 //! Counts the running units of jobs that share a budget, as the owner of their team sees them.
 
-use super::{Disruption, job_name, tenure};
+use super::{Disruption, job_name, tenure_of_epoch};
 use crate::controller::Controller;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
 use crate::jobs::Job;
@@ -90,7 +90,8 @@
         running.map(|(index, _)| *index).collect()
     }
 
-    /// Whether a machine has reported within the last two report periods and is neither gone nor being returned.
+    /// Whether a machine has reported within the last two report periods and is neither gone nor being returned to the
+    /// cloud.
     fn has_reported_recently(&self, m: &Machine) -> bool {
         let max_report_age_ms = 2 * self.settings.report_ms();
         let is_recent = m
@@ -156,7 +157,7 @@
     }
 }
 
-/// Tasks of an array that are neither done nor on a machine, although a task with a higher index is.
+/// Tasks of an array or gang that are neither done nor on a machine, although a task with a higher index is.
 fn started_but_unplaced_units(job: &Job) -> UnitSet {
     let placed = job.placed.keys().next_back().copied();
     let done = (0..job.spec.tasks).rev().find(|index| job.is_done(*index));
@@ -182,8 +183,8 @@
             .jobs
             .get(&id)
             .filter(|job| job.partition == self.partition)?;
-        let is_cancelled = job.ending.is_some() || self.controller.cancellations.is_cancelled_or_requested(&id);
-        (!is_cancelled).then_some((id, job))
+        let is_ending = job.ending.is_some() || self.controller.cancellations.is_cancelled_or_requested(&id);
+        (!is_ending).then_some((id, job))
     }
 
     /// Whether a unit runs as an attempt whose number satisfies `matches_attempt`.
@@ -206,7 +207,8 @@
             return false;
         };
         let still_owns = record.partitions.iter().any(|part| {
-            part.owner.as_str() == permit.asker().as_str() && tenure(part.since_epoch) == permit.machine_tenure()
+            part.owner.as_str() == permit.asker().as_str()
+                && tenure_of_epoch(part.since_epoch) == permit.machine_tenure()
         });
         !still_owns && machine.seen_epoch >= record.number
     }
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -3,7 +3,7 @@
 //! A drain has a *head*, `t/d/NAME`, and *parts*, `t/d/NAME/0` and so on. The parts list the machines that the drain
 //! covers: those that were in the roster when the leader started it. The head names the machines that are being drained
 //! at present. All controllers watch the keys, and the owners of those machines drain them. A machine that has left the
-//! roster is finished. Each write is conditional on the leader's key and the epoch, so no earlier leader can write
+//! roster is finished. Each write is conditional on the leader record and the epoch, so no earlier leader can write
 //! after a later one. Versions that do not know the keys ignore them.
 
 use crate::calls::CallPurpose;
@@ -55,13 +55,13 @@
 
 impl StoredDrain {
     /// The covered machines, or `None` if not all parts are known or one cannot be decoded.
-    fn targets(&self) -> Option<MachineSet> {
+    fn covered(&self) -> Option<MachineSet> {
         let (head, _) = self.head.as_ref()?;
-        let mut targets = MachineSet::default();
+        let mut covered = MachineSet::default();
         for part in 0..head.parts {
-            targets.add_part(self.parts.get(&part)?).ok()?;
+            covered.add_part(self.parts.get(&part)?).ok()?;
         }
-        Some(targets)
+        Some(covered)
     }
 }
 
@@ -171,12 +171,12 @@
     /// Recomputes the machines that unfinished drains cover.
     fn update_covered_machines(&mut self) {
         let is_unfinished = |stored: &&StoredDrain| stored.head.as_ref().is_some_and(|(head, _)| !head.done);
-        let targets = self
+        let covered = self
             .stored
             .values()
             .filter(is_unfinished)
-            .filter_map(StoredDrain::targets);
-        self.covered_machines = targets.collect();
+            .filter_map(StoredDrain::covered);
+        self.covered_machines = covered.collect();
     }
 
     /// The known keys of a drain, the head first.
@@ -285,8 +285,8 @@
         }
     }
 
-    /// Sends a transaction that changes drain keys. It is conditional on the leader's key, the epoch and, if given, the
-    /// revision of a key.
+    /// Sends a transaction that changes drain keys. It is conditional on the leader record, the epoch and, if given,
+    /// the revision of a key.
     fn write_drain(&mut self, expected: Option<(String, Revision)>, changes: Vec<Value>, write: DrainWrite) {
         let mut conditions = vec![self.leader_condition(), self.epoch_condition()];
         conditions.extend(expected.map(|(key, revision)| json!({ "k": key, "stamp": revision })));
@@ -319,18 +319,18 @@
         if (ran_ms as f64) < rule.delay_s * 1000.0 {
             return false;
         }
-        let mut targets = MachineSet::default();
+        let mut covered = MachineSet::default();
         let machines = self.machines.iter().filter(|(_, m)| !m.is_deleted && !m.retiring);
         for (id, _) in machines.filter(|(_, m)| rule.selects(&m.model, &m.zone, m.spot)) {
-            targets.insert(&MachineName::new(id.as_str()));
+            covered.insert(&MachineName::new(id.as_str()));
         }
-        let parts = targets.parts(self.max_record_bytes());
+        let parts = covered.parts(self.max_record_bytes());
         self.log(
             Level::Info,
             format!(
                 "drain {} begins: {} machines, in {} parts",
                 rule.name,
-                targets.len(),
+                covered.len(),
                 parts.len()
             ),
         );
@@ -388,13 +388,13 @@
         let Some(stored) = disruption.drain_records.stored.get(&rule.name) else {
             return false;
         };
-        let (Some((head, revision)), Some(targets)) = (stored.head.clone(), stored.targets()) else {
+        let (Some((head, revision)), Some(covered)) = (stored.head.clone(), stored.covered()) else {
             return false;
         };
         if head.done {
             return false;
         }
-        let is_covered = |id: &MachineId| targets.contains(&MachineName::new(id.as_str()));
+        let is_covered = |id: &MachineId| covered.contains(&MachineName::new(id.as_str()));
         let remaining: Vec<&MachineId> = self
             .machines
             .iter()
@@ -413,7 +413,7 @@
             format!(
                 "drain {}: finished, {} machines replaced or returned",
                 rule.name,
-                targets.len()
+                covered.len()
             )
         } else {
             let names: Vec<&str> = next.active.iter().map(|active| active.machine.as_str()).collect();
@@ -421,7 +421,7 @@
                 "drain {}: {} of {} machines left, now draining {}",
                 rule.name,
                 remaining.len(),
-                targets.len(),
+                covered.len(),
                 names.join(", ")
             )
         };
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -9,7 +9,8 @@
 use std::collections::BTreeSet;
 use tidelatch_disruption::Interruption;
 
-/// Number of worker lease durations after which this controller stops emptying a machine that is to be returned.
+/// Number of worker lease durations after which this controller stops emptying a machine that is to be returned to the
+/// cloud.
 const MAX_EMPTYING_LEASES: u64 = 4;
 
 /// A task that is to be evicted from its machine.
@@ -24,7 +25,7 @@
 }
 
 impl Controller {
-    /// Starts to empty a machine so that it can be returned.
+    /// Starts to empty a machine so that it can be returned to the cloud.
     pub(crate) fn begin_emptying(&mut self, id: &MachineId) {
         let now = self.now.ms;
         if let Some(disruption) = &mut self.disruption {
@@ -157,7 +158,8 @@
         }
         let spec = &job.spec;
         let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
-        let fetch_rate = machine_type.map_or(1.0, |t| t.fetch_gb_per_s.max(1e-3));
+        // 1 GB/s for an unknown machine type; at least 0.001 GB/s, because it is a divisor.
+        let fetch_gb_per_s = machine_type.map_or(1.0, |t| t.fetch_gb_per_s.max(1e-3));
         let ran_s = held
             .running_since
             .map_or(0.0, |t| self.now.ms.saturating_sub(t) as f64 / 1000.0);
@@ -166,13 +168,13 @@
         let interruption = Interruption {
             remaining_s: (self.estimates.expected_run_s(spec) - ran_s).max(0.0),
             lost_s: if has_checkpoints { ran_s.min(spec.save_s) } else { ran_s },
-            fetch_s: spec.image_gb / fetch_rate,
+            fetch_s: spec.image_gb / fetch_gb_per_s,
             slack_s: spec.deadline_s.map(|deadline_s| deadline_s - age_s),
         };
         interruption.is_worth_waiting()
     }
 
-    /// Returns machines to service that did not become empty within `MAX_EMPTYING_LEASES`.
+    /// Lets tasks be placed again on machines that did not become empty within `MAX_EMPTYING_LEASES`.
     fn abandon_slow_emptying(&mut self) {
         let now = self.now.ms;
         let max_emptying_ms = MAX_EMPTYING_LEASES * self.settings.worker_lease_ms();
--- a/crates/tidelatch-core/src/disruption/interruption.rs
+++ b/crates/tidelatch-core/src/disruption/interruption.rs
@@ -1,6 +1,6 @@
 //! Voluntary interruptions of tasks. Every voluntary interruption goes through [`Controller::interrupt`].
 
-use super::{controller_name, machine_name, tenure, unit};
+use super::{controller_name, machine_name, tenure_of_epoch, unit_of_task};
 use crate::controller::Controller;
 use crate::ids::{Attempt, ControllerId, Epoch, MachineId, Partition, TaskId};
 use crate::machine_view::StopRequest;
@@ -15,7 +15,7 @@
 pub(crate) enum Cause {
     /// The task's machine is being drained.
     Drain,
-    /// The task's machine is being emptied so that it can be returned.
+    /// The task's machine is being emptied so that it can be returned to the cloud.
     Emptying,
     /// The task makes room for a replica that may not run in other zones.
     Spreading,
@@ -37,7 +37,8 @@
 /// The reason why a task is not interrupted now.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum BlockReason {
-    /// The task's team or machine is unknown, or no controller owns it.
+    /// The task's team or machine is unknown, or no controller owns it. Also used if this controller has no permit
+    /// ledger for the team, or if disruption budgets are off.
     #[error("no controller owns the task's team or its machine at present")]
     NoOwner,
     /// The task does not run, is being stopped, or waits for the other tasks of its gang.
@@ -54,7 +55,8 @@
     #[error("{0} does not support permits")]
     PermitsUnsupported(ControllerId),
     /// The gang has tasks on machines of other controllers. A gang is interrupted as a whole, by the controller that
-    /// owns all its machines, or not at all.
+    /// owns all its machines, or not at all. Also used if the gang cannot be stopped as a whole now, for example
+    /// because it is incomplete or already stops, or because one of its machines has not been heard lately.
     #[error("not all tasks of the gang are on machines of this controller")]
     GangNotLocal,
 }
@@ -72,21 +74,21 @@
     /// The request to a permit ledger of this controller.
     fn permit_request(&self, requester: &ControllerId) -> PermitRequest {
         PermitRequest {
-            unit: unit(self.task),
+            unit: unit_of_task(self.task),
             attempt: PermitAttempt(self.attempt.0),
             machine: machine_name(self.machine),
             asker: controller_name(requester),
-            machine_tenure: tenure(self.machine_owned_since),
+            machine_tenure: tenure_of_epoch(self.machine_owned_since),
         }
     }
 
     /// The permit to request from another controller.
     fn wanted_permit(&self) -> WantedPermit {
         WantedPermit {
-            unit: unit(self.task),
+            unit: unit_of_task(self.task),
             attempt: PermitAttempt(self.attempt.0),
             machine: machine_name(self.machine),
-            machine_tenure: tenure(self.machine_owned_since),
+            machine_tenure: tenure_of_epoch(self.machine_owned_since),
         }
     }
 }
@@ -172,7 +174,10 @@
         for request in &requests {
             ledger.note_used(&request.unit);
         }
-        let usage = ledger.usage(requests.first().map_or(&unit(first.task), |r| &r.unit).job(), &census);
+        let usage = ledger.usage(
+            requests.first().map_or(&unit_of_task(first.task), |r| &r.unit).job(),
+            &census,
+        );
         let left: Vec<String> = usage
             .iter()
             .map(|(scope, usage)| describe_usage(scope.as_str(), *usage))
@@ -192,8 +197,8 @@
         candidate: &Candidate,
         cause: Cause,
     ) -> Result<(), BlockReason> {
-        let holding = self.partition_owner(partition).ok_or(BlockReason::NoOwner)?;
-        let (owner, since) = (holding.owner.clone(), holding.since_epoch);
+        let assignment = self.partition_owner(partition).ok_or(BlockReason::NoOwner)?;
+        let (owner, since) = (assignment.owner.clone(), assignment.since_epoch);
         if !self.grants_permits(&owner) {
             return Err(BlockReason::PermitsUnsupported(owner));
         }
@@ -204,7 +209,7 @@
             .permit_holder
             .use_permit(now_ms, &wanted.unit, wanted.attempt)
         {
-            Ok(granted_by) if granted_by == tenure(since) => {
+            Ok(granted_by) if granted_by == tenure_of_epoch(since) => {
                 let text = format!("permitted by {owner}");
                 self.stop_with_permit(candidate, (partition, since), cause, &text);
                 Ok(())
@@ -212,7 +217,7 @@
             _ => {
                 disruption
                     .permit_holder
-                    .want(wanted, controller_name(&owner), tenure(since));
+                    .want(wanted, controller_name(&owner), tenure_of_epoch(since));
                 Err(BlockReason::PermitRequested(owner))
             }
         }
@@ -232,7 +237,7 @@
     }
 
     /// Stops a task and records the permit, given as the granting partition and the epoch of its owner, with the stop.
-    fn stop_with_permit(&mut self, candidate: &Candidate, permit: (Partition, Epoch), cause: Cause, budget: &str) {
+    fn stop_with_permit(&mut self, candidate: &Candidate, permit: (Partition, Epoch), cause: Cause, detail: &str) {
         let Candidate {
             machine, task, attempt, ..
         } = candidate;
@@ -243,7 +248,7 @@
             .to_owned();
         self.log(
             Level::Info,
-            format!("{machine}: permit used: {task} of {team} stops, {cause}; {budget}"),
+            format!("{machine}: permit used: {task} of {team} stops, {cause}; {detail}"),
         );
         self.request_stop(machine, task, *attempt);
         let m = self.machines.get_mut(*machine);
--- a/crates/tidelatch-core/src/disruption/permit_exchange.rs
+++ b/crates/tidelatch-core/src/disruption/permit_exchange.rs
@@ -1,6 +1,6 @@
 //! Exchange of permit requests and permits between controllers, in their heartbeats.
 
-use super::{Disruption, controller_name, task, tenure};
+use super::{Disruption, controller_name, task_of_unit, tenure_of_epoch};
 use crate::controller::Controller;
 use crate::ids::{Attempt, ControllerId, MachineId, TaskId};
 use crate::messages::{PermitGrants, PermitListing};
@@ -13,13 +13,13 @@
     pub(crate) fn permit_listing(&mut self, to: &ControllerId) -> Option<Box<PermitListing>> {
         let granter = controller_name(to);
         let grants_permits = self.grants_permits(to);
-        let life = self.membership.incarnation.0;
+        let incarnation = self.membership.incarnation.0;
         let holder = &mut self.disruption.as_mut()?.permit_holder;
         if !grants_permits || !holder.needs_message(&granter) {
             return None;
         }
         Some(Box::new(PermitListing {
-            incarnation: life,
+            incarnation,
             message: holder.message_for(&granter),
         }))
     }
@@ -61,7 +61,7 @@
     /// Grants one permit to another controller if the budget allows it and both controllers agree on the task's attempt
     /// and machine.
     fn grant_permit(&mut self, from: &ControllerId, wanted: &WantedPermit) -> Option<Permit> {
-        let task = task(&wanted.unit)?;
+        let task = task_of_unit(&wanted.unit)?;
         let partition = self.jobs.get(&task.job)?.partition;
         self.active_tenure(partition)?;
         let machine = MachineId::new(wanted.machine.as_str());
@@ -69,7 +69,7 @@
         let owns_machine = epoch
             .partitions
             .iter()
-            .any(|part| part.owner == *from && tenure(part.since_epoch) == wanted.machine_tenure);
+            .any(|part| part.owner == *from && tenure_of_epoch(part.since_epoch) == wanted.machine_tenure);
         if !owns_machine || !self.attempt_runs(&machine, &task, Attempt(wanted.attempt.0)) {
             return None;
         }
@@ -110,7 +110,7 @@
         }
         let Some(disruption) = &mut self.disruption else { return };
         disruption.permit_holder.retain(|request| {
-            let task = task(&request.unit);
+            let task = task_of_unit(&request.unit);
             task.is_some_and(|task| attempts_to_evict.contains(&(task, request.attempt.0)))
         });
     }
--- a/crates/tidelatch-core/src/failure_detection.rs
+++ b/crates/tidelatch-core/src/failure_detection.rs
@@ -111,7 +111,8 @@
         self.detection.as_ref().is_some_and(due)
     }
 
-    /// Passes another controller's heartbeat, or its plain message, to the detector.
+    /// Passes another controller's heartbeat to the detector or, if that controller runs no detector, the mere fact
+    /// that it sent something.
     pub(crate) fn on_peer_heartbeat(&mut self, from: &ControllerId, channel: Channel, heartbeat: Option<Heartbeat>) {
         let now_ms = self.now.ms;
         let Some(detection) = self.detection.as_mut() else {
--- a/crates/tidelatch-core/src/failure_detection/events.rs
+++ b/crates/tidelatch-core/src/failure_detection/events.rs
@@ -5,7 +5,8 @@
 use crate::messages::Level;
 use tidelatch_failure_detector::{Cleared, Event, MemberId, SuspicionLevel, Verdict};
 
-/// The phi value of a suspicion level, which is stored in thousandths.
+/// The phi value of a suspicion level, which is stored in thousandths: the measure of the phi accrual failure detector
+/// for how unlikely the lack of heartbeats is.
 fn suspicion_phi(level: SuspicionLevel) -> f64 {
     f64::from(level.0) / 1000.0
 }
@@ -68,13 +69,13 @@
             Level::Info,
             format!("suspected by {suspected_by}: refuted ({refutation})"),
         ),
-        own_event => return own_health_log_line(own_event),
+        other_event => return remaining_log_line(other_event),
     };
     Some(level_and_text)
 }
 
 /// The log level and text for an event about this controller's own health or about an ignored message.
-fn own_health_log_line(event: &Event) -> Option<(Level, String)> {
+fn remaining_log_line(event: &Event) -> Option<(Level, String)> {
     match event {
         Event::Impaired { paused_ms: 0 } => {
             let text = "almost no heartbeats arrive: this controller is probably at fault and delays suspecting others";
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 struct PreparedPartition {
     /// Number of this read, by which replies to earlier reads are recognized and ignored.
-    attempt: u64,
+    read_number: u64,
     reading: ReadProgress,
     /// Revision of the first page. The changes after it are read at the takeover.
     revision: u64,
@@ -48,8 +48,8 @@
 }
 
 impl PreparedPartition {
-    /// Whether the preparation is complete. Returns true only once.
-    fn is_newly_complete(&mut self) -> bool {
+    /// Returns true if the preparation is complete and its completion has not been logged, and marks it as logged.
+    fn take_completion(&mut self) -> bool {
         let complete = self.reading == ReadProgress::Complete && self.addresses.is_empty();
         complete && !std::mem::replace(&mut self.is_completion_logged, true)
     }
@@ -59,7 +59,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Preparation {
     partitions: BTreeMap<Partition, PreparedPartition>,
-    attempts: u64,
+    /// Number of the last read that was started.
+    last_read_number: u64,
 }
 
 /// Records that were read ahead, and the revision after which changes are still to be read.
@@ -125,10 +126,10 @@
             if preparation.partitions.contains_key(&partition) {
                 continue;
             }
-            preparation.attempts += 1;
+            preparation.last_read_number += 1;
             started.push(partition);
             let prepared = PreparedPartition {
-                attempt: preparation.attempts,
+                read_number: preparation.last_read_number,
                 reading: ReadProgress::Due(String::new()),
                 revision: 0,
                 records: BTreeMap::new(),
@@ -175,10 +176,10 @@
             addresses_to_connect.extend(addresses);
             if let ReadProgress::Due(cursor) = &prepared.reading
                 && self
-                    .state_reads
+                    .state_requests
                     .try_take(self.now.ms, 1.0, READ_SHARE_RESERVED_FOR_OTHERS)
             {
-                reads.push((*partition, prepared.attempt, cursor.clone()));
+                reads.push((*partition, prepared.read_number, cursor.clone()));
                 prepared.reading = ReadProgress::InProgress;
             }
         }
@@ -186,27 +187,27 @@
             .into_iter()
             .map(|address| Output::Connect { address });
         self.outputs.extend(connections);
-        for (partition, attempt, cursor) in reads {
-            self.read_ahead(partition, attempt, &cursor);
+        for (partition, read_number, cursor) in reads {
+            self.read_ahead(partition, read_number, &cursor);
         }
         self.log_completed_preparations();
     }
 
     /// Requests a page of a partition's records.
-    fn read_ahead(&mut self, partition: Partition, attempt: u64, cursor: &str) {
+    fn read_ahead(&mut self, partition: Partition, read_number: u64, cursor: &str) {
         let path = Self::done_bits_path(partition, cursor);
         let timeout = self.settings.lease_ms() / 4;
-        let purpose = CallPurpose::ReadAhead { partition, attempt };
+        let purpose = CallPurpose::ReadAhead { partition, read_number };
         self.send_call(Target::State, Method::Get, path, String::new(), timeout, purpose);
     }
 
     /// Handles a page of records that are read ahead.
-    pub(crate) fn on_read_ahead(&mut self, partition: Partition, attempt: u64, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_read_ahead(&mut self, partition: Partition, read_number: u64, result: Option<(u16, Vec<u8>)>) {
         let Some(detection) = self.detection.as_mut() else {
             return;
         };
         let prepared = detection.preparation.partitions.get_mut(&partition);
-        let Some(prepared) = prepared.filter(|p| p.attempt == attempt) else {
+        let Some(prepared) = prepared.filter(|p| p.read_number == read_number) else {
             return;
         };
         let page = match result {
@@ -240,7 +241,7 @@
         };
         let mut lines = Vec::new();
         for (partition, prepared) in &mut detection.preparation.partitions {
-            if prepared.is_newly_complete() {
+            if prepared.take_completion() {
                 let (records, connections) = (prepared.records.len(), prepared.connections);
                 lines.push(format!(
                     "partition {partition}: prepared to take over: {records} records, {connections} connections"
--- a/crates/tidelatch-core/src/failure_detection/registrations.rs
+++ b/crates/tidelatch-core/src/failure_detection/registrations.rs
@@ -1,4 +1,5 @@
-//! The detector's arbiter: the member records in the state service, as delivered by the watch.
+//! What the state service says about a member, which the detector needs to confirm a suspicion: the member records, as
+//! delivered by the watch.
 
 use crate::ids::ControllerId;
 use crate::membership::Membership;
@@ -21,7 +22,7 @@
 
 impl Arbiter for Registrations<'_> {
     fn registration(&self, member: &MemberId) -> Registration {
-        let observed_ms = self.membership.last_view_ms;
+        let observed_ms = self.membership.shared_keys_current_at_ms;
         if !self.membership.has_read_members() {
             return Registration::Unreachable;
         }
--- a/crates/tidelatch-core/src/failures.rs
+++ b/crates/tidelatch-core/src/failures.rs
@@ -21,8 +21,8 @@
 /// Largest fraction of the available machines that a job's retries avoid because the job has failed there. If it has
 /// failed on more, its retries may go to all of them.
 const MAX_EXCLUDED_MACHINES_FRACTION: f64 = 0.5;
-/// Report intervals for which a machine is avoided after a failure. Longer pauses cost more machines than failures
-/// do.
+/// Report intervals for which a machine is avoided after a failure. A longer time would take more capacity out of
+/// use than it saves.
 const AVOIDANCE_REPORTS: u64 = 2;
 /// Largest exponent of the backoff between retries; its unit is the report interval.
 const MAX_BACKOFF_EXPONENT: u32 = 6;
@@ -100,8 +100,8 @@
     pub(crate) fn record_failure(&mut self, id: &MachineId, task: &TaskId) {
         let now = self.now.ms;
         let report_ms = self.settings.report_ms();
-        let has_succeeded_elsewhere = self.succeeds_elsewhere(&task.job, id);
-        let is_unsuspected = self.is_unsuspected_machine(id, &task.job);
+        let has_succeeded_elsewhere = self.has_succeeded_or_runs_elsewhere(&task.job, id);
+        let is_unsuspected = self.has_no_other_failures(id, &task.job);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -129,8 +129,8 @@
         };
         machine.avoid_until = machine.avoid_until.max(now + AVOIDANCE_REPORTS * report_ms);
         machine.last_failure_at = now;
-        let proven = machine.failures.entry(task.job.clone()).or_default();
-        *proven |= has_succeeded_elsewhere;
+        let counts_against_machine = machine.failures.entry(task.job.clone()).or_default();
+        *counts_against_machine |= has_succeeded_elsewhere;
         if first_here {
             self.log(Level::Info, format!("{id}: {task} failed"));
         }
@@ -151,7 +151,8 @@
         );
     }
 
-    /// Records that a job has succeeded on a machine: its failures on others now count against those.
+    /// Records that a job has succeeded on a machine: its failures on other machines now count against
+    /// those machines.
     pub(crate) fn record_success(&mut self, job_id: &JobId, succeeded_on: &MachineId) {
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         if job.failures.machines.is_empty() {
@@ -160,21 +161,22 @@
         let failures = std::mem::take(&mut job.failures);
         for id in failures.machines.iter().filter(|id| *id != succeeded_on) {
             let failed = self.machines.get_mut(id).and_then(|m| m.failures.get_mut(job_id));
-            if let Some(proven) = failed {
-                *proven = true;
+            if let Some(counts_against_machine) = failed {
+                *counts_against_machine = true;
             }
         }
     }
 
-    /// Whether a job's failure on a machine may be the job's fault: no other job has failed on the machine.
-    fn is_unsuspected_machine(&self, id: &MachineId, job: &JobId) -> bool {
+    /// Whether a job's failure on a machine may be the job's fault: the machine is not faulty, and no other job has
+    /// failed on it.
+    fn has_no_other_failures(&self, id: &MachineId, job: &JobId) -> bool {
         self.machines
             .get(id)
             .is_some_and(|m| !m.is_faulty && m.failures.keys().all(|other| other == job))
     }
 
-    /// Whether a task of the job has succeeded, or a replica of it has run for long on another machine.
-    fn succeeds_elsewhere(&self, job_id: &JobId, failed_on: &MachineId) -> bool {
+    /// Whether a task of the job has succeeded on any machine, or a replica of it has run for long on another machine.
+    fn has_succeeded_or_runs_elsewhere(&self, job_id: &JobId, failed_on: &MachineId) -> bool {
         let Some(job) = self.jobs.get(job_id) else { return false };
         if job.done_count > 0 {
             return true;
@@ -205,8 +207,13 @@
 
     /// Takes machines out of use on which several jobs have failed that succeed elsewhere.
     pub(crate) fn detect_faulty_machines(&mut self) {
-        let proven_jobs = |m: &Machine| m.failures.values().filter(|proven| **proven).count();
-        let is_faulty = |m: &Machine| !m.is_faulty && proven_jobs(m) >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE;
+        let counted_jobs = |m: &Machine| {
+            m.failures
+                .values()
+                .filter(|counts_against_machine| **counts_against_machine)
+                .count()
+        };
+        let is_faulty = |m: &Machine| !m.is_faulty && counted_jobs(m) >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE;
         let mut faulty = Vec::new();
         for (id, machine) in self.machines.iter_mut().filter(|(_, m)| is_faulty(m)) {
             machine.is_faulty = true;
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -97,8 +97,8 @@
 
 impl Controller {
     /// Whether every member controller has announced that it supports gangs. A gang is accepted only then. A
-    /// controller that announces nothing runs the previous version. A controller that joins later raises the epoch,
-    /// and every acceptance is conditional on the epoch.
+    /// controller that announces no feature level runs a version without gangs. A controller that joins later raises
+    /// the epoch, and every acceptance is conditional on the epoch.
     pub(crate) fn all_members_support_gangs(&self) -> bool {
         self.settings.features.gangs && self.membership.members.values().all(|m| m.feature_level >= 1)
     }
@@ -187,8 +187,8 @@
     /// Decides how a gang proceeds. `missing` says whether tasks of it are on no machine.
     fn decide_gang(&self, job: &Job, gang: &GangAttempt, observation: &GangObservation, missing: bool) -> GangDecision {
         let now = self.now.ms;
-        let lease = self.settings.worker_lease_ms();
-        let wait = self.settings.gang_ms().map_or(lease, |(wait, _)| wait);
+        let worker_lease_ms = self.settings.worker_lease_ms();
+        let wait = self.settings.gang_ms().map_or(worker_lease_ms, |(wait, _)| wait);
         // A replacement that is not found in two batches may not be found for a long time, and meanwhile the other
         // tasks hold resources that another gang may be waiting for.
         let replacement_ms = 2 * self.settings.batch_retry_ms();
@@ -227,8 +227,8 @@
         true
     }
 
-    /// Stops all tasks of a gang with time to save. All machines are told at once, because each must be told within
-    /// the time in which the tasks notice each other's end.
+    /// Stops all tasks of a gang with time to save. All machines are told at once, because each must be told
+    /// before its tasks notice that another task of the gang has ended: they then end without saving.
     pub(crate) fn stop_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         for (machine, task, attempt) in self.observe_gang(id, job).held {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// All tasks of a gang that is complete and running, each with its machine. None if it cannot be stopped as a
+    /// The tasks of a gang that are all on machines, each with its machine. None if it cannot be stopped as a
     /// whole now.
     pub(crate) fn stoppable_gang_tasks(&self, id: &JobId) -> Option<Vec<(MachineId, TaskId, Attempt)>> {
         let job = self.jobs.get(id)?;
@@ -290,9 +290,10 @@
             return Some(gang.attempt);
         }
         let tenure = self.tenures.get_mut(&partition)?;
-        tenure.next_attempt += 1;
+        tenure.attempts_assigned += 1;
         // Attempt numbers contain the epoch at which the tenure began, so no other tenure can assign the same number.
-        let attempt = Attempt((tenure.since_epoch.0 << 24) + tenure.next_attempt);
+        // The low 24 bits count the attempts of the tenure.
+        let attempt = Attempt((tenure.since_epoch.0 << 24) + tenure.attempts_assigned);
         if let Some(job) = self.jobs.get_mut(id).filter(|j| j.spec.shape == Shape::Gang) {
             job.gang = Some(GangAttempt::new(attempt, now));
         }
--- a/crates/tidelatch-core/src/jobs/requests.rs
+++ b/crates/tidelatch-core/src/jobs/requests.rs
@@ -25,7 +25,7 @@
 
     /// Reads a job's record from the state service. The read is sent whatever the request budget holds.
     pub(super) fn read_job(&mut self, id: &JobId, purpose: Purpose) {
-        self.state_reads.take_unconditionally(self.now.ms, 1.0);
+        self.state_requests.take_unconditionally(self.now.ms, 1.0);
         // Users wait 2 s for the answer to a poll.
         let timeout = (self.settings.lease_ms() / 4).min(1500);
         self.send_call(
--- a/crates/tidelatch-core/src/jobs/status_reads.rs
+++ b/crates/tidelatch-core/src/jobs/status_reads.rs
@@ -49,7 +49,7 @@
         }
         let max_in_flight = (self.state_requests_per_s() * MAX_READS_IN_FLIGHT_PER_RPS).max(1.0) as usize;
         let in_flight = self.status_reads.in_flight.len();
-        if in_flight >= max_in_flight || !self.state_reads.try_take(self.now.ms, 0.0, RESERVED_BUDGET_SHARE) {
+        if in_flight >= max_in_flight || !self.state_requests.try_take(self.now.ms, 0.0, RESERVED_BUDGET_SHARE) {
             self.answer_all(requesters, &Answer::retry_later(503, 1, "too many requests at present"));
             return;
         }
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -1,7 +1,7 @@
 //! This controller's view of the machines: which tasks may be on each, and the reports that prove it.
 //!
 //! A machine counts as holding a task from the moment the task is booked there. It stops counting only when the
-//! task's exit is reported, when a later periodic report than the one whose answer carried the start does not list
+//! task's exit is reported, when a periodic report that was sent after the worker received the start does not list
 //! the task, when the machine begins a new session, or when the cloud has answered that the machine is deleted. The
 //! expiry of an unresponsive worker's lease is never taken as evidence, because any entitled controller may have
 //! answered the worker and thereby renewed it.
@@ -41,7 +41,7 @@
             m.held.retain(is_of_another_partition);
             m.only_others_since = None;
             m.ended.clear();
-            // Older starts are fenced by the epoch of this tenure: reports under an older epoch are not accepted.
+            // Older starts are fenced by the epoch of the next tenure: reports under an older epoch are not accepted.
             m.unanswered_starts.clear();
             m.pending_command = None;
             m.last_heard_at = None;
@@ -133,7 +133,8 @@
         self.schedule_batch();
     }
 
-    /// Releases all attempts on a machine after proof that they are gone. `why` names the proof in the log.
+    /// Releases all attempts on a machine that are proven to be gone, or that go on under another owner after the
+    /// machine was handed over. `why` names the reason in the log.
     pub(crate) fn release_all_attempts(&mut self, machine: &MachineId, why: &str) {
         let held: Vec<(TaskId, Attempt)> = match self.machines.get(machine) {
             Some(m) => m.held.iter().map(|h| (h.task.clone(), h.attempt)).collect(),
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -17,13 +17,14 @@
 }
 
 /// The command that stops a task that its machine reports in `state`. None if the task is to go on running, or is
-/// saving within its time limit.
+/// saving within its time limit. Also requests the stop of a task that is not wanted any more.
 fn stop_command(held: &mut HeldTask, state: TaskState, is_wanted: bool, now: u64, report_ms: u64) -> Option<Command> {
     if !is_wanted && held.stop.is_none() {
         held.stop = Some(StopRequest::new(0.0, now));
     }
     let stop = held.stop?;
-    // A task that takes too long to save is killed.
+    // A task that takes too long to save is killed: longer than twice its grace plus two report intervals. The factor
+    // of 2000 also converts seconds to milliseconds.
     let is_late = now.saturating_sub(stop.requested_at) > (stop.grace_s * 2000.0) as u64 + 2 * report_ms;
     let saves_in_time = state == TaskState::Saving && !is_late && is_wanted && stop.grace_s != 0.0;
     (!saves_in_time).then(|| Command::Stop {
@@ -40,15 +41,16 @@
         let now = self.now.ms;
         let report_ms = self.settings.report_ms();
         let epoch = self.epoch();
-        let sharing = self.all_members_support_shared_machines();
+        let shared_machines_supported = self.all_members_support_shared_machines();
         let mut commands = self.forget_commands(id);
         let Some(m) = self.machines.get_mut(id) else {
             return commands;
         };
         let mut dropped = Vec::new();
         for h in &mut m.held {
-            let is_known_here =
-                |job: &&Job| job.partition == m.partition || (sharing && m.also_holds.contains(&job.partition));
+            let is_known_here = |job: &&Job| {
+                job.partition == m.partition || (shared_machines_supported && m.also_holds.contains(&job.partition))
+            };
             let job = self.jobs.get(&h.task.job).filter(is_known_here);
             let accepts_starts = job.is_some_and(|j| j.ending.is_none());
             // A cancellation stops tasks from the moment it is requested.
@@ -123,6 +125,7 @@
     /// Requests that a held task stops, saving its state first if it has checkpoints.
     pub(crate) fn request_stop(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
         let now = self.now.ms;
+        // At least 0.1 s, because a grace of 0 kills the task at once.
         let grace_s = match self.jobs.get(&task.job) {
             Some(j) if j.spec.checkpoint_s > 0.0 => j.spec.save_s.max(0.1),
             _ => 0.0,
@@ -206,7 +209,7 @@
         }
         let (epoch, session) = sent_under;
         let now = self.now.ms;
-        let lease = self.settings.worker_lease_ms();
+        let worker_lease_ms = self.settings.worker_lease_ms();
         let partition = self.machines.get(&id).map(|m| m.partition);
         if partition.is_none_or(|p| self.active_tenure(p).is_none()) {
             // The tenure has ended, or its controller may not act: the next acting owner determines what is on the
@@ -238,7 +241,7 @@
             // established.
             (Some(status @ (409 | STATUS_NOT_CONNECTED | STATUS_NO_FREE_SOCKET)), report) => {
                 if status != STATUS_NO_FREE_SOCKET {
-                    m.direct_commands_from = now + lease / 4;
+                    m.direct_commands_from = now + worker_lease_ms / 4;
                 }
                 let not_started: Vec<(TaskId, Attempt)> = m
                     .held
@@ -254,7 +257,7 @@
                 }
             }
             _ => {
-                m.direct_commands_from = now + lease;
+                m.direct_commands_from = now + worker_lease_ms;
                 m.mark_unanswered_starts(epoch, session, now);
             }
         }
--- a/crates/tidelatch-core/src/machine_view/machine.rs
+++ b/crates/tidelatch-core/src/machine_view/machine.rs
@@ -34,10 +34,10 @@
 
 impl StopRequest {
     /// Creates a stop that needs no permit.
-    pub(crate) fn new(grace_s: f64, at: u64) -> Self {
+    pub(crate) fn new(grace_s: f64, requested_at: u64) -> Self {
         Self {
             grace_s,
-            requested_at: at,
+            requested_at,
             permit: None,
         }
     }
@@ -70,7 +70,7 @@
 /// A worker that reports to this controller although another controller owns its machine. Times are in ms.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MisdirectedWorker {
-    /// When its present stay here began.
+    /// When it began to report to this controller.
     pub(super) since: u64,
     /// When it last reported here.
     pub(super) last_seen: u64,
@@ -279,8 +279,9 @@
         self.last_report_key
     }
 
-    /// Whether tasks may be placed on it. `patience` is the longest time since its last report, in ms.
-    pub(crate) fn is_usable(&self, now: u64, patience: u64) -> bool {
+    /// Whether tasks may be placed on it. `max_report_age_ms` is the longest time since it was last
+    /// heard.
+    pub(crate) fn is_usable(&self, now: u64, max_report_age_ms: u64) -> bool {
         self.is_confirmed
             && self.is_up()
             && !self.has_preemption_notice
@@ -292,7 +293,9 @@
             && !self.is_deleted
             && self.moving_to.is_none()
             && now >= self.avoid_until
-            && self.last_heard_at.is_some_and(|t| now.saturating_sub(t) <= patience)
+            && self
+                .last_heard_at
+                .is_some_and(|t| now.saturating_sub(t) <= max_report_age_ms)
     }
 
     /// The sum of the resources of all tasks that it holds or may hold.
--- a/crates/tidelatch-core/src/machine_view/report_routing.rs
+++ b/crates/tidelatch-core/src/machine_view/report_routing.rs
@@ -91,14 +91,15 @@
     }
 
     /// Relays a report of a machine that another controller owns. A worker that has reported here for two report
-    /// intervals is redirected to the owner. If it comes back, it is not redirected again for the time of a worker
-    /// lease.
+    /// intervals is redirected to the owner; one whose machine is not recorded as up is redirected at once. If the
+    /// owner is unreachable from here, the worker is redirected at once to a third controller that is reachable. If it
+    /// comes back, it is not redirected again for the time of a worker lease.
     ///
     /// The report is relayed first because a worker that reports here after failing to reach its owner has already
     /// gone without an answer for a while. Redirecting it into the same network partition would double that time.
     pub(super) fn relay_report(&mut self, requester: Requester, report: Report, owner: &ControllerId, body: &[u8]) {
         let now = self.now.ms;
-        let lease = self.settings.worker_lease_ms();
+        let worker_lease_ms = self.settings.worker_lease_ms();
         let redirect_delay_ms = 2 * self.settings.report_ms();
         let reachable = self.is_reachable(owner);
         let is_up = self.machines.get(&report.machine).is_some_and(Machine::is_up);
@@ -114,7 +115,7 @@
         } else {
             third_controller()
         };
-        let guest = self
+        let worker = self
             .misdirected_workers
             .entry(report.machine.clone())
             .or_insert(MisdirectedWorker {
@@ -122,12 +123,14 @@
                 last_seen: now,
                 redirected_at: None,
             });
-        guest.last_seen = now;
-        let was_redirected_lately = guest.redirected_at.is_some_and(|t| now.saturating_sub(t) < lease);
+        worker.last_seen = now;
+        let was_redirected_lately = worker
+            .redirected_at
+            .is_some_and(|t| now.saturating_sub(t) < worker_lease_ms);
         let can_redirect =
-            !was_redirected_lately && (!is_up || !reachable || now.saturating_sub(guest.since) >= redirect_delay_ms);
+            !was_redirected_lately && (!is_up || !reachable || now.saturating_sub(worker.since) >= redirect_delay_ms);
         if let Some(to) = to.filter(|_| can_redirect) {
-            guest.redirected_at = Some(now);
+            worker.redirected_at = Some(now);
             self.redirect_worker(requester, &to);
             return;
         }
--- a/crates/tidelatch-core/src/machine_view/reports.rs
+++ b/crates/tidelatch-core/src/machine_view/reports.rs
@@ -94,11 +94,14 @@
     /// Applies what a report says about the machine itself. None if the machine is not known.
     fn update_machine_state(&mut self, report: &Report) -> Option<MachineUpdate> {
         let now = self.now.ms;
-        let lease = self.settings.worker_lease_ms();
+        let worker_lease_ms = self.settings.worker_lease_ms();
         let tenures = &self.tenures;
         let m = self.machines.get_mut(&report.machine)?;
         let is_new_session = report.session > m.last_report_key.0 && m.last_report_key.0 > 0;
-        if is_new_session && m.last_answered_at.is_some_and(|t| now.saturating_sub(t) < lease / 2) {
+        if is_new_session
+            && m.last_answered_at
+                .is_some_and(|t| now.saturating_sub(t) < worker_lease_ms / 2)
+        {
             // The lease expired although the worker's reports were being answered: the answers did not arrive.
             m.missed_answers += 2;
         }
@@ -172,7 +175,7 @@
         };
         if m.held.iter().any(is_missing) {
             // A single miss is a lost packet. If it repeats, tasks are placed on other machines, because their starts
-            // would be lost here again and again.
+            // would be lost here again and again. The time doubles with each miss, up to 32 report intervals.
             m.missed_answers += 1;
             m.avoid_until = self.now.ms + (self.settings.report_ms() << m.missed_answers.min(5));
         }
@@ -289,7 +292,8 @@
         true
     }
 
-    /// Adds a task that was not booked in this tenure: one found after a takeover, or one that should not be there.
+    /// Adds a task that was not booked in this tenure: one found after a takeover, one that is not wanted any more, or
+    /// a second copy.
     fn adopt_task(&mut self, id: &MachineId, task: TaskId, attempt: Attempt, state: TaskState) {
         let now = self.now.ms;
         let (size, team) = match (self.jobs.get(&task.job), self.ended_jobs.get(&task.job)) {
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -22,7 +22,7 @@
 use crate::settings::SHARED_MACHINES_LEVEL;
 use std::collections::BTreeSet;
 
-/// What a controller keeps knowing about a machine that is handed to another partition.
+/// What a controller still knows about the tasks on a machine that is handed to another partition.
 #[derive(Debug, Default)]
 pub(crate) struct RetainedTasks {
     /// Tasks of partitions that this controller owns.
@@ -33,9 +33,9 @@
 
 impl Machine {
     /// Restores what was known about the machine before it was handed over.
-    pub(crate) fn restore_tasks(&mut self, carried: RetainedTasks) {
-        self.held = carried.held;
-        self.unaccounted_partitions = carried.unaccounted;
+    pub(crate) fn restore_tasks(&mut self, retained: RetainedTasks) {
+        self.held = retained.held;
+        self.unaccounted_partitions = retained.unaccounted;
     }
 }
 
@@ -96,7 +96,7 @@
         let Some(m) = self.machines.get_mut(id) else {
             return RetainedTasks::default();
         };
-        let mut carried = RetainedTasks {
+        let mut retained = RetainedTasks {
             held: Vec::new(),
             unaccounted: std::mem::take(&mut m.unaccounted_partitions),
         };
@@ -105,9 +105,9 @@
             let partition = settings.partition_of_team(&held.team);
             partition.is_some_and(|p| tenures.contains_key(&p))
         };
-        (carried.held, m.held) = std::mem::take(&mut m.held).into_iter().partition(is_own);
+        (retained.held, m.held) = std::mem::take(&mut m.held).into_iter().partition(is_own);
         self.release_all_attempts(id, "it was handed to another partition");
-        carried
+        retained
     }
 
     /// Resets what is known about a partition's tasks on other partitions' machines, after its tenure has begun or
@@ -144,9 +144,9 @@
     ///
     /// An unanswered start that has not been reported leaves its task in a state that is not settled. One that has
     /// been reported is listed by the worker, where a late copy of the command has no effect, and the next owner does
-    /// not have an ended attempt of another partition forgotten for three worker leases (`commands_for`). The check of
-    /// `unanswered_starts` therefore excludes nothing that these two conditions do not, and no test can observe it.
-    /// It protects against later changes to what is known about a machine.
+    /// not have an ended attempt of another partition forgotten for three worker leases (`forget_commands`). So the
+    /// conditions on the held tasks already exclude whatever the check of `unanswered_starts` excludes. The check stays
+    /// in case what is known about a machine changes.
     pub(crate) fn can_hand_over_with_tasks(&self, machine: &Machine) -> bool {
         let is_settled = |h: &HeldTask| {
             let is_fetching_or_running = matches!(
@@ -170,7 +170,7 @@
             return;
         }
         self.poll_shared_machines();
-        self.return_shared_machines();
+        self.hand_back_shared_machines();
     }
 
     /// Sends status requests to the workers of other partitions' machines that hold or may hold this controller's
@@ -292,13 +292,13 @@
         }
     }
 
-    /// Hands machines that hold only tasks of one other partition to that partition, which can then empty and return
-    /// them. For machines that hold no tasks of other partitions, has the roster updated.
-    fn return_shared_machines(&mut self) {
+    /// Hands machines that hold only tasks of one other partition to that partition, which can then empty them and
+    /// return them to the cloud. For machines that hold no tasks of other partitions, has the roster updated.
+    fn hand_back_shared_machines(&mut self) {
         let now = self.now.ms;
         let wait_ms = self.settings.worker_lease_ms();
         let acting = self.active_partitions();
-        let mut returned: Vec<(MachineId, Partition)> = Vec::new();
+        let mut handed_back: Vec<(MachineId, Partition)> = Vec::new();
         let mut cleared: Vec<MachineId> = Vec::new();
         for (id, m) in &self.machines {
             if m.also_holds.is_empty() || !acting.contains(&m.partition) || !m.is_confirmed || m.is_deleted {
@@ -315,13 +315,13 @@
                 .first()
                 .filter(|_| has_waited && partitions.len() == 1 && self.can_hand_over_with_tasks(m))
             {
-                returned.push((id.clone(), *to));
+                handed_back.push((id.clone(), *to));
             }
         }
         for id in cleared {
             self.schedule_group_write(&id, now + self.settings.report_ms());
         }
-        for (id, to) in returned {
+        for (id, to) in handed_back {
             self.log(
                 Level::Info,
                 format!("{id} goes to partition {to}, whose tasks alone are on it"),
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -58,10 +58,10 @@
         if let Some(m) = self.machines.get_mut(&id) {
             m.confirming = false;
         }
-        let was_not_sent = matches!(result, Some((STATUS_NO_FREE_SOCKET, _)));
+        let was_not_tried = matches!(result, Some((STATUS_NO_FREE_SOCKET, _)));
         let report = result.and_then(|(status, body)| Some((status, serde_json::from_slice::<Report>(&body).ok()?)));
         let Some((status, report)) = report else {
-            self.count_failed_probe(&id, sent, was_not_sent);
+            self.count_failed_probe(&id, sent, was_not_tried);
             return;
         };
         let partition = self.machines.get(&id).map(|m| m.partition);
@@ -126,12 +126,12 @@
             self.probe_unresponsive_machines(p, active_at);
             self.give_up_lost_machines(p, active_at);
         }
-        let lease = self.settings.worker_lease_ms();
+        let worker_lease_ms = self.settings.worker_lease_ms();
         self.misdirected_workers
-            .retain(|_, g| now.saturating_sub(g.last_seen) < lease);
+            .retain(|_, worker| now.saturating_sub(worker.last_seen) < worker_lease_ms);
     }
 
-    /// Sends status requests to machines whose report is overdue.
+    /// Sends status requests to machines whose report is overdue by half a report interval.
     pub(super) fn probe_unresponsive_machines(&mut self, partition: Partition, active_at: u64) {
         let now = self.now.ms;
         let report_ms = self.settings.report_ms();
@@ -162,7 +162,7 @@
     /// Handles the answer to a status request.
     pub(crate) fn on_probe_answer(&mut self, id: MachineId, sent: u64, result: Option<(u16, Vec<u8>)>) {
         // No socket was free on this controller, which says nothing about the machine.
-        let was_not_sent = matches!(result, Some((STATUS_NO_FREE_SOCKET, _)));
+        let was_not_tried = matches!(result, Some((STATUS_NO_FREE_SOCKET, _)));
         let report = match result {
             Some((200, body)) => serde_json::from_slice::<Report>(&body).ok(),
             _ => None,
@@ -179,7 +179,7 @@
                 self.accept_report(&report, false);
             }
             Some(report) => self.accept_shared_report(&report),
-            None => self.count_failed_probe(&id, sent, was_not_sent),
+            None => self.count_failed_probe(&id, sent, was_not_tried),
         }
     }
 
@@ -190,14 +190,17 @@
     /// zone is reachable if another machine of the zone was heard. For a zone in which the partition has no other
     /// machine, it is enough that the controller in that zone was heard and that any workers are heard at all. Two
     /// such unanswered requests rule out a network fault that began or ended at just that moment.
-    fn count_failed_probe(&mut self, id: &MachineId, sent: u64, was_not_sent: bool) {
-        let from = sent.saturating_sub(self.settings.report_ms() / 2);
+    fn count_failed_probe(&mut self, id: &MachineId, sent: u64, was_not_tried: bool) {
+        let heard_since_ms = sent.saturating_sub(self.settings.report_ms() / 2);
         let is_zone_heard = self.machines.get(id).is_some_and(|m| {
             let others = self
                 .machines
                 .iter()
                 .filter(|(other, o)| *other != id && o.zone == m.zone);
-            others.filter_map(|(_, o)| o.heard_directly).any(|t| t >= from) || self.is_zone_reachable(m, sent)
+            others
+                .filter_map(|(_, o)| o.heard_directly)
+                .any(|t| t >= heard_since_ms)
+                || self.is_zone_reachable(m, sent)
         });
         let partition = self.machines.get(id).map(|m| m.partition);
         let tenure = partition.and_then(|p| self.tenures.get(&p));
@@ -205,7 +208,7 @@
         let is_of_this_tenure = tenure.is_some_and(|t| sent >= t.active_since_ms);
         if is_zone_heard
             && is_of_this_tenure
-            && !was_not_sent
+            && !was_not_tried
             && let Some(m) = self.machines.get_mut(id)
         {
             m.failed_probes += 1;
@@ -219,17 +222,17 @@
     fn is_zone_reachable(&self, machine: &Machine, sent: u64) -> bool {
         let (zone, report_ms) = (&machine.zone, self.settings.report_ms());
         let blocks_older_tasks = !machine.is_confirmed && machine.may_hold_older_tasks;
-        let from = sent.saturating_sub(if blocks_older_tasks {
+        let heard_since_ms = sent.saturating_sub(if blocks_older_tasks {
             2 * report_ms
         } else {
             report_ms / 2
         });
         let platform = &self.settings.platform;
-        let workers = self
+        let is_any_worker_heard = self
             .machines
             .values()
             .filter_map(|m| m.heard_directly)
-            .any(|t| t >= from);
+            .any(|t| t >= heard_since_ms);
         let is_peer_reachable = |name: &str| {
             let peer = self.membership.peers.get(&ControllerId::new(name));
             peer.is_some_and(|p| {
@@ -239,7 +242,7 @@
             })
         };
         let mut peers = platform.siblings.iter().filter(|s| s.area == *zone);
-        workers && (platform.area == *zone || peers.any(|s| is_peer_reachable(&s.host_name)))
+        is_any_worker_heard && (platform.area == *zone || peers.any(|s| is_peer_reachable(&s.host_name)))
     }
 
     /// Finds machines that have held tasks of cancelled jobs for too long. Their deletion proves that these tasks are
@@ -314,7 +317,7 @@
         let mut limits = ResponseLimits {
             now: self.now.ms,
             active_at,
-            limit_ms: unresponsive_ms,
+            max_unheard_ms: unresponsive_ms,
             few_miss_answers: true,
         };
         let is_in_scope = |m: &&Machine| m.partition == partition && m.is_up() && !m.is_deleted;
@@ -326,11 +329,11 @@
         // When most machines stop reporting at once, the fault is more likely on this controller's side of the
         // network.
         if unresponsive > 1 && unresponsive * 2 > up.len() {
-            limits.limit_ms = self.settings.worker_lease_ms() + unresponsive_ms;
+            limits.max_unheard_ms = self.settings.worker_lease_ms() + unresponsive_ms;
         }
         // Reports may arrive from a worker that no answer reaches. Either its epoch stays old, so that the machine
-        // would never be accounted for, or it loses every start. Only its deletion resolves this. If more than a few
-        // machines are affected, the fault is more likely on this controller's side.
+        // would never be accounted for, or it loses every start. Only its deletion resolves this. If more than one
+        // machine and more than an eighth are affected, the fault is more likely on this controller's side.
         let missing_answers = up.iter().filter(|m| m.missed_answers >= MISSED_ANSWERS_LIMIT).count();
         limits.few_miss_answers = missing_answers <= 1 || missing_answers * 8 <= up.len();
         limits
@@ -353,8 +356,8 @@
         }
         // After a preemption notice from the cloud, a machine that stops reporting counts as gone.
         let is_reclaimed = m.has_preemption_notice && limits.is_unheard_for(m, 2 * report_ms);
-        // An unconfirmed machine of a takeover blocks the older tasks of its whole partition, and requests have been
-        // sent to it since the takeover began, so it gets less time.
+        // An unconfirmed machine of a takeover blocks the tasks of its whole partition that were started before the
+        // takeover, and requests have been sent to it since the takeover began, so it gets less time.
         let blocks_older_tasks = !m.is_confirmed && m.may_hold_older_tasks;
         let dead_ms = if blocks_older_tasks {
             report_ms
@@ -362,7 +365,7 @@
             report_ms * 12 / 5
         };
         let is_dead = limits.is_unheard_for(m, dead_ms) && m.failed_probes >= 2;
-        (is_reclaimed || is_dead || limits.is_unheard_for(m, limits.limit_ms)).then_some("silent")
+        (is_reclaimed || is_dead || limits.is_unheard_for(m, limits.max_unheard_ms)).then_some("silent")
     }
 
     /// Time after which a machine that has not come up is given up.
@@ -396,11 +399,11 @@
 /// Limits by which a partition's machines are found to be unresponsive. Times are in ms.
 struct ResponseLimits {
     now: u64,
-    /// Since when this controller has owned the partition. Missing reports before that say nothing.
+    /// Since when this controller has acted for the partition. Missing reports before that say nothing.
     active_at: u64,
     /// The longest time for which a machine may go without reporting.
-    limit_ms: u64,
-    /// At most a few machines miss answers.
+    max_unheard_ms: u64,
+    /// At most one machine, or at most an eighth of them, misses answers.
     few_miss_answers: bool,
 }
 
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -12,7 +12,7 @@
 mod lease_failures;
 mod records;
 mod registration;
-mod shared;
+mod shared_keys;
 mod tenure;
 
 pub use epoch::next_epoch;
@@ -36,7 +36,7 @@
     /// When the grant expires, on this controller's monotonic clock.
     valid_until_ms: u64,
     /// The peer that gave the grant has not read the state service since it started.
-    giver_has_not_read_store: bool,
+    granter_has_not_read_state: bool,
 }
 
 /// What this controller knows about a peer from its heartbeats.
@@ -68,7 +68,7 @@
     /// When the last extension was sent. After a failure it is set back, so that the next one is sent early.
     last_extension_ms: u64,
     /// When the entitlement by the lease ends; grants of peers may prolong it.
-    entitled_until_ms: u64,
+    entitled_by_lease_until_ms: u64,
     /// When the last successful extension, or the lease itself, was requested.
     lease_requested_ms: u64,
     /// Failed lease requests and pauses of this process since then.
@@ -88,6 +88,7 @@
     watch_number: u64,
     /// Failures of the watch since its last success or since the last fallback to a new listing.
     watch_failures: u32,
+    /// The last request to extend the lease failed. A failed request for a new lease does not set this.
     has_extension_failed: bool,
     /// The last request to obtain or extend the lease failed: the state service does not serve this controller.
     has_lease_call_failed: bool,
@@ -98,19 +99,21 @@
     given_grants_until_ms: u64,
     /// When the longest grant that an earlier incarnation of this process may have given expires. Until
     /// then this controller becomes leader only if every peer has said that it relies on no grant.
-    forgotten_grants_until_ms: u64,
+    earlier_grants_until_ms: u64,
     /// Peers whose last heartbeat or answer said that they rely on no grant of this controller.
     peers_relying_on_no_grant: BTreeSet<ControllerId>,
     /// No new lease, listing or watch is requested before this time, after a failed request.
-    retry_ms: u64,
+    no_request_before_ms: u64,
     /// Revision of the state service up to which the shared keys are known.
     pub(crate) revision: u64,
     /// When the shared keys were last listed, or their watch last answered.
-    pub(crate) last_view_ms: u64,
+    pub(crate) shared_keys_current_at_ms: u64,
     pub(crate) members: BTreeMap<ControllerId, MemberRecord>,
+    /// The leader record, with the revision of its key.
     pub(crate) leader: Option<(LeaderRecord, Revision)>,
     is_taking_leadership: bool,
     pub(crate) leader_since_ms: u64,
+    /// The epoch record, with the revision of its key.
     pub(crate) epoch: Option<(EpochRecord, Revision)>,
     is_writing_epoch: bool,
     /// After an attempt to become leader or to raise the epoch, the next attempt waits until this time or
@@ -118,14 +121,14 @@
     /// use up its budget of writes. Time in milliseconds, and revision.
     next_membership_change: (u64, u64),
     pub(crate) peers: BTreeMap<ControllerId, PeerStatus>,
-    /// This controller has held a lease since the process started.
+    /// This controller has held a lease at some time since the process started.
     has_been_entitled: bool,
 }
 
 impl Membership {
     /// Whether the members' keys have been read since this process started.
     pub(crate) fn has_read_members(&self) -> bool {
-        self.has_listed_keys && self.last_view_ms > 0
+        self.has_listed_keys && self.shared_keys_current_at_ms > 0
     }
 
     /// When the last grant that this controller has given expires.
@@ -134,14 +137,14 @@
     }
 
     /// Creates the state of a controller that has just started.
-    pub(crate) fn new(inc: Incarnation, forgotten_grants_until_ms: u64) -> Self {
+    pub(crate) fn new(incarnation: Incarnation, earlier_grants_until_ms: u64) -> Self {
         Self {
-            incarnation: inc,
+            incarnation,
             lease_id: None,
             is_requesting_lease: false,
             is_extending_lease: false,
             last_extension_ms: 0,
-            entitled_until_ms: 0,
+            entitled_by_lease_until_ms: 0,
             lease_requested_ms: 0,
             lease_failures: LeaseFailures::default(),
             written_record: None,
@@ -157,11 +160,11 @@
             has_lease_call_failed: false,
             received_grants: BTreeMap::new(),
             given_grants_until_ms: 0,
-            forgotten_grants_until_ms,
+            earlier_grants_until_ms,
             peers_relying_on_no_grant: BTreeSet::new(),
-            retry_ms: 0,
+            no_request_before_ms: 0,
             revision: 0,
-            last_view_ms: 0,
+            shared_keys_current_at_ms: 0,
             members: BTreeMap::new(),
             leader: None,
             is_taking_leadership: false,
@@ -176,10 +179,10 @@
 }
 
 impl Controller {
-    /// Sends a transaction to the state service. It uses one read and, for each change, one write of the
-    /// rate limits, even when none is left.
+    /// Sends a transaction to the state service. It counts as one request and, for each change, as one write
+    /// against the rate limits, and is sent even if these are used up.
     pub(crate) fn txn(&mut self, conditions: Vec<Value>, changes: Vec<Value>, purpose: CallPurpose) {
-        self.state_reads.take_unconditionally(self.now.ms, 1.0);
+        self.state_requests.take_unconditionally(self.now.ms, 1.0);
         self.state_writes
             .take_unconditionally(self.now.ms, changes.len() as f64);
         let timeout = self.settings.lease_ms() / 4;
@@ -190,42 +193,49 @@
     /// Obtains or extends the lease, follows the shared keys, and advances registration, leadership and heartbeats.
     pub(crate) fn tick_membership(&mut self) {
         let now = self.now.ms;
-        let quarter = self.settings.lease_ms() / 4;
+        let quarter_lease_ms = self.settings.lease_ms() / 4;
         match self.membership.lease_id {
-            None if !self.membership.is_requesting_lease && now >= self.membership.retry_ms => {
+            None if !self.membership.is_requesting_lease && now >= self.membership.no_request_before_ms => {
                 self.membership.is_requesting_lease = true;
                 let body = json!({ "ttlMs": self.settings.lease_ms() }).to_string();
-                self.state_reads.take_unconditionally(now, 1.0);
+                self.state_requests.take_unconditionally(now, 1.0);
                 self.send_call(
                     Target::State,
                     Method::Post,
                     "/leases",
                     body,
-                    quarter,
+                    quarter_lease_ms,
                     CallPurpose::NewLease { sent: now },
                 );
             }
             Some(lease_id)
-                if !self.membership.is_extending_lease && now >= self.membership.last_extension_ms + quarter =>
+                if !self.membership.is_extending_lease
+                    && now >= self.membership.last_extension_ms + quarter_lease_ms =>
             {
                 self.membership.is_extending_lease = true;
                 self.membership.last_extension_ms = now;
-                self.state_reads.take_unconditionally(now, 1.0);
+                self.state_requests.take_unconditionally(now, 1.0);
                 self.send_call(
                     Target::State,
                     Method::Post,
                     format!("/leases/{lease_id}/extend"),
                     "{}".into(),
-                    quarter,
+                    quarter_lease_ms,
                     CallPurpose::ExtendLease { sent: now, lease_id },
                 );
             }
             _ => {}
         }
-        if !self.membership.has_listed_keys && !self.membership.is_listing_keys && now >= self.membership.retry_ms {
+        if !self.membership.has_listed_keys
+            && !self.membership.is_listing_keys
+            && now >= self.membership.no_request_before_ms
+        {
             self.list_shared_keys(String::new(), 0);
         }
-        if self.membership.has_listed_keys && !self.membership.is_watching && now >= self.membership.retry_ms {
+        if self.membership.has_listed_keys
+            && !self.membership.is_watching
+            && now >= self.membership.no_request_before_ms
+        {
             self.watch_shared_keys();
         }
         self.log_entitlement_loss();
--- a/crates/tidelatch-core/src/membership/entitlement.rs
+++ b/crates/tidelatch-core/src/membership/entitlement.rs
@@ -15,7 +15,10 @@
 
     /// Milliseconds until this controller's entitlement to act expires.
     pub(crate) fn remaining_entitlement_ms(&self) -> u64 {
-        let until = self.membership.entitled_until_ms.max(self.all_grants_until_ms());
+        let until = self
+            .membership
+            .entitled_by_lease_until_ms
+            .max(self.all_grants_until_ms());
         until.saturating_sub(self.now.ms)
     }
 
@@ -34,13 +37,18 @@
     }
 
     pub(super) fn is_entitled_at(&self, now: u64) -> bool {
-        self.membership.lease_id.is_some() && now < self.membership.entitled_until_ms.max(self.all_grants_until_ms())
+        self.membership.lease_id.is_some()
+            && now
+                < self
+                    .membership
+                    .entitled_by_lease_until_ms
+                    .max(self.all_grants_until_ms())
     }
 
     /// Time until which every peer has promised not to change the membership; 0: a grant is missing.
     ///
-    /// At least one of the grants must come from an incarnation that has read the state service: incarnations
-    /// that have ended since then may have confirmed cancellations to users that no other controller knows of.
+    /// At least one of the grants must come from an incarnation that has read the state service: incarnations that have
+    /// ended may have confirmed cancellations to users, and one that has not read it does not know of them.
     pub(super) fn all_grants_until_ms(&self) -> u64 {
         let siblings = &self.settings.platform.siblings;
         let grant = |name: &str| self.membership.received_grants.get(&ControllerId::new(name)).copied();
@@ -48,7 +56,7 @@
         let grants = grants.unwrap_or_default();
         let read = grants
             .iter()
-            .filter(|g| !g.giver_has_not_read_store)
+            .filter(|g| !g.granter_has_not_read_state)
             .map(|g| g.valid_until_ms)
             .max();
         let all = grants.iter().map(|g| g.valid_until_ms).min();
@@ -77,13 +85,14 @@
     /// The grant's validity starts when the request was sent, and the grant counts only if it arrives while
     /// this controller is still entitled. So there is no gap between the lease and the grants in which other
     /// controllers could have changed the membership.
-    pub(crate) fn record_grant(&mut self, from: &ControllerId, sent: u64, giver_has_not_read_store: bool) {
+    pub(crate) fn record_grant(&mut self, from: &ControllerId, sent: u64, granter_has_not_read_state: bool) {
         if self.is_entitled() {
             let valid_until_ms = sent + self.settings.entitlement_ms();
+            // Logged only from a quarter of the lease before the entitlement by the lease ends.
             if self.now.ms
                 >= self
                     .membership
-                    .entitled_until_ms
+                    .entitled_by_lease_until_ms
                     .saturating_sub(self.settings.lease_ms() / 4)
             {
                 self.log(
@@ -95,7 +104,7 @@
                 from.clone(),
                 Grant {
                     valid_until_ms,
-                    giver_has_not_read_store,
+                    granter_has_not_read_state,
                 },
             );
         }
@@ -112,8 +121,8 @@
     }
 
     /// Records whether a peer relies on a grant that this controller, or an earlier incarnation of it, gave.
-    pub(crate) fn record_reliance(&mut self, peer: &ControllerId, relies: bool) {
-        if relies {
+    pub(crate) fn record_reliance(&mut self, peer: &ControllerId, relies_on_grant: bool) {
+        if relies_on_grant {
             self.membership.peers_relying_on_no_grant.remove(peer);
         } else {
             self.membership.peers_relying_on_no_grant.insert(peer.clone());
@@ -122,7 +131,7 @@
 
     /// Whether the load balancer's health check succeeds. A controller that alone cannot reach the state
     /// service should be removed. In a general outage all controllers stay, because the load balancer
-    /// doubles the pause after each removal.
+    /// doubles the time for which it leaves out a removed controller.
     pub(crate) fn accepts_requests(&self) -> bool {
         if self.is_entitled() {
             return self.membership.revision > 0;
@@ -154,14 +163,14 @@
                 self.membership.has_lease_call_failed = false;
                 self.membership.lease_id = Some(granted.permit);
                 self.membership.last_extension_ms = sent;
-                self.membership.entitled_until_ms = sent + self.settings.entitlement_ms();
+                self.membership.entitled_by_lease_until_ms = sent + self.settings.entitlement_ms();
                 self.membership.lease_requested_ms = sent;
                 self.clear_lease_failures();
                 self.record_lease_extension(sent);
                 self.membership.written_record = None;
                 self.membership.has_been_entitled = true;
-                let inc = self.membership.incarnation;
-                self.log(Level::Info, format!("lease taken, life {inc}"));
+                let incarnation = self.membership.incarnation;
+                self.log(Level::Info, format!("lease taken, life {incarnation}"));
                 self.tick_membership();
             }
             None => {
@@ -195,7 +204,7 @@
                     self.clear_lease_failures();
                 }
                 self.membership.lease_requested_ms = self.membership.lease_requested_ms.max(sent);
-                self.membership.entitled_until_ms = self.membership.entitled_until_ms.max(until);
+                self.membership.entitled_by_lease_until_ms = self.membership.entitled_by_lease_until_ms.max(until);
                 self.record_lease_extension(sent);
                 if std::mem::take(&mut self.membership.has_extension_failed) && self.membership.has_listed_keys {
                     // The connection works again, but a watch that was sent before may never be answered.
@@ -225,14 +234,14 @@
         );
         self.clear_lease_failures();
         self.membership.lease_id = None;
-        self.membership.entitled_until_ms = 0;
+        self.membership.entitled_by_lease_until_ms = 0;
         self.membership.received_grants.clear();
         self.membership.has_lease_call_failed = false;
         self.membership.incarnation = Incarnation(self.membership.incarnation.0 + 1);
         self.set_detector_incarnation(self.membership.incarnation);
         self.forget_wishes();
         self.membership.written_record = None;
-        self.membership.retry_ms = self.now.ms;
+        self.membership.no_request_before_ms = self.now.ms;
         // The network failure that cost the lease may also have broken the watch.
         self.membership.is_watching = false;
         self.membership.has_extension_failed = false;
--- a/crates/tidelatch-core/src/membership/epoch.rs
+++ b/crates/tidelatch-core/src/membership/epoch.rs
@@ -15,7 +15,7 @@
 fn owners_to_wait_for(
     previous_owner: Option<&PartitionOwner>,
     members: &BTreeMap<ControllerId, MemberRecord>,
-    (owner, inc): (&ControllerId, Incarnation),
+    (owner, incarnation): (&ControllerId, Incarnation),
 ) -> Vec<LeaderRecord> {
     let mut wait = Vec::new();
     if let Some(previous) = previous_owner {
@@ -26,11 +26,12 @@
         });
     }
     wait.retain(|w| members.get(&w.name).is_some_and(|m| m.incarnation == w.incarnation));
-    wait.retain(|w| w.name != *owner || w.incarnation != inc);
+    wait.retain(|w| w.name != *owner || w.incarnation != incarnation);
     wait
 }
 
-/// Computes the next epoch. Each partition goes to its home controller if that is a member, else stays with its
+/// Computes the next epoch. `names` are the controllers of the deployment; the one at a partition's index is the
+/// partition's home controller. Each partition goes to its home controller if that is a member, else stays with its
 /// present owner if that is a member, else goes to the member with the fewest partitions. `None`: no owner changes.
 pub fn next_epoch(
     names: &[String],
@@ -50,15 +51,15 @@
             .filter(|name| members.contains_key(&ControllerId::new(name.as_str())));
         let current = old
             .and_then(|e| e.partitions.get(p))
-            .filter(|h| members.get(&h.owner).is_some_and(|m| m.incarnation == h.incarnation))
-            .and_then(|h| names.iter().find(|name| name.as_str() == h.owner.as_str()));
+            .filter(|p| members.get(&p.owner).is_some_and(|m| m.incarnation == p.incarnation))
+            .and_then(|p| names.iter().find(|name| name.as_str() == p.owner.as_str()));
         let owner = home.or(current);
         if let Some(name) = owner {
             *load.entry(name.as_str()).or_default() += 1;
         }
         owners.push(owner.cloned());
     }
-    let mut parts = Vec::new();
+    let mut assignments = Vec::new();
     let mut changed = false;
     for p in 0..partitions as usize {
         let owner = match owners.get(p).cloned().flatten() {
@@ -73,25 +74,27 @@
             }
         };
         let owner = ControllerId::new(owner);
-        let inc = members.get(&owner)?.incarnation;
+        let incarnation = members.get(&owner)?.incarnation;
         let previous_owner = old.and_then(|e| e.partitions.get(p));
         match previous_owner {
-            Some(h) if h.owner == owner && h.incarnation == inc => parts.push(h.clone()),
+            Some(previous) if previous.owner == owner && previous.incarnation == incarnation => {
+                assignments.push(previous.clone())
+            }
             _ => {
                 changed = true;
-                let wait = owners_to_wait_for(previous_owner, members, (&owner, inc));
-                parts.push(PartitionOwner {
+                let wait_for = owners_to_wait_for(previous_owner, members, (&owner, incarnation));
+                assignments.push(PartitionOwner {
                     owner,
-                    incarnation: inc,
+                    incarnation,
                     since_epoch: n,
-                    wait_for: wait,
+                    wait_for,
                 });
             }
         }
     }
     changed.then_some(EpochRecord {
         number: n,
-        partitions: parts,
+        partitions: assignments,
     })
 }
 
@@ -103,8 +106,8 @@
 
     /// The transaction condition that the stored epoch is still the one that this controller knows.
     pub(crate) fn epoch_condition(&self) -> Value {
-        let stamp = self.membership.epoch.as_ref().map_or(Revision(0), |(_, s)| *s);
-        json!({ "k": EPOCH_KEY, "stamp": stamp })
+        let revision = self.membership.epoch.as_ref().map_or(Revision(0), |(_, s)| *s);
+        json!({ "k": EPOCH_KEY, "stamp": revision })
     }
 
     /// As the leader, raises the epoch if the members require other partition owners.
--- a/crates/tidelatch-core/src/membership/leadership.rs
+++ b/crates/tidelatch-core/src/membership/leadership.rs
@@ -1,4 +1,4 @@
-//! Leader election through the leader's key, and the conditions under which this controller may change the membership.
+//! Leader election through the leader record, and the conditions under which this controller may change the membership.
 
 use super::records::{LEADER_KEY, LeaderRecord};
 use crate::calls::CallPurpose;
@@ -23,9 +23,9 @@
                 .peers_relying_on_no_grant
                 .contains(&ControllerId::new(name))
         };
-        let may_have_forgotten_grants =
-            now < self.membership.forgotten_grants_until_ms && !siblings.iter().all(|s| relies_on_none(&s.host_name));
-        now >= self.membership.given_grants_until_ms && !may_have_forgotten_grants
+        let may_have_earlier_grants =
+            now < self.membership.earlier_grants_until_ms && !siblings.iter().all(|s| relies_on_none(&s.host_name));
+        now >= self.membership.given_grants_until_ms && !may_have_earlier_grants
     }
 
     /// Whether this controller is the leader and entitled to act.
@@ -40,8 +40,8 @@
 
     /// The transaction condition that the stored leader is still the one that this controller knows.
     pub(crate) fn leader_condition(&self) -> Value {
-        let stamp = self.membership.leader.as_ref().map_or(Revision(0), |(_, s)| *s);
-        json!({ "k": LEADER_KEY, "stamp": stamp })
+        let revision = self.membership.leader.as_ref().map_or(Revision(0), |(_, s)| *s);
+        json!({ "k": LEADER_KEY, "stamp": revision })
     }
 
     /// Tries to become leader if there is none, or if an earlier incarnation of this controller was the leader.
@@ -60,13 +60,13 @@
         if self.membership.members.get(&self.own_name).map(|m| m.incarnation) != Some(self.membership.incarnation) {
             return;
         }
-        let stamp = match &self.membership.leader {
+        let revision = match &self.membership.leader {
             None => Revision(0),
             // The stored leader is an earlier incarnation of this controller and has ended.
-            Some((leader, stamp))
+            Some((leader, revision))
                 if leader.name == self.own_name && leader.incarnation != self.membership.incarnation =>
             {
-                *stamp
+                *revision
             }
             Some(_) => return,
         };
@@ -76,13 +76,13 @@
             incarnation: self.membership.incarnation,
         };
         self.txn(
-            vec![json!({ "k": LEADER_KEY, "stamp": stamp })],
+            vec![json!({ "k": LEADER_KEY, "stamp": revision })],
             vec![json!({ "write": LEADER_KEY, "value": record, "permit": lease_id })],
             CallPurpose::LeaderWrite,
         );
     }
 
-    /// Handles the reply to the write of the leader's key.
+    /// Handles the reply to the write of the leader record.
     pub(crate) fn on_leader_write(&mut self, result: Option<(u16, Vec<u8>)>) {
         self.membership.is_taking_leadership = false;
         self.await_change_outcome(&result);
@@ -98,6 +98,7 @@
         let answer = result
             .as_ref()
             .and_then(|(_, body)| serde_json::from_slice::<TxnAnswer>(body).ok());
+        // Without an answer the revision is unknown, and only the time limit ends the wait.
         let revision = answer.map_or(u64::MAX, |a| a.ledger);
         self.membership.next_membership_change = (self.now.ms + self.settings.lease_ms() / 4, revision);
     }
--- a/crates/tidelatch-core/src/membership/records.rs
+++ b/crates/tidelatch-core/src/membership/records.rs
@@ -17,8 +17,8 @@
 pub const JOB_PREFIX: &str = "t/j/";
 /// Prefix of the roster's machine groups.
 pub const ROSTER_PREFIX: &str = "t/m/";
-/// Prefix of the keys that ensure mutual exclusion between the steps of splitting up a machine group. The version
-/// before gangs ignores them.
+/// Prefix of the keys that ensure mutual exclusion between the steps of splitting up a machine group. Controllers of
+/// feature level 0 ignore them.
 pub const STEP_PREFIX: &str = "t/s/";
 /// Prefix of the roster's boot batches: machines that have booted.
 pub const BOOT_BATCH_PREFIX: &str = "t/u/";
@@ -33,7 +33,7 @@
     #[serde(rename = "ack")]
     pub acknowledged_epoch: u64,
     /// Feature level of the controller's version. Controllers store and send each other only what every member's
-    /// version supports. Absent: the version before gangs.
+    /// version supports. Absent: level 0, a version without gangs.
     #[serde(default, skip_serializing_if = "is_zero", rename = "knows")]
     pub feature_level: u32,
 }
@@ -65,7 +65,7 @@
     #[serde(rename = "since")]
     pub since_epoch: Epoch,
     /// Earlier owners that were members when they lost the partition. The owner does not act for the partition
-    /// until each of them has acknowledged the epoch `since` or lost its lease.
+    /// until each of them has acknowledged the epoch `since_epoch` or lost its lease.
     #[serde(default, rename = "wait")]
     pub wait_for: Vec<LeaderRecord>,
 }
--- a/crates/tidelatch-core/src/membership/registration.rs
+++ b/crates/tidelatch-core/src/membership/registration.rs
@@ -1,7 +1,7 @@
 //! This controller's own member record.
 
 use super::records::{MEMBER_PREFIX, MemberRecord};
-use crate::calls::{CallPurpose, is_lost_lease};
+use crate::calls::{CallPurpose, is_lost_lease_error};
 use crate::controller::Controller;
 use crate::ids::Revision;
 use crate::protocol::TxnAnswer;
@@ -30,26 +30,27 @@
         }
         self.membership.is_writing_record = true;
         let key = format!("{MEMBER_PREFIX}{}", self.own_name);
-        let ack = record.acknowledged_epoch;
+        let acknowledged_epoch = record.acknowledged_epoch;
         self.txn(
             vec![json!({ "k": key, "stamp": self.membership.own_revision })],
             vec![json!({ "write": key, "value": record, "permit": lease_id })],
-            CallPurpose::MemberWrite { ack },
+            CallPurpose::MemberWrite { acknowledged_epoch },
         );
         self.membership.written_record = Some(record);
     }
 
     /// Handles the reply to the write of this controller's member record.
-    pub(crate) fn on_member_write(&mut self, _ack: u64, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn on_member_write(&mut self, _acknowledged_epoch: u64, result: Option<(u16, Vec<u8>)>) {
         self.membership.is_writing_record = false;
         match result {
             Some((200, body)) => {
                 let revision = serde_json::from_slice::<TxnAnswer>(&body).map_or(0, |a| a.ledger);
                 self.membership.own_revision = self.membership.own_revision.max(Revision(revision));
             }
-            Some((400, body)) if is_lost_lease(&body) => self.handle_lost_lease(),
+            Some((400, body)) if is_lost_lease_error(&body) => self.handle_lost_lease(),
             _ => {
-                // The outcome is unknown: the watch delivers the record that is stored now.
+                // The outcome is unknown: the watch delivers the record that is stored now. The write is repeated after
+                // a sixteenth of the report interval.
                 self.membership.written_record = None;
                 self.membership.next_record_write_ms = self.now.ms + self.settings.report_ms() / 16;
             }
--- a/crates/tidelatch-core/src/membership/shared.rs
+++ b/crates/tidelatch-core/src/membership/shared_keys.rs
@@ -16,7 +16,7 @@
     /// Requests a page of the shared keys, after the key `cursor`. `first_revision` is the revision of the first page.
     pub(super) fn list_shared_keys(&mut self, cursor: String, first_revision: u64) {
         self.membership.is_listing_keys = true;
-        self.state_reads.take_unconditionally(self.now.ms, 1.0);
+        self.state_requests.take_unconditionally(self.now.ms, 1.0);
         let mut path = format!("/store?prefix={SHARED_PREFIX}&most=500");
         if !cursor.is_empty() {
             path.push_str(&format!("&since={cursor}"));
@@ -37,7 +37,7 @@
         self.membership.is_watching = true;
         self.membership.watch_number += 1;
         let number = self.membership.watch_number;
-        self.state_reads.take_unconditionally(self.now.ms, 1.0);
+        self.state_requests.take_unconditionally(self.now.ms, 1.0);
         let wait = self.settings.lease_ms();
         self.send_call(
             Target::State,
@@ -54,7 +54,7 @@
 
     /// Delays the next request to the state service after one has failed.
     pub(super) fn back_off(&mut self) {
-        self.membership.retry_ms = self.now.ms + self.settings.report_ms() / 8;
+        self.membership.no_request_before_ms = self.now.ms + self.settings.report_ms() / 8;
     }
 
     /// Handles a page of the shared keys.
@@ -90,7 +90,7 @@
             _ => {
                 self.membership.has_listed_keys = true;
                 self.membership.revision = listing_revision;
-                self.record_view_time();
+                self.record_shared_keys_current();
                 self.finish_roster_listing(listing_revision);
                 self.drains_listed();
                 self.apply_epoch();
@@ -117,7 +117,7 @@
                         }
                     }
                     self.membership.revision = self.membership.revision.max(changes.ledger);
-                    self.record_view_time();
+                    self.record_shared_keys_current();
                     self.watch_shared_keys();
                     self.apply_epoch();
                     self.tick_membership();
@@ -144,33 +144,33 @@
     }
 
     /// Records that the shared keys are up to date, unless the reply waited in this process's buffers.
-    fn record_view_time(&mut self) {
+    fn record_shared_keys_current(&mut self) {
         if !self.is_reply_stale {
-            self.membership.last_view_ms = self.now.ms;
+            self.membership.shared_keys_current_at_ms = self.now.ms;
         }
     }
 
     /// Applies the new value of a shared key, or its deletion (`None`).
-    pub(super) fn apply_shared_key(&mut self, key: &str, value: Option<Value>, stamp: Revision) {
+    pub(super) fn apply_shared_key(&mut self, key: &str, value: Option<Value>, revision: Revision) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             if let Some(id) = JobId::parse(id) {
-                self.on_job_record_changed(id, value, stamp);
+                self.on_job_record_changed(id, value, revision);
             }
         } else if let Some(name) = key.strip_prefix(ROSTER_PREFIX) {
-            self.apply_group(name, value, stamp);
+            self.apply_group(name, value, revision);
         } else if let Some(name) = key.strip_prefix(STEP_PREFIX) {
-            self.apply_split_step(name, value.map_or(Revision(0), |_| stamp));
+            self.apply_split_step(name, value.map_or(Revision(0), |_| revision));
         } else if let Some(drain) = key.strip_prefix(DRAIN_PREFIX) {
-            self.apply_drain(drain, value, stamp);
+            self.apply_drain(drain, value, revision);
         } else if let Some(name) = key.strip_prefix(BOOT_BATCH_PREFIX) {
             self.apply_boot_batch(name, value);
         } else if let Some(name) = key.strip_prefix(MEMBER_PREFIX) {
             let name = ControllerId::new(name);
             if name == self.own_name {
                 self.membership.own_revision = match value {
-                    Some(_) => self.membership.own_revision.max(stamp),
+                    Some(_) => self.membership.own_revision.max(revision),
                     // Deleted at this revision. A greater known revision comes from this controller's own later write.
-                    None if stamp >= self.membership.own_revision => Revision(0),
+                    None if revision >= self.membership.own_revision => Revision(0),
                     None => self.membership.own_revision,
                 };
             }
@@ -194,7 +194,7 @@
         } else if key == LEADER_KEY {
             self.membership.leader = value
                 .and_then(|v| serde_json::from_value(v).ok())
-                .map(|record| (record, stamp));
+                .map(|record| (record, revision));
         } else if key == EPOCH_KEY {
             if let Some(record) = value.and_then(|v| serde_json::from_value::<EpochRecord>(v).ok())
                 && self
@@ -203,7 +203,7 @@
                     .as_ref()
                     .is_none_or(|(e, _)| e.number < record.number)
             {
-                self.membership.epoch = Some((record, stamp));
+                self.membership.epoch = Some((record, revision));
             }
         } else if key == TYPES_KEY
             && let Some(types) = value.and_then(|v| serde_json::from_value::<MachineTypes>(v).ok())
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -29,11 +29,11 @@
     pub(crate) stage: Stage,
     /// When this controller began to act for the partition, in milliseconds.
     pub(crate) active_since_ms: u64,
-    /// Number of attempts started in this epoch of ownership; forms the low bits of each attempt number.
-    pub(crate) next_attempt: u64,
+    /// Number of attempts assigned in this tenure; forms the low bits of each attempt number.
+    pub(crate) attempts_assigned: u64,
     /// A read of the stored bitmaps is in progress.
-    pub(crate) loading: bool,
-    /// Every machine that may hold tasks started before the takeover is accounted for.
+    pub(crate) is_read_pending: bool,
+    /// Every machine that may hold tasks started before the takeover has reported in this tenure or is deleted.
     pub(crate) are_machines_accounted_for: bool,
     /// Keys and values of the bitmaps that have been read so far.
     bits: Vec<(String, Value)>,
@@ -73,10 +73,10 @@
         let Some((epoch, _)) = self.membership.epoch.clone() else {
             return;
         };
-        let inc = self.membership.incarnation;
+        let incarnation = self.membership.incarnation;
         for (i, assignment) in epoch.partitions.iter().enumerate() {
             let partition = Partition(i as u32);
-            let is_own = assignment.owner == self.own_name && assignment.incarnation == inc;
+            let is_own = assignment.owner == self.own_name && assignment.incarnation == incarnation;
             let owned_since = self.tenures.get(&partition).map(|t| t.since_epoch);
             if !is_own {
                 if self.tenures.remove(&partition).is_some() {
@@ -98,8 +98,8 @@
                         since_epoch: assignment.since_epoch,
                         stage: Stage::Waiting,
                         active_since_ms: 0,
-                        next_attempt: 0,
-                        loading: false,
+                        attempts_assigned: 0,
+                        is_read_pending: false,
                         are_machines_accounted_for: false,
                         bits: Vec::new(),
                         read_ahead: None,
@@ -135,15 +135,15 @@
             let needs_loading = self
                 .tenures
                 .get(&partition)
-                .is_some_and(|t| t.stage == Stage::Loading && !t.loading);
-            if needs_loading && self.is_entitled() && self.now.ms >= self.membership.retry_ms {
-                self.load_records(partition);
+                .is_some_and(|t| t.stage == Stage::Loading && !t.is_read_pending);
+            if needs_loading && self.is_entitled() && self.now.ms >= self.membership.no_request_before_ms {
+                self.start_loading_done_bits(partition);
             }
         }
     }
 
     /// Loads the stored bitmaps of a partition: only the changes since they were read ahead, or else all of them.
-    fn load_records(&mut self, partition: Partition) {
+    fn start_loading_done_bits(&mut self, partition: Partition) {
         let Some(read_ahead) = self.take_records_read_ahead(partition) else {
             self.load_done_bits(partition, String::new());
             return;
@@ -151,26 +151,35 @@
         let Some(t) = self.tenures.get_mut(&partition) else {
             return;
         };
-        let since = t.since_epoch.0;
+        let since_epoch = t.since_epoch.0;
         let path = format!(
             "/changes?prefix={}&since={}&waitMs=0",
             Self::done_bits_prefix(partition),
             read_ahead.revision
         );
-        t.loading = true;
+        t.is_read_pending = true;
         t.read_ahead = Some(read_ahead);
-        self.state_reads.take_unconditionally(self.now.ms, 1.0);
+        self.state_requests.take_unconditionally(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
-        let purpose = CallPurpose::DoneBitsChanges { partition, since };
+        let purpose = CallPurpose::DoneBitsChanges { partition, since_epoch };
         self.send_call(Target::State, Method::Get, path, String::new(), timeout, purpose);
     }
 
     /// Handles the changes since the bitmaps were read ahead. If the read failed, reads all bitmaps.
-    pub(crate) fn on_done_bits_changes(&mut self, partition: Partition, since: u64, result: Option<(u16, Vec<u8>)>) {
-        let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since_epoch.0 == since) else {
+    pub(crate) fn on_done_bits_changes(
+        &mut self,
+        partition: Partition,
+        since_epoch: u64,
+        result: Option<(u16, Vec<u8>)>,
+    ) {
+        let Some(t) = self
+            .tenures
+            .get_mut(&partition)
+            .filter(|t| t.since_epoch.0 == since_epoch)
+        else {
             return;
         };
-        t.loading = false;
+        t.is_read_pending = false;
         let changes = match result {
             Some((200, body)) => serde_json::from_slice::<Changes>(&body).ok(),
             _ => None,
@@ -203,13 +212,13 @@
         let Some(t) = self.tenures.get_mut(&partition) else {
             return;
         };
-        t.loading = true;
-        let since = t.since_epoch.0;
+        t.is_read_pending = true;
+        let since_epoch = t.since_epoch.0;
         if cursor.is_empty() {
             t.bits.clear();
         }
         let path = Self::done_bits_path(partition, &cursor);
-        self.state_reads.take_unconditionally(self.now.ms, 1.0);
+        self.state_requests.take_unconditionally(self.now.ms, 1.0);
         let timeout = self.settings.lease_ms() / 4;
         self.send_call(
             Target::State,
@@ -217,16 +226,20 @@
             path,
             String::new(),
             timeout,
-            CallPurpose::DoneBits { partition, since },
+            CallPurpose::DoneBits { partition, since_epoch },
         );
     }
 
     /// Handles a page of a partition's stored bitmaps.
-    pub(crate) fn on_done_bits(&mut self, partition: Partition, since: u64, result: Option<(u16, Vec<u8>)>) {
-        let Some(t) = self.tenures.get_mut(&partition).filter(|t| t.since_epoch.0 == since) else {
+    pub(crate) fn on_done_bits(&mut self, partition: Partition, since_epoch: u64, result: Option<(u16, Vec<u8>)>) {
+        let Some(t) = self
+            .tenures
+            .get_mut(&partition)
+            .filter(|t| t.since_epoch.0 == since_epoch)
+        else {
             return;
         };
-        t.loading = false;
+        t.is_read_pending = false;
         let page = match result {
             Some((200, body)) => serde_json::from_slice::<Items>(&body).ok(),
             _ => None,
@@ -259,10 +272,10 @@
         let (chunk_bits, piece_bits) = (self.chunk_bits(), self.piece_bits());
         for (key, value) in bits {
             let mut parts = key.split('/').skip(2);
-            let (Some(job), Some(chunk)) = (parts.next(), parts.next()) else {
+            let (Some(job), Some(piece)) = (parts.next(), parts.next()) else {
                 continue;
             };
-            let (Some(job), Some(piece)) = (JobId::parse(job), BitmapPiece::parse(chunk)) else {
+            let (Some(job), Some(piece)) = (JobId::parse(job), BitmapPiece::parse(piece)) else {
                 continue;
             };
             let Some(hex) = value.as_str() else { continue };
--- a/crates/tidelatch-core/src/messages.rs
+++ b/crates/tidelatch-core/src/messages.rs
@@ -17,7 +17,7 @@
 pub struct Now {
     /// Monotonic time in milliseconds, from an arbitrary origin before the controller started.
     pub ms: u64,
-    /// Wall-clock time in milliseconds.
+    /// Wall-clock time in milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
@@ -101,7 +101,7 @@
     pub spot: bool,
     /// Whether they are production work.
     pub urgent: bool,
-    /// Resources that each task needs: processors, accelerators and GB of memory.
+    /// Resources that each task needs: CPUs, GPUs and memory in GB.
     pub task_resources: [f64; 3],
     /// Number of tasks.
     pub count: u32,
@@ -130,11 +130,11 @@
 pub struct SpareRoom {
     /// The machine.
     pub machine: IdleMachine,
-    /// Free processors, accelerators and GB of memory.
+    /// Free CPUs, GPUs and memory in GB.
     pub free: [f64; 3],
 }
 
-/// An idle machine, or one that can be vacated.
+/// A machine that its partition offers to others: idle, with spare room, or one that can be vacated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IdleMachine {
     /// The machine.
@@ -154,7 +154,7 @@
     pub partition: Partition,
     /// Revision of the state service that the digest reflects.
     pub revision: u64,
-    /// Queued and running demand, in accelerators (or processors where none are used).
+    /// Queued and running demand: for each task its GPUs, or its CPUs divided by 100 if that is more.
     pub demand: f64,
     /// Requested machines.
     pub machine_requests: Vec<MachineRequest>,
@@ -286,7 +286,8 @@
     Reply {
         /// Number of the call.
         call: u64,
-        /// Status (or [`STATUS_NOT_CONNECTED`] or [`STATUS_NO_FREE_SOCKET`]) and body; `None`: there was no reply before the timeout.
+        /// Status (or [`STATUS_NOT_CONNECTED`] or [`STATUS_NO_FREE_SOCKET`]) and body; `None`: there was no reply
+        /// before the timeout.
         result: Option<(u16, Vec<u8>)>,
     },
     /// A request from another controller.
--- a/crates/tidelatch-core/src/rate_limit.rs
+++ b/crates/tidelatch-core/src/rate_limit.rs
@@ -5,6 +5,7 @@
 pub(crate) struct TokenBucket {
     rate: f64,
     burst: f64,
+    /// Tokens left. Negative after requests that had to be sent although no token was left.
     tokens: f64,
     refilled_ms: u64,
 }
@@ -44,7 +45,7 @@
         self.refill(now);
         self.tokens -= n;
     }
-    /// Removes all tokens.
+    /// Removes the tokens that are left. A negative number of tokens stays.
     pub(crate) fn remove_all(&mut self, now: u64) {
         self.refill(now);
         self.tokens = self.tokens.min(0.0);
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -69,7 +69,7 @@
 
     /// Returns 429 or 503 for a submission that cannot be accepted now.
     fn defer_submission(&mut self, spec: &JobSpec) -> Option<Answer> {
-        if !self.state_reads.try_take(self.now.ms, 0.0, -0.5) {
+        if !self.state_requests.try_take(self.now.ms, 0.0, -0.5) {
             return Some(Answer::retry_later(503, 1, "too many requests at present"));
         }
         let controllers = self.membership.members.len();
--- a/crates/tidelatch-core/src/write_limits.rs
+++ b/crates/tidelatch-core/src/write_limits.rs
@@ -1,6 +1,7 @@
 //! Size limits of one transaction of the state service.
 
-/// Size limits of one transaction: the lower of the present and the announced future limits of the state service.
+/// Size limits of one transaction: the lower of the state service's present limits and the future limits that the
+/// settings announce (`facts.state.next`).
 /// They are halved when the state service still refuses a transaction as too large.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WriteLimits {
