--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -223,13 +223,13 @@
             self.execute_moves(moves);
             self.adopt_unregistered_machines();
             self.send_new_groups();
-            self.lead_drains();
+            self.advance_drains_as_leader();
             self.request_machine_list();
         } else {
             self.capacity.digests.clear();
             self.capacity.pending_registration.clear();
             self.drop_unsent_groups();
-            self.forget_beginning();
+            self.discard_pending_drain();
             self.capacity.rentals_to_retry.clear();
             self.capacity.unregistered.clear();
         }
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -132,7 +132,7 @@
             &refused,
             &supply.machines_per_zone,
         );
-        needs.extend(self.replacements_wanted(partition));
+        needs.extend(self.replacement_requests(partition));
         supply.preemptible.sort_by(|a, b| a.0.total_cmp(&b.0));
         let has_no_local_use = |room: &SpareRoom| {
             !wants
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -336,7 +336,7 @@
             ),
         );
         if self.disruption.is_some() {
-            self.evict_now(id);
+            self.evict_permitted_tasks(id);
             return;
         }
         for (task, attempt) in held {
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -47,7 +47,7 @@
                 Vec::new()
             };
             let liveness = self.build_detector_heartbeat(&to);
-            let permits = self.permit_listing(&to);
+            let permits = self.build_permit_listing(&to);
             let request = PeerRequest::Heartbeat {
                 name: self.own_name.as_str().to_owned(),
                 entitled: self.is_entitled(),
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -329,7 +329,7 @@
                 let from = ControllerId::new(name);
                 self.on_peer_heartbeat(&from, Channel::Scheduled, detector_heartbeat);
                 self.apply_cancellations(&from, &cancellations);
-                let granted = permits.and_then(|listing| self.on_permit_listing(&from, &listing));
+                let granted = permits.and_then(|listing| self.handle_permit_listing(&from, &listing));
                 self.on_heartbeat(id, from, (entitled, wants_grant, relies_on_grant), digests, granted);
             }
         }
@@ -412,7 +412,7 @@
             CallPurpose::WriteBootBatch { batch, requesters } => self.on_boot_batch_written(batch, requesters, result),
             CallPurpose::DeleteMachines { machines } => self.on_deletion_answer(machines, result),
             CallPurpose::ListMachines => self.on_machine_list(result),
-            CallPurpose::WriteDrain { write } => self.on_drain_write(&write, result),
+            CallPurpose::WriteDrain { write } => self.handle_drain_write_result(&write, result),
             CallPurpose::ConfirmMachine { machine, sent } => self.on_confirm_answer(machine, sent, result),
             CallPurpose::ReadWorkerStatus { machine, sent } => self.on_probe_answer(machine, sent, result),
             CallPurpose::SendCommands {
@@ -464,7 +464,7 @@
                     self.record_grant(&to, sent, cancellations.has_not_read_state);
                 }
                 if let Some(grants) = permits {
-                    self.on_permit_grants(&to, sent, &grants);
+                    self.handle_permit_grants(&to, sent, &grants);
                 }
                 self.on_leader_reply(&to, moves, refused);
                 if self.lacks_cancellations(&to) {
--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -21,7 +21,7 @@
 
 pub(crate) use budget_lookup::BudgetLookup;
 pub(crate) use drain_records::{DRAIN_PREFIX, DrainWrite};
-pub(crate) use interruption::Cause;
+pub(crate) use interruption::InterruptionCause;
 
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Epoch, JobId, MachineId, Partition, TaskId};
@@ -108,7 +108,7 @@
 
     /// Creates the permit ledger of a partition that this controller acts for from now on. The ledger grants permits
     /// only after the permits of earlier owners have expired.
-    pub(crate) fn open_ledger(&mut self, partition: Partition, since: Epoch) {
+    pub(crate) fn create_permit_ledger(&mut self, partition: Partition, since: Epoch) {
         let grants_from_ms = self.now.ms + self.settings.entitlement_ms();
         if let Some(disruption) = &mut self.disruption {
             let ledger = PermitLedger::new(tenure_of_epoch(since), grants_from_ms);
@@ -131,7 +131,7 @@
 
     /// Drops all wanted and held permits when this controller starts a new incarnation: other controllers know of no
     /// requests from the new incarnation.
-    pub(crate) fn forget_wishes(&mut self) {
+    pub(crate) fn reset_permit_holder(&mut self) {
         if let Some(disruption) = &mut self.disruption {
             disruption.permit_holder = PermitHolder::default();
         }
--- a/crates/tidelatch-core/src/disruption/budget_lookup.rs
+++ b/crates/tidelatch-core/src/disruption/budget_lookup.rs
@@ -31,7 +31,7 @@
     }
 
     /// Whether the budgets of a job permit one more of its units to be interrupted.
-    pub(crate) fn permits(&self, id: &JobId) -> bool {
+    pub(crate) fn permits_interruption(&self, id: &JobId) -> bool {
         if let Some(answer) = self.cached_answers.borrow().get(id) {
             return *answer;
         }
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -51,7 +51,7 @@
 
     /// Number of censuses that this controller has taken of jobs that share a disruption budget. This measures the cost
     /// of the budgets.
-    pub fn censuses(&self) -> u64 {
+    pub fn census_count(&self) -> u64 {
         self.disruption.as_ref().map_or(0, |d| d.census_count.get())
     }
 
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -197,14 +197,14 @@
 
 impl Controller {
     /// Called when a new listing of the shared keys starts.
-    pub(crate) fn drain_listing_begins(&mut self) {
+    pub(crate) fn begin_drain_listing(&mut self) {
         if let Some(disruption) = &mut self.disruption {
             disruption.drain_records.listed_keys.clear();
         }
     }
 
     /// Called when all shared keys have been listed. Removes the drain records whose keys were not listed.
-    pub(crate) fn drains_listed(&mut self) {
+    pub(crate) fn finish_drain_listing(&mut self) {
         let Some(disruption) = &mut self.disruption else { return };
         let records = &mut disruption.drain_records;
         let listed = std::mem::take(&mut records.listed_keys);
@@ -220,7 +220,7 @@
     }
 
     /// Applies the new value of a drain key, or its deletion.
-    pub(crate) fn apply_drain(&mut self, key: &str, value: Option<Value>, revision: Revision) {
+    pub(crate) fn apply_drain_key(&mut self, key: &str, value: Option<Value>, revision: Revision) {
         if let Some(disruption) = &mut self.disruption {
             disruption.drain_records.apply_key(key, value, revision);
         }
@@ -228,7 +228,7 @@
 
     /// Advances all drains as the leader, with at most one write: starts drains, deletes those that are no longer in
     /// the settings, and selects the machines to drain next.
-    pub(crate) fn lead_drains(&mut self) {
+    pub(crate) fn advance_drains_as_leader(&mut self) {
         let now = self.now.ms;
         let next_check_ms = now + self.settings.report_ms() / CHECKS_PER_REPORT_PERIOD;
         let revision = self.membership.revision;
@@ -279,7 +279,7 @@
 
     /// Discards the drain that this controller was creating. Called when it is not the leader: another leader creates
     /// the drain instead.
-    pub(crate) fn forget_beginning(&mut self) {
+    pub(crate) fn discard_pending_drain(&mut self) {
         if let Some(disruption) = &mut self.disruption {
             disruption.drain_records.pending_drain = None;
         }
@@ -476,7 +476,7 @@
     }
 
     /// Handles the response to a drain write, or `None` if there was no response.
-    pub(crate) fn on_drain_write(&mut self, write: &DrainWrite, result: Option<(u16, Vec<u8>)>) {
+    pub(crate) fn handle_drain_write_result(&mut self, write: &DrainWrite, result: Option<(u16, Vec<u8>)>) {
         let Some(disruption) = &mut self.disruption else { return };
         let records = &mut disruption.drain_records;
         records.is_writing = false;
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -1,6 +1,6 @@
 //! Evicts tasks from machines one by one, as disruption budgets permit.
 
-use super::interruption::{BlockReason, Cause};
+use super::interruption::{BlockReason, InterruptionCause};
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, TaskId};
 use crate::machine_view::{HeldTask, Machine};
@@ -34,7 +34,7 @@
     }
 
     /// Why the tasks of a machine are to be evicted, or `None` if they may stay.
-    pub(super) fn eviction_cause(&self, id: &MachineId) -> Option<Cause> {
+    pub(super) fn eviction_cause(&self, id: &MachineId) -> Option<InterruptionCause> {
         let disruption = self.disruption.as_ref()?;
         let m = self.machines.get(id)?;
         if disruption
@@ -42,11 +42,11 @@
             .get(id)
             .is_some_and(|drained| drained.is_evicting())
         {
-            Some(Cause::Drain)
+            Some(InterruptionCause::Drain)
         } else if m.vacating_for.is_some() {
-            Some(Cause::HandOver)
+            Some(InterruptionCause::HandOver)
         } else if disruption.emptying_since_ms.contains_key(id) {
-            Some(Cause::Emptying)
+            Some(InterruptionCause::Emptying)
         } else {
             None
         }
@@ -55,7 +55,7 @@
     /// Stops the tasks that may be stopped on each machine that is to be emptied.
     pub(super) fn tick_evictions(&mut self) {
         self.abandon_slow_emptying();
-        let to_empty: Vec<(MachineId, Cause)> = self
+        let to_empty: Vec<(MachineId, InterruptionCause)> = self
             .machines
             .iter()
             .filter(|(_, m)| {
@@ -71,7 +71,7 @@
     }
 
     /// Stops the tasks that may be stopped on one machine, if it is to be emptied.
-    pub(crate) fn evict_now(&mut self, id: &MachineId) {
+    pub(crate) fn evict_permitted_tasks(&mut self, id: &MachineId) {
         if let Some(cause) = self.eviction_cause(id) {
             self.evict_tasks(id, cause, &mut BTreeSet::new());
         }
@@ -79,7 +79,7 @@
 
     /// Stops the tasks that may be stopped on one machine. Skips the teams and classes in `denied`, and adds those
     /// whose budget denies a permit.
-    fn evict_tasks(&mut self, id: &MachineId, cause: Cause, denied: &mut BTreeSet<(String, String)>) {
+    fn evict_tasks(&mut self, id: &MachineId, cause: InterruptionCause, denied: &mut BTreeSet<(String, String)>) {
         self.stop_unstarted_array_tasks(id);
         let mut blocked_by = None;
         for candidate in self.eviction_candidates(id, cause) {
@@ -96,7 +96,7 @@
                     .or_else(|| (!is_transient).then(|| format!("{} of {}: {reason}", candidate.task, candidate.team)));
             }
         }
-        if cause == Cause::Drain {
+        if cause == InterruptionCause::Drain {
             self.log_blocked_drain(id, blocked_by);
         }
     }
@@ -122,13 +122,13 @@
     }
 
     /// The tasks to evict from a machine, in the order of eviction.
-    fn eviction_candidates(&self, id: &MachineId, cause: Cause) -> Vec<EvictionCandidate> {
+    fn eviction_candidates(&self, id: &MachineId, cause: InterruptionCause) -> Vec<EvictionCandidate> {
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
         let not_stopping = m.held.iter().filter(|h| h.stop.is_none());
         let mut candidates: Vec<EvictionCandidate> = not_stopping
-            .filter(|h| cause != Cause::Drain || !self.should_wait_for_task(id, m, h))
+            .filter(|h| cause != InterruptionCause::Drain || !self.should_wait_for_task(id, m, h))
             .filter_map(|h| {
                 let spec = &self.jobs.get(&h.task.job)?.spec;
                 Some(EvictionCandidate {
--- a/crates/tidelatch-core/src/disruption/interruption.rs
+++ b/crates/tidelatch-core/src/disruption/interruption.rs
@@ -12,7 +12,7 @@
 
 /// The cause of a voluntary interruption.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Cause {
+pub(crate) enum InterruptionCause {
     /// The task's machine is being drained.
     Drain,
     /// The task's machine is being emptied so that it can be returned to the cloud.
@@ -23,7 +23,7 @@
     HandOver,
 }
 
-impl fmt::Display for Cause {
+impl fmt::Display for InterruptionCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Drain => "its machine is drained",
@@ -101,7 +101,7 @@
         machine: &MachineId,
         task: &TaskId,
         attempt: Attempt,
-        cause: Cause,
+        cause: InterruptionCause,
     ) -> Result<(), BlockReason> {
         let partition = self
             .jobs
@@ -154,7 +154,7 @@
         &mut self,
         partition: Partition,
         candidates: &[Candidate],
-        cause: Cause,
+        cause: InterruptionCause,
     ) -> Result<(), BlockReason> {
         let since = self
             .active_tenure(partition)
@@ -195,7 +195,7 @@
         &mut self,
         partition: Partition,
         candidate: &Candidate,
-        cause: Cause,
+        cause: InterruptionCause,
     ) -> Result<(), BlockReason> {
         let assignment = self.partition_owner(partition).ok_or(BlockReason::NoOwner)?;
         let (owner, since) = (assignment.owner.clone(), assignment.since_epoch);
@@ -237,7 +237,13 @@
     }
 
     /// Stops a task and records the permit, given as the granting partition and the epoch of its owner, with the stop.
-    fn stop_with_permit(&mut self, candidate: &Candidate, permit: (Partition, Epoch), cause: Cause, detail: &str) {
+    fn stop_with_permit(
+        &mut self,
+        candidate: &Candidate,
+        permit: (Partition, Epoch),
+        cause: InterruptionCause,
+        detail: &str,
+    ) {
         let Candidate {
             machine, task, attempt, ..
         } = candidate;
@@ -262,7 +268,7 @@
     }
 
     /// Counts and logs an interruption for a reason that the budgets do not cover.
-    pub(crate) fn note_involuntary(&mut self, task: &TaskId, reason: &str) {
+    pub(crate) fn record_involuntary_interruption(&mut self, task: &TaskId, reason: &str) {
         let Some(team) = self.jobs.get(&task.job).map(|job| job.spec.team.clone()) else {
             return;
         };
--- a/crates/tidelatch-core/src/disruption/machine_drains.rs
+++ b/crates/tidelatch-core/src/disruption/machine_drains.rs
@@ -226,7 +226,7 @@
     }
 
     /// The indices in `ids` of the machines that are reserved for other jobs.
-    pub(crate) fn reserved_for_others(&self, job: &JobId, ids: &[MachineId]) -> Vec<usize> {
+    pub(crate) fn indices_reserved_for_other_jobs(&self, job: &JobId, ids: &[MachineId]) -> Vec<usize> {
         let Some(disruption) = &self.disruption else {
             return Vec::new();
         };
@@ -239,7 +239,7 @@
     }
 
     /// Requests for the machines to be rented as replacements of drained machines of a partition.
-    pub(crate) fn replacements_wanted(&self, partition: Partition) -> Vec<MachineRequest> {
+    pub(crate) fn replacement_requests(&self, partition: Partition) -> Vec<MachineRequest> {
         let Some(disruption) = &self.disruption else {
             return Vec::new();
         };
--- a/crates/tidelatch-core/src/disruption/permit_exchange.rs
+++ b/crates/tidelatch-core/src/disruption/permit_exchange.rs
@@ -10,7 +10,7 @@
 impl Controller {
     /// Builds the list of permits that this controller wants from another one, and of those that it has used. Returns
     /// `None` if there is nothing to report.
-    pub(crate) fn permit_listing(&mut self, to: &ControllerId) -> Option<Box<PermitListing>> {
+    pub(crate) fn build_permit_listing(&mut self, to: &ControllerId) -> Option<Box<PermitListing>> {
         let granter = controller_name(to);
         let grants_permits = self.grants_permits(to);
         let incarnation = self.membership.incarnation.0;
@@ -26,7 +26,7 @@
 
     /// Handles another controller's list of wanted and used permits. The reply grants the permits that the budgets
     /// allow.
-    pub(crate) fn on_permit_listing(
+    pub(crate) fn handle_permit_listing(
         &mut self,
         from: &ControllerId,
         listing: &PermitListing,
@@ -90,7 +90,7 @@
     }
 
     /// Stores the permits that another controller has granted in reply to a listing that was sent at `sent_ms`.
-    pub(crate) fn on_permit_grants(&mut self, from: &ControllerId, sent_ms: u64, grants: &PermitGrants) {
+    pub(crate) fn handle_permit_grants(&mut self, from: &ControllerId, sent_ms: u64, grants: &PermitGrants) {
         if let Some(disruption) = &mut self.disruption {
             let granter = controller_name(from);
             disruption
--- a/crates/tidelatch-core/src/membership/entitlement.rs
+++ b/crates/tidelatch-core/src/membership/entitlement.rs
@@ -239,7 +239,7 @@
         self.membership.has_lease_call_failed = false;
         self.membership.incarnation = Incarnation(self.membership.incarnation.0 + 1);
         self.set_detector_incarnation(self.membership.incarnation);
-        self.forget_wishes();
+        self.reset_permit_holder();
         self.membership.written_record = None;
         self.membership.no_request_before_ms = self.now.ms;
         // The network failure that cost the lease may also have broken the watch.
--- a/crates/tidelatch-core/src/membership/shared_keys.rs
+++ b/crates/tidelatch-core/src/membership/shared_keys.rs
@@ -74,7 +74,7 @@
             self.membership.own_revision = Revision(0);
             self.membership.leader = None;
             self.begin_roster_listing();
-            self.drain_listing_begins();
+            self.begin_drain_listing();
         }
         let listing_revision = if first_revision == 0 {
             page.ledger
@@ -92,7 +92,7 @@
                 self.membership.revision = listing_revision;
                 self.record_shared_keys_current();
                 self.finish_roster_listing(listing_revision);
-                self.drains_listed();
+                self.finish_drain_listing();
                 self.apply_epoch();
                 self.tick_membership();
             }
@@ -161,7 +161,7 @@
         } else if let Some(name) = key.strip_prefix(STEP_PREFIX) {
             self.apply_split_step(name, value.map_or(Revision(0), |_| revision));
         } else if let Some(drain) = key.strip_prefix(DRAIN_PREFIX) {
-            self.apply_drain(drain, value, revision);
+            self.apply_drain_key(drain, value, revision);
         } else if let Some(name) = key.strip_prefix(BOOT_BATCH_PREFIX) {
             self.apply_boot_batch(name, value);
         } else if let Some(name) = key.strip_prefix(MEMBER_PREFIX) {
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -292,7 +292,7 @@
             Level::Info,
             format!("acting for partition {partition}: {jobs} unfinished jobs, {machines} machines in the roster"),
         );
-        self.open_ledger(partition, since);
+        self.create_permit_ledger(partition, since);
         self.tick_drained_machines();
         self.confirm_machines(partition);
         self.store_ends_of_finished_jobs(partition);
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -141,7 +141,9 @@
             self.exclude_machines_with_attempt(&w.id, ids, terms);
         }
         for (w, terms) in waiting.iter().zip(jobs.iter_mut()) {
-            terms.excluded_machines.extend(self.reserved_for_others(&w.id, ids));
+            terms
+                .excluded_machines
+                .extend(self.indices_reserved_for_other_jobs(&w.id, ids));
             if self.has_failures(&w.id) {
                 terms.excluded_machines.extend(self.failed_machine_indices(&w.id, ids));
             }
--- a/crates/tidelatch-core/src/queue/consolidation.rs
+++ b/crates/tidelatch-core/src/queue/consolidation.rs
@@ -60,7 +60,7 @@
         }
         if self.disruption.is_some() {
             self.begin_emptying(&id);
-            self.evict_now(&id);
+            self.evict_permitted_tasks(&id);
         } else {
             for (task, attempt) in held {
                 self.request_stop(&id, &task, attempt);
@@ -122,7 +122,7 @@
                 return None;
             }
             evaluations_left -= cost;
-            if !held.iter().all(|(task, _)| budgets.permits(&task.job)) {
+            if !held.iter().all(|(task, _)| budgets.permits_interruption(&task.job)) {
                 continue;
             }
             let others = occupied_ids.iter().zip(&slots).filter(|(other, _)| **other != id);
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -110,7 +110,7 @@
         for (machine, task, attempt) in stops {
             let text = format!("{machine}: stopping {task} for production work of its team, which is at its limit");
             self.log(Level::Info, text);
-            self.note_involuntary(&task, "preempted under its team's limit");
+            self.record_involuntary_interruption(&task, "preempted under its team's limit");
             self.request_stop(&machine, &task, attempt);
             if self.jobs.get(&task.job).is_some_and(|j| j.spec.shape == Shape::Gang) {
                 self.stop_gang(&task.job);
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -116,7 +116,7 @@
     pub(super) fn stop_preempted(&mut self, stops: Vec<StopOrder>) {
         for (machine, task, attempt) in stops {
             self.log(Level::Info, format!("{machine}: stopping {task} to make room"));
-            self.note_involuntary(&task, "preempted");
+            self.record_involuntary_interruption(&task, "preempted");
             self.request_stop(&machine, &task, attempt);
             if self.jobs.get(&task.job).is_some_and(|j| j.spec.shape == Shape::Gang) {
                 self.stop_gang(&task.job);
@@ -341,7 +341,7 @@
         // Among victims of equal cost, one whose team has disruption budget left comes first.
         let has_budget = |index: usize| {
             let victim = machine.victims.get(index);
-            victim.is_some_and(|v| self.budgets.permits(&v.task.job))
+            victim.is_some_and(|v| self.budgets.permits_interruption(&v.task.job))
         };
         victims.sort_by(|a, b| {
             let by_remaining_budget = || has_budget(b.1).cmp(&has_budget(a.1));
--- a/crates/tidelatch-core/src/queue/replica_swaps.rs
+++ b/crates/tidelatch-core/src/queue/replica_swaps.rs
@@ -2,7 +2,7 @@
 
 use super::victims::{CandidateMachine, StopOrder, add, fits, subtract};
 use crate::controller::Controller;
-use crate::disruption::Cause;
+use crate::disruption::InterruptionCause;
 use crate::ids::{Attempt, JobId, MachineId, Partition, TaskId};
 use crate::machine_view::{HeldTask, Machine};
 use crate::messages::Level;
@@ -88,7 +88,10 @@
     /// zone that it leaves for some time.
     fn move_replica(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
         if self.disruption.is_some() {
-            if self.interrupt(machine, task, attempt, Cause::Spreading).is_err() {
+            if self
+                .interrupt(machine, task, attempt, InterruptionCause::Spreading)
+                .is_err()
+            {
                 return;
             }
         } else {
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -249,11 +249,11 @@
     }
 
     /// Returns how often the controllers counted the running units of the jobs that share a disruption budget.
-    pub fn censuses(&self) -> u64 {
+    pub fn census_count(&self) -> u64 {
         self.controllers
             .iter()
             .flat_map(|process| &process.core)
-            .map(Controller::censuses)
+            .map(Controller::census_count)
             .sum()
     }
 
--- a/crates/tidelatch-standin/tests/scale.rs
+++ b/crates/tidelatch-standin/tests/scale.rs
@@ -180,13 +180,13 @@
         world.accepted(0, &job(i, 0, "sweep", 40));
     }
     world.run(60_000);
-    let before = world.censuses();
+    let before = world.census_count();
     let replicas = 8;
     world.accepted(0, &job(10, 0, "standing", replicas));
     let up = world.run_until(30_000, |w| w.running("job-000010") == replicas as usize);
     assert!(up, "{}", world.trace());
     assert!(world.trace().contains("to make room"), "{}", world.trace());
-    let censuses = world.censuses() - before;
+    let censuses = world.census_count() - before;
     assert!(censuses < machines as u64, "{censuses} counts for {replicas} replicas");
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
