--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -24,7 +24,7 @@
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Epoch, MachineId, Partition};
 use crate::membership::TYPES_KEY;
-use crate::messages::{Digest, IdleMachine, MachineMove, Method, Target};
+use crate::messages::{Digest, MachineMove, MachineSummary, Method, Target};
 use crate::protocol::{MachineTypes, Rental, Report};
 use crate::rate_limit::TokenBucket;
 use crate::roster::RentedMachine;
@@ -55,7 +55,7 @@
 /// A hand-over that the leader has requested from a machine's owner and that has not arrived yet.
 #[derive(Debug, Clone)]
 struct PendingHandOver {
-    machine: IdleMachine,
+    machine: MachineSummary,
     to: Partition,
     requested_at: u64,
 }
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -10,7 +10,7 @@
 use crate::ids::{MachineId, Partition};
 use crate::machine_view::Machine;
 use crate::membership::Stage;
-use crate::messages::{Digest, IdleMachine, SpareRoom};
+use crate::messages::{Digest, MachineSummary, SpareRoom};
 use crate::placement::Amounts;
 use crate::protocol::{Priority, Shape};
 use std::collections::{BTreeMap, BTreeSet};
@@ -193,9 +193,9 @@
     /// Timelines of free capacity of the machines that take tasks, without late ones.
     timelines: Vec<MachineTimeline>,
     /// Machines that run nothing.
-    idle: Vec<IdleMachine>,
+    idle: Vec<MachineSummary>,
     /// Machines that can be vacated for production work, each with the seconds of work that would be lost.
-    preemptible: Vec<(f64, IdleMachine)>,
+    preemptible: Vec<(f64, MachineSummary)>,
     /// Machines in use with free capacity that can be handed over with their tasks.
     spare_room: Vec<SpareRoom>,
     /// Number of machines in each zone.
@@ -209,8 +209,8 @@
     size[1].max(size[0] / 100.0)
 }
 
-fn idle_machine(id: &MachineId, m: &Machine) -> IdleMachine {
-    IdleMachine {
+fn idle_machine(id: &MachineId, m: &Machine) -> MachineSummary {
+    MachineSummary {
         machine: id.clone(),
         model: m.model.clone(),
         zone: m.zone.clone(),
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -3,7 +3,7 @@
 use super::{MachineKind, PendingHandOver, count_fitting_tasks};
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
-use crate::messages::{Digest, IdleMachine, Level, MachineMove, MachineRequest, SpareRoom, WaitingTasks};
+use crate::messages::{Digest, Level, MachineMove, MachineRequest, MachineSummary, SpareRoom, WaitingTasks};
 use std::collections::BTreeMap;
 
 /// The state in which a machine is handed over.
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct HandOver {
     pub(super) from: Partition,
-    pub(super) machine: IdleMachine,
+    pub(super) machine: MachineSummary,
     pub(super) to: Partition,
     pub(super) mode: HandOverMode,
 }
@@ -29,9 +29,9 @@
 /// Machines that partitions offer to other partitions, each with its current partition.
 struct Offers {
     /// Machines that run nothing.
-    idle: Vec<(Partition, IdleMachine)>,
+    idle: Vec<(Partition, MachineSummary)>,
     /// Machines that can be vacated for production work.
-    preemptible: Vec<(Partition, IdleMachine)>,
+    preemptible: Vec<(Partition, MachineSummary)>,
     /// Machines in use that have free capacity.
     spare_room: Vec<(Partition, SpareRoom)>,
 }
@@ -50,7 +50,7 @@
 }
 
 /// Whether a machine is of the kind that a request asks for.
-fn satisfies(machine: &IdleMachine, request: &MachineRequest) -> bool {
+fn satisfies(machine: &MachineSummary, request: &MachineRequest) -> bool {
     machine.model == request.model
         && (request.any_zone || machine.zone == request.zone)
         && (request.spot || !machine.spot)
@@ -60,8 +60,8 @@
 /// returns the machines to rent.
 fn match_machine_requests(
     order: &[&Digest],
-    mut arriving: Vec<(Partition, IdleMachine)>,
-    preemptible: &mut Vec<(Partition, IdleMachine)>,
+    mut arriving: Vec<(Partition, MachineSummary)>,
+    preemptible: &mut Vec<(Partition, MachineSummary)>,
     moves: &mut Vec<HandOver>,
 ) -> Rentals {
     let mut rentals = Rentals::new();
@@ -153,7 +153,7 @@
     }
 
     /// The machines whose hand-over is pending, each with the partition that it goes to.
-    fn arriving_machines(&self) -> Vec<(Partition, IdleMachine)> {
+    fn arriving_machines(&self) -> Vec<(Partition, MachineSummary)> {
         self.capacity
             .pending_hand_overs
             .iter()
@@ -163,7 +163,7 @@
 
     /// Collects the machines that digests offer, except those whose hand-over is pending.
     fn collect_offers(&self, digests: &[Digest]) -> Offers {
-        let is_moving = |i: &IdleMachine| {
+        let is_moving = |i: &MachineSummary| {
             self.capacity
                 .pending_hand_overs
                 .iter()
@@ -172,8 +172,8 @@
         let mut idle = Vec::new();
         let mut preemptible = Vec::new();
         for digest in digests {
-            let from = |i: &IdleMachine| (digest.partition, i.clone());
-            let is_needed = |i: &IdleMachine| digest.waiting_tasks.iter().any(|tasks| tasks.accepts_machine(i));
+            let from = |i: &MachineSummary| (digest.partition, i.clone());
+            let is_needed = |i: &MachineSummary| digest.waiting_tasks.iter().any(|tasks| tasks.accepts_machine(i));
             let available = digest.idle.iter().filter(|i| !is_needed(i) && !is_moving(i));
             idle.extend(available.map(from));
             preemptible.extend(digest.vacatable_machines.iter().filter(|i| !is_moving(i)).map(from));
@@ -208,11 +208,12 @@
         &self,
         to: Partition,
         tasks: &WaitingTasks,
-        arriving: &mut Vec<(Partition, IdleMachine)>,
+        arriving: &mut Vec<(Partition, MachineSummary)>,
     ) -> u32 {
         let mut left = tasks.count;
         while left > 0 {
-            let is_suitable = |(p, i): &(Partition, IdleMachine)| *p == to && self.tasks_that_fit(tasks, i).is_some();
+            let is_suitable =
+                |(p, i): &(Partition, MachineSummary)| *p == to && self.tasks_that_fit(tasks, i).is_some();
             let Some(at) = arriving.iter().position(is_suitable) else {
                 break;
             };
@@ -228,11 +229,12 @@
         to: Partition,
         tasks: &WaitingTasks,
         mut left: u32,
-        idle: &mut Vec<(Partition, IdleMachine)>,
+        idle: &mut Vec<(Partition, MachineSummary)>,
         moves: &mut Vec<HandOver>,
     ) -> u32 {
         while left > 0 {
-            let is_suitable = |(p, i): &(Partition, IdleMachine)| *p != to && self.tasks_that_fit(tasks, i).is_some();
+            let is_suitable =
+                |(p, i): &(Partition, MachineSummary)| *p != to && self.tasks_that_fit(tasks, i).is_some();
             let Some(at) = idle.iter().position(is_suitable) else {
                 break;
             };
@@ -249,7 +251,7 @@
     }
 
     /// How many of the waiting tasks fit on a machine while it is empty; none if they may not or cannot run on it.
-    fn tasks_that_fit(&self, tasks: &WaitingTasks, machine: &IdleMachine) -> Option<u32> {
+    fn tasks_that_fit(&self, tasks: &WaitingTasks, machine: &MachineSummary) -> Option<u32> {
         if !tasks.accepts_machine(machine) {
             return None;
         }
--- a/crates/tidelatch-core/src/capacity/spare_room.rs
+++ b/crates/tidelatch-core/src/capacity/spare_room.rs
@@ -6,7 +6,7 @@
 use crate::controller::Controller;
 use crate::ids::{MachineId, Partition};
 use crate::machine_view::Machine;
-use crate::messages::{Digest, IdleMachine, SpareRoom, WaitingTasks};
+use crate::messages::{Digest, MachineSummary, SpareRoom, WaitingTasks};
 use crate::protocol::MachineType;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
         free.iter_mut()
             .zip(machine.used_resources())
             .for_each(|(f, used)| *f -= used);
-        let machine = IdleMachine {
+        let machine = MachineSummary {
             machine: id.clone(),
             model: machine.model.clone(),
             zone: machine.zone.clone(),
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -64,7 +64,8 @@
     /// Jobs that the placement search skips for now, each with the capacity that it needs and the time until which it
     /// is skipped.
     pub(crate) postponed_jobs: BTreeMap<JobId, (Option<UnplacedTasks>, u64)>,
-    /// By team, the part of its limit that is reserved for one production task that found no machine.
+    /// By index of the team in the settings, the part of its limit that is reserved for one production task that found
+    /// no machine.
     pub(crate) reserved_room: BTreeMap<usize, Amounts>,
     /// Jobs within their teams' guarantees, as of the last placement batch.
     pub(crate) jobs_within_guarantee: BTreeSet<JobId>,
@@ -155,6 +156,7 @@
         let paused_ms = now.ms.saturating_sub(self.last_input_ms);
         self.last_input_ms = now.ms;
         self.now = now;
+        // The daemon sends a tick every 100 ms, so a gap this long means that the process did not run.
         if paused_ms > self.settings.report_ms() / 4 {
             self.first_fresh_call = self.next_call_id;
             self.record_pause(paused_ms);
--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -141,7 +141,8 @@
     /// those owners had permitted: the new owner counts tasks that still run as running.
     ///
     /// This is safe: a stop that was already sent under the older fencing token is refused by each worker that has seen
-    /// the new token, and the new owner grants no permit before all workers have seen it.
+    /// the new token, and the new owner grants no permit before all workers have seen it, nor before
+    /// the permits of earlier owners have expired (`create_permit_ledger`).
     pub(crate) fn drop_superseded_permits(&mut self) {
         if self.disruption.is_none() {
             return;
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Addresses of the partition's machines that are not gone.
+    /// Addresses of the partition's machines that are not gone, as far as they have the form `HOST:PORT`.
     fn worker_addresses(&self, partition: Partition) -> Vec<String> {
         let machines = self
             .machines
--- a/crates/tidelatch-core/src/lib.rs
+++ b/crates/tidelatch-core/src/lib.rs
@@ -33,7 +33,7 @@
 pub use cancellations::CancellationNotice;
 pub use controller::Controller;
 pub use messages::{
-    Answer, Digest, IdleMachine, Input, Level, MachineMove, MachineRequest, Method, Now, Output, PeerReply,
+    Answer, Digest, Input, Level, MachineMove, MachineRequest, MachineSummary, Method, Now, Output, PeerReply,
     PeerRequest, PermitGrants, PermitListing, STATUS_NO_FREE_SOCKET, STATUS_NOT_CONNECTED, SpareRoom, Target,
     WaitingTasks,
 };
--- a/crates/tidelatch-core/src/messages.rs
+++ b/crates/tidelatch-core/src/messages.rs
@@ -109,7 +109,7 @@
 
 impl WaitingTasks {
     /// Whether the tasks may run on a machine.
-    pub fn accepts_machine(&self, machine: &IdleMachine) -> bool {
+    pub fn accepts_machine(&self, machine: &MachineSummary) -> bool {
         self.accepts_kind(&machine.model, &machine.zone, machine.spot)
     }
 
@@ -129,14 +129,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpareRoom {
     /// The machine.
-    pub machine: IdleMachine,
+    pub machine: MachineSummary,
     /// Free CPUs, GPUs and memory in GB.
     pub free: [f64; 3],
 }
 
 /// A machine that its partition offers to others: idle, with spare room, or one that can be vacated.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct IdleMachine {
+pub struct MachineSummary {
     /// The machine.
     pub machine: MachineId,
     /// Machine type.
@@ -161,9 +161,9 @@
     /// Queued tasks, including those for which capacity will become free soon enough.
     pub waiting_tasks: Vec<WaitingTasks>,
     /// Machines that run no tasks.
-    pub idle: Vec<IdleMachine>,
+    pub idle: Vec<MachineSummary>,
     /// Machines whose tasks can all be preempted for production work, the least lost work first.
-    pub vacatable_machines: Vec<IdleMachine>,
+    pub vacatable_machines: Vec<MachineSummary>,
     /// Machines in use with free resources that no queued task of the partition needs.
     pub spare_room: Vec<SpareRoom>,
 }
--- a/crates/tidelatch/src/peers/convert.rs
+++ b/crates/tidelatch/src/peers/convert.rs
@@ -3,7 +3,7 @@
 use super::wire;
 use tidelatch_core::ids::{JobId, MachineId, Partition};
 use tidelatch_core::{
-    Answer, CancellationNotice, Digest, IdleMachine, MachineMove, MachineRequest, PeerReply, PeerRequest, SpareRoom,
+    Answer, CancellationNotice, Digest, MachineMove, MachineRequest, MachineSummary, PeerReply, PeerRequest, SpareRoom,
     WaitingTasks,
 };
 use tidelatch_failure_detector::{Claim, Heartbeat, Incarnation, Life, MemberId, Opinion};
@@ -301,8 +301,8 @@
     })
 }
 
-impl From<IdleMachine> for wire::Idle {
-    fn from(idle: IdleMachine) -> Self {
+impl From<MachineSummary> for wire::Idle {
+    fn from(idle: MachineSummary) -> Self {
         Self {
             machine: idle.machine.as_str().to_owned(),
             model: idle.model,
@@ -312,7 +312,7 @@
     }
 }
 
-impl From<wire::Idle> for IdleMachine {
+impl From<wire::Idle> for MachineSummary {
     fn from(idle: wire::Idle) -> Self {
         Self {
             machine: MachineId::new(idle.machine),
