--- a/crates/tidelatch-core/src/disruption/interruption.rs
+++ b/crates/tidelatch-core/src/disruption/interruption.rs
@@ -57,7 +57,7 @@
     /// The gang has tasks on machines of other controllers. A gang is interrupted as a whole, by the controller that
     /// owns all its machines, or not at all. Also used if the gang cannot be stopped as a whole now, for example
     /// because it is incomplete or already stops, or because one of its machines has not been heard lately.
-    #[error("not all tasks of the gang are on machines of this controller")]
+    #[error("this controller cannot stop the gang as a whole now")]
     GangNotLocal,
 }
 
--- a/crates/tidelatch-core/src/machine_view.rs
+++ b/crates/tidelatch-core/src/machine_view.rs
@@ -141,7 +141,7 @@
             None => return,
         };
         if !held.is_empty() {
-            self.log(Level::Info, format!("{machine}: {} tasks are gone: {why}", held.len()));
+            self.log(Level::Info, format!("{machine}: {} tasks released: {why}", held.len()));
         }
         for (task, attempt) in held {
             self.release_attempt(machine, &task, attempt);
