--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -24,7 +24,7 @@
 use crate::controller::Controller;
 use crate::ids::{ControllerId, Epoch, MachineId, Partition};
 use crate::membership::TYPES_KEY;
-use crate::messages::{Digest, IdleMachine, MachineMove, Method, Target};
+use crate::messages::{Digest, MachineMove, MachineSummary, Method, Target};
 use crate::protocol::{MachineTypes, Rental, Report};
 use crate::rate_limit::TokenBucket;
 use crate::roster::RentedMachine;
@@ -55,7 +55,7 @@
 /// A hand-over that the leader has requested from a machine's owner and that has not arrived yet.
 #[derive(Debug, Clone)]
 struct PendingHandOver {
-    machine: IdleMachine,
+    machine: MachineSummary,
     to: Partition,
     /// When the leader requested it, in milliseconds.
     requested_at: u64,
@@ -227,13 +227,13 @@
             self.execute_moves(moves);
             self.adopt_unregistered_machines();
             self.send_new_groups();
-            self.lead_drains();
+            self.advance_drains_as_leader();
             self.request_machine_list();
         } else {
             self.capacity.digests.clear();
             self.capacity.pending_registration.clear();
             self.drop_unsent_groups();
-            self.forget_beginning();
+            self.discard_pending_drain();
             self.capacity.rentals_to_retry.clear();
             self.capacity.unregistered.clear();
         }
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -10,7 +10,7 @@
 use crate::ids::{MachineId, Partition};
 use crate::machine_view::Machine;
 use crate::membership::Stage;
-use crate::messages::{Digest, IdleMachine, SpareRoom};
+use crate::messages::{Digest, MachineSummary, SpareRoom};
 use crate::placement::Amounts;
 use crate::protocol::{Priority, Shape};
 use std::collections::{BTreeMap, BTreeSet};
@@ -134,7 +134,7 @@
             &refused,
             &supply.machines_per_zone,
         );
-        machine_requests.extend(self.replacements_wanted(partition));
+        machine_requests.extend(self.replacement_requests(partition));
         supply.vacatable.sort_by(|a, b| a.0.total_cmp(&b.0));
         let has_no_local_use = |room: &SpareRoom| {
             !waiting_tasks
@@ -195,9 +195,9 @@
     /// Timelines of free capacity of the machines that take tasks, without late ones.
     timelines: Vec<MachineTimeline>,
     /// Machines that run nothing.
-    idle: Vec<IdleMachine>,
+    idle: Vec<MachineSummary>,
     /// Machines that can be vacated for production work, each with the seconds of work that would be lost.
-    vacatable: Vec<(f64, IdleMachine)>,
+    vacatable: Vec<(f64, MachineSummary)>,
     /// Machines in use with free capacity that can be handed over with their tasks.
     spare_room: Vec<SpareRoom>,
     /// Number of machines in each zone.
@@ -212,8 +212,8 @@
     size[1].max(size[0] / 100.0)
 }
 
-fn idle_machine(id: &MachineId, m: &Machine) -> IdleMachine {
-    IdleMachine {
+fn idle_machine(id: &MachineId, m: &Machine) -> MachineSummary {
+    MachineSummary {
         machine: id.clone(),
         model: m.model.clone(),
         zone: m.zone.clone(),
--- a/crates/tidelatch-core/src/capacity/heartbeats.rs
+++ b/crates/tidelatch-core/src/capacity/heartbeats.rs
@@ -48,7 +48,7 @@
                 Vec::new()
             };
             let detector_heartbeat = self.build_detector_heartbeat(&to);
-            let permits = self.permit_listing(&to);
+            let permits = self.build_permit_listing(&to);
             let request = PeerRequest::Heartbeat {
                 name: self.own_name.as_str().to_owned(),
                 entitled: self.is_entitled(),
--- a/crates/tidelatch-core/src/disruption/evictions.rs
+++ b/crates/tidelatch-core/src/disruption/evictions.rs
@@ -1,6 +1,6 @@
 //! Evicts tasks from machines one by one, as disruption budgets permit.
 
-use super::interruption::{BlockReason, Cause};
+use super::interruption::{BlockReason, InterruptionCause};
 use crate::controller::Controller;
 use crate::ids::{Attempt, MachineId, TaskId};
 use crate::machine_view::{HeldTask, Machine};
@@ -9,7 +9,8 @@
 use std::collections::BTreeSet;
 use tidelatch_disruption::InterruptionCost;
 
-/// Number of worker lease durations after which this controller stops emptying a machine that is to be returned.
+/// Number of worker lease durations after which this controller stops emptying a machine that is to be returned to the
+/// cloud.
 const MAX_EMPTYING_LEASES: u64 = 4;
 
 /// A task that is to be evicted from its machine.
@@ -24,7 +25,7 @@
 }
 
 impl Controller {
-    /// Starts to empty a machine so that it can be returned.
+    /// Starts to empty a machine so that it can be returned to the cloud.
     pub(crate) fn begin_emptying(&mut self, id: &MachineId) {
         let now = self.now.ms;
         if let Some(disruption) = &mut self.disruption {
@@ -33,7 +34,7 @@
     }
 
     /// Why the tasks of a machine are to be evicted, or `None` if they may stay.
-    pub(super) fn eviction_cause(&self, id: &MachineId) -> Option<Cause> {
+    pub(super) fn eviction_cause(&self, id: &MachineId) -> Option<InterruptionCause> {
         let disruption = self.disruption.as_ref()?;
         let m = self.machines.get(id)?;
         if disruption
@@ -41,11 +42,11 @@
             .get(id)
             .is_some_and(|drained| drained.is_evicting())
         {
-            Some(Cause::Drain)
+            Some(InterruptionCause::Drain)
         } else if m.vacating_for.is_some() {
-            Some(Cause::HandOver)
+            Some(InterruptionCause::HandOver)
         } else if disruption.emptying_since_ms.contains_key(id) {
-            Some(Cause::Emptying)
+            Some(InterruptionCause::Emptying)
         } else {
             None
         }
@@ -54,7 +55,7 @@
     /// Stops the tasks that may be stopped on each machine that is to be emptied.
     pub(super) fn tick_evictions(&mut self) {
         self.abandon_slow_emptying();
-        let to_empty: Vec<(MachineId, Cause)> = self
+        let to_empty: Vec<(MachineId, InterruptionCause)> = self
             .machines
             .iter()
             .filter(|(_, m)| {
@@ -70,7 +71,7 @@
     }
 
     /// Stops the tasks that may be stopped on one machine, if it is to be emptied.
-    pub(crate) fn evict_now(&mut self, id: &MachineId) {
+    pub(crate) fn evict_permitted_tasks(&mut self, id: &MachineId) {
         if let Some(cause) = self.eviction_cause(id) {
             self.evict_tasks(id, cause, &mut BTreeSet::new());
         }
@@ -78,7 +79,7 @@
 
     /// Stops the tasks that may be stopped on one machine. Skips the teams and classes in `denied`, and adds those
     /// whose budget denies a permit.
-    fn evict_tasks(&mut self, id: &MachineId, cause: Cause, denied: &mut BTreeSet<(String, String)>) {
+    fn evict_tasks(&mut self, id: &MachineId, cause: InterruptionCause, denied: &mut BTreeSet<(String, String)>) {
         self.stop_unstarted_array_tasks(id);
         let mut blocked_by = None;
         for candidate in self.eviction_candidates(id, cause) {
@@ -95,7 +96,7 @@
                     .or_else(|| (!is_transient).then(|| format!("{} of {}: {reason}", candidate.task, candidate.team)));
             }
         }
-        if cause == Cause::Drain {
+        if cause == InterruptionCause::Drain {
             self.log_blocked_drain(id, blocked_by);
         }
     }
@@ -121,13 +122,13 @@
     }
 
     /// The tasks to evict from a machine, in the order of eviction.
-    fn eviction_candidates(&self, id: &MachineId, cause: Cause) -> Vec<EvictionCandidate> {
+    fn eviction_candidates(&self, id: &MachineId, cause: InterruptionCause) -> Vec<EvictionCandidate> {
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
         let not_stopping = m.held.iter().filter(|h| h.stop.is_none());
         let mut candidates: Vec<EvictionCandidate> = not_stopping
-            .filter(|h| cause != Cause::Drain || !self.should_wait_for_task(id, m, h))
+            .filter(|h| cause != InterruptionCause::Drain || !self.should_wait_for_task(id, m, h))
             .filter_map(|h| {
                 let spec = &self.jobs.get(&h.task.job)?.spec;
                 Some(EvictionCandidate {
@@ -157,7 +158,8 @@
         }
         let spec = &job.spec;
         let machine_type = self.machine_types.iter().find(|t| t.name == m.model);
-        let fetch_rate = machine_type.map_or(1.0, |t| t.fetch_gb_per_s.max(1e-3));
+        // 1 GB/s for an unknown machine type; at least 0.001 GB/s, because it is a divisor.
+        let fetch_gb_per_s = machine_type.map_or(1.0, |t| t.fetch_gb_per_s.max(1e-3));
         let ran_s = held
             .running_since
             .map_or(0.0, |t| self.now.ms.saturating_sub(t) as f64 / 1000.0);
@@ -166,13 +168,13 @@
         let interruption = InterruptionCost {
             remaining_s: (self.estimates.expected_run_s(spec) - ran_s).max(0.0),
             lost_s: if has_checkpoints { ran_s.min(spec.save_s) } else { ran_s },
-            fetch_s: spec.image_gb / fetch_rate,
+            fetch_s: spec.image_gb / fetch_gb_per_s,
             time_to_deadline_s: spec.deadline_s.map(|deadline_s| deadline_s - age_s),
         };
         interruption.is_waiting_cheaper()
     }
 
-    /// Returns machines to service that did not become empty within `MAX_EMPTYING_LEASES`.
+    /// Lets tasks be placed again on machines that did not become empty within `MAX_EMPTYING_LEASES`.
     fn abandon_slow_emptying(&mut self) {
         let now = self.now.ms;
         let max_emptying_ms = MAX_EMPTYING_LEASES * self.settings.worker_lease_ms();
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -253,7 +253,7 @@
         self.controllers
             .iter()
             .flat_map(|process| &process.core)
-            .map(Controller::censuses)
+            .map(Controller::census_count)
             .sum()
     }
 
--- a/crates/tidelatch/src/peers/convert.rs
+++ b/crates/tidelatch/src/peers/convert.rs
@@ -3,7 +3,7 @@
 use super::wire;
 use tidelatch_core::ids::{JobId, MachineId, Partition};
 use tidelatch_core::{
-    Answer, CancellationNotice, Digest, IdleMachine, MachineMove, MachineRequest, PeerReply, PeerRequest, SpareRoom,
+    Answer, CancellationNotice, Digest, MachineMove, MachineRequest, MachineSummary, PeerReply, PeerRequest, SpareRoom,
     WaitingTasks,
 };
 use tidelatch_failure_detector::{Claim, Heartbeat, Incarnation, IncarnationId, MemberId, Opinion};
@@ -43,7 +43,7 @@
                 relies,
                 digests: convert_all(digests),
                 life: told.incarnation,
-                unread: told.has_not_read_store,
+                unread: told.has_not_read_state,
                 cancelled: job_names(told.cancelled),
                 asked: job_names(told.requested),
                 liveness: liveness.map(Into::into),
@@ -86,7 +86,7 @@
             digests: convert_all(request.digests),
             cancellations: CancellationNotice {
                 incarnation: request.life,
-                has_not_read_store: request.unread,
+                has_not_read_state: request.unread,
                 cancelled: parse_job_ids(&request.cancelled),
                 requested: parse_job_ids(&request.asked),
             },
@@ -145,7 +145,7 @@
             moves: convert_all(moves),
             refused: convert_all(refused),
             life: told.incarnation,
-            unread: told.has_not_read_store,
+            unread: told.has_not_read_state,
             cancelled: job_names(told.cancelled),
             asked: job_names(told.requested),
             liveness: liveness.map(Into::into),
@@ -164,7 +164,7 @@
             refused: convert_all(reply.refused),
             cancellations: CancellationNotice {
                 incarnation: reply.life,
-                has_not_read_store: reply.unread,
+                has_not_read_state: reply.unread,
                 cancelled: parse_job_ids(&reply.cancelled),
                 requested: parse_job_ids(&reply.asked),
             },
@@ -301,8 +301,8 @@
     })
 }
 
-impl From<IdleMachine> for wire::Idle {
-    fn from(idle: IdleMachine) -> Self {
+impl From<MachineSummary> for wire::Idle {
+    fn from(idle: MachineSummary) -> Self {
         Self {
             machine: idle.machine.as_str().to_owned(),
             model: idle.model,
@@ -312,7 +312,7 @@
     }
 }
 
-impl From<wire::Idle> for IdleMachine {
+impl From<wire::Idle> for MachineSummary {
     fn from(idle: wire::Idle) -> Self {
         Self {
             machine: MachineId::new(idle.machine),
