--- a/crates/tidelatch-standin/src/faults.rs
+++ b/crates/tidelatch-standin/src/faults.rs
@@ -124,11 +124,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateServiceSide {
     /// Only the named controllers reach the state service.
-    NamedControllers,
+    Named,
     /// All controllers reach it: only the links between controllers are cut.
-    AllControllers,
+    Both,
     /// No controller reaches it.
-    NoController,
+    Neither,
 }
 
 /// Partitions the network: the named controllers reach each other, and so do the others, but no named controller
@@ -141,9 +141,9 @@
         let crosses_split = between_controllers && is_named(message.from) != is_named(message.to);
         let cut_from_state = message.to == "state"
             && match state {
-                StateServiceSide::NamedControllers => !is_named(message.from),
-                StateServiceSide::AllControllers => false,
-                StateServiceSide::NoController => true,
+                StateServiceSide::Named => !is_named(message.from),
+                StateServiceSide::Both => false,
+                StateServiceSide::Neither => true,
             };
         if crosses_split || cut_from_state {
             Delivery::Lost
--- a/crates/tidelatch-standin/tests/drains_under_faults.rs
+++ b/crates/tidelatch-standin/tests/drains_under_faults.rs
@@ -38,10 +38,7 @@
     match rng.u32(0..8) {
         0 => faults::isolate_controller(controller),
         1 => faults::refuse_state_requests(controller),
-        2 => faults::partition_controllers(
-            &[controller, (controller + 1) % controllers],
-            StateServiceSide::AllControllers,
-        ),
+        2 => faults::partition_controllers(&[controller, (controller + 1) % controllers], StateServiceSide::Both),
         3 => faults::cut_direction(controller, (controller + 1) % controllers),
         4 => faults::unreliable_peer_network(seed),
         5 => faults::lose_transaction_answers(seed, 0.4),
--- a/crates/tidelatch-standin/tests/failure_detection.rs
+++ b/crates/tidelatch-standin/tests/failure_detection.rs
@@ -114,7 +114,7 @@
         // The other controllers suspect the owner and read its records ahead of a takeover. The owner continues its
         // work, stores more done tasks and then crashes.
         let peers: Vec<usize> = (0..3).filter(|controller| *controller != owner).collect();
-        world.set_fault_injector(faults::partition_controllers(&peers, StateServiceSide::AllControllers));
+        world.set_fault_injector(faults::partition_controllers(&peers, StateServiceSide::Both));
         world.run_for(10_000);
         world.crash_controller(owner);
         world.run_for(500);
@@ -308,9 +308,9 @@
 fn at_most_one_half_of_a_split_network_takes_over() {
     for (controllers, first_half) in [(4, vec![0, 1]), (6, vec![0, 1, 2])] {
         for state in [
-            StateServiceSide::NamedControllers,
-            StateServiceSide::AllControllers,
-            StateServiceSide::NoController,
+            StateServiceSide::Named,
+            StateServiceSide::Both,
+            StateServiceSide::Neither,
         ] {
             let mut world = start_with_work(controllers, &with_failure_detection());
             let epoch = world.epoch();
@@ -319,11 +319,11 @@
             world.run_for(3 * LEASE_MS);
             match state {
                 // A suspicion takes nothing over, even if a majority of the controllers has it.
-                StateServiceSide::AllControllers | StateServiceSide::NoController => {
+                StateServiceSide::Both | StateServiceSide::Neither => {
                     assert_eq!(world.epoch(), epoch, "{}", world.trace());
                     assert_eq!(count_trace_lines(&world, "is confirmed as gone"), 0);
                 }
-                StateServiceSide::NamedControllers => {
+                StateServiceSide::Named => {
                     assert!(world.epoch() > epoch);
                     assert!(
                         first_half.contains(&world.owner_of_team(controllers - 1)),
@@ -349,10 +349,7 @@
     // The times reach from before the first suspicion until the new owners act.
     for healed_after_ms in (1_000..=11_000).step_by(1_000) {
         let mut world = start_with_work(4, &with_failure_detection());
-        world.set_fault_injector(faults::partition_controllers(
-            &[0, 1],
-            StateServiceSide::NamedControllers,
-        ));
+        world.set_fault_injector(faults::partition_controllers(&[0, 1], StateServiceSide::Named));
         world.run_for(healed_after_ms);
         world.clear_fault_injector();
         assert_recovers(&mut world, 4);
