--- a/crates/tidelatch-core/src/admission.rs
+++ b/crates/tidelatch-core/src/admission.rs
@@ -203,8 +203,9 @@
         }
     }
 
-    /// Whether the queue has room for one more job of a team: within the team's reserve, or in what no other reserve or
-    /// load claims. A team without jobs has room for one, unless the operators' limit is 0.
+    /// Whether the queue has room for one more job of a team: within the team's reserve, or in the part of the queue
+    /// that is left when every team has the larger of its reserve and its expected load. A team without jobs has room
+    /// for one, unless the operators' limit is 0.
     fn has_room(&self, spec: &JobSpec) -> bool {
         let Some(team) = self.teams.get(&spec.team) else {
             return false;
--- a/crates/tidelatch-core/src/calls.rs
+++ b/crates/tidelatch-core/src/calls.rs
@@ -41,8 +41,8 @@
     /// Reads a page of the stored bitmaps of completed tasks of a partition that this controller takes over.
     /// `since_epoch` is the number of the epoch in which it became the owner.
     DoneBits { partition: Partition, since_epoch: u64 },
-    /// Reads a page of these bitmaps ahead, of a partition that this controller may have to take over. `read_number` is
-    /// the number of the read, of which each page is a part.
+    /// Reads ahead a page of the stored bitmaps of completed tasks of a partition that this controller may have to take
+    /// over. `read_number` is the number of the read, of which each page is a part.
     ReadAhead { partition: Partition, read_number: u64 },
     /// Reads the changes since the bitmaps were read ahead, at the takeover. `since_epoch` as in `DoneBits`.
     DoneBitsChanges { partition: Partition, since_epoch: u64 },
@@ -52,11 +52,12 @@
     ReadMachineTypes,
     /// Stores the machine types.
     WriteMachineTypes,
-    /// Rents machines from the cloud.
+    /// Rents machines from the cloud. `partitions` holds, for each machine, the partition that it is for.
     RentMachines { rental: Rental, partitions: Vec<Partition> },
     /// Stores new machine groups, as the leader.
     WriteNewMachineGroups,
-    /// Changes a machine group or splits it into several.
+    /// Changes a machine group or splits it into several. `changes` holds the groups to write by name; `None` deletes
+    /// the group.
     WriteMachineGroup {
         group: String,
         revision: Revision,
@@ -78,7 +79,8 @@
     ConfirmMachine { machine: MachineId, sent: u64 },
     /// Asks a worker for its status, outside its reports.
     ReadWorkerStatus { machine: MachineId, sent: u64 },
-    /// Sends commands to a worker directly, not as the answer to its report.
+    /// Sends commands to a worker directly, not as the answer to its report. `number` is the number of this direct
+    /// command call.
     SendCommands {
         machine: MachineId,
         number: u64,
--- a/crates/tidelatch-core/src/cancellations.rs
+++ b/crates/tidelatch-core/src/cancellations.rs
@@ -75,7 +75,7 @@
     waiting_requesters: Vec<(JobId, Requester, u64)>,
     /// Heartbeats are to be sent at once.
     heartbeats_requested: bool,
-    /// Time at which the latest granted extension of the lease was sent to the state service.
+    /// Time at which the request for the latest lease extension that the state service granted was sent.
     lease_extension_sent_ms: u64,
 }
 
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Records that a job's cancellation is stored. `ended_wall` is the time of day at which it was written, if the
+    /// Records that a job's cancellation is stored. `ended_wall` is the wall clock time at which it was written, if the
     /// record holds that. Without it, a job that this controller knew as unfinished counts as cancelled just now.
     pub(crate) fn record_cancellation(&mut self, id: &JobId, ended_wall: Option<u64>, was_open: bool) {
         let age = match ended_wall {
@@ -262,9 +262,9 @@
             .extend(job.placed.values().flatten().cloned());
     }
 
-    /// Records that an incarnation of a peer has answered a heartbeat that carried a range of cancellations. If this
-    /// incarnation has not acknowledged what precedes the range, only an earlier one may have received that, and
-    /// nothing is recorded.
+    /// Records that an incarnation of a peer has answered a heartbeat that carried a range of cancellations. Nothing is
+    /// recorded for another incarnation than the known one, or if this incarnation of the peer has not acknowledged
+    /// what precedes the range: only an earlier incarnation of the peer may have received that.
     pub(crate) fn record_acknowledged_cancellations(
         &mut self,
         peer: &ControllerId,
--- a/crates/tidelatch-core/src/capacity.rs
+++ b/crates/tidelatch-core/src/capacity.rs
@@ -297,7 +297,8 @@
         }
     }
 
-    /// Seconds within which guaranteed work should start: the shortest of the guarantee objectives.
+    /// Seconds within which guaranteed work should start: the shortest of the guarantee objectives; `f64::MAX` without
+    /// one.
     pub(crate) fn guaranteed_start_limit_s(&self) -> f64 {
         let objectives = &self.settings.platform.facts.objectives;
         objectives
--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -16,8 +16,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Controller {
-    /// Seconds of work that would be lost if a machine were vacated for production work. None if the machine runs
-    /// a task that must not be preempted.
+    /// Seconds of work that would be lost if a machine were vacated for production work. None if the machine
+    /// is a spot machine, empty or not usable, or if it holds a task that must not be preempted, is already being
+    /// stopped, or belongs to a gang or to an unknown job.
     pub(super) fn preemption_loss_s(&self, m: &Machine) -> Option<f64> {
         if m.spot || m.held.is_empty() || !m.is_usable(self.now.ms, 2 * self.settings.report_ms()) {
             return None;
--- a/crates/tidelatch-core/src/capacity/hand_over.rs
+++ b/crates/tidelatch-core/src/capacity/hand_over.rs
@@ -79,8 +79,8 @@
                 arriving.swap_remove(at);
                 continue;
             }
-            // Production work gets a machine of another partition that can be vacated, and whose tasks can then run on
-            // the machine that is rented all the same.
+            // Production work gets a machine of another partition that can be vacated. A machine is rented anyway, and
+            // the tasks of the vacated machine can run on it.
             let found = vacatable.iter().position(|(p, i)| *p != to && satisfies(i, request));
             if let Some(at) = found.filter(|_| request.urgent) {
                 let (from, machine) = vacatable.remove(at);
--- a/crates/tidelatch-core/src/capacity/planning.rs
+++ b/crates/tidelatch-core/src/capacity/planning.rs
@@ -40,7 +40,7 @@
     pub guaranteed: bool,
     /// Seconds from submission to deadline; 0: none.
     pub deadline_s: f64,
-    /// Estimated run time in seconds; 0 for services.
+    /// Expected run time in seconds, the estimate corrected for its class; 0 for services.
     pub run_s: f64,
     /// Size of the image in GB.
     pub image_gb: f64,
--- a/crates/tidelatch-core/src/capacity/renting.rs
+++ b/crates/tidelatch-core/src/capacity/renting.rs
@@ -291,8 +291,8 @@
     }
 
     /// Requests the next page of the cloud's machine list, to find machines that are paid for but not in the roster. A
-    /// new listing begins a report interval plus twice the time by which the list may lag behind after the last
-    /// request.
+    /// new listing begins at the earliest one report interval plus twice `list_lag_s` after the last request;
+    /// `list_lag_s` is the time by which the list may lag behind.
     pub(super) fn request_machine_list(&mut self) {
         let now = self.now.ms;
         let interval_ms = (self.settings.platform.facts.cloud.list_lag_s * 2000.0) as u64 + self.settings.report_ms();
@@ -315,7 +315,7 @@
         let Ok(list) = serde_json::from_slice::<MachineList>(&body) else {
             return;
         };
-        // Without the further pages, machines beyond the first one would never be found and would be paid for
+        // Without the further pages, machines beyond the first page would never be found and would be paid for
         // indefinitely.
         let last_id = list.machines.last().map(|m| m.id.as_str().to_owned());
         self.capacity.next_list_cursor = last_id
--- a/crates/tidelatch-core/src/controller.rs
+++ b/crates/tidelatch-core/src/controller.rs
@@ -61,8 +61,8 @@
     /// When the next placement batch is due; `None`: none is needed.
     pub(crate) batch_due_ms: Option<u64>,
     pub(crate) estimates: EstimateCorrections,
-    /// Jobs that the placement search skips for now, each with the capacity that it needs and the time until which it
-    /// is skipped.
+    /// Jobs that the placement search skips for now, each with its tasks that count as unplaced meanwhile (`None` if
+    /// none do) and the time in milliseconds until which it is skipped.
     pub(crate) postponed_jobs: BTreeMap<JobId, (Option<UnplacedTasks>, u64)>,
     /// By index of the team in the settings, the part of its limit that is reserved for one production task that found
     /// no machine.
@@ -71,7 +71,9 @@
     pub(crate) jobs_within_guarantee: BTreeSet<JobId>,
     /// When all machines are next examined.
     next_machine_tick_ms: u64,
+    /// When the next writes of job ends and of bitmaps of finished tasks are due.
     pub(crate) flush_due_ms: u64,
+    /// When consolidation is next checked.
     pub(crate) consolidation_due_ms: u64,
     /// When each partition was last consolidated onto fewer machines.
     pub(crate) last_consolidations_ms: BTreeMap<Partition, u64>,
--- a/crates/tidelatch-core/src/disruption.rs
+++ b/crates/tidelatch-core/src/disruption.rs
@@ -3,8 +3,9 @@
 //! A voluntary interruption stops a task although nothing forces it: a machine is emptied or drained, a replica makes
 //! room for another one, or a machine is vacated for another partition. Each such stop needs a permit for the task
 //! ([`interruption`]). The controller that owns the task's team grants the permit, since only that controller knows how
-//! many of the team's units run ([`census`]); the controller that owns the machine uses it. If these are two different
-//! controllers, they exchange permit requests and permits in their heartbeats ([`permit_exchange`]).
+//! many of the team's units (replicas of a service, or tasks) run ([`census`]); the controller that owns the machine
+//! uses it. If these are two different controllers, they exchange permit requests and permits in their heartbeats
+//! ([`permit_exchange`]).
 //!
 //! The leader starts drains and selects the machines to drain next, in records that all controllers watch
 //! ([`drain_records`]). The owners of the machines carry the drains out ([`machine_drains`], [`evictions`]).
--- a/crates/tidelatch-core/src/disruption/census.rs
+++ b/crates/tidelatch-core/src/disruption/census.rs
@@ -57,7 +57,7 @@
         self.disruption.as_ref().map_or(0, |d| d.census_count.get())
     }
 
-    /// The budget scopes that a job belongs to, each with its budget.
+    /// The budget scopes that a job belongs to, each with its budget. A scope is a set of jobs that share one budget.
     fn budget_scopes(&self, id: &JobId, job: &Job) -> Vec<(ScopeName, Budget)> {
         let spec = &job.spec;
         let class = format!("{}/{}", spec.team, spec.class);
@@ -95,8 +95,8 @@
         running.map(|(index, _)| *index).collect()
     }
 
-    /// Whether a machine has reported within the last two report periods and is neither gone nor being returned to the
-    /// cloud.
+    /// Whether a machine has reported within the last two report intervals and is neither gone nor being returned to
+    /// the cloud.
     fn has_reported_recently(&self, m: &Machine) -> bool {
         let max_report_age_ms = 2 * self.settings.report_ms();
         let is_recent = m
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -21,7 +21,7 @@
 pub(crate) const DRAIN_PREFIX: &str = "t/d/";
 /// Fraction of the write budget's burst that drain writes leave for other state service writes.
 const WRITE_BUDGET_RESERVE: f64 = 0.3;
-/// Number of times per report period that the leader checks its drains.
+/// Number of times per report interval that the leader checks its drains.
 const CHECKS_PER_REPORT_PERIOD: u64 = 2;
 
 /// A machine that is being drained at present.
@@ -247,6 +247,7 @@
             // The head was stored, but the response to its write was lost.
             records.pending_drain = None;
         }
+        // This only checks that at least the reserve is left; it takes no tokens.
         if !self.state_writes.try_take(now, 0.0, WRITE_BUDGET_RESERVE) {
             return;
         }
--- a/crates/tidelatch-core/src/disruption/machine_drains.rs
+++ b/crates/tidelatch-core/src/disruption/machine_drains.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tidelatch_disruption::{MachineDrain, MachineName, Observation, Replacement, Step};
 
-/// Number of report periods that a step may last before a log line says what it waits for.
+/// Number of report intervals that a step may last before a log line says what it waits for.
 const BLOCKED_LOG_DELAY_REPORTS: u64 = 2;
 
 /// A machine that is being drained.
--- a/crates/tidelatch-core/src/failure_detection/preparation.rs
+++ b/crates/tidelatch-core/src/failure_detection/preparation.rs
@@ -36,7 +36,7 @@
     /// Number of this read, by which replies to earlier reads are recognized and ignored.
     read_number: u64,
     reading: ReadProgress,
-    /// Revision of the first page. The changes after it are read at the takeover.
+    /// Revision of the first page; 0: no page has been read yet. The changes after it are read at the takeover.
     revision: u64,
     records: BTreeMap<String, Value>,
     /// Addresses of workers that are still to be connected to.
--- a/crates/tidelatch-core/src/gangs.rs
+++ b/crates/tidelatch-core/src/gangs.rs
@@ -190,7 +190,8 @@
         let worker_lease_ms = self.settings.worker_lease_ms();
         let wait = self.settings.gang_ms().map_or(worker_lease_ms, |(wait, _)| wait);
         // A replacement that is not found in two batches may not be found for a long time, and meanwhile the other
-        // tasks hold resources that another gang may be waiting for.
+        // tasks hold resources that another gang may be waiting for. An incomplete gang is also aborted after half of
+        // the time for which its tasks wait for each other.
         let replacement_ms = 2 * self.settings.batch_retry_ms();
         let missing_for_ms = gang.missing_since.map_or(0, |t| now.saturating_sub(t));
         if gang.has_ended {
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -42,7 +42,7 @@
     pub(crate) revision: Revision,
     /// Epoch under which the job was accepted.
     pub(crate) epoch: Epoch,
-    /// Time of day of the acceptance, in milliseconds.
+    /// Wall clock time of the acceptance, in milliseconds since the Unix epoch.
     pub(crate) accepted_wall_ms: u64,
     pub(crate) partition: Partition,
     /// Bitmap of the finished tasks, by task index.
--- a/crates/tidelatch-core/src/jobs/bitmap.rs
+++ b/crates/tidelatch-core/src/jobs/bitmap.rs
@@ -14,8 +14,8 @@
 /// Position of a stored part of a bitmap: a whole chunk, or the part of a chunk that begins at some bit.
 ///
 /// A chunk takes three quarters of the size limit on values in the state service. The version without gangs derives
-/// that size from the settings when it reads a chunk, so the size must not change while a job is stored. Where the
-/// limit on values will be lower, a chunk is stored in pieces. The first piece has the key of the chunk, and the
+/// that size from the settings when it reads a chunk, so the size must not change while a job is stored. Where a
+/// lower limit on values is announced, a chunk is stored in pieces. The first piece has the key of the chunk, and the
 /// version without gangs reads it. It ignores the other pieces and would start their tasks again; the workers answer
 /// those starts with the results that they keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -168,8 +168,8 @@
         (self.settings.platform.facts.state.value_kb * 1024.0 * 0.75) as u32 * 4
     }
 
-    /// Bits in one piece of a chunk: four per character, in three quarters of the lower of the present and the coming
-    /// limit on values.
+    /// Bits in one piece of a chunk: four per character, in three quarters of the lower of the present and the
+    /// announced limit on values.
     pub(crate) fn piece_bits(&self) -> u32 {
         let bits = (self.settings.value_bytes() as f64 * 0.75) as u32 * 4;
         bits.clamp(4, self.chunk_bits().max(4))
--- a/crates/tidelatch-core/src/jobs/record.rs
+++ b/crates/tidelatch-core/src/jobs/record.rs
@@ -34,7 +34,7 @@
 pub struct JobRecord {
     /// Epoch under which the job was accepted.
     pub epoch: Epoch,
-    /// Time of day of the acceptance, in milliseconds.
+    /// Wall clock time of the acceptance, in milliseconds since the Unix epoch.
     pub at: u64,
     /// Status of the job.
     pub st: StoredJobStatus,
@@ -44,7 +44,7 @@
     pub team: String,
     /// Resources that each task takes, kept because tasks count against the team's limit even after the job's end.
     pub size: [f64; 3],
-    /// Time of day at which the end was written, in milliseconds. Absent if a version without
+    /// Wall clock time at which the end was written, in milliseconds since the Unix epoch. Absent if a version without
     /// the exchange of cancellations wrote it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<u64>,
--- a/crates/tidelatch-core/src/machine_view/commands.rs
+++ b/crates/tidelatch-core/src/machine_view/commands.rs
@@ -17,14 +17,15 @@
 }
 
 /// The command that stops a task that its machine reports in `state`. None if the task is to go on running, or is
-/// saving within its time limit. Also requests the stop of a task that is not wanted any more.
+/// saving within its time limit. Also records in `held` the stop of a task that is not
+/// wanted any more.
 fn stop_command(held: &mut HeldTask, state: TaskState, is_wanted: bool, now: u64, report_ms: u64) -> Option<Command> {
     if !is_wanted && held.stop.is_none() {
         held.stop = Some(StopRequest::new(0.0, now));
     }
     let stop = held.stop?;
-    // A task that takes too long to save is killed: longer than twice its grace plus two report intervals. The factor
-    // of 2000 also converts seconds to milliseconds.
+    // A task that takes longer to save than twice its grace plus two report intervals is killed. The factor of 2000 is
+    // 2 times 1000 milliseconds per second.
     let is_late = now.saturating_sub(stop.requested_at) > (stop.grace_s * 2000.0) as u64 + 2 * report_ms;
     let saves_in_time = state == TaskState::Saving && !is_late && is_wanted && stop.grace_s != 0.0;
     (!saves_in_time).then(|| Command::Stop {
--- a/crates/tidelatch-core/src/machine_view/machine.rs
+++ b/crates/tidelatch-core/src/machine_view/machine.rs
@@ -148,11 +148,11 @@
     pub(crate) retiring: bool,
     /// The partition for which it is being emptied, and since when.
     pub(crate) vacating_for: Option<(Partition, u64)>,
-    /// A drain covers it: nothing is started on it.
+    /// It is being drained: nothing is started on it.
     pub(crate) cordoned: bool,
     /// It is reserved for tasks that leave a drained machine.
     pub(crate) reserved: bool,
-    /// It is being emptied and will then be returned to the cloud.
+    /// Nothing is started on it, and it is returned to the cloud once it is empty.
     pub(crate) draining: bool,
     /// A request to the cloud to delete it is pending.
     pub(crate) deleting: bool,
--- a/crates/tidelatch-core/src/machine_view/shared_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/shared_machines.rs
@@ -139,14 +139,15 @@
         }
     }
 
-    /// Whether a machine may be handed over with its tasks: all tasks that it holds are running, no command for it is
-    /// pending, and it holds no task of a gang, because a gang stops as a whole.
+    /// Whether a machine may be handed over with its tasks: all tasks that it holds are fetching their image or
+    /// running and have not been told to stop, no command for it is pending, and it holds no task of a gang, because a
+    /// gang stops as a whole.
     ///
     /// An unanswered start that has not been reported leaves its task in a state that is not settled. One that has
     /// been reported is listed by the worker, where a late copy of the command has no effect, and the next owner does
     /// not have an ended attempt of another partition forgotten for three worker leases (`forget_commands`). So the
-    /// conditions on the held tasks already exclude whatever the check of `unanswered_starts` excludes. The check stays
-    /// in case what is known about a machine changes.
+    /// check of `unanswered_starts` is redundant at present. It stays as a safeguard in case what is known about a
+    /// machine changes.
     pub(crate) fn can_hand_over_with_tasks(&self, machine: &Machine) -> bool {
         let is_settled = |h: &HeldTask| {
             let is_fetching_or_running = matches!(
--- a/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
+++ b/crates/tidelatch-core/src/machine_view/unresponsive_machines.rs
@@ -357,7 +357,8 @@
         // After a preemption notice from the cloud, a machine that stops reporting counts as gone.
         let is_reclaimed = m.has_preemption_notice && limits.is_unheard_for(m, 2 * report_ms);
         // An unconfirmed machine of a takeover blocks the tasks of its whole partition that were started before the
-        // takeover, and requests have been sent to it since the takeover began, so it gets less time.
+        // takeover, and requests have been sent to it since the takeover began, so it gets less time: one report
+        // interval instead of 2.4.
         let blocks_older_tasks = !m.is_confirmed && m.may_hold_older_tasks;
         let dead_ms = if blocks_older_tasks {
             report_ms
--- a/crates/tidelatch-core/src/membership/registration.rs
+++ b/crates/tidelatch-core/src/membership/registration.rs
@@ -49,8 +49,8 @@
             }
             Some((400, body)) if is_lost_lease_error(&body) => self.handle_lost_lease(),
             _ => {
-                // The outcome is unknown: the watch delivers the record that is stored now. The write is repeated after
-                // a sixteenth of the report interval.
+                // The write failed or its outcome is unknown: the watch delivers the record that is stored now. The
+                // write is repeated after a sixteenth of the report interval.
                 self.membership.written_record = None;
                 self.membership.next_record_write_ms = self.now.ms + self.settings.report_ms() / 16;
             }
--- a/crates/tidelatch-core/src/membership/shared_keys.rs
+++ b/crates/tidelatch-core/src/membership/shared_keys.rs
@@ -69,7 +69,8 @@
             return;
         };
         if cursor.is_empty() {
-            // A new listing replaces everything that was known, so that deleted keys do not remain.
+            // Keys that have been deleted must not remain. The members and the leader are cleared here; the machine
+            // groups and drain records that were not listed are removed at the end of the listing. The epoch is kept.
             self.membership.members.clear();
             self.membership.own_revision = Revision(0);
             self.membership.leader = None;
--- a/crates/tidelatch-core/src/membership/tenure.rs
+++ b/crates/tidelatch-core/src/membership/tenure.rs
@@ -42,7 +42,7 @@
 }
 
 impl Controller {
-    /// Whether this controller acts for a partition at the time `now`, which is at or after its last step.
+    /// Whether this controller acts for a partition at the time `now`, which is at or after its last input.
     pub fn acts_for_partition_at(&self, now: u64, partition: Partition) -> bool {
         let active = |t: &Tenure| t.stage == Stage::Active;
         self.is_entitled_at(now) && self.tenures.get(&partition).is_some_and(active)
@@ -53,7 +53,7 @@
         self.membership.epoch.as_ref()?.0.partitions.get(partition.0 as usize)
     }
 
-    /// The partition's ownership record if this controller acts for the partition now.
+    /// The partition's tenure if this controller acts for the partition now.
     pub(crate) fn active_tenure(&self, partition: Partition) -> Option<&Tenure> {
         if !self.is_entitled() {
             return None;
--- a/crates/tidelatch-core/src/messages.rs
+++ b/crates/tidelatch-core/src/messages.rs
@@ -158,7 +158,8 @@
     pub demand: f64,
     /// Requested machines.
     pub machine_requests: Vec<MachineRequest>,
-    /// Queued tasks, including those for which capacity will become free soon enough.
+    /// Queued tasks, including those for which existing machines will have capacity so soon that no machine is
+    /// requested for them.
     pub waiting_tasks: Vec<WaitingTasks>,
     /// Machines that run no tasks.
     pub idle: Vec<MachineSummary>,
--- a/crates/tidelatch-core/src/placement.rs
+++ b/crates/tidelatch-core/src/placement.rs
@@ -95,7 +95,7 @@
     pub guaranteed: bool,
     /// Seconds from submission to deadline; 0 without a deadline.
     pub deadline_s: f64,
-    /// Estimated run time in seconds; 0 for services.
+    /// Expected run time in seconds, the estimate corrected for its class; 0 for services.
     pub estimate_s: f64,
     /// Rank by priority and deadline: higher ranks are placed first.
     pub rank: f64,
@@ -262,7 +262,8 @@
         } else {
             0.0
         };
-        // The slowest image fetch determines when a gang starts, and the slowest machine determines its speed.
+        // The slowest image fetch determines when a gang starts, and a machine with failures slows or stops the whole
+        // gang.
         let gang_penalty = if job.is_gang {
             let fetch_penalty = if job.start_objective_s > 0.0 {
                 3.0 * fetch_s / job.start_objective_s
@@ -316,7 +317,7 @@
                 sum += score;
             }
             let is_complete = chosen.len() == tasks.len();
-            // Undo the attempt, including the image.
+            // Undo this trial placement, including the image.
             for (task, (slot, had_image)) in tasks.iter().zip(&chosen) {
                 self.unassign(*task);
                 let image = self.jobs.get(job).map(|j| j.image.clone()).unwrap_or_default();
--- a/crates/tidelatch-core/src/queue.rs
+++ b/crates/tidelatch-core/src/queue.rs
@@ -38,7 +38,7 @@
     is_starved: bool,
     /// See [`urgency`].
     urgency: f64,
-    /// Time of submission, wall clock, in milliseconds.
+    /// Time of acceptance, wall clock, in milliseconds.
     accepted_wall_ms: u64,
     /// Indices of the tasks that the next batches may place.
     tasks: Vec<u32>,
--- a/crates/tidelatch-core/src/queue/batch_placement.rs
+++ b/crates/tidelatch-core/src/queue/batch_placement.rs
@@ -193,7 +193,7 @@
             let tasks: Vec<usize> = batch.iter().map(|task| task.job).collect();
             let is_guaranteed: Vec<bool> = batch.iter().map(|task| task.guaranteed).collect();
             // The greedy pass evaluates each machine once for each task; each move evaluates each machine for one
-            // task. The budget is charged for at least 4 machines.
+            // task. The budget is charged for at least 4 machines, which also limits batches on few machines.
             let (task_count, machine_count) = (tasks.len(), slots.len());
             let max_moves = task_count * self.settings.operator.search_moves_per_task as usize;
             let moves =
@@ -295,7 +295,7 @@
         if waited_periods(w) % 2 == 0 {
             return None;
         }
-        // Count free room, and room of tasks that finish by themselves and do not precede the gang.
+        // Count free room, and room of tasks that end by themselves and whose priority is not higher than the gang's.
         let mut by_zone: BTreeMap<&str, Vec<(u32, &MachineId)>> = BTreeMap::new();
         for (id, m) in self.machines.iter().filter(|(_, m)| m.partition == partition) {
             let is_usable =
--- a/crates/tidelatch-core/src/queue/eligible_jobs.rs
+++ b/crates/tidelatch-core/src/queue/eligible_jobs.rs
@@ -39,7 +39,7 @@
 }
 
 impl CollectionContext<'_> {
-    /// Seconds since the job was submitted.
+    /// Seconds since the job was accepted.
     fn age_s(&self, job: &Job) -> f64 {
         self.now.wall_ms.saturating_sub(job.accepted_wall_ms) as f64 / 1000.0
     }
@@ -116,8 +116,8 @@
         tasks.truncate(1);
     }
     if job.failures.is_suspected() {
-        // Limit a job suspected of failing by itself to one task at a time, which is enough to show whether the job is
-        // faulty.
+        // Limit a job suspected of failing through its own fault, not its machines', to one task at a time, which is
+        // enough to show whether the job is faulty.
         tasks.truncate(usize::from(job.placed.is_empty()));
     }
     tasks
@@ -215,9 +215,9 @@
     /// Reserves the room that becomes free under a team's limit for the team's production work that found no machine
     /// or no room.
     ///
-    /// Otherwise the team's own work of lower priority would take each place that becomes free, on machines that the
-    /// production work may not use, and nothing is rented for work without room under the limit. The production work
-    /// would then wait for as long as the lower work lasts.
+    /// Otherwise the team's own work of lower priority would take all room that becomes free under the limit, on
+    /// machines that the production work may not use. No machine is rented for work without room under the limit, so
+    /// the production work would wait for as long as the work of lower priority lasts.
     pub(super) fn reserve_room_under_limits(
         &mut self,
         waiting: &mut Vec<WaitingJob>,
--- a/crates/tidelatch-core/src/queue/limit_preemption.rs
+++ b/crates/tidelatch-core/src/queue/limit_preemption.rs
@@ -18,7 +18,7 @@
     pub(super) id: JobId,
     /// Index of its team.
     pub(super) team: usize,
-    /// Time of submission, wall clock, in milliseconds.
+    /// Time of acceptance, wall clock, in milliseconds.
     pub(super) accepted_wall_ms: u64,
     /// Seconds until it must start to meet its deadline; `f64::MAX` without one.
     pub(super) slack_s: f64,
--- a/crates/tidelatch-core/src/queue/preemption.rs
+++ b/crates/tidelatch-core/src/queue/preemption.rs
@@ -19,7 +19,7 @@
 pub(super) struct PreemptionResult {
     /// The candidate machines as they will be after the stops; `None` if no machine was examined.
     pub(super) machines: Option<Vec<CandidateMachine>>,
-    /// Job index of each production replica for which no room can be made.
+    /// Index of each production service with a replica for which no room can be made.
     pub(super) blocked_replicas: Vec<usize>,
 }
 
--- a/crates/tidelatch-core/src/queue/ranking.rs
+++ b/crates/tidelatch-core/src/queue/ranking.rs
@@ -9,7 +9,8 @@
 /// Fraction of the start objective of a class after which a job without a started task precedes others. It leaves time
 /// for a machine to boot and to fetch an image.
 const STARVATION_FRACTION: f64 = 0.75;
-/// The same as a fraction of [`MAX_START_DELAY_S`] for services and for classes without a start objective.
+/// Fraction of [`MAX_START_DELAY_S`] after which a service, or a job of a class without a start objective, without a
+/// started task precedes others.
 const STARVATION_FRACTION_WITHOUT_OBJECTIVE: f64 = 0.375;
 
 /// Usage of one team and the share by which it is served.
--- a/crates/tidelatch-core/src/queue/replica_moves.rs
+++ b/crates/tidelatch-core/src/queue/replica_moves.rs
@@ -29,9 +29,9 @@
     partition: Partition,
     /// Room on each machine, including what pending stops will free.
     free: BTreeMap<MachineId, Amounts>,
-    /// Room on each machine including what preemption of lower priority would free, since a waiting replica gets that
-    /// at once. Grouped by type, zone and spot, so that machines a job may not use are not examined for each of its
-    /// replicas.
+    /// Room on each machine including what preemption of lower priority would free, since preemption gives a waiting
+    /// replica that room at once. Grouped by type, zone and spot, so that machines a job may not use are not examined
+    /// for each of its replicas.
     destinations: BTreeMap<(&'a str, &'a str, bool), Vec<MachineRoom>>,
     moves: Vec<StopOrder>,
     /// Jobs and zones whose replicas have no destination. Room only shrinks during a search, so their next replica has
--- a/crates/tidelatch-core/src/roster.rs
+++ b/crates/tidelatch-core/src/roster.rs
@@ -55,7 +55,8 @@
 
 impl Controller {
     /// Maximum size in bytes of a machine group or boot batch when it is written: 3/4 of the limit on a value,
-    /// because the numbers that it holds about its machines may grow by some digits.
+    /// because numbers that it holds about its machines, such as sessions and sequence numbers of reports, may grow by
+    /// some digits.
     pub(crate) fn max_record_bytes(&self) -> usize {
         self.write_limits.value_bytes * 3 / 4
     }
--- a/crates/tidelatch-core/src/roster/boot_batches.rs
+++ b/crates/tidelatch-core/src/roster/boot_batches.rs
@@ -14,7 +14,7 @@
 pub(super) struct BootedMachine {
     pub(super) machine: MachineId,
     pub(super) entry: BootEntry,
-    /// Waits for the answer to the first report; none once it has been answered.
+    /// Who waits for the answer to the first report; `None` once it has been answered.
     pub(super) requester: Option<Requester>,
     /// When the first report came, in milliseconds.
     pub(super) reported_at: u64,
@@ -128,7 +128,7 @@
             return;
         }
         let max_bytes = self.max_record_bytes();
-        // The braces around the entries.
+        // 2 bytes for the braces around the entries.
         let mut bytes = 2;
         let fits = |n: &&BootedMachine| {
             bytes += entry_bytes(&n.machine, &n.entry);
@@ -166,8 +166,8 @@
         format!("{first}.{incarnation:x}.{number}")
     }
 
-    /// Replaces a boot batch that was too large with two of half its size. If an earlier copy of its write is applied
-    /// all the same, it holds no more than they do.
+    /// Replaces a boot batch that was too large with two of half its size. A late copy of the large batch's write is
+    /// harmless, because it holds no other entries than the two halves.
     fn halve_boot_batch(&mut self, batch: BootBatch) {
         let half = batch.entries.len().div_ceil(2);
         let mut first = batch.entries;
--- a/crates/tidelatch-core/src/submissions.rs
+++ b/crates/tidelatch-core/src/submissions.rs
@@ -118,7 +118,8 @@
         if !self.fits_allowed_machine_type(spec) {
             return unprocessable("a task fits no allowed machine type");
         }
-        // A spread gang may have half of its tasks, rounded up, in one zone: that is all of them only for one task.
+        // A spread gang may have half of its tasks, rounded up, in one zone, so only a spread gang of one task
+        // fits in one zone.
         if spec.shape == Shape::Gang && spec.one_zone && spec.spread && spec.tasks > 1 {
             return unprocessable("a gang cannot be in one zone and spread over zones at the same time");
         }
@@ -191,7 +192,8 @@
         );
     }
 
-    /// Handles the answer to the write of an acceptance. `acceptance` is the epoch and the time of day that it holds.
+    /// Handles the answer to the write of an acceptance. `acceptance` is the epoch and the wall clock time that it
+    /// holds.
     pub(crate) fn on_accept_reply(
         &mut self,
         (requester, submission): (Requester, Option<Vec<u8>>),
--- a/crates/tidelatch-core/src/write_limits.rs
+++ b/crates/tidelatch-core/src/write_limits.rs
@@ -7,7 +7,7 @@
 pub(crate) struct WriteLimits {
     /// Maximum size of a value in bytes.
     pub(crate) value_bytes: usize,
-    /// Maximum number of puts and deletes in a transaction.
+    /// Maximum number of changes (writes and deletions) in a transaction.
     pub(crate) max_ops: usize,
 }
 
