--- a/crates/tidelatch-core/src/capacity/digests.rs
+++ b/crates/tidelatch-core/src/capacity/digests.rs
@@ -182,7 +182,8 @@
         supply
     }
 
-    /// Whether a machine has been idle for more than one report interval, so that it can go to another partition.
+    /// Whether a machine has been idle for more than one report interval, so that it can go to another partition
+    /// without tasks.
     fn can_be_handed_over(&self, m: &Machine) -> bool {
         let report_ms = self.settings.report_ms();
         let idle_ms = m.idle_since.map_or(0, |t| self.now.ms.saturating_sub(t));
--- a/crates/tidelatch-core/src/capacity/spare_room.rs
+++ b/crates/tidelatch-core/src/capacity/spare_room.rs
@@ -31,7 +31,8 @@
 }
 
 impl Controller {
-    /// The free capacity of a machine in use, if the machine can be handed over with its tasks.
+    /// The free capacity of a machine in use, if the machine can be handed over with its tasks. It then becomes a
+    /// shared machine, which holds tasks of other partitions than its own.
     pub(super) fn spare_room(&self, id: &MachineId, machine: &Machine) -> Option<SpareRoom> {
         if machine.held.is_empty()
             || machine.reserved
--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -244,7 +244,7 @@
         let is_head_stored =
             |pending: &PendingDrain| records.stored.get(&pending.name).is_some_and(|d| d.head.is_some());
         if records.pending_drain.as_ref().is_some_and(is_head_stored) {
-            // The head was stored, but the response to its write was lost.
+            // The head was stored, but the reply to its write was lost.
             records.pending_drain = None;
         }
         // This only checks that at least the reserve is left; it takes no tokens.
@@ -476,7 +476,7 @@
         owner.is_some_and(|owner| (*owner == self.own_name || self.grants_permits(owner)) && !self.is_suspected(owner))
     }
 
-    /// Handles the response to a drain write, or `None` if there was no response.
+    /// Handles the reply to a drain write, or `None` if there was no reply.
     pub(crate) fn handle_drain_write_result(&mut self, write: &DrainWrite, result: Option<(u16, Vec<u8>)>) {
         let Some(disruption) = &mut self.disruption else { return };
         let records = &mut disruption.drain_records;
--- a/crates/tidelatch-core/src/jobs.rs
+++ b/crates/tidelatch-core/src/jobs.rs
@@ -77,7 +77,8 @@
 }
 
 impl Job {
-    /// Creates a job with no finished or placed task. `record` holds the epoch, time and revision of its acceptance.
+    /// Creates a job with no finished or placed task. `record` holds the epoch, the wall clock
+    /// time in milliseconds, and the revision of its acceptance.
     fn new(spec: JobSpec, record: (Epoch, u64, Revision), partition: Partition) -> Self {
         let words = (spec.tasks as usize).div_ceil(64);
         Self {
@@ -146,6 +147,7 @@
         id: JobId,
         spec: Box<JobSpec>,
         epoch: Epoch,
+        /// Wall clock time of the acceptance, in milliseconds since the Unix epoch.
         at: u64,
         retries: u32,
         /// The submission as received, if it may be forwarded to a peer to be stored there.
--- a/crates/tidelatch-core/src/membership.rs
+++ b/crates/tidelatch-core/src/membership.rs
@@ -112,6 +112,7 @@
     /// The leader record, with the revision of its key.
     pub(crate) leader: Option<(LeaderRecord, Revision)>,
     is_taking_leadership: bool,
+    /// When this controller last became the leader.
     pub(crate) leader_since_ms: u64,
     /// The epoch record, with the revision of its key.
     pub(crate) epoch: Option<(EpochRecord, Revision)>,
--- a/crates/tidelatch-core/src/membership/records.rs
+++ b/crates/tidelatch-core/src/membership/records.rs
@@ -42,8 +42,8 @@
     *level == 0
 }
 
-/// The leader record. The state service deletes it when the leader's lease ends. Also names an earlier owner of a
-/// partition.
+/// The leader record. The state service deletes it when the leader's lease ends. The same type
+/// names an earlier owner of a partition, whether or not it was the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Name of the controller.
