--- a/crates/tidelatch-core/src/disruption/drain_records.rs
+++ b/crates/tidelatch-core/src/disruption/drain_records.rs
@@ -21,7 +21,7 @@
 pub(crate) const DRAIN_PREFIX: &str = "t/d/";
 /// Fraction of the write budget's burst that drain writes leave for other state service writes.
 const WRITE_BUDGET_RESERVE: f64 = 0.3;
-/// Number of times per report period that the leader checks its drains.
+/// Number of times per report interval that the leader checks its drains.
 const CHECKS_PER_REPORT_PERIOD: u64 = 2;
 
 /// A machine that is being drained at present.
@@ -244,9 +244,10 @@
         let is_head_stored =
             |pending: &PendingDrain| records.stored.get(&pending.name).is_some_and(|d| d.head.is_some());
         if records.pending_drain.as_ref().is_some_and(is_head_stored) {
-            // The head was stored, but the response to its write was lost.
+            // The head was stored, but the reply to its write was lost.
             records.pending_drain = None;
         }
+        // This only checks that at least the reserve is left; it takes no tokens.
         if !self.state_writes.try_take(now, 0.0, WRITE_BUDGET_RESERVE) {
             return;
         }
@@ -475,7 +476,7 @@
         owner.is_some_and(|owner| (*owner == self.own_name || self.grants_permits(owner)) && !self.is_suspected(owner))
     }
 
-    /// Handles the response to a drain write, or `None` if there was no response.
+    /// Handles the reply to a drain write, or `None` if there was no reply.
     pub(crate) fn handle_drain_write_result(&mut self, write: &DrainWrite, result: Option<(u16, Vec<u8>)>) {
         let Some(disruption) = &mut self.disruption else { return };
         let records = &mut disruption.drain_records;
