--- a/crates/tidelatch-disruption/src/budget.rs
+++ b/crates/tidelatch-disruption/src/budget.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Returns whether no unit may ever be unavailable, whatever the scope size is.
+    /// Returns whether no unit may ever be unavailable, whatever the scope size is. A `MinAvailable` budget with
+    /// `Amount::PercentOrOne` is not recognized: the result for it is always `false`.
     pub fn never_permits_disruption(self) -> bool {
         match self {
             Self::MaxUnavailable(amount) => amount.is_zero(),
--- a/crates/tidelatch-failure-detector/src/config.rs
+++ b/crates/tidelatch-failure-detector/src/config.rs
@@ -61,7 +61,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {message}")]
 pub struct ConfigFault {
-    /// Name of the field.
+    /// Name under which the setting is reported. It may differ from the name of the field, as `window` does from
+    /// [`Policy::window_intervals`].
     pub field: &'static str,
     /// Description of the fault.
     pub message: &'static str,
--- a/crates/tidelatch-failure-detector/src/event.rs
+++ b/crates/tidelatch-failure-detector/src/event.rs
@@ -76,7 +76,7 @@
     },
     /// This member is no longer impaired.
     Recovered,
-    /// A claim was rejected as evidence.
+    /// A claim was rejected as evidence, and is ignored.
     ClaimIgnored {
         /// The member that sent the claim.
         from: MemberId,
--- a/crates/tidelatch-failure-detector/src/flapping.rs
+++ b/crates/tidelatch-failure-detector/src/flapping.rs
@@ -4,7 +4,8 @@
 
 /// Penalty points for one flap.
 const POINTS_PER_FLAP: u64 = 1000;
-/// Maximum number of flaps that the penalty represents.
+/// Maximum number of flaps that the penalty represents. With `Policy::tolerated_flaps` at or above this value, flaps
+/// never raise the number of heartbeats that it takes to clear a suspicion.
 const MAX_FLAPS: u64 = 8;
 
 /// A penalty that grows with each flap and halves after each half-life.
@@ -22,7 +23,7 @@
         self.updated_ms = now_ms;
     }
 
-    /// Number of consecutive heartbeats that it takes to clear a suspicion now.
+    /// Number of heartbeats since the suspicion began that it takes to clear it now. They need not be consecutive.
     pub(crate) fn heartbeats_to_clear(&self, now_ms: u64, timing: Timing, policy: &Policy) -> u64 {
         let flaps = self.current_points(now_ms, timing, policy) / POINTS_PER_FLAP;
         1 + flaps.saturating_sub(u64::from(policy.tolerated_flaps))
--- a/crates/tidelatch-standin/src/gang.rs
+++ b/crates/tidelatch-standin/src/gang.rs
@@ -27,8 +27,9 @@
     cannot_save: bool,
     /// Whether its progress is saved.
     is_saved: bool,
-    /// Progress of this attempt since the last checkpoint, and when it was last updated.
+    /// Progress of this attempt since the last checkpoint.
     progress_ms: u64,
+    /// When the progress was last updated.
     updated_ms: u64,
 }
 
@@ -78,6 +79,7 @@
         }
         let first = *gang.first_stop_ms.get_or_insert(now);
         if grace_s * 1000.0 < GANG_SAVE_MS as f64 || now > first + GANG_PEER_TIMEOUT_MS {
+            // A gang whose progress is already saved does not need to save it again.
             gang.cannot_save |= !gang.is_saved;
             return false;
         }
--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -1,7 +1,7 @@
 //! Cancellations shortly before an outage of the state service: a controller that gives tasks to workers in the outage
 //! has to know of them. In most tests the state service first refuses one controller alone, another controller confirms
-//! cancellations, and then the state service is down for all, for longer than `cancel_s`, while workers go on reporting
-//! to the refused controller.
+//! cancellations, and then the state service is down for all, for about `cancel_s` or longer, while workers go on
+//! reporting to the refused controller.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 }
 
 /// Which hello messages between controllers are lost, from shortly before the cancellations until the fate of the
-/// confirming controller.
+/// confirming controller. If it survives, those of `LostToRefused` stay lost in the outage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum HelloLoss {
     Nothing,
@@ -35,7 +35,7 @@
 /// One combination of times and faults around the refusal and the outage.
 #[derive(Debug, Clone, Copy)]
 struct Scenario {
-    /// Time from the beginning of the refusal to the outage, if the cancellations do not need more.
+    /// Time from the beginning of the refusal to the outage. It is longer if `cancelled_ms` requires it.
     refused_ms: u64,
     /// Time from the cancellations to the outage.
     cancelled_ms: u64,
@@ -197,7 +197,7 @@
 #[test]
 fn controllers_that_do_not_exchange_cancellations_break_the_rule() {
     // Checks that the scenarios above can find the failure: with controllers that tell each other of no cancellations,
-    // as the version before did, cancelled tasks stay.
+    // as the version without that exchange did, cancelled tasks stay.
     let before = Features {
         cancellations: false,
         ..Features::default()
@@ -332,8 +332,8 @@
 fn a_report_to_another_controller_is_answered_with_stops_before_it_is_passed_on() {
     // Guards against a cancelled task that keeps running because its worker reports to another controller than the
     // owner of its machine. The controller that answers a report stops cancelled tasks itself: the owner may be slow
-    // or not ready, and the machine may hear nothing after this one answer. Found by random simulations: a direct
-    // start was carried out late, after its owner had ended.
+    // or not ready, and the machine may hear nothing after this one answer. In random simulations a
+    // direct start was carried out late, after the controller that owned the machine had ended.
     let mut world = World::new();
     world.run_ms = 300_000;
     world.run_for(3000);
--- a/crates/tidelatch/src/daemon/mod.rs
+++ b/crates/tidelatch/src/daemon/mod.rs
@@ -86,7 +86,7 @@
 struct Clock(Instant);
 
 impl Clock {
-    /// Returns the monotonic time since the start of the clock and the time of day. 1 ms is added to the monotonic
+    /// Returns the monotonic time since the start of the clock and the Unix time. 1 ms is added to the monotonic
     /// time, so that it is never 0.
     fn now(&self) -> Now {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
