--- a/crates/tidelatch-core/src/settings.rs
+++ b/crates/tidelatch-core/src/settings.rs
@@ -150,7 +150,8 @@
     /// Number of evaluations (one machine for one task) that the placement search may make without interruption, within
     /// one input of the controller.
     pub fn search_evaluations(&self) -> usize {
-        // Lower bound of the evaluations that one whole core makes in a second, so that the search keeps its time budget.
+        // Lower bound of the evaluations that one whole core makes in a second, so that the search keeps its time
+        // budget.
         const EVALUATIONS_PER_CORE_SECOND: f64 = 4e6;
         let cores = self.platform.facts.machine_limits.cores;
         (self.operator.search_budget_s * cores * EVALUATIONS_PER_CORE_SECOND).max(1000.0) as usize
--- a/crates/tidelatch-disruption/src/ledger.rs
+++ b/crates/tidelatch-disruption/src/ledger.rs
@@ -137,7 +137,8 @@
     Finished,
 }
 
-/// The state of units and jobs that the ledger reads from the embedding scheduler in [`PermitLedger::release_settled_permits`].
+/// The state of units and jobs that the ledger reads from the embedding scheduler in
+/// [`PermitLedger::release_settled_permits`].
 pub trait UnitStateSource {
     /// Returns the state of a unit for which a permit is outstanding.
     fn state(&self, unit: &Unit, permit: &OutstandingPermit) -> UnitState;
--- a/crates/tidelatch-failure-detector/src/detector.rs
+++ b/crates/tidelatch-failure-detector/src/detector.rs
@@ -125,8 +125,8 @@
     /// # Errors
     ///
     /// Returns why the heartbeat is rejected as evidence. It does not count as contact with its sender then, and its
-    /// claims are ignored. Time passes all the same if it is rejected because of its incarnation or sequence number; the
-    /// events of this passing of time are not returned then.
+    /// claims are ignored. Time passes all the same if it is rejected because of its incarnation or sequence number;
+    /// the events of this passing of time are not returned then.
     pub fn on_heartbeat(
         &mut self,
         now_ms: u64,
--- a/crates/tidelatch-failure-detector/src/event.rs
+++ b/crates/tidelatch-failure-detector/src/event.rs
@@ -71,10 +71,11 @@
     },
     /// This member considers itself impaired, and requires more evidence before it suspects others.
     Impaired {
-        /// How long it did not run. 0 if the reason is that it hears from almost no other member.
+        /// How long it did not run. 0 if the reason is that more than half of the other members became unresponsive
+        /// together.
         paused_ms: u64,
     },
-    /// This member is no longer impaired.
+    /// This member itself is no longer impaired.
     Recovered,
     /// A claim was rejected as evidence, and is ignored.
     ClaimIgnored {
--- a/crates/tidelatch-failure-detector/src/member.rs
+++ b/crates/tidelatch-failure-detector/src/member.rs
@@ -134,8 +134,8 @@
     /// Returns whether a registered incarnation was left behind by an earlier process, while the current one has not
     /// registered yet. If so, the caller ignores the registration. This is possible only within one lease after the
     /// current incarnation was first heard, because the earlier registration expires within that lease. If the earlier
-    /// incarnation is still registered after that lease, the heartbeat that started the current incarnation was an old message that
-    /// arrived late, and the caller relies on the registration.
+    /// incarnation is still registered after that lease, the heartbeat that started the current incarnation was an old
+    /// message that arrived late, and the caller relies on the registration.
     pub(crate) fn is_stale_registration(&self, listed: IncarnationId, observed_ms: u64, lease_ms: u64) -> bool {
         self.earlier_incarnations.contains(&listed) && observed_ms < self.incarnation_began_ms.saturating_add(lease_ms)
     }
--- a/crates/tidelatch-standin/src/checker.rs
+++ b/crates/tidelatch-standin/src/checker.rs
@@ -1,7 +1,17 @@
 //! Checks the protocol's rules over a history of events.
 //!
 //! The checker does not know the controllers. It is given the users' requests, the answers to them, and the events on
-//! machines. Each distinct breach is recorded once, as `rule: detail`. All times are in milliseconds.
+//! machines. Each distinct breach is recorded once, as `rule: detail`. All times are in milliseconds. The rules
+//! are named after their breach:
+//!
+//! - `forgotten`: an accepted job is unknown or rejected later, or no request about it is answered.
+//! - `invented`: an answer shows a job that no user submitted.
+//! - `went_back`: a done or cancelled job has another status later, or a job is cancelled without its user's request.
+//! - `not_done`: a job is reported as done before its tasks are.
+//! - `ran_cancelled`: a cancelled job is still on a machine, or starts, after the time allowed for cancellations.
+//! - `ran_twice`: a task starts on a machine while another machine has it.
+//! - `wrong_place`: a task starts on a machine that its placement constraints exclude.
+//! - `quota`: the accelerators of a team's tasks on machines exceed its limit.
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/tidelatch-standin/src/interruptions.rs
+++ b/crates/tidelatch-standin/src/interruptions.rs
@@ -55,7 +55,7 @@
     groups: BTreeMap<String, Group>,
     running: BTreeMap<String, String>,
     lost_machines: BTreeSet<String>,
-    /// Machines whose session was lost since the last sample, with all units on them.
+    /// Machines whose session was lost since the last call of [`Self::record_running_units`], with all units on them.
     lost_sessions: BTreeSet<String>,
     /// Units that were voluntarily stopped and do not run again yet.
     stopped: BTreeSet<String>,
--- a/crates/tidelatch-standin/src/loopback/controllers.rs
+++ b/crates/tidelatch-standin/src/loopback/controllers.rs
@@ -61,10 +61,13 @@
     pub processes: Vec<Process>,
     /// The addresses at which controllers serve users and workers, in the order of their numbers.
     pub addresses: Vec<SocketAddr>,
+    /// Proxies between controllers, by the numbers of the calling and of the called controller.
     peer_proxies: BTreeMap<(usize, usize), Proxy>,
+    /// Proxies to the state service, one for each controller.
     state_proxies: Vec<Proxy>,
     directory: PathBuf,
     program: PathBuf,
+    /// The platform settings of each controller.
     configs: Vec<String>,
 }
 
--- a/crates/tidelatch-standin/src/state.rs
+++ b/crates/tidelatch-standin/src/state.rs
@@ -21,6 +21,7 @@
 #[derive(Debug, Default)]
 pub struct Store {
     keys: BTreeMap<String, Entry>,
+    /// Expiry time and time to live, by lease number.
     leases: BTreeMap<u64, (u64, u64)>,
     changes: Vec<Change>,
     revision: u64,
--- a/crates/tidelatch-standin/src/worker.rs
+++ b/crates/tidelatch-standin/src/worker.rs
@@ -8,7 +8,7 @@
 pub struct Attempt {
     /// `pulling`, `gathering`, `running`, `flushing` or `ended`.
     pub state: &'static str,
-    /// The cause of its end.
+    /// The cause of its end. It is reported only once the attempt has ended.
     pub cause: &'static str,
     /// When it moves to the next state by itself, in milliseconds.
     pub transition_ms: Option<u64>,
--- a/crates/tidelatch-standin/src/world/deployment.rs
+++ b/crates/tidelatch-standin/src/world/deployment.rs
@@ -23,7 +23,8 @@
     pub announced_limits: Option<(f64, f64, u32)>,
     /// Minimum length of team names in bytes. Shorter names are padded.
     pub min_team_name_bytes: usize,
-    /// Objective for the start of tasks of the class `c`, in seconds; 0: there is no such objective.
+    /// Objective for the start of tasks of the class `c`, that of all jobs made by [`job`], in seconds; 0: there is no
+    /// such objective.
     pub start_within_s: f64,
 }
 
--- a/crates/tidelatch-standin/src/world/mod.rs
+++ b/crates/tidelatch-standin/src/world/mod.rs
@@ -79,7 +79,9 @@
     /// Whether an array's tasks run for up to twice as long, depending on their index.
     pub has_uneven_run_times: bool,
     controllers: Vec<SimulatedController>,
+    /// Future events, by time and order of scheduling.
     queue: BTreeMap<(u64, u64), Event>,
+    /// Number of events scheduled so far.
     event_order: u64,
     pending_requests: BTreeMap<u64, PendingRequest>,
     next_request: u64,
@@ -87,8 +89,11 @@
     jobs: BTreeMap<String, Value>,
     /// The state of the gangs on the workers.
     pub gangs: Gangs,
+    /// Whether the periodic step of the gangs is scheduled: from the first submission of a gang.
     gangs_scheduled: bool,
+    /// When each worker last sent a report because a gang had changed.
     gang_reported_at: BTreeMap<String, u64>,
+    /// The job and the kind of each user request, by request number.
     request_subjects: BTreeMap<u64, (String, &'static str)>,
     checker: Checker,
     /// Number of the checker's breaches that are already in `breaches`.
@@ -99,6 +104,7 @@
     pub cancellation_requests_at_end: BTreeMap<String, u64>,
     /// Copies of reports that are delivered again in the next epoch; `None`: none are kept.
     kept_reports: Option<VecDeque<String>>,
+    /// The epoch in which the copies in `kept_reports` are made.
     kept_epoch: u64,
     trace: String,
     size: DeploymentSize,
--- a/crates/tidelatch-standin/src/world/users.rs
+++ b/crates/tidelatch-standin/src/world/users.rs
@@ -47,7 +47,7 @@
     }
 
     /// Sends any user request to a controller. `about` is the job and the kind of request, for the trace and the
-    /// checker. Returns the request number.
+    /// checker. The checker ignores the answer to a request of the kind `health`. Returns the request number.
     pub fn send_user_request(
         &mut self,
         controller: usize,
@@ -153,7 +153,8 @@
         self.cancellation_requests_at_end.insert(job, request);
     }
 
-    /// Delivers an answer to a user and reports it to the checker. Answers to health checks are not checked.
+    /// Delivers an answer to a user and reports it to the checker. Answers to requests of the kind `health`
+    /// are not checked.
     pub(super) fn answer_user(&mut self, controller: usize, id: u64, answer: Answer) {
         let Some((job, kind)) = self.request_subjects.get(&id).cloned() else {
             return;
--- a/crates/tidelatch/src/daemon/dispatcher.rs
+++ b/crates/tidelatch/src/daemon/dispatcher.rs
@@ -205,9 +205,9 @@
     }
 }
 
-/// Result that the core gets for a call without a response: [`STATUS_NO_FREE_SOCKET`] or [`STATUS_NOT_CONNECTED`] if the
-/// receiver cannot have got the request, `None` if it may have. A call to a worker address that cannot be parsed also
-/// gets [`STATUS_NO_FREE_SOCKET`], because nothing was sent.
+/// Result that the core gets for a call without a response: [`STATUS_NO_FREE_SOCKET`] or [`STATUS_NOT_CONNECTED`] if
+/// the receiver cannot have got the request, `None` if it may have. A call to a worker address that cannot be parsed
+/// also gets [`STATUS_NO_FREE_SOCKET`], because nothing was sent.
 fn status_without_response(stage: CallStage) -> Option<(u16, Vec<u8>)> {
     match stage {
         CallStage::WaitingForSocket => Some((STATUS_NO_FREE_SOCKET, Vec::new())),
--- a/crates/tidelatch/src/peers/server.rs
+++ b/crates/tidelatch/src/peers/server.rs
@@ -91,8 +91,8 @@
 }
 
 /// Maximum number of open connections per peer: the one in use, and those that the peer abandoned during network
-/// partitions and whose close has not arrived here yet. The limit applies to the total of all peers, so that one peer may
-/// have more.
+/// partitions and whose close has not arrived here yet. The limit applies to the total of all peers, so that one peer
+/// may have more.
 const MAX_CONNECTIONS_PER_PEER: usize = 16;
 /// Maximum number of concurrent requests on one connection. Up to a third of the reports of a thousand
 /// workers may be relayed while the controller that owns the workers is slow.
