--- a/crates/tidelatch-failure-detector/examples/measure.rs
+++ b/crates/tidelatch-failure-detector/examples/measure.rs
@@ -106,7 +106,9 @@
     delays: DelaySampler,
     random: StdRng,
     policy: Policy,
+    /// Milliseconds from a crash to each suspicion of the member that crashed.
     suspected: Histogram<u64>,
+    /// Milliseconds from a crash to each confirmation of the member that crashed.
     confirmed: Histogram<u64>,
     /// Suspicions and confirmations of members that were not down.
     false_suspicions: u64,
--- a/crates/tidelatch-failure-detector/src/local_health.rs
+++ b/crates/tidelatch-failure-detector/src/local_health.rs
@@ -31,8 +31,8 @@
         self.score > 0
     }
 
-    /// Adds a point: this member did not run for more than one heartbeat interval, or more than half of the
-    /// other members became unresponsive together.
+    /// Adds a point: this member did not run for more than one heartbeat interval, or more than half of the other
+    /// members became unresponsive together.
     pub(crate) fn record_fault(&mut self, now_ms: u64) {
         self.score = self.score.saturating_add(1).min(self.max_score);
         self.changed_ms = now_ms;
--- a/crates/tidelatch-standin/src/checker.rs
+++ b/crates/tidelatch-standin/src/checker.rs
@@ -1,8 +1,8 @@
 //! Checks the protocol's rules over a history of events.
 //!
 //! The checker does not know the controllers. It is given the users' requests, the answers to them, and the events on
-//! machines. Each distinct breach is recorded once, as `rule: detail`. All times are in milliseconds. The rules
-//! are named after their breach:
+//! machines. Each distinct breach is recorded once, as `rule: detail`. All times are in milliseconds. The rules are
+//! named after their breach:
 //!
 //! - `forgotten`: an accepted job is unknown or rejected later, or no request about it is answered.
 //! - `invented`: an answer shows a job that no user submitted.
--- a/crates/tidelatch-standin/src/faults.rs
+++ b/crates/tidelatch-standin/src/faults.rs
@@ -54,7 +54,8 @@
     })
 }
 
-/// Duplicates a share (0 to 1) of the reports: the copy arrives 2 to 45 s late; a worker lease lasts 18 s.
+/// Duplicates a share (0 to 1) of the reports: the copy arrives 2 to 45 s late. 45 s is well over two worker leases of
+/// 18 s.
 pub fn duplicate_reports(seed: u64, share: f64) -> FaultInjector {
     let mut random = fastrand::Rng::with_seed(seed);
     Box::new(move |message| {
--- a/crates/tidelatch-standin/src/world/controllers.rs
+++ b/crates/tidelatch-standin/src/world/controllers.rs
@@ -68,6 +68,8 @@
         process.pending_calls.clear();
         process.paused_inputs = None;
         process.is_refused_by_state = false;
+        // A controller that loses its lease raises its incarnation by one. 1000 numbers for each process, and a million
+        // for each controller, keep the incarnations apart.
         let id = Incarnation((controller as u64 + 1) * 1_000_000 + process.incarnation * 1000);
         process.core = Some(Controller::new(process.settings.clone(), id, now));
         let incarnation = process.incarnation;
--- a/crates/tidelatch-standin/src/world/users.rs
+++ b/crates/tidelatch-standin/src/world/users.rs
@@ -153,8 +153,8 @@
         self.cancellation_requests_at_end.insert(job, request);
     }
 
-    /// Delivers an answer to a user and reports it to the checker. Answers to requests of the kind `health`
-    /// are not checked.
+    /// Delivers an answer to a user and reports it to the checker. Answers to requests of the kind `health` are
+    /// not checked.
     pub(super) fn answer_user(&mut self, controller: usize, id: u64, answer: Answer) {
         let Some((job, kind)) = self.request_subjects.get(&id).cloned() else {
             return;
--- a/crates/tidelatch-standin/tests/cancellations.rs
+++ b/crates/tidelatch-standin/tests/cancellations.rs
@@ -332,8 +332,8 @@
 fn a_report_to_another_controller_is_answered_with_stops_before_it_is_passed_on() {
     // Guards against a cancelled task that keeps running because its worker reports to another controller than the
     // owner of its machine. The controller that answers a report stops cancelled tasks itself: the owner may be slow
-    // or not ready, and the machine may hear nothing after this one answer. In random simulations a
-    // direct start was carried out late, after the controller that owned the machine had ended.
+    // or not ready, and the machine may hear nothing after this one answer. In random simulations a direct
+    // start was carried out late, after the controller that owned the machine had ended.
     let mut world = World::new();
     world.run_ms = 300_000;
     world.run_for(3000);
--- a/crates/tidelatch/src/peers/convert.rs
+++ b/crates/tidelatch/src/peers/convert.rs
@@ -292,8 +292,8 @@
     }
 }
 
-/// Converts spare room; `None` if it has no machine or the wrong number of resource amounts, which no version of this
-/// program sends.
+/// Converts the spare resources of a machine in use; `None` if it has no machine or the wrong number of resource
+/// amounts, which no version of this program sends.
 fn parse_spare_room(spare_room: wire::SpareRoom) -> Option<SpareRoom> {
     Some(SpareRoom {
         machine: spare_room.machine?.into(),
--- a/crates/tidelatch/src/settings.rs
+++ b/crates/tidelatch/src/settings.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// Validates the combination of both files. Errors are reported under the path of the operators' file, also if the
-/// field is in the platform file; the path is empty if there is no operators' file.
+/// Validates the combination of both files. Errors are reported under the path of the operators' file, which is usually
+/// the one to change, also if the field is in the platform file. The path is empty if there is no operators' file.
 fn validate_combination(settings: Settings, operator_path: Option<&Path>) -> Result<Settings, Vec<SettingsError>> {
     let path = operator_path.map_or_else(String::new, |path| path.display().to_string());
     let faults = settings.faults().into_iter();
